--- a/balance/state.go
+++ b/balance/state.go
@@ -346,20 +346,23 @@
 
 // Memory is what a balancer learned, for the one of the same proxy that comes after it.
 type Memory struct {
-	Bases   []float64 // by tariff: what an answer takes when little waited, s
-	Servers []Learned
+	Bases   []float64 `json:"Bases"` // by tariff: what an answer takes when little waited, s
+	Servers []Learned `json:"Servers"`
 }
 
 // Learned is what was learned of one backend since its start.
 type Learned struct {
-	Mark            uint64
-	UpSince         float64
-	Limit, Pace     float64
-	Pay, Sure       float64 // of its own payoff, beside those of its model and the fleet
-	Age             float64 // s since it was heard
-	Paused          bool
-	PausedFor       float64 // s that are left of a pause
-	Errors, Results int
+	Mark      uint64  `json:"Mark"`
+	UpSince   float64 `json:"UpSince"`
+	Limit     float64 `json:"Limit"`
+	Pace      float64 `json:"Pace"`
+	Pay       float64 `json:"Pay"` // of its own payoff, beside those of its model and the fleet
+	Sure      float64 `json:"Sure"`
+	Age       float64 `json:"Age"` // s since it was heard
+	Paused    bool    `json:"Paused"`
+	PausedFor float64 `json:"PausedFor"` // s that are left of a pause
+	Errors    int     `json:"Errors"`
+	Results   int     `json:"Results"`
 }
 
 // Recall tells what was learned.
--- a/balance/types.go
+++ b/balance/types.go
@@ -53,50 +53,50 @@
 
 // Deployment is what a proxy is told when it starts. Times are in seconds.
 type Deployment struct {
-	Seed         uint64
-	Proxies      int     // proxies in the bank, this one included
-	Self         int     // this one's number among them, from 0
-	Zone         int     // where this one stands; -1: not told
-	Apart        bool    // each client process has a proxy of its own, so their traffic differs widely
-	Peers        bool    // proxies may send one another notes
-	Probes       bool    // backends may be asked for their load
-	ConnPrice    float64 // of the service, for a hundred connections open to each backend
-	OpenPrice    float64 // and for opening one a lookup
-	IdleFor      float64 // a backend closes a connection idle for this long, or earlier; 0: not told
-	PeerPrice    float64 // of the service, for one full note a lookup
-	ProbePrice   float64 // and for one probe a lookup
-	Tariffs      []Tariff
-	Customers    []Customer
-	ValueByWork  bool    // a lookup's value is its tariff's for each unit of its work
-	MaxLegs      int     // legs a lookup may have
-	CallOff      bool    // legs may be called off
-	Beside       bool    // a lookup's legs may be out beside one another
-	MaxAdvice    float64 // the longest advice when to come back that a client keeps to; 0: none
-	WarmKeys     bool    // a backend that served a key lately serves it again with less work
-	GoneAdvises  bool    // only a drain binds: what the list calls gone, or leaves out, without one may still be sent to
-	AsksList     bool    // the list of backends comes only after asking
-	AskEvery     float64 // unsubscribed for this long, the proxy counts as told
-	ColdShare    float64 // a backend starts at this share of its capacity or more
-	ColdFor      float64 // and is warm after this long
-	FallMultiple float64 // sent more than this many times what it can do
-	FallFor      float64 // for this long, a cold backend falls over
+	Seed         uint64     `json:"Seed"`
+	Proxies      int        `json:"Proxies"`    // proxies in the bank, this one included
+	Self         int        `json:"Self"`       // this one's number among them, from 0
+	Zone         int        `json:"Zone"`       // where this one stands; -1: not told
+	Apart        bool       `json:"Apart"`      // each client process has a proxy of its own, so their traffic differs widely
+	Peers        bool       `json:"Peers"`      // proxies may send one another notes
+	Probes       bool       `json:"Probes"`     // backends may be asked for their load
+	ConnPrice    float64    `json:"ConnPrice"`  // of the service, for a hundred connections open to each backend
+	OpenPrice    float64    `json:"OpenPrice"`  // and for opening one a lookup
+	IdleFor      float64    `json:"IdleFor"`    // a backend closes a connection idle for this long, or earlier; 0: not told
+	PeerPrice    float64    `json:"PeerPrice"`  // of the service, for one full note a lookup
+	ProbePrice   float64    `json:"ProbePrice"` // and for one probe a lookup
+	Tariffs      []Tariff   `json:"Tariffs"`
+	Customers    []Customer `json:"Customers"`
+	ValueByWork  bool       `json:"ValueByWork"`  // a lookup's value is its tariff's for each unit of its work
+	MaxLegs      int        `json:"MaxLegs"`      // legs a lookup may have
+	CallOff      bool       `json:"CallOff"`      // legs may be called off
+	Beside       bool       `json:"Beside"`       // a lookup's legs may be out beside one another
+	MaxAdvice    float64    `json:"MaxAdvice"`    // the longest advice when to come back that a client keeps to; 0: none
+	WarmKeys     bool       `json:"WarmKeys"`     // a backend that served a key lately serves it again with less work
+	GoneAdvises  bool       `json:"GoneAdvises"`  // only a drain binds: what the list calls gone, or leaves out, without one may still be sent to
+	AsksList     bool       `json:"AsksList"`     // the list of backends comes only after asking
+	AskEvery     float64    `json:"AskEvery"`     // unsubscribed for this long, the proxy counts as told
+	ColdShare    float64    `json:"ColdShare"`    // a backend starts at this share of its capacity or more
+	ColdFor      float64    `json:"ColdFor"`      // and is warm after this long
+	FallMultiple float64    `json:"FallMultiple"` // sent more than this many times what it can do
+	FallFor      float64    `json:"FallFor"`      // for this long, a cold backend falls over
 }
 
 // Tariff is a class of lookups.
 type Tariff struct {
-	Name     string
-	Kind     Kind
-	Scope    Scope   // for Referenced
-	Window   float64 // for Referenced: how long repeats are known
-	Due      float64 // an answer within this time earns the full value; 0: none set
-	HardStop float64 // the client waits no longer
-	Value    float64
+	Name     string  `json:"Name"`
+	Kind     Kind    `json:"Kind"`
+	Scope    Scope   `json:"Scope"`    // for Referenced
+	Window   float64 `json:"Window"`   // for Referenced: how long repeats are known
+	Due      float64 `json:"Due"`      // an answer within this time earns the full value; 0: none set
+	HardStop float64 `json:"HardStop"` // the client waits no longer
+	Value    float64 `json:"Value"`
 }
 
 // Customer is a tenant with a share of the service.
 type Customer struct {
-	Name  string
-	Quota float64 // lookups a second, over all proxies, within its share; told on, not weighed; 0: no limit
+	Name  string  `json:"Name"`
+	Quota float64 `json:"Quota"` // lookups a second, over all proxies, within its share; told on, not weighed; 0: no limit
 }
 
 // State is what the list says of a backend.
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -17,9 +17,9 @@
 
 // Order is the last that was said of the proxy, or of one backend.
 type Order struct {
-	On    bool    // drained; disabled
-	At    float64 // when it was said last
-	Since float64 // of a disabled backend, or one that was: when it was disabled
+	On    bool    `json:"On"`    // drained; disabled
+	At    float64 `json:"At"`    // when it was said last
+	Since float64 `json:"Since"` // of a disabled backend, or one that was: when it was disabled
 }
 
 // later says whether another order holds over this one. Danger: two said at the same moment must come out alike at both
@@ -30,8 +30,8 @@
 
 // Orders are the last of each kind.
 type Orders struct {
-	Drain    Order
-	Backends map[string]Order `json:",omitempty"` // by id
+	Drain    Order            `json:"Drain"`
+	Backends map[string]Order `json:"Backends,omitempty"` // by id
 }
 
 // Clone is a copy that shares nothing.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -60,9 +60,9 @@
 // UnmarshalJSON reads discovery's form and refuses what cannot be followed.
 func (l *List) UnmarshalJSON(text []byte) error {
 	var in struct {
-		Version *int64
-		Full    bool
-		Servers []row
+		Version *int64 `json:"Version"`
+		Full    bool   `json:"Full"`
+		Servers []row  `json:"Servers"`
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
 		return err
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -39,25 +39,26 @@
 
 // Hello names the proxy. Danger: two proxies may share a folder, and one that took over the other's sockets would serve nobody.
 type Hello struct {
-	Format       int
-	Name, Listen string
+	Format int    `json:"Format"`
+	Name   string `json:"Name"`
+	Listen string `json:"Listen"`
 }
 
 // State is what the process that serves hands over.
 type State struct {
 	Hello
-	Listeners []string // the addresses of the sockets that come with it, in their order
-	Orders    duty.Orders
-	IDs       []uint64
-	List      discovery.List
-	Listed    bool // List is told
-	Learned   balance.Memory
+	Listeners []string       `json:"Listeners"` // the addresses of the sockets that come with it, in their order
+	Orders    duty.Orders    `json:"Orders"`
+	IDs       []uint64       `json:"IDs"`
+	List      discovery.List `json:"List"`
+	Listed    bool           `json:"Listed"` // List is told
+	Learned   balance.Memory `json:"Learned"`
 }
 
 // Word is what one tells the other later; what is absent was not said.
 type Word struct {
-	Serving bool // the new one takes clients
-	Orders  *duty.Orders
+	Serving bool         `json:"Serving"` // the new one takes clients
+	Orders  *duty.Orders `json:"Orders"`
 }
 
 // Link is the connection between two processes of one proxy.
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -31,8 +31,8 @@
 
 // Bank is where this proxy hears its peers and where they hear it, in a bank that tells one another.
 type Bank struct {
-	Listen string
-	Peers  map[int]string // by number
+	Listen string         `json:"Listen"`
+	Peers  map[int]string `json:"Peers"` // by number
 }
 
 // Limits are those of the proxy's machine; 0: not told.
@@ -94,17 +94,17 @@
 // where it has one: a file may be replaced while the program runs, its variables may not.
 func Parse(text []byte) (Launch, error) {
 	var in struct {
-		Seed      string
-		Discovery string
-		Operator  string
+		Seed      string `json:"Seed"`
+		Discovery string `json:"Discovery"`
+		Operator  string `json:"Operator"`
 		Limits    struct {
-			Cores    float64
+			Cores    float64 `json:"Cores"`
 			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Known    *discovery.List
-		Peers    Bank
-		Settings map[string]any
+			Sockets  int     `json:"Sockets"`
+		} `json:"Limits"`
+		Known    *discovery.List `json:"Known"`
+		Peers    Bank            `json:"Peers"`
+		Settings map[string]any  `json:"Settings"`
 	}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
--- a/internal/rehearse/tally.go
+++ b/internal/rehearse/tally.go
@@ -44,10 +44,13 @@
 	Broken  [5]int   `json:"rules_broken"` // by rule, from 1
 	First   []string `json:"first_breaches,omitempty"`
 
-	P50, P90, P99, P999 float64    // of honoured tries, from when they were meant to be sent
-	Tariffs             []ByTariff `json:"tariffs"`
-	Seconds             []Second   `json:"seconds"`
-	Events              []Event    `json:"events"`
+	P50     float64    `json:"P50"` // of honoured tries, from when they were meant to be sent
+	P90     float64    `json:"P90"`
+	P99     float64    `json:"P99"`
+	P999    float64    `json:"P999"`
+	Tariffs []ByTariff `json:"tariffs"`
+	Seconds []Second   `json:"seconds"`
+	Events  []Event    `json:"events"`
 
 	RigLate float64 `json:"rig_late_p99"` // how late tries were sent
 	RigMost float64 `json:"rig_late_most"`
@@ -68,11 +71,24 @@
 
 // Second is one second of a run.
 type Second struct {
-	At                                                          int
-	Asked, InTime, Late, Dismissed, Forfeited, Lost             int
-	Legs                                                        int
-	P50, P99                                                    float64
-	Ready, Cold, Choked, Still, Down, Silent, Draining, Waiting int // servers; lookups waiting at them
+	At        int     `json:"At"`
+	Asked     int     `json:"Asked"`
+	InTime    int     `json:"InTime"`
+	Late      int     `json:"Late"`
+	Dismissed int     `json:"Dismissed"`
+	Forfeited int     `json:"Forfeited"`
+	Lost      int     `json:"Lost"`
+	Legs      int     `json:"Legs"`
+	P50       float64 `json:"P50"`
+	P99       float64 `json:"P99"`
+	Ready     int     `json:"Ready"` // servers; lookups waiting at them
+	Cold      int     `json:"Cold"`
+	Choked    int     `json:"Choked"`
+	Still     int     `json:"Still"`
+	Down      int     `json:"Down"`
+	Silent    int     `json:"Silent"`
+	Draining  int     `json:"Draining"`
+	Waiting   int     `json:"Waiting"`
 }
 
 // Event is something that happened at a stated time.
