--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -18,8 +18,6 @@
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"lockloom/internal/whole"
 )
 
 const (
@@ -113,7 +111,7 @@
 	if o.Age == 0 {
 		o.Age = ageUsual
 	}
-	form, err := whole.Form[state]()
+	form, err := stateForm()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -55,7 +55,7 @@
 
 // Head begins a file.
 func (p *Player) Head(h Head) error {
-	form, err := whole.Form[state]()
+	form, err := stateForm()
 	if err != nil {
 		return err
 	}
--- a/internal/whole/whole.go
+++ b/internal/whole/whole.go
@@ -1,6 +1,6 @@
 // Package whole writes down a value with all that hangs from it, unexported fields and pointers into the midst of other values
 // included, and builds the same again: for captures, which begin in the middle of a life. It knows nothing of what the values mean. A
-// program reads only what one with the same types wrote; Form tells them apart. It is not for values that others use meanwhile.
+// program reads only what one with types of the same layout wrote; Layout tells them apart. It is not for values that others use meanwhile.
 package whole
 
 import (
@@ -71,18 +71,27 @@
 	return fmt.Errorf("%s: a %s cannot be written down", path, t.Kind())
 }
 
-// Form is a number that two programs share if what one writes of this type the other can read.
-func Form[T any]() (uint64, error) {
+// Layout is a number that two programs share if what one writes of this type the other can read. It depends on the kinds, sizes and
+// offsets of all types that hang from T, but on no name.
+func Layout[T any]() (uint64, error) {
 	k, err := kindsOf(reflect.TypeFor[T]())
 	if err != nil {
 		return 0, err
 	}
 	var b strings.Builder
 	for _, t := range k.list {
-		fmt.Fprintf(&b, "%s %s %d;", t, t.Kind(), t.Size())
-		for i := 0; t.Kind() == reflect.Struct && i < t.NumField(); i++ {
-			fmt.Fprintf(&b, "%s %s %d,", t.Field(i).Name, t.Field(i).Type, t.Field(i).Offset)
+		fmt.Fprintf(&b, "%s %d", t.Kind(), t.Size())
+		switch t.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Array:
+			fmt.Fprintf(&b, " %d", k.of[t.Elem()])
+		case reflect.Map:
+			fmt.Fprintf(&b, " %d %d", k.of[t.Key()], k.of[t.Elem()])
+		case reflect.Struct:
+			for i := range t.NumField() {
+				fmt.Fprintf(&b, " %d@%d", k.of[t.Field(i).Type], t.Field(i).Offset)
+			}
 		}
+		b.WriteByte(';')
 	}
 	h := fnv.New64a()
 	h.Write([]byte(b.String()))
