--- a/assign/assign.go
+++ b/assign/assignment.go
@@ -46,36 +46,36 @@
 
 func (h Health) String() string { return [...]string{"healthy", "unhealthy", "draining"}[h] }
 
-// Terms are what holds for a pool.
-type Terms struct {
-	ColdShare    float64 // a server starts at this share of its capacity or more
-	ColdFor      float64 // s until it is warm
-	FallMultiple float64 // sent more than this many times what it can do a cold server falls over; 0: none does
-	FallFor      float64 // s for which it must be sent so much
-	Local        bool    // subscribers keep to their own zone while it has a healthy server
+// Settings are what holds for a pool.
+type Settings struct {
+	SlowStartFraction float64 // a server starts at this share of its capacity or more
+	SlowStartDuration float64 // s until it is warm
+	CrashFactor       float64 // sent more than this many times what it can do a cold server falls over; 0: none does
+	CrashDuration     float64 // s for which it must be sent so much
+	PreferLocalZone   bool    // subscribers keep to their own zone while it has a healthy server
 }
 
-// Opinion is what the instance holds of one server.
-type Opinion struct {
+// ServerEstimate is what the instance holds of one server.
+type ServerEstimate struct {
 	Name, Addr, Zone string
 	Draining         bool
 	Paused, Trial    bool    // paused; and cooled down, so that it may be tried
 	Payoff           float64 // from 0 to 1
-	Size             float64 // cores; 0: not told
-	UpSince          float64 // 0: long ago
+	Cores            float64 // cores; 0: not told
+	StartedAt        float64 // 0: long ago
 }
 
-// Sight is what the instance holds of a pool at one time.
-type Sight struct {
-	Servers []Opinion
-	Gone    []string // listed as gone since the last sight, as opposed to missing from a list
+// Observation is what the instance holds of a pool at one time.
+type Observation struct {
+	Servers []ServerEstimate
+	Removed []string // listed as gone since the last sight, as opposed to missing from a list
 	Load    float64  // lookups in work for all subscribers together; 0: not known
 	Rate    float64  // of them begun a second; with it the load is reckoned without what waits
 }
 
 // Server is a server as a subscriber is told of it.
 type Server struct {
-	Opinion
+	ServerEstimate
 	Health   Health
 	Weight   int // 1 or more; it counts among those of one priority
 	Priority int // 0 first; the next is for when it has no healthy server
@@ -89,7 +89,7 @@
 
 // told is what holds for a server.
 type told struct {
-	Opinion
+	ServerEstimate
 	health  Health
 	weight  float64
 	cap     float64 // share of all lookups that it is given at most; +Inf: no bound
@@ -101,7 +101,7 @@
 
 // Pool is one pool's state.
 type Pool struct {
-	terms    Terms
+	terms    Settings
 	now      float64
 	told     map[string]*told
 	movedAt  float64 // when weights moved last
@@ -115,15 +115,15 @@
 }
 
 // New is a pool that nothing is known of.
-func New(t Terms) *Pool { return &Pool{terms: t, told: map[string]*told{}} }
+func New(t Settings) *Pool { return &Pool{terms: t, told: map[string]*told{}} }
 
-// Next takes in a sight. It tells whether the assignment changed, and whether that must not wait at anybody: a server drains, is gone,
+// Update takes in a sight. It tells whether the assignment changed, and whether that must not wait at anybody: a server drains, is gone,
 // is paused, or is given less because it is cold.
-func (p *Pool) Next(now float64, s Sight) (changed, urgent bool) {
+func (p *Pool) Update(now float64, s Observation) (changed, urgent bool) {
 	now = max(now, p.now) // danger: a clock that is set back would stop all moves until it has caught up
 	p.now = now
 	p.loads(now, s)
-	for _, name := range s.Gone {
+	for _, name := range s.Removed {
 		if p.told[name] != nil {
 			delete(p.told, name)
 			urgent = true
@@ -137,11 +137,11 @@
 			p.told[o.Name] = t
 			changed = true
 		}
-		if t.UpSince != o.UpSince && t.Name != "" { // danger: what it was given when warm would push it over now that it is cold
+		if t.StartedAt != o.StartedAt && t.Name != "" { // danger: what it was given when warm would push it over now that it is cold
 			t.cap, changed = math.Inf(1), true
 		}
 		changed = changed || t.Addr != o.Addr || t.Zone != o.Zone || t.lostAt > 0
-		t.Opinion, t.lostAt = o, 0
+		t.ServerEstimate, t.lostAt = o, 0
 	}
 	urgent = p.lose(s) || urgent
 	urgent = p.judge() || urgent
@@ -157,7 +157,7 @@
 
 // loads takes in how much is sent. Danger: reckoned by what is in work, a crowd that waits at the warm servers would shut the cold
 // ones, which makes the crowd; so it is the rate times what a lookup takes where little waits.
-func (p *Pool) loads(now float64, s Sight) {
+func (p *Pool) loads(now float64, s Observation) {
 	passed := now - p.loadAt
 	p.loadAt = now
 	load := s.Load
@@ -181,7 +181,7 @@
 
 // lose drops servers that the list has lost. Danger: a list source that restarts empty, or tells half, would have every subscriber
 // without servers; where many are missing at once they are held, until they are listed as drained or gone, or for holdFor.
-func (p *Pool) lose(s Sight) (urgent bool) {
+func (p *Pool) lose(s Observation) (urgent bool) {
 	listed := make(map[string]bool, len(s.Servers))
 	for i := range s.Servers {
 		listed[s.Servers[i].Name] = true
@@ -286,8 +286,8 @@
 	rises := p.now >= p.raisedAt+moveEvery
 	for _, t := range p.told {
 		bound := math.Inf(1)
-		if can := p.can(t); can < 1 && p.terms.FallMultiple > 0 {
-			budget := p.terms.FallMultiple * can * max(t.Size, 1)
+		if can := p.can(t); can < 1 && p.terms.CrashFactor > 0 {
+			budget := p.terms.CrashFactor * can * max(t.Cores, 1)
 			bound = p.margin(budget) * budget / p.reckoned
 		}
 		switch {
@@ -305,34 +305,34 @@
 
 // margin is the part of a cold server's budget that is given out, so that what chance adds in one time to fall still fits.
 func (p *Pool) margin(budget float64) float64 {
-	if p.base == 0 || p.terms.FallFor == 0 {
+	if p.base == 0 || p.terms.CrashDuration == 0 {
 		return coldMargin
 	}
-	spread := coldSpread * math.Sqrt(2*p.base/(budget*p.terms.FallFor))
+	spread := coldSpread * math.Sqrt(2*p.base/(budget*p.terms.CrashDuration))
 	return max(coldMargin, min(math.Pow((math.Sqrt(spread*spread+4)-spread)/2, 2), coldMost))
 }
 
 // can is the share of its capacity that a server has at least.
 func (p *Pool) can(t *told) float64 {
-	if t.UpSince == 0 || p.now >= t.UpSince+p.terms.ColdFor {
+	if t.StartedAt == 0 || p.now >= t.StartedAt+p.terms.SlowStartDuration {
 		return 1
 	}
-	return min(p.terms.ColdShare+(1-p.terms.ColdShare)*max(p.now-t.UpSince, 0)/p.terms.ColdFor, 1)
+	return min(p.terms.SlowStartFraction+(1-p.terms.SlowStartFraction)*max(p.now-t.StartedAt, 0)/p.terms.SlowStartDuration, 1)
 }
 
 func (p *Pool) names() []string { return slices.Sorted(maps.Keys(p.told)) }
 
-// View is what a subscriber in a zone is told; "" is one that says none.
-func (p *Pool) View(zone string) Assignment {
+// AssignmentFor is what a subscriber in a zone is told; "" is one that says none.
+func (p *Pool) AssignmentFor(zone string) Assignment {
 	var a Assignment
 	local := false
 	for _, name := range p.names() {
 		t := p.told[name]
-		a.Servers = append(a.Servers, Server{Opinion: t.Opinion, Health: t.health, Weight: 1})
+		a.Servers = append(a.Servers, Server{ServerEstimate: t.ServerEstimate, Health: t.health, Weight: 1})
 		local = local || t.Zone == zone && t.health == Healthy
 	}
 	for i := range a.Servers {
-		if p.terms.Local && local && a.Servers[i].Zone != zone {
+		if p.terms.PreferLocalZone && local && a.Servers[i].Zone != zone {
 			a.Servers[i].Priority = 1
 		}
 	}
@@ -352,7 +352,7 @@
 	for i := range list {
 		s := &list[i]
 		if t := p.told[s.Name]; s.Priority == priority && s.Health == Healthy {
-			of, weights, caps = append(of, s), append(weights, t.weight*max(t.Size, 1)), append(caps, t.cap)
+			of, weights, caps = append(of, s), append(weights, t.weight*max(t.Cores, 1)), append(caps, t.cap)
 		}
 	}
 	shares, fits := fill(weights, caps)
@@ -402,36 +402,36 @@
 	return shares, 1 - rest
 }
 
-// Memory is what a pool was told, for the service that comes after this one.
-type Memory struct {
-	At      float64      `json:"at"`
-	Servers []Remembered `json:"servers"`
+// Snapshot is what a pool was told, for the service that comes after this one.
+type Snapshot struct {
+	At      float64          `json:"at"`
+	Servers []ServerSnapshot `json:"servers"`
 }
 
-// Remembered is what was told of one server.
-type Remembered struct {
-	Name    string  `json:"name"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Health  Health  `json:"health"`
-	Weight  float64 `json:"weight"`
-	Rest    float64 `json:"rest"` // s that are left of a pause
-	UpSince float64 `json:"up_since"`
+// ServerSnapshot is what was told of one server.
+type ServerSnapshot struct {
+	Name           string  `json:"name"`
+	Addr           string  `json:"addr"`
+	Zone           string  `json:"zone"`
+	Health         Health  `json:"health"`
+	Weight         float64 `json:"weight"`
+	PauseRemaining float64 `json:"rest"` // s that are left of a pause
+	StartedAt      float64 `json:"up_since"`
 }
 
-// Recall tells what holds.
-func (p *Pool) Recall() Memory {
-	m := Memory{At: p.now}
+// Snapshot tells what holds.
+func (p *Pool) Snapshot() Snapshot {
+	m := Snapshot{At: p.now}
 	for _, name := range p.names() {
 		t := p.told[name]
-		m.Servers = append(m.Servers, Remembered{name, t.Addr, t.Zone, t.health, t.weight, max(t.since+t.rest-p.now, 0), t.UpSince})
+		m.Servers = append(m.Servers, ServerSnapshot{name, t.Addr, t.Zone, t.health, t.weight, max(t.since+t.rest-p.now, 0), t.StartedAt})
 	}
 	return m
 }
 
-// Remember takes over what another service told, before the first sight. It weighs by its age; what was paused stays so for what was
+// Restore takes over what another service told, before the first sight. It weighs by its age; what was paused stays so for what was
 // left of its rest, and for restLeast at least.
-func (p *Pool) Remember(now float64, m Memory) {
+func (p *Pool) Restore(now float64, m Snapshot) {
 	age := now - m.At
 	if !(age >= 0 && age < oldest) {
 		return
@@ -443,11 +443,11 @@
 			continue
 		}
 		t := &told{health: r.Health, since: now, cap: math.Inf(1)}
-		t.Name, t.Addr, t.Zone, t.UpSince, t.Payoff = r.Name, r.Addr, r.Zone, r.UpSince, 1
+		t.Name, t.Addr, t.Zone, t.StartedAt, t.Payoff = r.Name, r.Addr, r.Zone, r.StartedAt, 1
 		t.weight = min(max(1+(r.Weight-1)*math.Exp(-age/ageFor), trialPart), mostUneven)
 		t.Draining = r.Health == Draining
 		if r.Health == Unhealthy {
-			t.rest = min(max(r.Rest-age, restLeast), restMost)
+			t.rest = min(max(r.PauseRemaining-age, restLeast), restMost)
 		}
 		p.told[r.Name] = t
 	}
--- a/assign/assign_test.go
+++ b/assign/assignment_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{ColdShare: .2, ColdFor: 20, FallMultiple: 3, FallFor: 1}
+var terms = Settings{SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3, CrashDuration: 1}
 
 // sight has so many servers, alike and well, in zones a and b in turn.
-func sight(n int) Sight {
-	var s Sight
+func sight(n int) Observation {
+	var s Observation
 	for i := range n {
-		s.Servers = append(s.Servers, Opinion{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("h:", i), Zone: string("ab"[i%2]), Payoff: .9})
+		s.Servers = append(s.Servers, ServerEstimate{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("h:", i), Zone: string("ab"[i%2]), Payoff: .9})
 	}
 	return s
 }
@@ -33,45 +33,45 @@
 func TestTold(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		change   func(s *Sight)
+		change   func(s *Observation)
 		at       float64 // s after the change
 		letters  string
 		weights0 [2]float64 // server 0's over server 1's: between
 	}{
-		{"nothing", func(*Sight) {}, 0, "hhhh", [2]float64{1, 1}},
-		{"drains", func(s *Sight) { s.Servers[0].Draining = true }, 0, "dhhh", [2]float64{}},
-		{"paused", func(s *Sight) { s.Servers[0].Paused = true }, 0, "uhhh", [2]float64{}},
-		{"on trial", func(s *Sight) { s.Servers[0].Paused, s.Servers[0].Trial = true, true }, 10, "hhhh", [2]float64{.1, .13}},
-		{"gone", func(s *Sight) { s.Gone, s.Servers = []string{"s0"}, s.Servers[1:] }, 0, "hhh", [2]float64{1, 1}},
-		{"all gone", func(s *Sight) { s.Gone, s.Servers = []string{"s0", "s1", "s2", "s3"}, nil }, 0, "", [2]float64{}},
-		{"missing alone", func(s *Sight) { s.Servers = s.Servers[1:] }, 0, "hhh", [2]float64{1, 1}},
-		{"half missing", func(s *Sight) { s.Servers = s.Servers[2:] }, 29, "hhhh", [2]float64{1, 1}},
-		{"half missing, and goes on so", func(s *Sight) { s.Servers = s.Servers[2:] }, 31, "hh", [2]float64{1, 1}},
-		{"list emptied", func(s *Sight) { s.Servers = nil }, 29, "hhhh", [2]float64{1, 1}},
-		{"all paused", func(s *Sight) {
+		{"nothing", func(*Observation) {}, 0, "hhhh", [2]float64{1, 1}},
+		{"drains", func(s *Observation) { s.Servers[0].Draining = true }, 0, "dhhh", [2]float64{}},
+		{"paused", func(s *Observation) { s.Servers[0].Paused = true }, 0, "uhhh", [2]float64{}},
+		{"on trial", func(s *Observation) { s.Servers[0].Paused, s.Servers[0].Trial = true, true }, 10, "hhhh", [2]float64{.1, .13}},
+		{"gone", func(s *Observation) { s.Removed, s.Servers = []string{"s0"}, s.Servers[1:] }, 0, "hhh", [2]float64{1, 1}},
+		{"all gone", func(s *Observation) { s.Removed, s.Servers = []string{"s0", "s1", "s2", "s3"}, nil }, 0, "", [2]float64{}},
+		{"missing alone", func(s *Observation) { s.Servers = s.Servers[1:] }, 0, "hhh", [2]float64{1, 1}},
+		{"half missing", func(s *Observation) { s.Servers = s.Servers[2:] }, 29, "hhhh", [2]float64{1, 1}},
+		{"half missing, and goes on so", func(s *Observation) { s.Servers = s.Servers[2:] }, 31, "hh", [2]float64{1, 1}},
+		{"list emptied", func(s *Observation) { s.Servers = nil }, 29, "hhhh", [2]float64{1, 1}},
+		{"all paused", func(s *Observation) {
 			for i := range s.Servers {
 				s.Servers[i].Paused = true
 			}
 		}, 0, "hhhh", [2]float64{1, 1}},
-		{"a little worse", func(s *Sight) { s.Servers[0].Payoff -= .01 }, 10, "hhhh", [2]float64{1, 1}},
-		{"worse", func(s *Sight) { s.Servers[0].Payoff -= .1 }, 10, "hhhh", [2]float64{.35, .4}},
-		{"much worse", func(s *Sight) { s.Servers[0].Payoff -= .9 }, 20, "hhhh", [2]float64{.06, .13}},
-		{"restarted", func(s *Sight) { s.Servers[0].UpSince = 100 }, 0, "hhhh", [2]float64{.15, .25}},
-		{"restarted, half warm", func(s *Sight) { s.Servers[0].UpSince = 100 }, 10, "hhhh", [2]float64{.5, .7}},
-		{"restarted, warm", func(s *Sight) { s.Servers[0].UpSince = 100 }, 21, "hhhh", [2]float64{1, 1}},
+		{"a little worse", func(s *Observation) { s.Servers[0].Payoff -= .01 }, 10, "hhhh", [2]float64{1, 1}},
+		{"worse", func(s *Observation) { s.Servers[0].Payoff -= .1 }, 10, "hhhh", [2]float64{.35, .4}},
+		{"much worse", func(s *Observation) { s.Servers[0].Payoff -= .9 }, 20, "hhhh", [2]float64{.06, .13}},
+		{"restarted", func(s *Observation) { s.Servers[0].StartedAt = 100 }, 0, "hhhh", [2]float64{.15, .25}},
+		{"restarted, half warm", func(s *Observation) { s.Servers[0].StartedAt = 100 }, 10, "hhhh", [2]float64{.5, .7}},
+		{"restarted, warm", func(s *Observation) { s.Servers[0].StartedAt = 100 }, 21, "hhhh", [2]float64{1, 1}},
 	} {
 		p := New(terms)
-		p.Next(90, sight(4))
+		p.Update(90, sight(4))
 		s := sight(4)
 		c.change(&s)
 		for now := 100.0; now <= 100+c.at; now += .5 {
-			_, urgent := p.Next(now, s)
+			_, urgent := p.Update(now, s)
 			if now == 100 && c.at == 0 && c.name != "nothing" && c.name != "all paused" {
 				assert.True(t, urgent, c.name)
 			}
-			s.Gone = nil
+			s.Removed = nil
 		}
-		a := p.View("")
+		a := p.AssignmentFor("")
 		assert.Equal(t, c.letters, a.letters(), c.name)
 		if c.weights0[1] > 0 {
 			ratio := float64(a.Servers[0].Weight) / float64(a.Servers[1].Weight)
@@ -81,11 +81,11 @@
 }
 
 func TestZones(t *testing.T) {
-	p := New(Terms{Local: true})
+	p := New(Settings{PreferLocalZone: true})
 	s := sight(4)
-	p.Next(1, s)
+	p.Update(1, s)
 	priorities := func(zone string) (out []int) {
-		for _, s := range p.View(zone).Servers {
+		for _, s := range p.AssignmentFor(zone).Servers {
 			out = append(out, s.Priority)
 		}
 		return out
@@ -93,7 +93,7 @@
 	assert.Equal(t, []int{0, 1, 0, 1}, priorities("a"))
 	assert.Equal(t, []int{0, 0, 0, 0}, priorities("c"), "none is there")
 	s.Servers[0].Paused, s.Servers[2].Draining = true, true
-	p.Next(2, s)
+	p.Update(2, s)
 	assert.Equal(t, []int{0, 0, 0, 0}, priorities("a"), "none of its own is well")
 }
 
@@ -105,10 +105,10 @@
 		s := sight(4)
 		s.Load = c.load
 		for i := range s.Servers {
-			s.Servers[i].UpSince = 100
+			s.Servers[i].StartedAt = 100
 		}
-		p.Next(100, s)
-		assert.InDelta(t, c.drop, p.View("").Drop, 1e-9, "load %v", c.load)
+		p.Update(100, s)
+		assert.InDelta(t, c.drop, p.AssignmentFor("").Drop, 1e-9, "load %v", c.load)
 	}
 }
 
@@ -116,12 +116,12 @@
 func TestFlaps(t *testing.T) {
 	p := New(terms)
 	s := sight(4)
-	p.Next(0, s)
+	p.Update(0, s)
 	changes, was := 0, Healthy
 	for now := 1.0; now < 120; now += .1 {
 		s.Servers[0].Paused = int(now*2)%2 == 0
-		p.Next(now, s)
-		if h := p.View("").Servers[0].Health; h != was {
+		p.Update(now, s)
+		if h := p.AssignmentFor("").Servers[0].Health; h != was {
 			changes, was = changes+1, h
 		}
 	}
@@ -135,15 +135,15 @@
 	s.Servers[0].Paused = true
 	s.Servers[1].Payoff = .7
 	for now := 100.0; now < 110; now++ {
-		p.Next(now, s)
+		p.Update(now, s)
 	}
-	m := p.Recall()
-	was := p.View("")
+	m := p.Snapshot()
+	was := p.AssignmentFor("")
 	next := func(age float64) Assignment {
 		n := New(terms)
-		n.Remember(m.At+age, m)
-		n.Next(m.At+age, sight(3)) // it knows nothing bad of any
-		return n.View("")
+		n.Restore(m.At+age, m)
+		n.Update(m.At+age, sight(3)) // it knows nothing bad of any
+		return n.AssignmentFor("")
 	}
 	now := next(.5)
 	assert.Equal(t, "uhh", now.letters(), "what was paused stays so for a while")
@@ -153,9 +153,9 @@
 	now = next(-5)
 	assert.Equal(t, "hhh", now.letters(), "of a time to come: not believed")
 	empty := New(terms)
-	empty.Remember(m.At+1, m)
-	empty.Next(m.At+1, Sight{})
-	assert.Len(t, empty.View("").Servers, 3, "a list that is empty after a start is doubted")
+	empty.Restore(m.At+1, m)
+	empty.Update(m.At+1, Observation{})
+	assert.Len(t, empty.AssignmentFor("").Servers, 3, "a list that is empty after a start is doubted")
 }
 
 // Two services that hold opposite opinions differ by the stated bound at most: so far may weights jump for one who fails over.
@@ -164,9 +164,9 @@
 		p, s := New(terms), sight(4)
 		s.Servers[0].Payoff, s.Servers[1].Payoff = first, second
 		for now := 100.0; now < 200; now++ {
-			p.Next(now, s)
+			p.Update(now, s)
 		}
-		a := p.View("")
+		a := p.AssignmentFor("")
 		return float64(a.Servers[0].Weight) / float64(a.Servers[1].Weight)
 	}
 	assert.InDelta(t, mostUneven*mostUneven, ratio(1, 0), .1)
@@ -183,7 +183,7 @@
 		weights := map[*told]float64{} // before
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{.1, .5, 3, 40, -5}).Draw(t, "passes")
-			s.Gone, s.Load = nil, rapid.SampledFrom([]float64{0, .3, 3, 50}).Draw(t, "load")
+			s.Removed, s.Load = nil, rapid.SampledFrom([]float64{0, .3, 3, 50}).Draw(t, "load")
 			s.Rate = s.Load * rapid.SampledFrom([]float64{0, 10, 100}).Draw(t, "lookups a second")
 			all := s.Servers
 			if len(all) > 0 {
@@ -198,17 +198,17 @@
 				case 3:
 					o.Payoff = rapid.Float64Range(0, 1).Draw(t, "payoff")
 				case 4:
-					o.UpSince = now
+					o.StartedAt = now
 				case 5:
-					s.Gone = []string{all[0].Name}
+					s.Removed = []string{all[0].Name}
 					s.Servers = all[1:]
 				case 6: // the list lacks some once
 					s.Servers = all[rapid.IntRange(0, len(all)).Draw(t, "lost"):]
 				}
 			}
-			gone := slices.DeleteFunc(slices.Clone(s.Gone), func(name string) bool { return p.told[name] == nil }) // not known any more
-			changed, urgent := p.Next(now, s)
-			a := p.View("")
+			gone := slices.DeleteFunc(slices.Clone(s.Removed), func(name string) bool { return p.told[name] == nil }) // not known any more
+			changed, urgent := p.Update(now, s)
+			a := p.AssignmentFor("")
 			at := p.now
 			shown := map[string]Server{}
 			given, sum := map[string]float64{}, 0.0
@@ -232,8 +232,8 @@
 				if o.Draining {
 					assert.Equal(t, Draining, shown[o.Name].Health)
 				}
-				if can := p.can(&told{Opinion: o}); can < 1 && p.load > 0 {
-					assert.LessOrEqual(t, given[o.Name]*p.load, terms.FallMultiple*can*coldMost*(1+2*coldSlack)+2*p.load/scale,
+				if can := p.can(&told{ServerEstimate: o}); can < 1 && p.load > 0 {
+					assert.LessOrEqual(t, given[o.Name]*p.load, terms.CrashFactor*can*coldMost*(1+2*coldSlack)+2*p.load/scale,
 						"cold %+v", o)
 				}
 			}
@@ -247,7 +247,7 @@
 				weights[x] = x.weight
 			}
 			movedAt = p.movedAt
-			if s.Gone == nil { // what was lost is listed again
+			if s.Removed == nil { // what was lost is listed again
 				s.Servers = all
 			}
 		}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,5 @@
 // Package balance decides where a proxy sends its lookups. It does no input or output and keeps no clock.
-// Take gives back a handle of a lookup; what happens to it later is a call on that handle. Every call takes
+// RequestArrived gives back a handle of a lookup; what happens to it later is a call on that handle. Every call takes
 // the present time and returns Orders. The interface is in types.go, the reasons are in docs/design.md.
 package balance
 
@@ -90,51 +90,51 @@
 	if err := d.check(); err != nil {
 		return nil, err
 	}
-	d.Proxies, d.MaxLegs = max(d.Proxies, 1), max(d.MaxLegs, 1)
-	b := &Balancer{d: d, chance: chance.Source(d.Seed), now: now, askPause: askFirst,
+	d.Proxies, d.MaxAttempts = max(d.Proxies, 1), max(d.MaxAttempts, 1)
+	b := &Balancer{d: d, chance: chance.Rand(d.Seed), now: now, askPause: askFirst,
 		part: 1, slack: 1, fleet: &opinion{lasts: forget}, askAt: math.Inf(1), lastSend: now, lastTake: now}
-	if first, _ := b.bounds(0); first < halfLeg && !d.Peers { // danger: each of many alone learns too slowly
+	if first, _ := b.bounds(0); first < halfLeg && !d.Gossip { // danger: each of many alone learns too slowly
 		b.gain = firstGain
 	}
-	for _, t := range d.Tariffs {
-		t.Due = cmp.Or(t.Due, t.HardStop/2) // no due time set: half of what the client waits
-		b.rows = append(b.rows, row{Tariff: t, base: t.Due / 4, all: &b.all})
+	for _, t := range d.Classes {
+		t.LatencyObjective = cmp.Or(t.LatencyObjective, t.Deadline/2) // no due time set: half of what the client waits
+		b.rows = append(b.rows, row{Class: t, base: t.LatencyObjective / 4, all: &b.all})
 	}
 	return b, nil
 }
 
-// Take accepts a lookup; it will get exactly one answer.
-func (b *Balancer) Take(now float64, a Arrival) (*Lookup, *Orders) {
+// RequestArrived accepts a lookup; it will get exactly one answer.
+func (b *Balancer) RequestArrived(now float64, a RequestInfo) (*Request, *Actions) {
 	b.begin(now)
-	r := &b.rows[a.Tariff]
-	l := &Lookup{Arrival: a, b: b, row: r, taken: now, heavy: 1}
-	if a.Work > 0 {
-		r.work = cmp.Or(r.work, a.Work)
-		l.heavy = a.Work / r.work
-		r.work += meanPart * (a.Work - r.work)
+	r := &b.rows[a.Class]
+	l := &Request{RequestInfo: a, b: b, row: r, taken: now, heavy: 1}
+	if a.ExpectedWork > 0 {
+		r.work = cmp.Or(r.work, a.ExpectedWork)
+		l.heavy = a.ExpectedWork / r.work
+		r.work += meanPart * (a.ExpectedWork - r.work)
 	}
 	b.lookups++
 	b.gap += max(meanPart, 1/b.lookups) * (now - b.lastTake - b.gap)
 	b.lastTake = now
 	if b.warm(l) { // danger: one key of many lookups crowds its homes; it counts as several keys
-		l.place = l.Key + uint64(b.chance.Float()*math.Ceil(b.keys.Add(l.Key)*b.servable/keyShares))
+		l.place = l.Key + uint64(b.chance.Float64()*math.Ceil(b.keys.Add(l.Key)*b.servable/keyShares))
 	} else if n := ownServers * b.servable / float64(b.d.Proxies) * b.uneven(); n < b.servable {
-		l.place = b.d.Seed + uint64(b.chance.Float()*n) // danger: who sees little of all can tell none apart
+		l.place = b.d.Seed + uint64(b.chance.Float64()*n) // danger: who sees little of all can tell none apart
 	}
 	b.ask()
 	b.tell()
 	l.priority = b.priority(l)
 	b.usual += meanPart * (l.priority - b.usual)
-	b.step(Step{Ref: a.Ref, Wake: a.HardStop - answerEarly})
+	b.step(RequestAction{Ref: a.Ref, WakeAt: a.Deadline - answerEarly})
 	b.next(l)
 	return l, b.pump()
 }
 
-// Started tells that a streamed answer began: the lookup now belongs to that leg.
-func (l *Lookup) Started(now float64, i int) *Orders {
+// ResponseStarted tells that a streamed answer began: the lookup now belongs to that leg.
+func (l *Request) ResponseStarted(now float64, i int) *Actions {
 	b := l.b.begin(now)
 	if !l.over && i < len(l.legs) {
-		b.learn(l, &l.legs[i], Honoured, now-l.legs[i].sent)
+		b.learn(l, &l.legs[i], Succeeded, now-l.legs[i].sent)
 		l.legs[i].started = true
 		b.unload(&l.legs[i], true) // danger: answers that flow for minutes would fill a server's limit
 		b.close(l, i)
@@ -142,8 +142,8 @@
 	return &b.orders
 }
 
-// Left tells that the client has gone; no answer is owed.
-func (l *Lookup) Left(now float64) *Orders {
+// ClientDisconnected tells that the client has gone; no answer is owed.
+func (l *Request) ClientDisconnected(now float64) *Actions {
 	b := l.b.begin(now)
 	if !l.over {
 		b.close(l, -1)
@@ -151,18 +151,18 @@
 	return &b.orders
 }
 
-// Ended tells how a leg ended, and whether the lookup is over by it or was before.
-func (l *Lookup) Ended(now float64, i int, o Outcome, latency float64, over bool) *Orders {
+// AttemptEnded tells how a leg ended, and whether the lookup is over by it or was before.
+func (l *Request) AttemptEnded(now float64, i int, o Outcome, latency float64, over bool) *Actions {
 	b := l.b.begin(now)
 	if i >= len(l.legs) || !l.legs[i].out {
 		return &b.orders
 	}
 	g := &l.legs[i]
-	g.out, g.neverRan, g.noRoute = false, o.NeverRan(), o == NoRoute
+	g.out, g.neverRan, g.noRoute = false, o.NeverRan(), o == ConnectFailed
 	l.out--
 	b.unload(g, true)
-	g.s.gave(l.Tariff, g.sent, now)
-	if !(g.started && o == Honoured) { // its time to the end is the client's
+	g.s.gave(l.Class, g.sent, now)
+	if !(g.started && o == Succeeded) { // its time to the end is the client's
 		b.learn(l, g, o, latency)
 	}
 	switch {
@@ -170,8 +170,8 @@
 	case over:
 		b.close(l, -1)
 	case l.out > 0: // a leg sent beside it may still answer
-	case o == Unfit: // danger: asked of one backend after the other it would set each back
-		b.step(Step{Ref: l.Ref, Answer: Forfeited})
+	case o == InvalidRequest: // danger: asked of one backend after the other it would set each back
+		b.step(RequestAction{Ref: l.Ref, Reply: Failed})
 		b.close(l, -1)
 	case l.lost() >= mostLost: // danger: one that brings down what takes it would be handed on and on
 		b.giveUp(l)
@@ -181,13 +181,13 @@
 	return b.pump()
 }
 
-// Wake is the lookup's own timer: for an overdue leg, and for the answer before the hard stop.
-func (l *Lookup) Wake(now float64) *Orders {
+// WakeAt is the lookup's own timer: for an overdue leg, and for the answer before the hard stop.
+func (l *Request) TimerFired(now float64) *Actions {
 	b := l.b.begin(now)
 	if l.over {
 		return &b.orders
 	}
-	if now >= l.HardStop-answerEarly {
+	if now >= l.Deadline-answerEarly {
 		b.giveUp(l) // danger: a leg's own end may come after the hard stop
 		return &b.orders
 	}
@@ -198,18 +198,18 @@
 		}
 		g.counted = true                  // danger: a hanging backend would be known only a hard stop later
 		b.unload(g, g.s.limit >= halfLeg) // danger: a tariff that hangs there leaves the others no room
-		b.results(l.Tariff, g.s, false)
-		g.s.payoff(b, l.Tariff, 0, b.now, oneResult)
+		b.results(l.Class, g.s, false)
+		g.s.payoff(b, l.Class, 0, b.now, oneResult)
 		// danger: a leg that was lost on its way is never answered, at whatever server
-		if s, _ := b.pick(l); s != nil && b.d.Beside && float64(max(b.out, 1)) < spareShare*b.room {
+		if s, _ := b.pick(l); s != nil && b.d.HedgingAllowed && float64(max(b.out, 1)) < spareShare*b.room {
 			b.send(l, s)
 		}
 	}
 	return b.pump()
 }
 
-// Wake is the balancer's own timer.
-func (b *Balancer) Wake(now float64) *Orders {
+// WakeAt is the balancer's own timer.
+func (b *Balancer) TimerFired(now float64) *Actions {
 	b.begin(now)
 	if now >= b.askAt-1e-6 {
 		b.askAt = math.Inf(1)
@@ -220,7 +220,7 @@
 
 // tidy closes connections that were idle for too long, where they are paid for.
 func (b *Balancer) tidy() {
-	if !b.d.Apart && !b.d.Peers || b.d.ConnPrice == 0 || b.tidyAt > b.now {
+	if !b.d.Sidecar && !b.d.Gossip || b.d.ConnectionCost == 0 || b.tidyAt > b.now {
 		return
 	}
 	b.tidyAt = 0
@@ -230,63 +230,63 @@
 		}
 		if b.tidyAt = b.now + pumpEvery; b.now >= s.used+idleFor {
 			s.used = 0
-			b.orders.HangUp = append(b.orders.HangUp, s.Index)
+			b.orders.CloseIdle = append(b.orders.CloseIdle, s.Index)
 		}
 	}
 	b.wake(b.tidyAt)
 }
 
-// Listed takes in the list of backends or, unless full, the changed entries. The first one also subscribes.
-func (b *Balancer) Listed(now float64, full, first bool, list []Backend) *Orders {
+// EndpointsUpdated takes in the list of backends or, unless full, the changed entries. The first one also subscribes.
+func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []Endpoint) *Actions {
 	b.begin(now)
 	b.place(full, list)
 	if !first {
 		b.askPause = askFirst
 	}
-	b.orders.Subscribe = first && b.d.AsksList
+	b.orders.Subscribe = first && b.d.PollsEndpoints
 	return b.pump()
 }
 
-// ListFailed tells that asking failed or the subscription dropped.
-func (b *Balancer) ListFailed(now float64) *Orders {
+// PollFailed tells that asking failed or the subscription dropped.
+func (b *Balancer) PollFailed(now float64) *Actions {
 	b.begin(now)
-	if b.d.AsksList { // danger: unsubscribed, this proxy soon counts as told of what it never heard
-		b.askAt = now + b.askPause*(0.5+b.chance.Float())
-		b.askPause = min(2*b.askPause, askMost, max(b.d.AskEvery/4, askFirst))
+	if b.d.PollsEndpoints { // danger: unsubscribed, this proxy soon counts as told of what it never heard
+		b.askAt = now + b.askPause*(0.5+b.chance.Float64())
+		b.askPause = min(2*b.askPause, askMost, max(b.d.NotificationDeadline/4, askFirst))
 		b.wake(b.askAt)
 	}
 	return &b.orders
 }
 
-func (b *Balancer) send(l *Lookup, s *server) {
+func (b *Balancer) send(l *Request, s *server) {
 	l.legs = append(l.legs, leg{s: s, pod: s.Pod, zone: s.Zone, sent: b.now, out: true})
 	if b.loads() {
 		l.legs[len(l.legs)-1].crowd = (b.load(s) + 1) / s.like.cores()
 	}
-	s.took(l.Tariff)
+	s.took(l.Class)
 	l.out++
 	b.out++
 	if len(b.held) > 0 { // only then does every place go to one of them
 		b.pace += paceSmoothing * (b.now - b.lastSend - b.pace)
 	}
 	b.lastSend = b.now
-	b.unload(&l.legs[len(l.legs)-1], l.Flows) // danger: slow clients would fill a limit with legs at rest
-	b.step(Step{Ref: l.Ref, Send: true, Backend: s.Index, Until: l.HardStop,
-		Wake: min(b.now+b.patience(l), l.HardStop-answerEarly)})
+	b.unload(&l.legs[len(l.legs)-1], l.Streaming) // danger: slow clients would fill a limit with legs at rest
+	b.step(RequestAction{Ref: l.Ref, Send: true, Endpoint: s.Index, Deadline: l.Deadline,
+		WakeAt: min(b.now+b.patience(l), l.Deadline-answerEarly)})
 }
 
 // may says whether another leg of l at s is harmless and goes somewhere new.
-func (b *Balancer) may(l *Lookup, s *server) bool {
+func (b *Balancer) may(l *Request, s *server) bool {
 	for i := range l.legs {
 		g := &l.legs[i]
 		if g.s == s && (!g.neverRan || g.noRoute || i == len(l.legs)-1) {
 			return false
 		}
-		if g.neverRan || l.row.Kind == Replayable {
+		if g.neverRan || l.row.Idempotency == Idempotent {
 			continue
 		}
-		if l.row.Kind == SingleUse || b.now > g.sent+l.row.Window-windowMargin ||
-			l.row.Scope == ScopeZone && s.Zone != g.zone || l.row.Scope == ScopePod && s.Pod != g.pod {
+		if l.row.Idempotency == NonIdempotent || b.now > g.sent+l.row.DedupWindow-windowMargin ||
+			l.row.DedupScope == DedupZone && s.Zone != g.zone || l.row.DedupScope == DedupPod && s.Pod != g.pod {
 			return false
 		}
 	}
@@ -294,57 +294,57 @@
 }
 
 // giveUp answers a lookup at once: dismissed where trying again is harmless, else forfeited.
-func (b *Balancer) giveUp(l *Lookup) {
-	ans, advice := Dismissed, min(l.row.Due, b.d.MaxAdvice)
+func (b *Balancer) giveUp(l *Request) {
+	ans, advice := Rejected, min(l.row.LatencyObjective, b.d.MaxRetryAfter)
 	for i := range l.legs {
-		g, known := &l.legs[i], l.row.Scope == ScopeAll && b.now+advice < l.legs[i].sent+l.row.Window
-		if !g.neverRan && (l.row.Kind == SingleUse || l.row.Kind == Referenced && !known) {
-			ans = Forfeited // danger: it may have run, so trying again, when told to, is not harmless
+		g, known := &l.legs[i], l.row.DedupScope == DedupAll && b.now+advice < l.legs[i].sent+l.row.DedupWindow
+		if !g.neverRan && (l.row.Idempotency == NonIdempotent || l.row.Idempotency == Keyed && !known) {
+			ans = Failed // danger: it may have run, so trying again, when told to, is not harmless
 		}
 	}
-	b.step(Step{Ref: l.Ref, Answer: ans, Advice: advice})
+	b.step(RequestAction{Ref: l.Ref, Reply: ans, RetryAfter: advice})
 	b.close(l, -1)
 }
 
 // close ends a lookup, calling off every leg but the kept one.
-func (b *Balancer) close(l *Lookup, kept int) {
+func (b *Balancer) close(l *Request, kept int) {
 	l.over = true
 	if l.isHeld {
 		b.unhold(l)
 	}
 	for i := range l.legs {
-		if l.legs[i].out && i != kept && b.d.CallOff {
-			b.step(Step{Ref: l.Ref, CallOff: i + 1})
+		if l.legs[i].out && i != kept && b.d.CancelAllowed {
+			b.step(RequestAction{Ref: l.Ref, CancelAttempt: i + 1})
 		}
 	}
 }
 
 // patience is the age at which a leg of this lookup is overdue.
-func (b *Balancer) patience(l *Lookup) float64 {
-	return patienceFactor*l.row.times.Quantile(0.9, l.row.Due/2)*max(l.heavy, 1) + b.lag
+func (b *Balancer) patience(l *Request) float64 {
+	return patienceFactor*l.row.times.Quantile(0.9, l.row.LatencyObjective/2)*max(l.heavy, 1) + b.lag
 }
 
 // worthHolding says whether a lookup with n held before it can still be answered in time.
-func (b *Balancer) worthHolding(l *Lookup, n int) bool {
+func (b *Balancer) worthHolding(l *Request, n int) bool {
 	sent := b.now + float64(n+1)*b.pace // danger: turned away with nothing sent, its client has waited in vain
-	return sent+b.typical(l) <= min(l.taken+l.row.Due, l.HardStop-answerEarly) &&
-		(len(l.legs) > 0 || sent <= l.taken+holdPart*(l.HardStop-l.taken))
+	return sent+b.typical(l) <= min(l.taken+l.row.LatencyObjective, l.Deadline-answerEarly) &&
+		(len(l.legs) > 0 || sent <= l.taken+holdPart*(l.Deadline-l.taken))
 }
 
 // priority is the value of answering this lookup in time, for its work.
-func (b *Balancer) priority(l *Lookup) float64 {
-	p := l.row.Value
-	if !b.d.ValueByWork {
+func (b *Balancer) priority(l *Request) float64 {
+	p := l.row.PriorityWeight
+	if !b.d.WeightByWork {
 		p /= l.row.median()
 	}
-	if l.Again {
+	if l.ClientRetry {
 		p *= againPart
 	}
 	return p
 }
 
 // next holds a lookup with nothing out, by priority, then by age; pump sends it at once where there is room.
-func (b *Balancer) next(l *Lookup) {
+func (b *Balancer) next(l *Request) {
 	i := len(b.held)
 	if i == 0 {
 		b.lastSend = b.now // danger: at a quiet proxy the time since the last send is not the wait
@@ -356,7 +356,7 @@
 }
 
 // pump sends held lookups where there is room and answers those that can no longer be in time.
-func (b *Balancer) pump() *Orders {
+func (b *Balancer) pump() *Actions {
 	stuck, vain := false, 0
 	for i := 0; i < len(b.held); {
 		l := b.held[i]
@@ -390,8 +390,8 @@
 // pick draws a server for a leg by the softmax of payoffs, in Gumbel form: greatest payoff/temperature plus
 // noise. A crowded one is redrawn, without putting it back; the last choice is the least crowded drawn.
 // It also tells whether some server would do if it had room.
-func (b *Balancer) pick(l *Lookup) (*server, bool) {
-	if len(l.legs) >= b.d.MaxLegs || b.now >= l.HardStop-answerEarly {
+func (b *Balancer) pick(l *Request) (*server, bool) {
+	if len(l.legs) >= b.d.MaxAttempts || b.now >= l.Deadline-answerEarly {
 		return nil, false
 	}
 	b.cands, b.room = b.cands[:0], 0
@@ -404,7 +404,7 @@
 		admitted++
 		b.room += c.bears
 		out += c.load
-		if !b.admitted(&s.tariffs[l.Tariff]) || !b.may(l, s) {
+		if !b.admitted(&s.tariffs[l.Class]) || !b.may(l, s) {
 			continue
 		}
 		b.cands = append(b.cands, c)
@@ -422,18 +422,18 @@
 	spare := max(1-b.fill/spareShare, 0) // danger: where room is short, a cost keeps servers idle
 	for i := range b.cands {
 		c := &b.cands[i]
-		s, pay, cost := c.s, b.payNow(c.s, l.Tariff), 0.0
-		if b.d.Peers && b.d.Zone >= 0 && s.Zone != b.d.Zone {
+		s, pay, cost := c.s, b.payNow(c.s, l.Class), 0.0
+		if b.d.Gossip && b.d.Zone >= 0 && s.Zone != b.d.Zone {
 			pay -= farther
 			cost = wayCost
 		}
-		if b.d.Peers && !b.open(s) {
-			cost += openCost * b.d.OpenPrice
+		if b.d.Gossip && !b.open(s) {
+			cost += openCost * b.d.HandshakeCost
 		}
 		m := s.opinions[1].at(b.now)
 		score := m/temperature + (pay-m)/keyTemperature
 		if !b.warm(l) {
-			heft := haste * max(l.heavy-1, 0) * l.row.median() * s.pace / l.row.Due // its work's cost here
+			heft := haste * max(l.heavy-1, 0) * l.row.median() * s.pace / l.row.LatencyObjective // its work's cost here
 			score = (pay - heft) / temperature
 		}
 		if c.crowd = c.load; b.loads() {
@@ -443,7 +443,7 @@
 		c.score = score - cost*spare + b.noise(l, s)
 	}
 	b.servable = float64(max(admitted, 1))
-	if b.warm(l) && b.now < l.taken+homeTime*l.row.Due { // danger: a key on every server is warm on none
+	if b.warm(l) && b.now < l.taken+homeTime*l.row.LatencyObjective { // danger: a key on every server is warm on none
 		draws = min(draws, homes)
 	}
 	var last cand
@@ -472,12 +472,14 @@
 }
 
 // open says whether a connection to a server is idle, as far as its legs tell.
-func (b *Balancer) open(s *server) bool { return s.used > 0 && b.now < s.used+b.d.IdleFor-openMargin }
+func (b *Balancer) open(s *server) bool {
+	return s.used > 0 && b.now < s.used+b.d.ServerIdleTimeout-openMargin
+}
 
 // lingers says whether a backend that the list has lost may be sent to: as long as it goes on answering.
 // Danger: one that is up again is cold, and the list would not tell.
 func (b *Balancer) lingers(s *server) bool {
-	return b.d.GoneAdvises && s.State == Gone && !s.drained && b.now < s.served+goneFor
+	return b.d.RemovalIsAdvisory && s.State == Removed && !s.drained && b.now < s.served+goneFor
 }
 
 // admitted is the source's access query.
@@ -487,40 +489,40 @@
 
 // noise is Gumbel noise: by chance or, where a lookup has a place, by that and the server. A key's place is
 // alike at every proxy, a proxy of many has a few of its own. Over all places the draw is the same.
-func (b *Balancer) noise(l *Lookup, s *server) float64 {
-	u := b.chance.Float()
+func (b *Balancer) noise(l *Request, s *server) float64 {
+	u := b.chance.Float64()
 	if l.place != 0 {
-		u = chance.Of(l.place, s.Mark)
+		u = chance.HashFloat64(l.place, s.NameHash)
 	}
 	return -math.Log(-math.Log(u))
 }
 
 // learn takes in how a leg ended.
-func (b *Balancer) learn(l *Lookup, g *leg, o Outcome, latency float64) {
-	s, due := g.s, l.row.Due*max(l.heavy, 1)
+func (b *Balancer) learn(l *Request, g *leg, o Outcome, latency float64) {
+	s, due := g.s, l.row.LatencyObjective*max(l.heavy, 1)
 	switch o {
-	case CalledOff: // danger: were only answers to count, the slowest tariff would look as quick as its luckiest
+	case Canceled: // danger: were only answers to count, the slowest tariff would look as quick as its luckiest
 		if g.counted {
 			l.row.times.Add((b.now - g.sent) / max(l.heavy, 0.5))
 		}
-	case NeverSent, Unfit: // these count neither way
-	case NoRoom: // a busy backend is not a broken one: its row stays
+	case NotSent, InvalidRequest: // these count neither way
+	case ServerRejected: // a busy backend is not a broken one: its row stays
 		b.credit -= max(l.row.median()-(b.now-g.sent), 0) // danger: turned away at once, legs would use up no room
 		cut, worth := limitFull, 0.0
-		if b.d.Peers {
+		if b.d.Gossip {
 			cut = toldFull
 		}
-		if b.d.Peers && b.warm(l) { // danger: in a crowd refusals would outweigh all else that payoffs tell
+		if b.d.Gossip && b.warm(l) { // danger: in a crowd refusals would outweigh all else that payoffs tell
 			worth = fullPayoff
 		}
 		b.move(s, cut, 1)
 		s.payoff(b, len(b.rows), worth, b.now, oneResult)
-	case Honoured:
+	case Succeeded:
 		s.served = b.now
-		b.results(l.Tariff, s, true)
+		b.results(l.Class, s, true)
 		alone := latency / max(g.crowd, 1) / max(l.heavy, 0.5) // what it had taken at an idle server
 		l.row.alone.Add(alone)
-		m := l.row.alone.Quantile(0.5, l.row.Due/4)
+		m := l.row.alone.Quantile(0.5, l.row.LatencyObjective/4)
 		s.pace += smoothing * (alone/m - s.pace)
 		l.row.times.Add(latency / max(l.heavy, 0.5))
 		b.all.Add(latency / max(l.heavy, 0.5))
@@ -530,9 +532,9 @@
 			l.row.base += meanPart * (m - l.row.base) // danger: a mere minimum keeps the luckiest start
 		}
 		if latency <= due {
-			s.payoff(b, l.Tariff, 1-haste*latency/due, b.now, oneResult)
+			s.payoff(b, l.Class, 1-haste*latency/due, b.now, oneResult)
 		} else {
-			s.payoff(b, l.Tariff, latePayoff, b.now, oneResult)
+			s.payoff(b, l.Class, latePayoff, b.now, oneResult)
 		}
 		if b.loads() || float64(b.out+1) < busyShare*b.space(b.usual) { // with the leg that just ended
 			return // danger: a limit that moves while it does not bind is wrong when it does
@@ -540,15 +542,15 @@
 		grow, usual := 1+max(b.gain, limitGain)*latency/float64(1+b.d.Proxies)/s.limit, l.row.base*max(l.heavy, 1)
 		if latency > due {
 			b.move(s, limitCut, limitCut)
-		} else if latency > min(slowShare*due, slowMedians*usual) && (!b.d.Peers || latency > slowLeast*usual) {
+		} else if latency > min(slowShare*due, slowMedians*usual) && (!b.d.Gossip || latency > slowLeast*usual) {
 			b.move(s, limitCut, grow)
 		} else if float64(s.inFlight)+2 > s.limit {
 			b.move(s, grow, grow)
 		}
 	default:
 		if !g.counted {
-			b.results(l.Tariff, s, false)
-			s.payoff(b, l.Tariff, 0, b.now, oneResult)
+			b.results(l.Class, s, false)
+			s.payoff(b, l.Class, 0, b.now, oneResult)
 		}
 	}
 }
@@ -557,7 +559,7 @@
 // it bears without waiting. Danger: its own refusals would leave idle one that turns away before it is slow.
 func (b *Balancer) bounds(size float64) (first, least float64) {
 	first, least = firstLimit, leastLimit
-	if b.d.Peers && !b.d.Probes && size > 0 {
+	if b.d.Gossip && !b.d.HealthChecks && size > 0 {
 		first = max(firstLimit, firstTold*size)
 		least = first
 	}
@@ -570,7 +572,7 @@
 	alone := 1 - math.Pow(1-s.opinions[2].sure, 2)
 	own, shared := alone*min(s.limit/halfLeg, 1), math.Pow(others, 1-alone)
 	b.gain *= min(factor, 1)
-	if b.d.Peers {
+	if b.d.Gossip {
 		shared *= math.Pow(factor, (alone-own)/b.servable)
 	}
 	for _, o := range b.servers {
@@ -627,7 +629,7 @@
 	bar := cbkErrRate + (1-cbkErrRate)*shared
 	if s.totalCount > minCheck && float64(s.errCount)/float64(s.totalCount) > bar {
 		s.paused = true
-		s.cooldown = recoverInterval * (1 + recoverSpread*b.chance.Float())
+		s.cooldown = recoverInterval * (1 + recoverSpread*b.chance.Float64())
 	}
 }
 
@@ -659,7 +661,7 @@
 // server, its model and the fleet by how little is known of each: a proxy of many hears too seldom from one
 // server, often enough of its like; in a bank that tells, to the tariff there too.
 func (s *server) payoff(b *Balancer, tariff int, p, at, chance float64) {
-	s.sights[tariff] = sight{Sight{Tariff: tariff, Value: p}, at}
+	s.sights[tariff] = sight{Observation{Class: tariff, Value: p}, at}
 	miss, total := p-b.payNow(s, tariff), chance
 	for _, o := range s.views[tariff] {
 		o.pay, o.sure, o.heard = o.at(b.now), o.sure*o.fade(b.now), b.now
@@ -675,26 +677,26 @@
 // coldRoom takes a lookup's work from a bucket: this proxy's part of what pushes a cold server over, at the
 // least capacity it can have by now. A time with little wait stands for the work; one core is taken for
 // granted. It holds what flows until a server's turn; what it holds short of a lookup is staked by chance.
-func (b *Balancer) coldRoom(l *Lookup, s *server) bool {
-	part := b.d.ColdShare + (1-b.d.ColdShare)*max(b.now-s.UpSince, 0)/max(b.d.ColdFor, 1e-9)
+func (b *Balancer) coldRoom(l *Request, s *server) bool {
+	part := b.d.SlowStartFraction + (1-b.d.SlowStartFraction)*max(b.now-s.StartedAt, 0)/max(b.d.SlowStartDuration, 1e-9)
 	work := b.work(l) // danger: counted with its wait, a crowd at the warm ones would shut the cold ones too
-	budget := b.d.FallMultiple * part
-	spread := coldSpread * math.Sqrt(2*work/max(budget*b.d.FallFor, 1e-9)) // of a flow of one whole budget
-	margin := math.Pow((math.Sqrt(spread*spread+4)-spread)/2, 2)           // a flow that makes one with its own
+	budget := b.d.CrashFactor * part
+	spread := coldSpread * math.Sqrt(2*work/max(budget*b.d.CrashDuration, 1e-9)) // of a flow of one whole budget
+	margin := math.Pow((math.Sqrt(spread*spread+4)-spread)/2, 2)                 // a flow that makes one with its own
 	rate := max(coldMargin, min(margin, coldMost)) * budget / float64(b.d.Proxies) * b.part
-	turn := max(b.d.FallFor*coldDepth, b.gap*b.servable)
+	turn := max(b.d.CrashDuration*coldDepth, b.gap*b.servable)
 	s.bucket, s.flowed = min(s.bucket+(b.now-s.flowed)*rate, rate*turn), b.now
 	stake := min(s.bucket, work)
 	s.bucket -= stake
-	return b.chance.Float()*work < stake // danger: one lookup each from hundreds of proxies is a flood
+	return b.chance.Float64()*work < stake // danger: one lookup each from hundreds of proxies is a flood
 }
 
-// Probed tells what asking a backend for its load found. A probe that fails is no failed lookup.
-func (b *Balancer) Probed(now float64, backend int, ok bool, r Report) *Orders {
+// HealthChecked tells what asking a backend for its load found. A probe that fails is no failed lookup.
+func (b *Balancer) HealthChecked(now float64, backend int, ok bool, r LoadReport) *Actions {
 	b.begin(now)
-	if backend < len(b.servers) && b.servers[backend] != nil && ok && r.Held >= 0 {
+	if backend < len(b.servers) && b.servers[backend] != nil && ok && r.InFlight >= 0 {
 		s := b.servers[backend]
-		s.told, s.toldAt, s.since, b.seenAt = r.Held, now, 0, now
+		s.told, s.toldAt, s.since, b.seenAt = r.InFlight, now, 0, now
 		s.like.report(r)
 	}
 	return b.pump()
@@ -702,7 +704,7 @@
 
 // uneven is this proxy's part of the bank's traffic over the even one, as far as peers tell theirs.
 func (b *Balancer) uneven() float64 {
-	if !b.d.Apart || b.peerRate == 0 {
+	if !b.d.Sidecar || b.peerRate == 0 {
 		return 1
 	}
 	return min(max(1/max(b.gap, 1e-9)/b.peerRate, 1/mostUneven), mostUneven)
@@ -710,10 +712,10 @@
 
 // ask orders probes, as many for a lookup as the price allows.
 func (b *Balancer) ask() {
-	b.asks = min(b.asks+spend/max(b.d.ProbePrice, 1e-9), mostAsked) // danger: saved up without a list, a flood
-	for ; b.d.Probes && b.asks >= 1 && len(b.servers) > 0; b.asks-- {
-		if s := b.servers[int(b.chance.Float()*float64(len(b.servers)))]; s != nil && s.State == Ready {
-			b.orders.Probe = append(b.orders.Probe, s.Index)
+	b.asks = min(b.asks+spend/max(b.d.HealthCheckCost, 1e-9), mostAsked) // danger: saved up without a list, a flood
+	for ; b.d.HealthChecks && b.asks >= 1 && len(b.servers) > 0; b.asks-- {
+		if s := b.servers[int(b.chance.Float64()*float64(len(b.servers)))]; s != nil && s.State == Ready {
+			b.orders.HealthChecks = append(b.orders.HealthChecks, s.Index)
 		}
 	}
 }
@@ -739,24 +741,24 @@
 	return s.like.cores() * max(seenShare*b.ease/s.pace, 1)
 }
 
-// Heard takes in what a peer tells: hearsay, which ages, weighs less than what was seen, and counts once. It
+// GossipReceived takes in what a peer tells: hearsay, which ages, weighs less than what was seen, and counts once. It
 // bears on payoffs, loads and, where there is no room, limits; no rule and no pause rests on it.
-func (b *Balancer) Heard(now float64, from int, n Note) *Orders {
+func (b *Balancer) GossipReceived(now float64, from int, n GossipMessage) *Actions {
 	b.begin(now)
-	if !b.d.Peers || from == b.d.Self || from < 0 || from >= b.d.Proxies {
+	if !b.d.Gossip || from == b.d.Self || from < 0 || from >= b.d.Proxies {
 		return &b.orders
 	}
 	b.notes++
 	b.peerRate += max(1/b.notes, meanPart) * (n.Rate - b.peerRate)
-	for _, t := range n.Sights {
-		s, at := b.marked(t.Mark, now-t.Age-hop), now-t.Age-hop
+	for _, t := range n.Observations {
+		s, at := b.marked(t.NameHash, now-t.Age-hop), now-t.Age-hop
 		switch {
-		case s == nil || t.Age+hop > sightFor || t.Tariff > len(b.rows) || t.Tariff < 0 && at <= s.toldAt:
-		case t.Tariff < 0:
+		case s == nil || t.Age+hop > sightFor || t.Class > len(b.rows) || t.Class < 0 && at <= s.toldAt:
+		case t.Class < 0:
 			s.told, s.toldAt = t.Value, at
-		case at > s.sights[t.Tariff].at+hop: // danger: what comes round would count again
-			s.payoff(b, t.Tariff, t.Value, at, hearsay)
-			if t.Tariff == len(b.rows) {
+		case at > s.sights[t.Class].at+hop: // danger: what comes round would count again
+			s.payoff(b, t.Class, t.Value, at, hearsay)
+			if t.Class == len(b.rows) {
 				b.move(s, toldFull, 1)
 			}
 		}
@@ -766,10 +768,10 @@
 
 // tell orders a note to one peer by chance, as often as the price allows.
 func (b *Balancer) tell() {
-	if b.tells += min(spend/max(b.d.PeerPrice, 1e-9), mostAsked); !b.d.Peers || b.d.Proxies < 2 || b.tells < 1 {
+	if b.tells += min(spend/max(b.d.GossipCost, 1e-9), mostAsked); !b.d.Gossip || b.d.Proxies < 2 || b.tells < 1 {
 		return
 	}
 	b.tells = 0
-	b.orders.Tell = b.told()
-	b.orders.Peer = (b.d.Self + 1 + int(b.chance.Float()*float64(b.d.Proxies-1))) % b.d.Proxies
+	b.orders.Gossip = b.told()
+	b.orders.GossipPeer = (b.d.Self + 1 + int(b.chance.Float64()*float64(b.d.Proxies-1))) % b.d.Proxies
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestOneTariffFailsAtOneServer(t *testing.T) {
-	k := open(t, deployment(Tariff{Name: "good"}, Tariff{Name: "bad"}), 2)
+	k := open(t, deployment(Class{Name: "good"}, Class{Name: "bad"}), 2)
 	to := func(tariff int) (used [2]int) {
 		for range 100 {
 			s, _ := k.draw(tariff)
@@ -48,18 +48,18 @@
 		}
 		return used
 	}
-	l := &Lookup{b: k.Balancer, row: &k.rows[1], heavy: 1, Arrival: Arrival{Tariff: 1}}
+	l := &Request{b: k.Balancer, row: &k.rows[1], heavy: 1, RequestInfo: RequestInfo{Class: 1}}
 	for range minCheck + 1 {
 		k.hear(k.servers[0], "hhh")
 		k.hear(k.servers[1], "hhh")
-		k.learn(l, &leg{s: k.servers[0]}, Fault, 0)
-		k.learn(l, &leg{s: k.servers[1]}, Honoured, 0.05)
+		k.learn(l, &leg{s: k.servers[0]}, ServerError, 0)
+		k.learn(l, &leg{s: k.servers[1]}, Succeeded, 0.05)
 	}
 	assert.Positive(t, to(0)[0], "what it does well it goes on doing")
 	assert.Zero(t, to(1)[0])
 	k.now += recoverInterval * (1 + recoverSpread)
 	assert.Positive(t, to(1)[0], "cooled down")
-	k.send(&Lookup{b: k.Balancer, row: &k.rows[1], Arrival: Arrival{Tariff: 1}}, k.servers[0])
+	k.send(&Request{b: k.Balancer, row: &k.rows[1], RequestInfo: RequestInfo{Class: 1}}, k.servers[0])
 	assert.Zero(t, to(1)[0], "one at a time")
 }
 
@@ -97,13 +97,13 @@
 		out   int
 	}{{1, 0}, {halfLeg / 2, 1}} {
 		k := open(t, deployment(), 1)
-		l, _ := k.take(Arrival{HardStop: 99})
+		l, _ := k.take(RequestInfo{Deadline: 99})
 		k.servers[0].limit = c.limit
 		k.clock += k.patience(l)
-		l.Wake(k.clock)
+		l.TimerFired(k.clock)
 		assert.Equal(t, c.out, k.out, "in a large bank only the sum binds")
 		assert.Equal(t, c.out, k.servers[0].inFlight)
-		l.Ended(k.clock, 0, TooSlow, 1, true)
+		l.AttemptEnded(k.clock, 0, TimedOut, 1, true)
 		assert.Zero(t, k.out, "it is taken off once")
 		assert.Zero(t, k.servers[0].inFlight)
 	}
@@ -113,21 +113,21 @@
 // brings down what takes it would bring down as many servers as it may have legs.
 func TestHowFarALookupIsHandedOn(t *testing.T) {
 	for _, c := range []struct {
-		kind    Kind
+		kind    Idempotency
 		servers int
 		ends    []Outcome // of its legs, each as soon as it is sent
 		legs    int
-		want    []Answer
-	}{{Replayable, 2, []Outcome{NoRoute, NoRoute}, 2, []Answer{Dismissed}}, {Replayable, 2, []Outcome{NoRoom, NoRoom}, 3, nil},
-		{Replayable, 8, []Outcome{Cut, Cut, Cut}, mostLost, []Answer{Dismissed}}, {SingleUse, 8, []Outcome{Cut, Cut}, 1, []Answer{Forfeited}},
-		{Referenced, 8, []Outcome{Cut, Fault, Fault}, mostLost, []Answer{Dismissed}},
-		{Replayable, 8, []Outcome{NoRoom, NoRoute, NeverSent, Cut, Cut, Cut}, 5, []Answer{Dismissed}}} {
-		k := open(t, deployment(Tariff{Kind: c.kind, Window: 5}), c.servers)
-		k.d.MaxLegs = 6
-		l, steps := k.take(Arrival{})
+		want    []Reply
+	}{{Idempotent, 2, []Outcome{ConnectFailed, ConnectFailed}, 2, []Reply{Rejected}}, {Idempotent, 2, []Outcome{ServerRejected, ServerRejected}, 3, nil},
+		{Idempotent, 8, []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, mostLost, []Reply{Rejected}}, {NonIdempotent, 8, []Outcome{ConnectionLost, ConnectionLost}, 1, []Reply{Failed}},
+		{Keyed, 8, []Outcome{ConnectionLost, ServerError, ServerError}, mostLost, []Reply{Rejected}},
+		{Idempotent, 8, []Outcome{ServerRejected, ConnectFailed, NotSent, ConnectionLost, ConnectionLost, ConnectionLost}, 5, []Reply{Rejected}}} {
+		k := open(t, deployment(Class{Idempotency: c.kind, DedupWindow: 5}), c.servers)
+		k.d.MaxAttempts = 6
+		l, steps := k.take(RequestInfo{})
 		for i := 0; i < min(len(l.legs), len(c.ends)); i++ {
 			k.credit = 9 // there is room for the next
-			steps = append(steps, l.Ended(k.clock, i, c.ends[i], 0, false).Steps...)
+			steps = append(steps, l.AttemptEnded(k.clock, i, c.ends[i], 0, false).Requests...)
 		}
 		assert.Len(t, l.legs, c.legs, "%v", c.ends)
 		assert.Equal(t, c.want, answers(steps), "%v", c.ends)
@@ -138,38 +138,38 @@
 func TestLegBesideAnOverdueOne(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		kind   Kind
+		kind   Idempotency
 		beside bool
 		out    int // other legs
 		want   int // legs after the wake
 	}{
-		{"replayable", Replayable, true, 0, 2},
-		{"referenced, in its pod and window", Referenced, true, 0, 2},
-		{"single-use", SingleUse, true, 0, 1},
-		{"not allowed", Replayable, false, 0, 1},
-		{"little room", Replayable, true, 3, 1},
+		{"replayable", Idempotent, true, 0, 2},
+		{"referenced, in its pod and window", Keyed, true, 0, 2},
+		{"single-use", NonIdempotent, true, 0, 1},
+		{"not allowed", Idempotent, false, 0, 1},
+		{"little room", Idempotent, true, 3, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := deployment(Tariff{Name: "a", Kind: c.kind, Scope: ScopePod, Window: 5})
-			d.Beside, d.Proxies = c.beside, 1
+			d := deployment(Class{Name: "a", Idempotency: c.kind, DedupScope: DedupPod, DedupWindow: 5})
+			d.HedgingAllowed, d.Proxies = c.beside, 1
 			k := open(t, d, 3)
 			for _, s := range k.servers {
 				s.limit = 2
 			}
 			for range c.out {
-				k.take(Arrival{})
+				k.take(RequestInfo{})
 			}
-			l, _ := k.take(Arrival{})
+			l, _ := k.take(RequestInfo{})
 			k.clock += k.patience(l)
-			assert.Equal(t, c.want-1, sends(l.Wake(k.clock).Steps))
+			assert.Equal(t, c.want-1, sends(l.TimerFired(k.clock).Requests))
 			if c.want < 2 {
 				return
 			}
 			assert.NotSame(t, l.legs[0].s, l.legs[1].s)
-			o := l.Ended(k.clock, 0, Cut, 0.2, false)
-			assert.Empty(t, o.Steps, "the other may still answer")
-			o = l.Ended(k.clock, 1, Honoured, 0.1, true)
-			assert.Empty(t, o.Steps)
+			o := l.AttemptEnded(k.clock, 0, ConnectionLost, 0.2, false)
+			assert.Empty(t, o.Requests, "the other may still answer")
+			o = l.AttemptEnded(k.clock, 1, Succeeded, 0.1, true)
+			assert.Empty(t, o.Requests)
 			assert.True(t, l.Done())
 		})
 	}
@@ -230,14 +230,14 @@
 
 func TestKeyLandsAlikeAtEveryProxy(t *testing.T) {
 	d := deployment()
-	d.WarmKeys = true
+	d.CacheAffinity = true
 	one := open(t, d, 6)
 	d.Seed = 8
 	two := open(t, d, 6)
 	used := map[int]bool{}
 	for key := uint64(1); key <= 40; key++ {
-		a, _ := one.pick(&Lookup{b: one.Balancer, row: &one.rows[0], place: key, Arrival: Arrival{HardStop: 9, Key: key}})
-		b, _ := two.pick(&Lookup{b: two.Balancer, row: &two.rows[0], place: key, Arrival: Arrival{HardStop: 9, Key: key}})
+		a, _ := one.pick(&Request{b: one.Balancer, row: &one.rows[0], place: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
+		b, _ := two.pick(&Request{b: two.Balancer, row: &two.rows[0], place: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
 		assert.Equal(t, a.Index, b.Index)
 		used[a.Index] = true
 	}
@@ -255,8 +255,8 @@
 		used := map[int]bool{}
 		for i := range 600 {
 			k.clock += 0.4
-			l, _ := k.take(Arrival{})
-			l.Ended(k.clock, 0, Honoured, 0.05, true)
+			l, _ := k.take(RequestInfo{})
+			l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 			if i > 100 {
 				used[l.legs[0].s.Index] = true
 			}
@@ -267,9 +267,9 @@
 }
 
 func TestPopularKeyCountsAsSeveral(t *testing.T) {
-	k, used := open(t, Deployment{Tariffs: deployment().Tariffs, WarmKeys: true}, 60), map[uint64]bool{}
+	k, used := open(t, Deployment{Classes: deployment().Classes, CacheAffinity: true}, 60), map[uint64]bool{}
 	for range 300 {
-		l, _ := k.take(Arrival{Key: 5})
+		l, _ := k.take(RequestInfo{Key: 5})
 		used[l.place] = true
 	}
 	assert.Greater(t, len(used), 30, "alone it would crowd two homes")
@@ -277,9 +277,9 @@
 
 func TestKeyWaitsForItsFirstServers(t *testing.T) {
 	d := deployment()
-	d.WarmKeys = true
+	d.CacheAffinity = true
 	k := open(t, d, 6)
-	l := &Lookup{b: k.Balancer, row: &k.rows[0], place: 5, Arrival: Arrival{HardStop: 9, Key: 5}}
+	l := &Request{b: k.Balancer, row: &k.rows[0], place: 5, RequestInfo: RequestInfo{Deadline: 9, Key: 5}}
 	for range homes {
 		s, _ := k.pick(l)
 		s.inFlight = 1
@@ -287,7 +287,7 @@
 	s, full := k.pick(l)
 	assert.Nil(t, s, "a key on every server is warm on none")
 	assert.True(t, full)
-	k.now = homeTime * k.rows[0].Due
+	k.now = homeTime * k.rows[0].LatencyObjective
 	s, _ = k.pick(l)
 	assert.NotNil(t, s, "but it does not wait long")
 }
@@ -299,61 +299,61 @@
 	}
 	k.servers[0].pace, k.servers[1].pace = 0.5, 2
 	for range 200 {
-		s, _ := k.pick(&Lookup{b: k.Balancer, row: &k.rows[0], heavy: 8, Arrival: Arrival{HardStop: 9}})
+		s, _ := k.pick(&Request{b: k.Balancer, row: &k.rows[0], heavy: 8, RequestInfo: RequestInfo{Deadline: 9}})
 		assert.Zero(t, s.Index)
 	}
 }
 
 // TestNoEffectTwice has a cell for each kind of tariff and each thing an earlier leg may have done.
 func TestNoEffectTwice(t *testing.T) {
-	all := Tariff{Kind: Referenced, Scope: ScopeAll, Window: 0.2}
-	long := Tariff{Kind: Referenced, Scope: ScopeAll, Window: 9}
-	zone := Tariff{Kind: Referenced, Scope: ScopeZone, Window: 0.2}
-	pod := Tariff{Kind: Referenced, Scope: ScopePod, Window: 0.2}
-	single := Tariff{Kind: SingleUse}
+	all := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 0.2}
+	long := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 9}
+	zone := Class{Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 0.2}
+	pod := Class{Idempotency: Keyed, DedupScope: DedupPod, DedupWindow: 0.2}
+	single := Class{Idempotency: NonIdempotent}
 	for _, c := range []struct {
 		name    string
-		tariff  Tariff
+		tariff  Class
 		first   Outcome
 		after   float64
 		servers int // 1: nowhere else to go; 6: two pods of three, two zones
-		same    func(a, b Backend) bool
-		want    []Answer // nil: another leg
+		same    func(a, b Endpoint) bool
+		want    []Reply // nil: another leg
 	}{
-		{"replayable, fault", Tariff{}, Fault, 0.1, 6, nil, nil},
-		{"replayable, fault, nowhere", Tariff{}, Fault, 0.1, 1, nil, []Answer{Dismissed}},
-		{"single-use, fault", single, Fault, 0.1, 6, nil, []Answer{Forfeited}},
-		{"single-use, cut", single, Cut, 0.1, 6, nil, []Answer{Forfeited}},
-		{"single-use, too slow", single, TooSlow, 0.1, 6, nil, []Answer{Forfeited}},
-		{"single-use, called off", single, CalledOff, 0.1, 6, nil, []Answer{Forfeited}},
-		{"single-use, no room", single, NoRoom, 0.1, 6, nil, nil},
-		{"single-use, no route", single, NoRoute, 0.1, 6, nil, nil},
-		{"single-use, never sent, nowhere", single, NeverSent, 0.1, 1, nil, []Answer{Dismissed}},
-		{"referenced by all, fault", all, Fault, 0.1, 6, nil, nil},
-		{"referenced by all, fault, window over", all, Fault, 0.25, 6, nil, []Answer{Forfeited}},
-		{"referenced by all, fault, nowhere, known when its client comes back", long, Fault, 0.1, 1, nil, []Answer{Dismissed}},
-		{"referenced by all, fault, nowhere, not known any more then", all, Fault, 0.1, 1, nil, []Answer{Forfeited}},
-		{"referenced by all, no room, window over", all, NoRoom, 0.25, 1, nil, []Answer{Dismissed}},
-		{"referenced by zone, fault", zone, Fault, 0.1, 6, func(a, b Backend) bool { return a.Zone == b.Zone }, nil},
-		{"referenced by pod, fault", pod, Fault, 0.1, 6, func(a, b Backend) bool { return a.Pod == b.Pod }, nil},
-		{"referenced by pod, cut, window over", pod, Cut, 0.25, 6, nil, []Answer{Forfeited}},
-		{"referenced by pod, fault, nowhere", pod, Fault, 0.1, 1, nil, []Answer{Forfeited}},
-		{"referenced by pod, no room, window over", pod, NoRoom, 0.2, 6, nil, nil},
+		{"replayable, fault", Class{}, ServerError, 0.1, 6, nil, nil},
+		{"replayable, fault, nowhere", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
+		{"single-use, fault", single, ServerError, 0.1, 6, nil, []Reply{Failed}},
+		{"single-use, cut", single, ConnectionLost, 0.1, 6, nil, []Reply{Failed}},
+		{"single-use, too slow", single, TimedOut, 0.1, 6, nil, []Reply{Failed}},
+		{"single-use, called off", single, Canceled, 0.1, 6, nil, []Reply{Failed}},
+		{"single-use, no room", single, ServerRejected, 0.1, 6, nil, nil},
+		{"single-use, no route", single, ConnectFailed, 0.1, 6, nil, nil},
+		{"single-use, never sent, nowhere", single, NotSent, 0.1, 1, nil, []Reply{Rejected}},
+		{"referenced by all, fault", all, ServerError, 0.1, 6, nil, nil},
+		{"referenced by all, fault, window over", all, ServerError, 0.25, 6, nil, []Reply{Failed}},
+		{"referenced by all, fault, nowhere, known when its client comes back", long, ServerError, 0.1, 1, nil, []Reply{Rejected}},
+		{"referenced by all, fault, nowhere, not known any more then", all, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"referenced by all, no room, window over", all, ServerRejected, 0.25, 1, nil, []Reply{Rejected}},
+		{"referenced by zone, fault", zone, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Zone == b.Zone }, nil},
+		{"referenced by pod, fault", pod, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Pod == b.Pod }, nil},
+		{"referenced by pod, cut, window over", pod, ConnectionLost, 0.25, 6, nil, []Reply{Failed}},
+		{"referenced by pod, fault, nowhere", pod, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"referenced by pod, no room, window over", pod, ServerRejected, 0.2, 6, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				d := deployment(c.tariff)
-				d.Seed, d.MaxAdvice = seed, 0.15
+				d.Seed, d.MaxRetryAfter = seed, 0.15
 				k := open(t, d, c.servers)
-				l, steps := k.take(Arrival{})
+				l, steps := k.take(RequestInfo{})
 				require.Equal(t, 1, sends(steps))
-				first := l.legs[0].s.Backend
+				first := l.legs[0].s.Endpoint
 				k.clock = c.after
-				o := l.Ended(k.clock, 0, c.first, c.after, false)
-				assert.Equal(t, c.want, answers(o.Steps))
+				o := l.AttemptEnded(k.clock, 0, c.first, c.after, false)
+				assert.Equal(t, c.want, answers(o.Requests))
 				if c.want == nil {
-					require.Equal(t, 1, sends(o.Steps))
-					second := l.legs[1].s.Backend
+					require.Equal(t, 1, sends(o.Requests))
+					second := l.legs[1].s.Endpoint
 					assert.NotEqual(t, first.Index, second.Index)
 					assert.True(t, c.same == nil || c.same(first, second))
 				}
@@ -368,77 +368,77 @@
 		k.hear(s, "hhhhhh")
 		s.limit = 20
 	}
-	var hung []*Lookup
+	var hung []*Request
 	for range 40 {
-		if l, _ := k.take(Arrival{}); l.legs[0].s.Index == 0 {
+		if l, _ := k.take(RequestInfo{}); l.legs[0].s.Index == 0 {
 			hung = append(hung, l)
 		} else {
-			l.Ended(k.clock, 0, Honoured, 0.05, true)
+			l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 		}
 	}
 	for _, l := range hung {
-		l.Wake(0.2)
+		l.TimerFired(0.2)
 	}
 	assert.True(t, k.servers[0].paused, "well before any hard stop")
 }
 
 func TestAnswerBeforeHardStop(t *testing.T) {
-	for _, kind := range []Kind{Replayable, Referenced, SingleUse} {
-		k := open(t, deployment(Tariff{Kind: kind, Scope: ScopePod, Window: 0.2}), 6)
-		l, steps := k.take(Arrival{HardStop: 0.5})
-		assert.Less(t, steps[0].Wake, 0.5)
-		given := answers(l.Wake(0.1).Steps)
-		given = append(given, answers(l.Wake(steps[0].Wake).Steps)...)
+	for _, kind := range []Idempotency{Idempotent, Keyed, NonIdempotent} {
+		k := open(t, deployment(Class{Idempotency: kind, DedupScope: DedupPod, DedupWindow: 0.2}), 6)
+		l, steps := k.take(RequestInfo{Deadline: 0.5})
+		assert.Less(t, steps[0].WakeAt, 0.5)
+		given := answers(l.TimerFired(0.1).Requests)
+		given = append(given, answers(l.TimerFired(steps[0].WakeAt).Requests)...)
 		require.Len(t, given, 1)
 		for i := range l.legs {
-			o := l.Ended(0.5, i, TooSlow, 0.5, true)
-			assert.Zero(t, sends(o.Steps))
-			assert.Empty(t, answers(o.Steps))
+			o := l.AttemptEnded(0.5, i, TimedOut, 0.5, true)
+			assert.Zero(t, sends(o.Requests))
+			assert.Empty(t, answers(o.Requests))
 		}
-		assert.Empty(t, l.Left(0.6).Steps)
+		assert.Empty(t, l.ClientDisconnected(0.6).Requests)
 		assert.True(t, l.Done())
 		assert.Zero(t, k.out)
 	}
 	k := open(t, deployment(), 6)
-	_, steps := k.take(Arrival{HardStop: answerEarly / 2})
+	_, steps := k.take(RequestInfo{Deadline: answerEarly / 2})
 	assert.Zero(t, sends(steps), "too late to send at all")
 	assert.Len(t, answers(steps), 1)
 }
 
 func TestList(t *testing.T) {
 	k := open(t, deployment(), 3)
-	with := func(i int, state State, since float64) []Backend {
+	with := func(i int, state EndpointState, since float64) []Endpoint {
 		e := backends(3)[i]
-		e.State, e.UpSince = state, since
-		return []Backend{e}
+		e.State, e.StartedAt = state, since
+		return []Endpoint{e}
 	}
 	k.hear(k.servers[1], "ffffff")
-	k.Listed(1, false, false, with(0, Draining, 0))
-	k.Listed(1, false, false, with(1, Ready, 1))
+	k.EndpointsUpdated(1, false, false, with(0, Draining, 0))
+	k.EndpointsUpdated(1, false, false, with(1, Ready, 1))
 	assert.False(t, k.servers[1].tracked, "a restart has a fresh row")
 	assert.True(t, k.cold(k.servers[1]), "and is cold")
 	k.clock = 1
 	for range 20 {
-		l, _ := k.take(Arrival{})
+		l, _ := k.take(RequestInfo{})
 		for _, g := range l.legs {
 			assert.NotZero(t, g.s.Index, "nothing new to a draining backend")
 		}
 	}
-	k.Listed(2, true, false, backends(2))
+	k.EndpointsUpdated(2, true, false, backends(2))
 	assert.Nil(t, k.servers[2], "a full list removes what it leaves out")
-	k.Listed(2, false, false, with(1, Gone, 1))
+	k.EndpointsUpdated(2, false, false, with(1, Removed, 1))
 	assert.Nil(t, k.servers[1])
 }
 
 // Where only a drain binds, a list that loses a backend takes none that goes on answering.
 func TestWhatTheListHasLost(t *testing.T) {
-	states := map[rune]State{'g': Gone, 'r': Gone, 'd': Draining} // r: gone, and up since
-	for told, want := range map[string][2]bool{                   // h and f are legs' ends, b is back, o left out, w a wait; want: sent to, kept
+	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining} // r: gone, and up since
+	for told, want := range map[string][2]bool{                                 // h and f are legs' ends, b is back, o left out, w a wait; want: sent to, kept
 		"hg": {true, true}, "ho": {true, true}, "hgbg": {true, true}, "hdg": {}, "hdo": {}, "hd": {false, true}, "g": {},
 		"hffffffg": {false, true}, "hgw": {}, "hgrw": {}} {
 		for _, advice := range []bool{true, false} {
 			k := open(t, deployment(), 1)
-			k.d.GoneAdvises, k.clock = advice, 50
+			k.d.RemovalIsAdvisory, k.clock = advice, 50
 			for _, x := range told {
 				switch x {
 				case 'h', 'f':
@@ -446,34 +446,34 @@
 				case 'w':
 					k.clock += goneFor
 				case 'o':
-					k.Listed(k.clock, true, false, nil)
+					k.EndpointsUpdated(k.clock, true, false, nil)
 				default:
-					k.Listed(k.clock, false, false, []Backend{{Mark: 1, State: states[x], UpSince: map[rune]float64{'r': 49.9}[x]}})
+					k.EndpointsUpdated(k.clock, false, false, []Endpoint{{NameHash: 1, State: states[x], StartedAt: map[rune]float64{'r': 49.9}[x]}})
 				}
 			}
 			k.now = k.clock
 			s, _ := k.draw(0)
-			k.Listed(k.now, false, false, nil)
-			assert.Equal(t, [2]bool{advice && want[0], want[1] && (advice || told == "hd")}, [2]bool{s != nil, k.Keeps(0)}, told)
+			k.EndpointsUpdated(k.now, false, false, nil)
+			assert.Equal(t, [2]bool{advice && want[0], want[1] && (advice || told == "hd")}, [2]bool{s != nil, k.HasEndpoint(0)}, told)
 		}
 	}
 }
 
 func TestAskingForTheList(t *testing.T) {
 	d := deployment()
-	d.AsksList = true
+	d.PollsEndpoints = true
 	b, err := New(d, 0)
 	require.NoError(t, err)
-	assert.True(t, b.Listed(0, true, true, backends(2)).Subscribe)
+	assert.True(t, b.EndpointsUpdated(0, true, true, backends(2)).Subscribe)
 	now, last := 1.0, 0.0
 	for range 4 {
-		o := *b.ListFailed(now)
-		require.Greater(t, o.Wake, now)
-		require.Less(t, o.Wake-now, d.AskEvery)
-		assert.False(t, b.Wake(o.Wake-0.01).Subscribe)
-		last, now = o.Wake-now, o.Wake
-		assert.True(t, b.Wake(now).Subscribe)
-		assert.False(t, b.Wake(now+1).Subscribe, "asked once a failure")
+		o := *b.PollFailed(now)
+		require.Greater(t, o.WakeAt, now)
+		require.Less(t, o.WakeAt-now, d.NotificationDeadline)
+		assert.False(t, b.TimerFired(o.WakeAt-0.01).Subscribe)
+		last, now = o.WakeAt-now, o.WakeAt
+		assert.True(t, b.TimerFired(now).Subscribe)
+		assert.False(t, b.TimerFired(now+1).Subscribe, "asked once a failure")
 	}
 	assert.Greater(t, last, askFirst, "the pauses grow")
 }
@@ -493,24 +493,24 @@
 			k.rows[0].work = 0.05
 			list := backends(4) // a whole fleet restarted at once
 			for i := range list {
-				list[i].UpSince = 0.001
+				list[i].StartedAt = 0.001
 			}
-			k.Listed(0.001, true, false, list)
+			k.EndpointsUpdated(0.001, true, false, list)
 			cost := map[int]float64{}
-			open := map[int]*Lookup{}
+			open := map[int]*Request{}
 			for k.clock = 0.001; k.clock < 2; k.clock += 0.01 {
-				l, steps := k.take(Arrival{Work: c.work})
+				l, steps := k.take(RequestInfo{ExpectedWork: c.work})
 				open[l.Ref] = l
 				for _, s := range steps {
 					if s.Send {
-						cost[s.Backend] += k.work(open[s.Ref])
-						open[s.Ref].Ended(k.clock, 0, Honoured, 0.05, true)
+						cost[s.Endpoint] += k.work(open[s.Ref])
+						open[s.Ref].AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 					}
 				}
 			}
 			assert.NotEmpty(t, cost, "cold backends are used all the same")
 			for _, sum := range cost {
-				part := d.FallMultiple * 2 * (d.ColdShare + 0.1) * d.FallFor / float64(d.Proxies)
+				part := d.CrashFactor * 2 * (d.SlowStartFraction + 0.1) * d.CrashDuration / float64(d.Proxies)
 				assert.Less(t, sum, part, "two cores' worth at the mean capacity of the window")
 			}
 		})
@@ -527,9 +527,9 @@
 			for range crowd {
 				k.hear(k.servers[0], "l") // in 0.5 s
 			}
-			k.Listed(0, false, false, []Backend{{Index: 1, Mark: 2, Zone: 1, UpSince: 0.001}})
+			k.EndpointsUpdated(0, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 			sent := 0
-			l := &Lookup{b: k.Balancer, row: &k.rows[0], heavy: 1}
+			l := &Request{b: k.Balancer, row: &k.rows[0], heavy: 1}
 			for k.clock = 0; k.clock < 10; k.clock += 0.01 {
 				k.now = k.clock
 				if k.coldRoom(l, k.servers[1]) {
@@ -555,20 +555,20 @@
 				d.Seed = d.Seed*0x9e3779b97f4a7c15 + 11
 				k := open(t, d, 2)
 				k.hear(k.servers[0], "hhhhhhhhhhhhhh")
-				k.Listed(c.age, false, false, []Backend{{Index: 1, Mark: 2, Zone: 1, UpSince: 0.001}})
+				k.EndpointsUpdated(c.age, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 				bank = append(bank, k)
 			}
 			var sent float64 // in one window, as all of them want to send
-			for now := c.age + 0.01; now < c.age+d.FallFor; now += 0.05 {
+			for now := c.age + 0.01; now < c.age+d.CrashDuration; now += 0.05 {
 				for _, k := range bank {
 					k.now = now
-					l := &Lookup{b: k.Balancer, row: &k.rows[0], Arrival: Arrival{HardStop: 99}, heavy: 1}
+					l := &Request{b: k.Balancer, row: &k.rows[0], RequestInfo: RequestInfo{Deadline: 99}, heavy: 1}
 					if s, _ := k.pick(l); s != nil && s.Index == 1 {
 						sent += k.work(l)
 					}
 				}
 			}
-			budget := d.FallMultiple * (d.ColdShare + (1-d.ColdShare)*c.age/d.ColdFor) * d.FallFor
+			budget := d.CrashFactor * (d.SlowStartFraction + (1-d.SlowStartFraction)*c.age/d.SlowStartDuration) * d.CrashDuration
 			assert.Less(t, sent, budget*0.85)
 			part += sent / budget / seeds
 		}
@@ -577,51 +577,51 @@
 }
 
 func TestHeldLookups(t *testing.T) {
-	d := deployment(Tariff{Name: "cheap"}, Tariff{Name: "dear", Value: 9})
+	d := deployment(Class{Name: "cheap"}, Class{Name: "dear", PriorityWeight: 9})
 	k := open(t, d, 1)
 	k.hear(k.servers[0], "hhhhhhhhhh")
-	first, _ := k.take(Arrival{})
-	wait := func(a Arrival) *Lookup {
+	first, _ := k.take(RequestInfo{})
+	wait := func(a RequestInfo) *Request {
 		l, steps := k.take(a)
 		require.Empty(t, answers(steps), "held while it can be in time")
 		return l
 	}
 	for range 8 { // more than the room that is saved up
-		k.take(Arrival{Tariff: 1})
+		k.take(RequestInfo{Class: 1})
 	}
-	again := wait(Arrival{Again: true})
-	cheap := wait(Arrival{})
-	dear := wait(Arrival{Tariff: 1})
+	again := wait(RequestInfo{ClientRetry: true})
+	cheap := wait(RequestInfo{})
+	dear := wait(RequestInfo{Class: 1})
 	assert.Greater(t, dear.priority, cheap.priority)
 	assert.Less(t, again.priority, cheap.priority, "a client's further try")
-	o := first.Ended(0.01, 0, Honoured, 0.01, true)
-	require.Equal(t, 1, sends(o.Steps))
+	o := first.AttemptEnded(0.01, 0, Succeeded, 0.01, true)
+	require.Equal(t, 1, sends(o.Requests))
 	assert.Zero(t, cheap.out+again.out, "the dearest are sent first")
 	assert.False(t, dear.over)
-	k.Wake(0.29)
+	k.TimerFired(0.29)
 	assert.True(t, cheap.over && again.over, "one that can no longer be in time is answered at once")
 	k.held = nil
-	assert.Zero(t, k.Wake(0.5).Wake)
+	assert.Zero(t, k.TimerFired(0.5).WakeAt)
 }
 
 // Danger: on a crowded day each that waits was drawn for among all servers at each event, half a core at a proxy of many.
 func TestDrawsForThoseThatWaitAreBounded(t *testing.T) {
-	d := deployment(Tariff{Kind: SingleUse})
-	d.WarmKeys, d.Proxies = true, 1
+	d := deployment(Class{Idempotency: NonIdempotent})
+	d.CacheAffinity, d.Proxies = true, 1
 	k := open(t, d, 20)
-	first, _ := k.take(Arrival{Key: 9})
+	first, _ := k.take(RequestInfo{Key: 9})
 	for _, s := range k.servers {
 		s.inFlight = 99 // none takes a leg, though there is room in all
 	}
 	for range 40 {
-		k.take(Arrival{Key: 9})
+		k.take(RequestInfo{Key: 9})
 	}
 	scored, before := 0, k.chance
 	for k.pump(); before != k.chance && scored < 40*20; scored++ { // a number drawn for each server
-		before.Float()
+		before.Float64()
 	}
 	assert.Equal(t, []int{40, mostVain * 20}, []int{len(k.held), scored})
-	assert.Equal(t, []Answer{Forfeited}, answers(first.Ended(0, 0, Cut, 0, false).Steps), "it can go nowhere: not held behind them")
+	assert.Equal(t, []Reply{Failed}, answers(first.AttemptEnded(0, 0, ConnectionLost, 0, false).Requests), "it can go nowhere: not held behind them")
 	k.room, k.out, before = 0, 999, k.chance
 	k.pump()
 	assert.Equal(t, before, k.chance, "without room none is scored")
@@ -640,7 +640,7 @@
 		{"the due time binds before a long one", 10, false, 0.3 - 0.075},
 	} {
 		k := open(t, deployment(), 1)
-		l, _ := k.take(Arrival{HardStop: c.hardStop})
+		l, _ := k.take(RequestInfo{Deadline: c.hardStop})
 		if l.legs = nil; c.sent {
 			l.legs = []leg{{neverRan: true}}
 		}
@@ -655,7 +655,7 @@
 	k := open(t, deployment(), 1)
 	asked := 0
 	for range 10 {
-		if k.take(Arrival{}); k.orders.Wake > 0 {
+		if k.take(RequestInfo{}); k.orders.WakeAt > 0 {
 			asked++
 		}
 	}
@@ -678,8 +678,8 @@
 	k.room = 0
 	k.hear(s, "l")
 	assert.Less(t, s.limit, grown)
-	k.take(Arrival{})
-	_, steps := k.take(Arrival{})
+	k.take(RequestInfo{})
+	_, steps := k.take(RequestInfo{})
 	assert.Zero(t, sends(steps), "held while the backend is at its limit")
 }
 
@@ -688,35 +688,35 @@
 	d.Proxies = 18
 	k := open(t, d, 16)
 	for range 10 {
-		one, _ := k.take(Arrival{})
-		two, _ := k.take(Arrival{})
-		one.Ended(k.clock, 0, Honoured, 0.05, true)
-		two.Ended(k.clock, 0, Honoured, 0.05, true)
+		one, _ := k.take(RequestInfo{})
+		two, _ := k.take(RequestInfo{})
+		one.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
+		two.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 	}
-	k.take(Arrival{})
+	k.take(RequestInfo{})
 	assert.Greater(t, k.room, 16*firstLimit/18+0.01, "the leg that ends belongs to what bound")
 }
 
 func TestStreamBelongsToItsLeg(t *testing.T) {
 	k := open(t, deployment(), 6)
-	l, _ := k.take(Arrival{})
-	assert.Empty(t, answers(l.Started(0.2, 0).Steps))
-	assert.Empty(t, l.Wake(0.999).Steps, "no hard stop for a stream that began")
+	l, _ := k.take(RequestInfo{})
+	assert.Empty(t, answers(l.ResponseStarted(0.2, 0).Requests))
+	assert.Empty(t, l.TimerFired(0.999).Requests, "no hard stop for a stream that began")
 	assert.False(t, l.Done())
-	l.Ended(5, 0, Honoured, 5, true)
+	l.AttemptEnded(5, 0, Succeeded, 5, true)
 	assert.True(t, l.Done())
 	assert.Greater(t, k.payNow(l.legs[0].s, 0), 0.7, "judged by when it began, not by its end")
 }
 
 func TestSameSeedSameDecisions(t *testing.T) {
-	play := func() (all []Step) {
+	play := func() (all []RequestAction) {
 		k := open(t, deployment(), 5)
 		for i := range 300 {
 			k.clock += 0.01
-			l, steps := k.take(Arrival{})
+			l, steps := k.take(RequestInfo{})
 			all = append(all, steps...)
 			if len(l.legs) > 0 {
-				all = append(all, l.Ended(k.clock, 0, Outcome(i%3), 0.05, i%3 == 0).Steps...)
+				all = append(all, l.AttemptEnded(k.clock, 0, Outcome(i%3), 0.05, i%3 == 0).Requests...)
 			}
 		}
 		return all
@@ -729,12 +729,12 @@
 		name string
 		bend func(*Deployment)
 	}{
-		{"no tariffs", func(d *Deployment) { d.Tariffs = nil }},
-		{"due time", func(d *Deployment) { d.Tariffs[0].Due = -1 }},
-		{"hard stop", func(d *Deployment) { d.Tariffs[0].HardStop = 0 }},
-		{"cold time", func(d *Deployment) { d.ColdFor = -1 }},
-		{"price of notes", func(d *Deployment) { d.PeerPrice = -1 }},
-		{"quota", func(d *Deployment) { d.Customers = []Customer{{"small", -1}} }},
+		{"no tariffs", func(d *Deployment) { d.Classes = nil }},
+		{"due time", func(d *Deployment) { d.Classes[0].LatencyObjective = -1 }},
+		{"hard stop", func(d *Deployment) { d.Classes[0].Deadline = 0 }},
+		{"cold time", func(d *Deployment) { d.SlowStartDuration = -1 }},
+		{"price of notes", func(d *Deployment) { d.GossipCost = -1 }},
+		{"quota", func(d *Deployment) { d.Tenants = []Tenant{{"small", -1}} }},
 	} {
 		d := deployment()
 		c.bend(&d)
@@ -746,26 +746,26 @@
 // Danger: a client that sends slowly would fill the limits of all with legs at rest, and its server would look slow.
 func TestFlowingBody(t *testing.T) {
 	k := open(t, deployment(), 2)
-	var flowing []*Lookup
+	var flowing []*Request
 	for range 20 { // many times the room
-		l, steps := k.take(Arrival{HardStop: 900, Flows: true})
+		l, steps := k.take(RequestInfo{Deadline: 900, Streaming: true})
 		assert.Equal(t, 1, sends(steps), "they wait for their clients, not for room")
 		flowing = append(flowing, l)
 	}
 	assert.Zero(t, k.out)
-	_, steps := k.take(Arrival{})
+	_, steps := k.take(RequestInfo{})
 	assert.Equal(t, 1, sends(steps), "and take none from others")
 	k.clock = 30
 	l := flowing[0]
-	o := l.Whole(k.clock)
+	o := l.BodyCompleted(k.clock)
 	assert.Equal(t, 2, k.out, "from its last byte on it is at work")
-	assert.Greater(t, o.Steps[0].Wake, k.clock)
+	assert.Greater(t, o.Requests[0].WakeAt, k.clock)
 	before := k.payNow(l.legs[0].s, 0)
-	assert.Empty(t, l.Wake(k.clock+0.01).Steps, "not overdue: it counts from then")
-	l.Ended(k.clock+0.05, 0, Honoured, 0.05, true)
+	assert.Empty(t, l.TimerFired(k.clock+0.01).Requests, "not overdue: it counts from then")
+	l.AttemptEnded(k.clock+0.05, 0, Succeeded, 0.05, true)
 	assert.Equal(t, 1, k.out)
 	assert.GreaterOrEqual(t, k.payNow(l.legs[0].s, 0), before-0.1)
-	flowing[1].Ended(k.clock+0.05, 0, NoRoute, 0, false) // its client left it unfinished
+	flowing[1].AttemptEnded(k.clock+0.05, 0, ConnectFailed, 0, false) // its client left it unfinished
 	assert.Equal(t, 1, k.out, "what took no room gives none back")
 }
 
@@ -773,18 +773,18 @@
 func TestPartOfTheColdBudget(t *testing.T) {
 	sent := func(part float64) (n int) {
 		d := deployment()
-		d.ColdFor, d.ColdShare = 1000, 0.1
+		d.SlowStartDuration, d.SlowStartFraction = 1000, 0.1
 		k := open(t, d, 0)
-		k.Listed(0, true, false, []Backend{{Index: 0, Mark: 1, UpSince: 0.001}})
-		k.Part(part)
+		k.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, StartedAt: 0.001}})
+		k.SetBudgetShare(part)
 		for range 4000 {
 			k.clock += 0.01
-			l, _ := k.take(Arrival{})
+			l, _ := k.take(RequestInfo{})
 			if len(l.legs) > 0 {
 				n++
-				l.Ended(k.clock, 0, Honoured, 0.05, true)
+				l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 			} else {
-				l.Left(k.clock)
+				l.ClientDisconnected(k.clock)
 			}
 		}
 		return n
@@ -802,17 +802,17 @@
 	k.hear(k.servers[1], "ffffffffff")
 	k.hear(k.servers[2], "llllllllll")
 	k.servers[3].limit = 0.7
-	m := k.Recall(20)
+	m := k.Snapshot(20)
 	require.True(t, k.servers[1].paused)
 
 	next := open(t, deployment(), 4)
 	next.clock = 20
-	next.Remember(20, m)
-	old, now := k.Beliefs(20), next.Beliefs(20)
+	next.Restore(20, m)
+	old, now := k.ServerStatuses(20), next.ServerStatuses(20)
 	for i := range old {
 		assert.Equal(t, old[i].Paused, now[i].Paused, i)
 		assert.InDelta(t, old[i].Limit, now[i].Limit, 1e-9, i)
-		assert.InDelta(t, old[i].Heard, now[i].Heard, 1e-9, i)
+		assert.InDelta(t, old[i].Age, now[i].Age, 1e-9, i)
 		assert.Equal(t, k.servers[i].opinions[2].pay, next.servers[i].opinions[2].pay, i)
 	}
 	assert.Less(t, now[1].Payoff, now[0].Payoff)
@@ -820,20 +820,20 @@
 
 	again := open(t, deployment(), 0)
 	list := backends(3) // the last is gone
-	list[1].UpSince = 19
-	again.Listed(20, true, true, list)
-	again.Remember(20, m)
+	list[1].StartedAt = 19
+	again.EndpointsUpdated(20, true, true, list)
+	again.Restore(20, m)
 	assert.False(t, again.servers[1].paused, "it has started since")
 	assert.Zero(t, again.servers[1].opinions[2].sure)
-	assert.Len(t, again.Beliefs(20), 3)
+	assert.Len(t, again.ServerStatuses(20), 3)
 
 	later := open(t, deployment(), 4)
 	for i := range m.Servers {
 		m.Servers[i].Age += 60
 	}
-	later.Remember(20, m)
+	later.Restore(20, m)
 	assert.InDelta(t, 0, later.servers[1].opinions[2].at(20), 0.01, "what is old moves nothing")
-	later.Remember(20, Memory{Bases: []float64{-1, 7}, Servers: []Learned{{Mark: 1, Limit: -3, Pace: 1}, {Mark: 99, Limit: 1, Pace: 1}}})
+	later.Restore(20, Snapshot{BaseLatencies: []float64{-1, 7}, Servers: []ServerSnapshot{{NameHash: 1, Limit: -3, RelativeLatency: 1}, {NameHash: 99, Limit: 1, RelativeLatency: 1}}})
 	assert.Greater(t, later.servers[0].limit, 0.0, "what cannot be is not taken in")
 }
 
@@ -844,17 +844,17 @@
 		paused                  bool
 	}{{100, 0, 0, false}, {0, 5, 0, false}, {0, 8, 0, true}, {70, 30, 0, false}, {400, 1600, 0, true}, {10, 90, 1, false}} {
 		k := open(t, deployment(), 9)
-		report := []Results{{0, 0, c.honoured, c.failed}, {77, 0, 5, 5}} // the last is nobody's
+		report := []ReportedOutcomes{{0, 0, c.honoured, c.failed}, {77, 0, 5, 5}} // the last is nobody's
 		for i := 1; i < 9; i++ {
-			report = append(report, Results{i, 0, 95, 5})
+			report = append(report, ReportedOutcomes{i, 0, 95, 5})
 		}
-		k.Reported(1, report)
-		k.Reported(2, []Results{{0, 0, c.after, 0}})
-		all := k.Beliefs(3)
+		k.OutcomesReported(1, report)
+		k.OutcomesReported(2, []ReportedOutcomes{{0, 0, c.after, 0}})
+		all := k.ServerStatuses(3)
 		for i := range all {
 			assert.Equal(t, i == 0 && c.paused, all[i].Paused, "%d: %+v", i, c)
 		}
-		assert.Equal(t, c.paused, k.Beliefs(20)[0].Trial, "cooled down")
+		assert.Equal(t, c.paused, k.ServerStatuses(20)[0].Trial, "cooled down")
 		if c.paused {
 			assert.Less(t, all[0].Payoff, all[1].Payoff)
 		}
@@ -863,19 +863,19 @@
 
 // Danger: of a tariff unheard so far a quarter of a long due time is a bad guess: its first lookup waited for most of it beside idle servers.
 func TestFirstOfATariffWithALongDueTime(t *testing.T) {
-	d := deployment(Tariff{Name: "post", Kind: SingleUse}, Tariff{Name: "get"})
-	for i := range d.Tariffs {
-		d.Tariffs[i].Due, d.Tariffs[i].HardStop = 30, 60
+	d := deployment(Class{Name: "post", Idempotency: NonIdempotent}, Class{Name: "get"})
+	for i := range d.Classes {
+		d.Classes[i].LatencyObjective, d.Classes[i].Deadline = 30, 60
 	}
 	k := open(t, d, 1)
 	for range 50 {
 		k.clock += .001
-		l, steps := k.take(Arrival{Tariff: 1, Customer: -1, HardStop: k.clock + 60})
+		l, steps := k.take(RequestInfo{Class: 1, Tenant: -1, Deadline: k.clock + 60})
 		require.Equal(t, 1, sends(steps))
 		k.clock += .0003
-		l.Ended(k.clock, 0, Honoured, .0003, true)
+		l.AttemptEnded(k.clock, 0, Succeeded, .0003, true)
 	}
 	k.clock += .001
-	_, steps := k.take(Arrival{Tariff: 0, Customer: -1, HardStop: k.clock + 60})
+	_, steps := k.take(RequestInfo{Class: 0, Tenant: -1, Deadline: k.clock + 60})
 	assert.Equal(t, 1, sends(steps), "the only server is idle")
 }
--- a/balance/bank_test.go
+++ b/balance/bank_test.go
@@ -12,14 +12,14 @@
 // apart is a bank of four in which each client process has a proxy of its own, which tell one another.
 func apart() Deployment {
 	d := deployment()
-	d.Proxies, d.Self, d.Apart, d.Peers, d.PeerPrice, d.ConnPrice = 4, 1, true, true, 0.001, 0.03
+	d.Proxies, d.Self, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
 	return d
 }
 
 // probing is one proxy whose backends tell their load.
 func probing() Deployment {
 	d := deployment()
-	d.Proxies, d.Apart, d.Probes, d.ProbePrice = 1, true, true, 0.002
+	d.Proxies, d.Sidecar, d.HealthChecks, d.HealthCheckCost = 1, true, true, 0.002
 	return d
 }
 
@@ -31,63 +31,63 @@
 	}
 }
 
-func note(sights ...Sight) Note { return Note{Rate: 1, Sights: sights} }
+func note(sights ...Observation) GossipMessage { return GossipMessage{Rate: 1, Observations: sights} }
 
 // serve has the proxy take a lookup, hands its orders to look, and has its leg, if any, honoured.
-func (k *bank) serve(look func(*Lookup, *Orders)) {
+func (k *bank) serve(look func(*Request, *Actions)) {
 	k.clock += 0.1
-	l, o := k.Take(k.clock, Arrival{HardStop: k.clock + 1})
+	l, o := k.RequestArrived(k.clock, RequestInfo{Deadline: k.clock + 1})
 	look(l, o)
 	if len(l.legs) > 0 {
-		l.Ended(k.clock, 0, Honoured, 0.05, true)
+		l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 	}
 }
 
 // Where neither notes nor probes are allowed, nothing of the new shape is ever ordered, and equal calls are answered by equal
 // orders, whatever else a deployment tells and whatever peers say.
 func TestOldShapeOrdersNothingNew(t *testing.T) {
-	play := func(d Deployment) (all [][]Step) {
+	play := func(d Deployment) (all [][]RequestAction) {
 		k := open(t, d, 6)
 		for range 300 {
-			k.serve(func(_ *Lookup, o *Orders) {
-				all = append(all, append([]Step(nil), o.Steps...))
-				require.Empty(t, append(o.Probe, o.HangUp...))
-				require.Nil(t, o.Tell)
+			k.serve(func(_ *Request, o *Actions) {
+				all = append(all, append([]RequestAction(nil), o.Requests...))
+				require.Empty(t, append(o.HealthChecks, o.CloseIdle...))
+				require.Nil(t, o.Gossip)
 			})
-			require.Empty(t, k.Balancer.Wake(k.clock).HangUp)
-			k.Heard(k.clock, 0, note(Sight{Mark: 1, Value: 0}))
+			require.Empty(t, k.Balancer.TimerFired(k.clock).CloseIdle)
+			k.GossipReceived(k.clock, 0, note(Observation{NameHash: 1, Value: 0}))
 		}
 		return all
 	}
 	told := deployment()
-	told.Self, told.Zone, told.PeerPrice, told.ProbePrice, told.ConnPrice = 1, 1, 0.01, 0.05, 0.03
-	told.OpenPrice, told.IdleFor = 0.12, 10
+	told.Self, told.Zone, told.GossipCost, told.HealthCheckCost, told.ConnectionCost = 1, 1, 0.01, 0.05, 0.03
+	told.HandshakeCost, told.ServerIdleTimeout = 0.12, 10
 	assert.Equal(t, play(deployment()), play(told))
 }
 
 func TestWhatAPeerTells(t *testing.T) {
-	bad := note(Sight{Mark: 1, Value: 0})
+	bad := note(Observation{NameHash: 1, Value: 0})
 	for _, c := range []struct {
 		name  string
 		from  int
-		note  Note
+		note  GossipMessage
 		worse int
 	}{ // worse: the server believed to be so by it; -1: none
 		{"of a backend that fails", 2, bad, 0},
-		{"from itself", 1, bad, -1}, {"from outside the bank", 4, bad, -1}, {"from no number", -1, bad, -1}, {"nothing", 2, Note{}, -1},
-		{"too old", 2, note(Sight{Mark: 1, Age: sightFor}), -1},
-		{"of a backend that is not listed", 2, note(Sight{Mark: 77}), -1},
-		{"of a tariff there is not", 2, note(Sight{Mark: 1, Tariff: 9}), -1},
-		{"of a backend before its restart", 2, note(Sight{Mark: 3, Age: 1.5}), -1},
-		{"of a backend since its restart", 2, note(Sight{Mark: 3, Age: 0.5}), 2},
+		{"from itself", 1, bad, -1}, {"from outside the bank", 4, bad, -1}, {"from no number", -1, bad, -1}, {"nothing", 2, GossipMessage{}, -1},
+		{"too old", 2, note(Observation{NameHash: 1, Age: sightFor}), -1},
+		{"of a backend that is not listed", 2, note(Observation{NameHash: 77}), -1},
+		{"of a tariff there is not", 2, note(Observation{NameHash: 1, Class: 9}), -1},
+		{"of a backend before its restart", 2, note(Observation{NameHash: 3, Age: 1.5}), -1},
+		{"of a backend since its restart", 2, note(Observation{NameHash: 3, Age: 0.5}), 2},
 	} {
 		k := open(t, apart(), 3)
-		k.Listed(99, false, false, []Backend{{Index: 2, Mark: 3, UpSince: 99}})
-		k.Heard(100, c.from, c.note)
+		k.EndpointsUpdated(99, false, false, []Endpoint{{Index: 2, NameHash: 3, StartedAt: 99}})
+		k.GossipReceived(100, c.from, c.note)
 		once := k.payNow(k.servers[0], 0)
-		for i := range 9 * len(c.note.Sights) { // the same, told on: its age grows by the way at least
-			c.note.Sights[0].Age += 0.01
-			k.Heard(100+0.01*float64(i+1), c.from, c.note)
+		for i := range 9 * len(c.note.Observations) { // the same, told on: its age grows by the way at least
+			c.note.Observations[0].Age += 0.01
+			k.GossipReceived(100+0.01*float64(i+1), c.from, c.note)
 		}
 		for i, s := range k.servers {
 			assert.Equal(t, i == c.worse, k.payNow(s, 0) < k.payNow(k.servers[1], 0), "%s: %d", c.name, i)
@@ -104,7 +104,7 @@
 		k.clock += 0.1
 		k.hear(k.servers[0], "hhh")
 		k.hear(k.servers[1], "fff")
-		k.Heard(k.clock, 2, note(Sight{Mark: 1, Value: 0}, Sight{Mark: 2, Value: 1}, Sight{Mark: 3, Value: 0}))
+		k.GossipReceived(k.clock, 2, note(Observation{NameHash: 1, Value: 0}, Observation{NameHash: 2, Value: 1}, Observation{NameHash: 3, Value: 0}))
 	}
 	assert.Greater(t, k.payNow(k.servers[0], 0), k.payNow(k.servers[1], 0)+3*temperature)
 	assert.False(t, k.servers[0].paused, "nobody's word pauses a backend")
@@ -117,15 +117,15 @@
 	for _, rate := range []float64{0, 1e-9, 10, 4095} {
 		k := open(t, apart(), 3)
 		for range 100 {
-			k.Heard(k.clock, 2, Note{Rate: rate})
-			k.serve(func(*Lookup, *Orders) {})
+			k.GossipReceived(k.clock, 2, GossipMessage{Rate: rate})
+			k.serve(func(*Request, *Actions) {})
 		}
 		assert.LessOrEqual(t, k.uneven(), mostUneven)
 		assert.GreaterOrEqual(t, k.uneven(), 1/mostUneven)
 		k.chance, k.gap, k.servable = 1, 0.1, 3
 		s, sent := k.unheard(0, 0), 0
-		for s.UpSince = k.now; k.now < s.UpSince+10; k.now += 0.02 {
-			if k.coldRoom(&Lookup{row: &row{Tariff: k.rows[0].Tariff, base: 0.05}}, s) {
+		for s.StartedAt = k.now; k.now < s.StartedAt+10; k.now += 0.02 {
+			if k.coldRoom(&Request{row: &row{Class: k.rows[0].Class, base: 0.05}}, s) {
 				sent++
 			}
 		}
@@ -139,20 +139,20 @@
 	k := open(t, apart(), 3)
 	to := map[int]int{}
 	for range 300 {
-		k.serve(func(_ *Lookup, o *Orders) {
-			require.NotNil(t, o.Tell, "at this price")
-			to[o.Peer]++
-			assert.InDelta(t, 10, o.Tell.Rate, 1)
-			for i, s := range o.Tell.Sights {
+		k.serve(func(_ *Request, o *Actions) {
+			require.NotNil(t, o.Gossip, "at this price")
+			to[o.GossipPeer]++
+			assert.InDelta(t, 10, o.Gossip.Rate, 1)
+			for i, s := range o.Gossip.Observations {
 				assert.Less(t, s.Age, sightFor)
-				assert.True(t, i == 0 || s.Age >= o.Tell.Sights[i-1].Age, "the newest first")
+				assert.True(t, i == 0 || s.Age >= o.Gossip.Observations[i-1].Age, "the newest first")
 			}
 		})
 	}
 	assert.Len(t, to, 3)
 	assert.Zero(t, to[1], "not to itself")
 	k.d.Proxies, k.d.Self = 1, 0
-	k.serve(func(_ *Lookup, o *Orders) { assert.Nil(t, o.Tell, "alone in its bank") })
+	k.serve(func(_ *Request, o *Actions) { assert.Nil(t, o.Gossip, "alone in its bank") })
 }
 
 // A server not heard starts with legs by its size where peers tell what they see there; a full answer then moves what a proxy
@@ -166,7 +166,7 @@
 	}
 	// danger: a server that turns away early, or is slow by its own nature, would be left idle by what its legs tell
 	k = open(t, d, 0)
-	k.Listed(0, true, false, []Backend{{Index: 0, Mark: 1, Size: 2}, {Index: 1, Mark: 2}})
+	k.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, Cores: 2}, {Index: 1, NameHash: 2}})
 	k.servable = 2
 	for _, s := range k.servers {
 		k.hear(s, strings.Repeat("nl", 200))
@@ -195,11 +195,11 @@
 		worth       float64
 	}{{true, true, 5, fullPayoff}, {true, true, 0, 0}, {false, true, 5, 0}, {true, false, 5, 0}} {
 		d := apart()
-		d.WarmKeys, d.Peers = c.warm, c.peers
+		d.CacheAffinity, d.Gossip = c.warm, c.peers
 		k := open(t, d, 2)
-		l := &Lookup{b: k.Balancer, row: &k.rows[0], heavy: 1, Arrival: Arrival{Key: c.key}}
+		l := &Request{b: k.Balancer, row: &k.rows[0], heavy: 1, RequestInfo: RequestInfo{Key: c.key}}
 		for range 200 {
-			k.learn(l, &leg{s: k.servers[0]}, NoRoom, 0)
+			k.learn(l, &leg{s: k.servers[0]}, ServerRejected, 0)
 		}
 		assert.InDelta(t, c.worth, k.payNow(k.servers[0], 0), 0.05, "%v", c)
 	}
@@ -212,8 +212,8 @@
 		k := open(t, d, 40)
 		met := map[*server]bool{}
 		for range 300 {
-			k.Heard(k.clock, 2, Note{Rate: rate})
-			k.serve(func(l *Lookup, _ *Orders) {
+			k.GossipReceived(k.clock, 2, GossipMessage{Rate: rate})
+			k.serve(func(l *Request, _ *Actions) {
 				for i := range l.legs {
 					met[l.legs[i].s] = true
 				}
@@ -233,7 +233,7 @@
 	}{{true, true, 1, 0, paid + wayCost}, {false, true, 1, 0, paid + wayCost}, {false, true, 1, 1, paid}, {false, true, -1, 0, 0},
 		{false, false, 1, 0, 0}} {
 		d, here := apart(), 0
-		d.Apart, d.Peers, d.Zone, d.Proxies, d.Self = c.apart, c.peers, c.zone, 1, 0
+		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.apart, c.peers, c.zone, 1, 0
 		k := open(t, d, 8) // two locations in turn
 		k.crowd(c.out)
 		for range 400 {
@@ -248,7 +248,7 @@
 func TestOpeningCosts(t *testing.T) {
 	play := func(price, idle float64, out int) (all []int) {
 		d := apart()
-		d.Zone, d.Proxies, d.Self, d.OpenPrice, d.IdleFor = -1, 1, 0, price, idle
+		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, price, idle
 		k := open(t, d, 8)
 		k.begin(9)
 		k.servers[0].used = 5
@@ -281,11 +281,11 @@
 		times        int
 	}{{true, true, 0.03, 1}, {true, false, 0.03, 1}, {false, true, 0.03, 1}, {false, false, 0.03, 0}, {true, true, 0, 0}} {
 		k, closed := open(t, apart(), 1), 0
-		k.d.Apart, k.d.Peers, k.d.ConnPrice = c.apart, c.peers, c.price
-		k.serve(func(*Lookup, *Orders) {})
+		k.d.Sidecar, k.d.Gossip, k.d.ConnectionCost = c.apart, c.peers, c.price
+		k.serve(func(*Request, *Actions) {})
 		for ended := k.clock; k.clock < ended+2*idleFor; k.clock += 0.05 {
-			if o := k.Balancer.Wake(k.clock); len(o.HangUp) > 0 {
-				assert.Equal(t, []int{0}, o.HangUp)
+			if o := k.Balancer.TimerFired(k.clock); len(o.CloseIdle) > 0 {
+				assert.Equal(t, []int{0}, o.CloseIdle)
 				assert.InDelta(t, ended+idleFor, k.clock, 0.06)
 				closed++
 			}
@@ -296,26 +296,26 @@
 
 func TestToldLoadSteersTheDraw(t *testing.T) {
 	k, to := open(t, probing(), 4), map[*server]int{}
-	tell := func(reports ...Report) (*server, bool) {
+	tell := func(reports ...LoadReport) (*server, bool) {
 		for i, r := range reports {
-			k.Probed(1, i, true, r)
+			k.HealthChecked(1, i, true, r)
 		}
 		return k.draw(0)
 	}
 	for range 200 {
-		s, _ := tell(Report{2, 0.9}, Report{2, 0.9}, Report{2, 0.9}, Report{0, 0.1})
+		s, _ := tell(LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{0, 0.1})
 		to[s]++
 	}
 	assert.Greater(t, to[k.servers[3]], 150, "the idle one")
-	s, full := tell(Report{900, 1}, Report{900, 1}, Report{900, 1}, Report{900, 1})
+	s, full := tell(LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1})
 	assert.Nil(t, s, "all hold more than they bear")
 	assert.True(t, full)
-	k.Wake(1 + sightFor + 0.1)
+	k.TimerFired(1 + sightFor + 0.1)
 	s, _ = k.draw(0)
 	assert.NotNil(t, s, "no report for long: this proxy's own legs count again")
 	k = open(t, probing(), 2)
 	for range 200 {
-		k.Probed(9, 0, true, Report{Held: 1.5, Busy: 0.5})
+		k.HealthChecked(9, 0, true, LoadReport{InFlight: 1.5, Utilization: 0.5})
 	}
 	assert.InDelta(t, 3, k.servers[1].like.cores(), 0.01, "alike for its like")
 }
@@ -323,23 +323,23 @@
 func TestWhoIsProbedAndWhatTellsNothing(t *testing.T) {
 	k := open(t, probing(), 0)
 	asked := func() (list []int) {
-		k.serve(func(_ *Lookup, o *Orders) { list = append(list, o.Probe...) })
+		k.serve(func(_ *Request, o *Actions) { list = append(list, o.HealthChecks...) })
 		return list
 	}
 	for range 100 {
 		assert.Empty(t, asked(), "nothing is listed")
 	}
-	k.Listed(k.clock, true, false, backends(2))
+	k.EndpointsUpdated(k.clock, true, false, backends(2))
 	assert.LessOrEqual(t, len(asked()), int(mostAsked), "no probes saved up while there was no list")
-	k.Listed(k.clock, false, false, []Backend{{Index: 0, Mark: 1, State: Draining}})
+	k.EndpointsUpdated(k.clock, false, false, []Endpoint{{Index: 0, NameHash: 1, State: Draining}})
 	for range 50 {
 		assert.NotContains(t, asked(), 0, "one that drains is not asked")
 	}
-	k.Listed(k.clock, false, false, []Backend{{Index: 1, Mark: 2, State: Gone}})
-	k.Probed(k.clock, 0, false, Report{Held: 5, Busy: 1}) // it failed
-	k.Probed(k.clock, 0, true, Report{Held: -1, Busy: -1})
-	k.Probed(k.clock, 1, true, Report{Held: 5})  // the backend has gone
-	k.Probed(k.clock, 50, true, Report{Held: 5}) // nobody's number
+	k.EndpointsUpdated(k.clock, false, false, []Endpoint{{Index: 1, NameHash: 2, State: Removed}})
+	k.HealthChecked(k.clock, 0, false, LoadReport{InFlight: 5, Utilization: 1}) // it failed
+	k.HealthChecked(k.clock, 0, true, LoadReport{InFlight: -1, Utilization: -1})
+	k.HealthChecked(k.clock, 1, true, LoadReport{InFlight: 5})  // the backend has gone
+	k.HealthChecked(k.clock, 50, true, LoadReport{InFlight: 5}) // nobody's number
 	assert.False(t, k.loads())
 	assert.False(t, k.servers[0].paused)
 }
--- a/balance/check.go
+++ b/balance/check.go
@@ -7,25 +7,25 @@
 
 // check names what in a deployment cannot be decided on.
 func (d *Deployment) check() error {
-	if len(d.Tariffs) == 0 {
+	if len(d.Classes) == 0 {
 		return errors.New("no tariffs")
 	}
 	type figure struct {
 		name  string
 		value float64
 	}
-	figures := []figure{{"cold time", d.ColdFor}, {"fall time", d.FallFor}, {"fall multiple", d.FallMultiple},
-		{"cold share", d.ColdShare}, {"ask time", d.AskEvery}, {"longest advice", d.MaxAdvice},
-		{"price of connections", d.ConnPrice}, {"price of notes", d.PeerPrice},
-		{"price of probes", d.ProbePrice}}
-	for _, t := range d.Tariffs {
-		figures = append(figures, figure{t.Name + ": due time", t.Due}, figure{t.Name + ": hard stop", t.HardStop},
-			figure{t.Name + ": window", t.Window}, figure{t.Name + ": value", t.Value})
-		if t.HardStop == 0 {
+	figures := []figure{{"cold time", d.SlowStartDuration}, {"fall time", d.CrashDuration}, {"fall multiple", d.CrashFactor},
+		{"cold share", d.SlowStartFraction}, {"ask time", d.NotificationDeadline}, {"longest advice", d.MaxRetryAfter},
+		{"price of connections", d.ConnectionCost}, {"price of notes", d.GossipCost},
+		{"price of probes", d.HealthCheckCost}}
+	for _, t := range d.Classes {
+		figures = append(figures, figure{t.Name + ": due time", t.LatencyObjective}, figure{t.Name + ": hard stop", t.Deadline},
+			figure{t.Name + ": window", t.DedupWindow}, figure{t.Name + ": value", t.PriorityWeight})
+		if t.Deadline == 0 {
 			return fmt.Errorf("%s: no hard stop", t.Name)
 		}
 	}
-	for _, c := range d.Customers {
+	for _, c := range d.Tenants {
 		figures = append(figures, figure{c.Name + ": quota", c.Quota})
 	}
 	for _, f := range figures {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -17,7 +17,7 @@
 	due    occasions
 	rand   *rand.Rand
 	d      Deployment
-	list   []Backend
+	list   []Endpoint
 	slower func(server int) float64 // times that its answers take
 	cold   []float64                // when the cold server was sent to
 }
@@ -45,7 +45,7 @@
 type member struct {
 	*fleet
 	b       *Balancer
-	lookups []*Lookup
+	lookups []*Request
 	pace    float64
 }
 
@@ -58,11 +58,11 @@
 	d := m.d
 	d.Seed = m.rand.Uint64()
 	m.b, _ = New(d, m.now)
-	m.obey(m.b.Listed(m.now, true, true, m.list))
+	m.obey(m.b.EndpointsUpdated(m.now, true, true, m.list))
 }
 
 // later makes a call on the balancer, unless another has its place by then.
-func (m *member) later(at float64, call func() *Orders) {
+func (m *member) later(at float64, call func() *Actions) {
 	b := m.b
 	m.after(at-m.now, func() {
 		if m.b == b {
@@ -71,41 +71,41 @@
 	})
 }
 
-func (m *member) obey(o *Orders) {
-	if o.Wake > 0 {
-		m.later(o.Wake, func() *Orders { return m.b.Wake(m.now) })
+func (m *member) obey(o *Actions) {
+	if o.WakeAt > 0 {
+		m.later(o.WakeAt, func() *Actions { return m.b.TimerFired(m.now) })
 	}
-	for _, s := range append([]Step(nil), o.Steps...) {
+	for _, s := range append([]RequestAction(nil), o.Requests...) {
 		l := m.lookups[s.Ref]
-		if s.Wake > 0 {
-			m.later(s.Wake, func() *Orders { return l.Wake(m.now) })
+		if s.WakeAt > 0 {
+			m.later(s.WakeAt, func() *Actions { return l.TimerFired(m.now) })
 		}
 		if !s.Send {
 			continue
 		}
-		took, i := eachWork*m.rand.ExpFloat64()*m.slower(s.Backend), len(l.legs)-1
-		if s.Backend == 0 && m.now >= coldAt {
+		took, i := eachWork*m.rand.ExpFloat64()*m.slower(s.Endpoint), len(l.legs)-1
+		if s.Endpoint == 0 && m.now >= coldAt {
 			m.cold = append(m.cold, m.now)
 		}
-		how := Honoured
+		how := Succeeded
 		if took >= 1 {
-			how, took = TooSlow, 1
+			how, took = TimedOut, 1
 		}
-		m.later(m.now+took, func() *Orders { return l.Ended(m.now, i, how, took, how == Honoured) })
+		m.later(m.now+took, func() *Actions { return l.AttemptEnded(m.now, i, how, took, how == Succeeded) })
 	}
 }
 
 func (m *member) arrive() {
 	m.after(m.rand.ExpFloat64()/m.pace, m.arrive)
 	m.lookups = append(m.lookups, nil)
-	l, o := m.b.Take(m.now, Arrival{Ref: len(m.lookups) - 1, HardStop: m.now + 1})
+	l, o := m.b.RequestArrived(m.now, RequestInfo{Ref: len(m.lookups) - 1, Deadline: m.now + 1})
 	m.lookups[l.Ref] = l
 	m.obey(o)
 }
 
 // part is that of its capacity which the cold server has by now.
 func (f *fleet) part() float64 {
-	return f.d.ColdShare + (1-f.d.ColdShare)*(f.now-coldAt)/f.d.ColdFor
+	return f.d.SlowStartFraction + (1-f.d.SlowStartFraction)*(f.now-coldAt)/f.d.SlowStartDuration
 }
 
 // Rule 4 is the whole fleet's: in any window the settings allow N, and 2 roots of N and 2 more by chance.
@@ -120,10 +120,10 @@
 	} {
 		for _, n := range []int{2, 20, 30, 300} {
 			f := &fleet{rand: rand.New(rand.NewPCG(1, uint64(n))), slower: besides(servers, 1),
-				d: Deployment{Proxies: n, MaxLegs: 3, CallOff: true, MaxAdvice: 1, ColdShare: 0.2, ColdFor: 15, FallMultiple: 3, FallFor: 1,
-					Tariffs: []Tariff{{Name: "look", Due: 0.3, HardStop: 1, Value: 1}}}}
+				d: Deployment{Proxies: n, MaxAttempts: 3, CancelAllowed: true, MaxRetryAfter: 1, SlowStartFraction: 0.2, SlowStartDuration: 15, CrashFactor: 3, CrashDuration: 1,
+					Classes: []Class{{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1}}}}
 			for i := range servers {
-				f.list = append(f.list, Backend{Index: i, Mark: uint64(i + 1)})
+				f.list = append(f.list, Endpoint{Index: i, NameHash: uint64(i + 1)})
 			}
 			var all []*member
 			for i := range n { // uneven: a few see some seven times as much as the others
@@ -136,9 +136,9 @@
 				m.after(m.rand.Float64()/m.pace, m.arrive)
 			}
 			f.after(coldAt, func() {
-				f.list[0].UpSince = coldAt
+				f.list[0].StartedAt = coldAt
 				for _, m := range all {
-					m.after(0.05*m.rand.Float64(), func() { m.obey(m.b.Listed(m.now, false, false, f.list[:1])) })
+					m.after(0.05*m.rand.Float64(), func() { m.obey(m.b.EndpointsUpdated(m.now, false, false, f.list[:1])) })
 				}
 			})
 			f.after(coldAt+8, func() { comes(f, all) })
@@ -150,10 +150,10 @@
 			worst, most := 0, math.Inf(-1)
 			for i, at := range f.cold {
 				f.now = at
-				allowed := f.d.FallMultiple * f.part() * f.d.FallFor / eachWork
+				allowed := f.d.CrashFactor * f.part() * f.d.CrashDuration / eachWork
 				allowed += 2*math.Sqrt(allowed) + 2
 				sent := 0
-				for sent < len(f.cold)-i && f.cold[i+sent] < at+f.d.FallFor {
+				for sent < len(f.cold)-i && f.cold[i+sent] < at+f.d.CrashDuration {
 					sent++
 				}
 				if over := float64(sent) / allowed; over > most {
@@ -204,7 +204,7 @@
 	} {
 		growth := func(usual bool) float64 {
 			d := deployment()
-			d.Proxies, d.Peers = c.proxies, c.peers
+			d.Proxies, d.Gossip = c.proxies, c.peers
 			k := open(t, d, 4)
 			k.hear(k.servers[0], c.before)
 			if usual {
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -15,16 +15,16 @@
 }
 
 // deployment is two proxies' worth of plain figures for a test to bend.
-func deployment(tariffs ...Tariff) Deployment {
+func deployment(tariffs ...Class) Deployment {
 	if len(tariffs) == 0 {
-		tariffs = []Tariff{{Name: "plain"}}
+		tariffs = []Class{{Name: "plain"}}
 	}
 	for i := range tariffs {
 		t := &tariffs[i]
-		t.Due, t.HardStop, t.Value = 0.3, 1, max(t.Value, 1)
+		t.LatencyObjective, t.Deadline, t.PriorityWeight = 0.3, 1, max(t.PriorityWeight, 1)
 	}
-	return Deployment{Seed: 7, Proxies: 2, Tariffs: tariffs, MaxLegs: 3, CallOff: true,
-		ColdShare: 0.2, ColdFor: 20, FallMultiple: 3, FallFor: 2, AskEvery: 10}
+	return Deployment{Seed: 7, Proxies: 2, Classes: tariffs, MaxAttempts: 3, CancelAllowed: true,
+		SlowStartFraction: 0.2, SlowStartDuration: 20, CrashFactor: 3, CrashDuration: 2, NotificationDeadline: 10}
 }
 
 // open starts a proxy with n warm backends, three to a pod, two zones in turn.
@@ -32,46 +32,46 @@
 	b, err := New(d, 0)
 	require.NoError(t, err)
 	k := &bank{Balancer: b, t: t}
-	k.Listed(0, true, true, backends(n))
+	k.EndpointsUpdated(0, true, true, backends(n))
 	return k
 }
 
-func backends(n int) []Backend {
-	list := make([]Backend, n)
+func backends(n int) []Endpoint {
+	list := make([]Endpoint, n)
 	for i := range list {
-		list[i] = Backend{Index: i, Mark: uint64(i + 1), Zone: i % 2, Pod: i / 3}
+		list[i] = Endpoint{Index: i, NameHash: uint64(i + 1), Zone: i % 2, Pod: i / 3}
 	}
 	return list
 }
 
 // take hands in a lookup and returns it with the steps ordered.
-func (k *bank) take(a Arrival) (*Lookup, []Step) {
+func (k *bank) take(a RequestInfo) (*Request, []RequestAction) {
 	k.refs++
 	a.Ref = k.refs
-	if a.HardStop == 0 {
-		a.HardStop = k.clock + 1
+	if a.Deadline == 0 {
+		a.Deadline = k.clock + 1
 	}
-	l, o := k.Take(k.clock, a)
-	return l, append([]Step(nil), o.Steps...)
+	l, o := k.RequestArrived(k.clock, a)
+	return l, append([]RequestAction(nil), o.Requests...)
 }
 
 // draw is where a tariff's lookup would go now, and whether it would go somewhere if there were room.
 func (k *bank) draw(tariff int) (*server, bool) {
-	return k.pick(&Lookup{b: k.Balancer, row: &k.rows[tariff], heavy: 1, Arrival: Arrival{HardStop: 99, Tariff: tariff}})
+	return k.pick(&Request{b: k.Balancer, row: &k.rows[tariff], heavy: 1, RequestInfo: RequestInfo{Deadline: 99, Class: tariff}})
 }
 
 // hear lets a server's legs end in these ways, a letter each: h honoured, l late, f fault, n no room, c called off.
 func (k *bank) hear(s *server, letters string) {
 	for _, c := range letters {
-		o := map[rune]Outcome{'h': Honoured, 'l': Honoured, 'f': Fault, 'n': NoRoom, 'c': CalledOff}[c]
+		o := map[rune]Outcome{'h': Succeeded, 'l': Succeeded, 'f': ServerError, 'n': ServerRejected, 'c': Canceled}[c]
 		latency := map[rune]float64{'h': 0.05, 'l': 0.5}[c]
 		k.now = k.clock
-		k.learn(&Lookup{b: k.Balancer, row: &k.rows[0], heavy: 1}, &leg{s: s}, o, latency)
+		k.learn(&Request{b: k.Balancer, row: &k.rows[0], heavy: 1}, &leg{s: s}, o, latency)
 	}
 }
 
 // sends counts the legs among the steps; answers lists the answers.
-func sends(steps []Step) (n int) {
+func sends(steps []RequestAction) (n int) {
 	for _, s := range steps {
 		if s.Send {
 			n++
@@ -80,10 +80,10 @@
 	return n
 }
 
-func answers(steps []Step) (list []Answer) {
+func answers(steps []RequestAction) (list []Reply) {
 	for _, s := range steps {
-		if s.Answer != NoAnswer {
-			list = append(list, s.Answer)
+		if s.Reply != NoReply {
+			list = append(list, s.Reply)
 		}
 	}
 	return list
--- a/balance/state.go
+++ b/balance/state.go
@@ -12,14 +12,14 @@
 // Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
 	d               Deployment
-	chance          chance.Source
+	chance          chance.Rand
 	now             float64
-	servers         []*server // by Backend.Index, nil where there is none
-	rows            []row     // one a tariff
-	held            []*Lookup // waiting with nothing out, by value, then by age
-	cands           []cand    // scratch
-	shares          []float64 // scratch
-	orders          Orders
+	servers         []*server  // by Backend.Index, nil where there is none
+	rows            []row      // one a tariff
+	held            []*Request // waiting with nothing out, by value, then by age
+	cands           []cand     // scratch
+	shares          []float64  // scratch
+	orders          Actions
 	out             int     // legs in flight
 	room            float64 // legs all admitted servers bear, as of the last pick
 	servable        float64 // servers admitted as of the last pick
@@ -36,20 +36,20 @@
 	askPause        float64
 	askAt           float64 // when to ask the list again; +Inf: no need
 	pumpAt          float64
-	seenAt          float64 // when a backend last told its load; 0: never
-	fill, ease      float64 // of the room in use; due time over the usual time of a lookup alone, the least of the tariffs
-	asks, tells     float64 // probes and notes saved up
-	peerRate, notes float64 // lookups a second of peers, smoothed; notes heard
-	note            Note    // scratch
-	tidyAt          float64 // when to look for connections to close next
-	part            float64 // of the proxy's own, while two of its processes decide
-	slack, lag      float64 // see Slack
-	gain            float64 // of limits, legs a second, while over the usual: less with each cut
+	seenAt          float64       // when a backend last told its load; 0: never
+	fill, ease      float64       // of the room in use; due time over the usual time of a lookup alone, the least of the tariffs
+	asks, tells     float64       // probes and notes saved up
+	peerRate, notes float64       // lookups a second of peers, smoothed; notes heard
+	note            GossipMessage // scratch
+	tidyAt          float64       // when to look for connections to close next
+	part            float64       // of the proxy's own, while two of its processes decide
+	slack, lag      float64       // see Slack
+	gain            float64       // of limits, legs a second, while over the usual: less with each cut
 }
 
 // row holds what differs by tariff.
 type row struct {
-	Tariff
+	Class
 	times measure.Times
 	alone measure.Times  // the same over the crowd that shared the server
 	work  float64        // mean hint, s
@@ -60,7 +60,7 @@
 // median is what an answer of this tariff usually takes; while too little is known, a quarter of its due time. Danger: where that is long,
 // the first lookup of a tariff would count as slow beyond all others, and wait for as long.
 func (r *row) median() float64 {
-	guess := r.Due / 4
+	guess := r.LatencyObjective / 4
 	if guess > guessMost {
 		guess = min(r.all.Quantile(0.5, guess), guess)
 	}
@@ -68,23 +68,25 @@
 }
 
 // typical is what an answer of this lookup usually takes.
-func (b *Balancer) typical(l *Lookup) float64 {
+func (b *Balancer) typical(l *Request) float64 {
 	return l.row.median() * max(l.heavy, 0.5)
 }
 
 // work is what an answer of this lookup usually takes where little waits; the base follows a fall of the median slowly.
-func (b *Balancer) work(l *Lookup) float64 {
+func (b *Balancer) work(l *Request) float64 {
 	return min(l.row.base, l.row.median()) * max(l.heavy, 0.5)
 }
 
 // warm says whether backends may be warm for this lookup.
-func (b *Balancer) warm(l *Lookup) bool { return b.d.WarmKeys && l.Key != 0 }
+func (b *Balancer) warm(l *Request) bool { return b.d.CacheAffinity && l.Key != 0 }
 
-func (b *Balancer) cold(s *server) bool { return s.UpSince > 0 && b.now < s.UpSince+b.d.ColdFor }
+func (b *Balancer) cold(s *server) bool {
+	return s.StartedAt > 0 && b.now < s.StartedAt+b.d.SlowStartDuration
+}
 
 // server is one backend as this proxy knows it.
 type server struct {
-	Backend
+	Endpoint
 	breaker                     // for lookups of all tariffs
 	tariffs        []breaker    // for those of one
 	like           *model       // its machine's
@@ -113,27 +115,27 @@
 
 // sight is one and when it was seen.
 type sight struct {
-	Sight
+	Observation
 	at float64
 }
 
 // told is what a note tells: what was seen lately, the newest first.
-func (b *Balancer) told() *Note {
-	b.note = Note{Rate: 1 / max(b.gap, 1e-3), Sights: b.note.Sights[:0]}
+func (b *Balancer) told() *GossipMessage {
+	b.note = GossipMessage{Rate: 1 / max(b.gap, 1e-3), Observations: b.note.Observations[:0]}
 	for _, s := range b.servers {
 		if s == nil {
 			continue
 		}
 		for _, t := range s.sights {
-			if t.Age, t.Mark = b.now-t.at, uint32(s.Mark); t.at > 0 && t.Age < sightFor {
-				b.note.Sights = append(b.note.Sights, t.Sight)
+			if t.Age, t.NameHash = b.now-t.at, uint32(s.NameHash); t.at > 0 && t.Age < sightFor {
+				b.note.Observations = append(b.note.Observations, t.Observation)
 			}
 		}
 		if age := b.now - s.toldAt; b.loads() && age < freshFor {
-			b.note.Sights = append(b.note.Sights, Sight{Mark: uint32(s.Mark), Tariff: -1, Age: age, Value: s.told})
+			b.note.Observations = append(b.note.Observations, Observation{NameHash: uint32(s.NameHash), Class: -1, Age: age, Value: s.told})
 		}
 	}
-	slices.SortStableFunc(b.note.Sights, func(x, y Sight) int { return cmp.Compare(x.Age, y.Age) })
+	slices.SortStableFunc(b.note.Observations, func(x, y Observation) int { return cmp.Compare(x.Age, y.Age) })
 	return &b.note
 }
 
@@ -141,7 +143,7 @@
 // restarted under its name says nothing of it now.
 func (b *Balancer) marked(mark uint32, at float64) *server {
 	for _, s := range b.servers {
-		if s != nil && uint32(s.Mark) == mark && s.UpSince <= at {
+		if s != nil && uint32(s.NameHash) == mark && s.StartedAt <= at {
 			return s
 		}
 	}
@@ -158,12 +160,12 @@
 	least            float64 // of the first over the second, which is how many cores there are, where least waits; 0: not told
 }
 
-func (m *model) report(r Report) {
-	if r.Busy < 0 {
+func (m *model) report(r LoadReport) {
+	if r.Utilization < 0 {
 		return
 	}
-	m.held += meanPart * (r.Held - m.held)
-	m.busy += meanPart * (r.Busy - m.busy)
+	m.held += meanPart * (r.InFlight - m.held)
+	m.busy += meanPart * (r.Utilization - m.busy)
 	if m.told++; m.told > 1/meanPart && m.busy > meanPart && (m.least == 0 || m.held/m.busy < m.least) {
 		m.least = m.held / m.busy
 	}
@@ -209,9 +211,9 @@
 	unloaded, noRoute               bool
 }
 
-// Lookup is the handle of one lookup.
-type Lookup struct {
-	Arrival
+// Request is the handle of one lookup.
+type Request struct {
+	RequestInfo
 	b               *Balancer
 	row             *row
 	taken           float64
@@ -223,7 +225,7 @@
 }
 
 // lost is how many legs failed where they may have run.
-func (l *Lookup) lost() (n int) {
+func (l *Request) lost() (n int) {
 	for i := range l.legs {
 		if g := &l.legs[i]; !g.out && !g.neverRan {
 			n++
@@ -233,12 +235,12 @@
 }
 
 // Done says that nothing more will happen to the lookup or its legs.
-func (l *Lookup) Done() bool { return l.over && l.out == 0 }
+func (l *Request) Done() bool { return l.over && l.out == 0 }
 
 // wake asks for a call at this time, if not for an earlier one.
 func (b *Balancer) wake(at float64) {
-	if at > 0 && (b.orders.Wake == 0 || at < b.orders.Wake) {
-		b.orders.Wake = at
+	if at > 0 && (b.orders.WakeAt == 0 || at < b.orders.WakeAt) {
+		b.orders.WakeAt = at
 	}
 }
 
@@ -247,19 +249,19 @@
 		b.credit = 0
 		b.ease = math.Inf(1)
 		for i := range b.rows {
-			b.ease = min(b.ease, b.rows[i].Due/b.rows[i].alone.Quantile(0.5, b.rows[i].Due/4))
+			b.ease = min(b.ease, b.rows[i].LatencyObjective/b.rows[i].alone.Quantile(0.5, b.rows[i].LatencyObjective/4))
 		}
 	}
 	b.credit += (b.room - float64(b.out)) * (now - b.now)
 	b.credit = min(b.credit, b.clumps()*b.rows[0].median())
 	b.now = now
-	b.orders = Orders{Steps: b.orders.Steps[:0]}
+	b.orders = Actions{Requests: b.orders.Requests[:0]}
 	return b
 }
 
-func (b *Balancer) step(s Step) { b.orders.Steps = append(b.orders.Steps, s) }
+func (b *Balancer) step(s RequestAction) { b.orders.Requests = append(b.orders.Requests, s) }
 
-func (b *Balancer) unhold(l *Lookup) {
+func (b *Balancer) unhold(l *Request) {
 	i := slices.Index(b.held, l)
 	b.held = slices.Delete(b.held, i, i+1)
 	l.isHeld = false
@@ -280,9 +282,9 @@
 	s.used = now
 }
 
-// Whole tells that a request whose body flows to its leg has come to its end: the leg counts from now, and in the room. Danger: a backend begins
+// BodyCompleted tells that a request whose body flows to its leg has come to its end: the leg counts from now, and in the room. Danger: a backend begins
 // with the last byte, and a client that sends slowly is no fault of its.
-func (l *Lookup) Whole(now float64) *Orders {
+func (l *Request) BodyCompleted(now float64) *Actions {
 	b := l.b.begin(now)
 	for i := range l.legs {
 		if g := &l.legs[i]; g.out && !l.over {
@@ -292,7 +294,7 @@
 				b.out++
 				g.s.inFlight++
 			}
-			b.step(Step{Ref: l.Ref, Wake: now + b.patience(l)})
+			b.step(RequestAction{Ref: l.Ref, WakeAt: now + b.patience(l)})
 		}
 	}
 	return &b.orders
@@ -309,11 +311,11 @@
 }
 
 // place keeps the list of servers as told.
-func (b *Balancer) place(full bool, list []Backend) {
+func (b *Balancer) place(full bool, list []Endpoint) {
 	if full {
 		for _, s := range b.servers {
 			if s != nil {
-				s.State = Gone // unless the list still has it, below
+				s.State = Removed // unless the list still has it, below
 			}
 		}
 	}
@@ -322,124 +324,126 @@
 			b.servers = append(b.servers, nil)
 		}
 		s := b.servers[e.Index]
-		if s == nil || s.UpSince != e.UpSince && e.State == Ready { // danger: a restart is a cold backend
-			s = b.unheard(e.Model, e.Size)
+		if s == nil || s.StartedAt != e.StartedAt && e.State == Ready { // danger: a restart is a cold backend
+			s = b.unheard(e.Model, e.Cores)
 			b.servers[e.Index] = s
 		}
-		s.Backend = e
+		s.Endpoint = e
 		s.drained = s.drained || e.State == Draining
 	}
 	for i, s := range b.servers {
-		if s != nil && s.State == Gone && !b.lingers(s) {
+		if s != nil && s.State == Removed && !b.lingers(s) {
 			b.servers[i] = nil // legs still out keep their own hold on it
 		}
 	}
 }
 
-// Part sets this balancer's part, from 0 to 1, of what its proxy may send to cold backends. Danger: two processes of one proxy
+// SetBudgetShare sets this balancer's part, from 0 to 1, of what its proxy may send to cold backends. Danger: two processes of one proxy
 // with a whole budget each would push them over together.
-func (b *Balancer) Part(part float64) { b.part = part }
+func (b *Balancer) SetBudgetShare(part float64) { b.part = part }
 
-// Slack sets how many times longer legs are out than their servers have them, and by how many seconds at the most in all likelihood:
+// SetLocalDelay sets how many times longer legs are out than their servers have them, and by how many seconds at the most in all likelihood:
 // where this proxy's own core is behind, answers wait here. No server is taken to be overdue, or full, for that.
-func (b *Balancer) Slack(times, lag float64) { b.slack, b.lag = max(times, 1), max(lag, 0) }
-
-// Memory is what a balancer learned, for the one of the same proxy that comes after it.
-type Memory struct {
-	Bases   []float64 `json:"Bases"` // by tariff: what an answer takes when little waited, s
-	Servers []Learned `json:"Servers"`
-}
-
-// Learned is what was learned of one backend since its start.
-type Learned struct {
-	Mark      uint64  `json:"Mark"`
-	UpSince   float64 `json:"UpSince"`
-	Limit     float64 `json:"Limit"`
-	Pace      float64 `json:"Pace"`
-	Pay       float64 `json:"Pay"` // of its own payoff, beside those of its model and the fleet
-	Sure      float64 `json:"Sure"`
-	Age       float64 `json:"Age"` // s since it was heard
-	Paused    bool    `json:"Paused"`
-	PausedFor float64 `json:"PausedFor"` // s that are left of a pause
-	Errors    int     `json:"Errors"`
-	Results   int     `json:"Results"`
-}
-
-// Recall tells what was learned.
-func (b *Balancer) Recall(now float64) Memory {
+func (b *Balancer) SetLocalDelay(times, lag float64) { b.slack, b.lag = max(times, 1), max(lag, 0) }
+
+// Snapshot is what a balancer learned, for the one of the same proxy that comes after it.
+type Snapshot struct {
+	BaseLatencies []float64        `json:"Bases"` // by tariff: what an answer takes when little waited, s
+	Servers       []ServerSnapshot `json:"Servers"`
+}
+
+// ServerSnapshot is what was learned of one backend since its start.
+type ServerSnapshot struct {
+	NameHash        uint64  `json:"Mark"`
+	StartedAt       float64 `json:"UpSince"`
+	Limit           float64 `json:"Limit"`
+	RelativeLatency float64 `json:"Pace"`
+	Payoff          float64 `json:"Pay"` // of its own payoff, beside those of its model and the fleet
+	Confidence      float64 `json:"Sure"`
+	Age             float64 `json:"Age"` // s since it was heard
+	Paused          bool    `json:"Paused"`
+	PauseRemaining  float64 `json:"PausedFor"` // s that are left of a pause
+	Errors          int     `json:"Errors"`
+	Results         int     `json:"Results"`
+}
+
+// Snapshot tells what was learned.
+func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.begin(now)
-	var m Memory
+	var m Snapshot
 	for i := range b.rows {
-		m.Bases = append(m.Bases, b.rows[i].base)
+		m.BaseLatencies = append(m.BaseLatencies, b.rows[i].base)
 	}
 	for _, s := range b.servers {
 		if s != nil {
 			o := s.opinions[2]
-			m.Servers = append(m.Servers, Learned{s.Mark, s.UpSince, s.limit, s.pace, o.pay, o.sure, now - o.heard,
+			m.Servers = append(m.Servers, ServerSnapshot{s.NameHash, s.StartedAt, s.limit, s.pace, o.pay, o.sure, now - o.heard,
 				s.paused, max(s.accessLast+s.cooldown-now, 0), s.errCount, s.totalCount})
 		}
 	}
 	return m
 }
 
-// Remember takes in what another balancer of this proxy learned. Danger: what it knew of a backend before a restart is not true of
+// Restore takes in what another balancer of this proxy learned. Danger: what it knew of a backend before a restart is not true of
 // it now, so that only one with the same start takes it over; it ages like anything heard, and no rule rests on it.
-func (b *Balancer) Remember(now float64, m Memory) {
+func (b *Balancer) Restore(now float64, m Snapshot) {
 	b.begin(now)
-	for i := range min(len(m.Bases), len(b.rows)) {
-		if m.Bases[i] > 0 && m.Bases[i] <= b.rows[i].Due {
-			b.rows[i].base = m.Bases[i]
+	for i := range min(len(m.BaseLatencies), len(b.rows)) {
+		if m.BaseLatencies[i] > 0 && m.BaseLatencies[i] <= b.rows[i].LatencyObjective {
+			b.rows[i].base = m.BaseLatencies[i]
 		}
 	}
 	for _, l := range m.Servers {
 		for _, s := range b.servers {
-			if s == nil || s.Mark != l.Mark || s.UpSince != l.UpSince || !(l.Limit > 0 && l.Pace > 0 && l.Age >= 0) {
+			if s == nil || s.NameHash != l.NameHash || s.StartedAt != l.StartedAt || !(l.Limit > 0 && l.RelativeLatency > 0 && l.Age >= 0) {
 				continue
 			}
-			s.limit, s.pace = max(s.least, l.Limit), l.Pace
+			s.limit, s.pace = max(s.least, l.Limit), l.RelativeLatency
 			o := s.opinions[2]
-			o.pay, o.sure, o.heard = min(max(l.Pay, -1), 1), min(max(l.Sure, 0), 1), now-l.Age
+			o.pay, o.sure, o.heard = min(max(l.Payoff, -1), 1), min(max(l.Confidence, 0), 1), now-l.Age
 			if l.Paused {
-				s.tracked, s.paused, s.cooldown, s.accessLast, s.roundLast = true, true, min(l.PausedFor, 2*recoverInterval), now, now
+				s.tracked, s.paused, s.cooldown, s.accessLast, s.roundLast = true, true, min(l.PauseRemaining, 2*recoverInterval), now, now
 				s.errCount, s.totalCount = l.Errors, l.Results
 			}
 		}
 	}
 }
 
-// Results are legs of a tariff that others sent to a backend, by how they ended.
-type Results struct{ Backend, Tariff, Honoured, Failed int }
+// ReportedOutcomes are legs of a tariff that others sent to a backend, by how they ended.
+type ReportedOutcomes struct{ Endpoint, Class, Succeeded, Failed int }
 
 // mostReported results of one backend count of a report: more tell no more, and would take long.
 const mostReported = 50
 
-// Reported takes in what others tell of their legs since they told last. Danger: the failures of one backend in a row, or all of its
+// OutcomesReported takes in what others tell of their legs since they told last. Danger: the failures of one backend in a row, or all of its
 // results before another's, would pause one that mostly serves or raise the bar for all; so what each tells is spread evenly over
 // the report, a failure last, and what holds after it is what the shares say.
-func (b *Balancer) Reported(now float64, all []Results) {
+func (b *Balancer) OutcomesReported(now float64, all []ReportedOutcomes) {
 	b.begin(now)
 	most := 0
 	for _, r := range all {
-		most = max(most, min(r.Honoured+r.Failed, mostReported))
+		most = max(most, min(r.Succeeded+r.Failed, mostReported))
 	}
 	for round := 1; round <= most; round++ {
 		for _, r := range all {
-			n := r.Honoured + r.Failed
+			n := r.Succeeded + r.Failed
 			count := min(n, mostReported)
 			i := round * count / most // of its results that count
-			if i == (round-1)*count/most || !b.Keeps(r.Backend) {
+			if i == (round-1)*count/most || !b.HasEndpoint(r.Endpoint) {
 				continue
 			}
 			failed := (r.Failed*count + n/2) / n
 			fails := i*failed/count - (i-1)*failed/count
-			b.results(r.Tariff, b.servers[r.Backend], fails == 0)
-			b.servers[r.Backend].payoff(b, r.Tariff, 1-float64(fails), now, oneResult)
+			b.results(r.Class, b.servers[r.Endpoint], fails == 0)
+			b.servers[r.Endpoint].payoff(b, r.Class, 1-float64(fails), now, oneResult)
 		}
 	}
 }
 
-// Keeps says whether a backend is still known: as listed, or as one that lingers. One that is not is never named again.
-func (b *Balancer) Keeps(index int) bool { return index < len(b.servers) && b.servers[index] != nil }
+// HasEndpoint says whether a backend is still known: as listed, or as one that lingers. One that is not is never named again.
+func (b *Balancer) HasEndpoint(index int) bool {
+	return index < len(b.servers) && b.servers[index] != nil
+}
 
 // unheard is a server that nothing is known of but its model and size.
 func (b *Balancer) unheard(kind int, size float64) *server {
@@ -452,7 +456,7 @@
 		sights: make([]sight, len(b.rows)+1), like: like, opinions: []*opinion{b.fleet, &like.opinion, {lasts: forget}}}
 	for range b.rows {
 		view := s.opinions
-		if b.d.Peers {
+		if b.d.Gossip {
 			view = append(view[:3:3], &opinion{lasts: forget})
 		}
 		s.views = append(s.views, view)
@@ -461,8 +465,8 @@
 	return s
 }
 
-// Admits tells whether any listed server is admitted: as ever, or only for a trial, after a pause's cooldown.
-func (b *Balancer) Admits(now float64) (any, trial bool) {
+// Availability tells whether any listed server is admitted: as ever, or only for a trial, after a pause's cooldown.
+func (b *Balancer) Availability(now float64) (any, trial bool) {
 	b.begin(now)
 	for _, s := range b.servers {
 		if s != nil && s.State == Ready {
@@ -473,36 +477,36 @@
 	return any, trial
 }
 
-// Reason is what speaks for and against a backend for one lookup now, for those who ask why.
-type Reason struct {
-	Backend         int
-	State           State
+// ScoreBreakdown is what speaks for and against a backend for one lookup now, for those who ask why.
+type ScoreBreakdown struct {
+	Endpoint        int
+	State           EndpointState
 	Paused, Trial   bool // by its own row; and cooled down
 	Errors, Results int  // of that row
-	TariffPaused    bool // by the lookup's tariff's row there
-	TariffErrors    int  // and its counts
-	TariffResults   int
-	Harmless        bool // another leg there is
-	Cold            bool
-	Load, Bears     float64 // legs; as many as the limit lets
+	ClassPaused     bool // by the lookup's tariff's row there
+	ClassErrors     int  // and its counts
+	ClassResults    int
+	RetrySafe       bool // another leg there is
+	WarmingUp       bool
+	Load, Capacity  float64 // legs; as many as the limit lets
 	Payoff          float64
 	Score           float64 // of the last draw, if it was in it; greatest wins where there is room
-	Drawn           bool
+	Considered      bool
 }
 
-// Reasons are those of all listed backends. It changes nothing. Scores are those of the draw that came last.
-func (l *Lookup) Reasons() (list []Reason) {
+// ScoreBreakdown are those of all listed backends. It changes nothing. Scores are those of the draw that came last.
+func (l *Request) ScoreBreakdown() (list []ScoreBreakdown) {
 	b := l.b
 	for _, s := range b.servers {
 		if s == nil {
 			continue
 		}
-		t := &s.tariffs[l.Tariff]
-		r := Reason{s.Index, s.State, s.paused, s.paused && b.admitted(&s.breaker), s.errCount, s.totalCount, !b.admitted(t), t.errCount,
-			t.totalCount, b.may(l, s), b.cold(s), b.load(s), b.bears(s), b.payNow(s, l.Tariff), 0, false}
+		t := &s.tariffs[l.Class]
+		r := ScoreBreakdown{s.Index, s.State, s.paused, s.paused && b.admitted(&s.breaker), s.errCount, s.totalCount, !b.admitted(t), t.errCount,
+			t.totalCount, b.may(l, s), b.cold(s), b.load(s), b.bears(s), b.payNow(s, l.Class), 0, false}
 		for i := range b.cands {
 			if b.cands[i].s == s {
-				r.Score, r.Drawn = b.cands[i].score, b.cands[i].score != 0 // 0: there was no room to draw for
+				r.Score, r.Considered = b.cands[i].score, b.cands[i].score != 0 // 0: there was no room to draw for
 			}
 		}
 		list = append(list, r)
@@ -510,35 +514,35 @@
 	return list
 }
 
-// Room is what is out and what all bear, as of the last draw, how many lookups wait, and the places that a lookup of this priority may fill.
-func (l *Lookup) Room() (out int, space float64, held int) {
+// Capacity is what is out and what all bear, as of the last draw, how many lookups wait, and the places that a lookup of this priority may fill.
+func (l *Request) Capacity() (out int, space float64, held int) {
 	return l.b.out, l.b.space(l.priority), len(l.b.held)
 }
 
-// Belief is what the decisions hold of one backend, for those who ask why.
-type Belief struct {
-	Backend         int
-	Out             int     // legs
-	Limit, Payoff   float64 // legs it bears, and what one is worth there
-	Paused, Cold    bool
-	Trial           bool    // paused, and cooled down: one leg may go there
-	Errors, Results int     // of the present window
-	Heard           float64 // s since a leg's end told of it
+// ServerStatus is what the decisions hold of one backend, for those who ask why.
+type ServerStatus struct {
+	Endpoint          int
+	InFlight          int     // legs
+	Limit, Payoff     float64 // legs it bears, and what one is worth there
+	Paused, WarmingUp bool
+	Trial             bool    // paused, and cooled down: one leg may go there
+	Errors, Results   int     // of the present window
+	Age               float64 // s since a leg's end told of it
 }
 
-// Beliefs are those of all listed backends.
-func (b *Balancer) Beliefs(now float64) []Belief { return b.begin(now).View() }
+// ServerStatuses are those of all listed backends.
+func (b *Balancer) ServerStatuses(now float64) []ServerStatus { return b.begin(now).CurrentStatuses() }
 
 // Deployment is what it was made of.
 func (b *Balancer) Deployment() Deployment { return b.d }
 
-// View is Beliefs as of the last call. It changes nothing.
-func (b *Balancer) View() []Belief {
+// CurrentStatuses is Beliefs as of the last call. It changes nothing.
+func (b *Balancer) CurrentStatuses() []ServerStatus {
 	now := b.now
-	var all []Belief
+	var all []ServerStatus
 	for _, s := range b.servers {
 		if s != nil {
-			all = append(all, Belief{s.Index, s.inFlight, s.limit, b.payNow(s, 0), s.paused, b.cold(s),
+			all = append(all, ServerStatus{s.Index, s.inFlight, s.limit, b.payNow(s, 0), s.paused, b.cold(s),
 				s.paused && b.admitted(&s.breaker), s.errCount, s.totalCount, now - s.opinions[2].heard})
 		}
 	}
--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -23,7 +23,7 @@
 // instance is one balancer with the names the bench knows things by.
 type instance struct {
 	b       *balance.Balancer
-	names   *figures.Register
+	names   *figures.Registry
 	lookups map[string]int
 	slots   []slot // by Arrival.Ref; a timer's label is one more, that of the balancer's own is 0
 	free    []int
@@ -31,7 +31,7 @@
 
 type slot struct {
 	id     string
-	lookup *balance.Lookup
+	lookup *balance.Request
 }
 
 func newHost(out io.Writer) *host {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func (h *host) Launched(f figures.Figures) error {
+func (h *host) Launched(f figures.Settings) error {
 	if h.at < 0 {
 		return fmt.Errorf("Proxy: no instance named")
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	h.instances[h.at] = &instance{b: b, names: f.Register(), lookups: map[string]int{}}
+	h.instances[h.at] = &instance{b: b, names: f.NewRegistry(), lookups: map[string]int{}}
 	return nil
 }
 
@@ -72,28 +72,28 @@
 	if err != nil {
 		return err
 	}
-	if kind == benchwire.Failed {
-		return h.decide(in, in.b.ListFailed)
+	if kind == benchwire.PollFailed {
+		return h.decide(in, in.b.PollFailed)
 	}
-	list := make([]balance.Backend, len(entries))
+	list := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = in.names.Backend(e)
+		list[i] = in.names.Endpoint(e)
 	}
-	full, first := kind != benchwire.Changes, kind == benchwire.Remembered
-	return h.decide(in, func(now float64) *balance.Orders { return in.b.Listed(now, full, first, list) })
+	full, first := kind != benchwire.Changes, kind == benchwire.CachedList
+	return h.decide(in, func(now float64) *balance.Actions { return in.b.EndpointsUpdated(now, full, first, list) })
 }
 
-func (h *host) Order(o benchwire.Order) error {
+func (h *host) Order(o benchwire.RequestOrder) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	a := o.Arrival
+	a := o.RequestInfo
 	var ok bool
-	if a.Tariff, ok = in.names.Tariff(o.TariffName); !ok {
-		return fmt.Errorf("Class: unknown: %q", o.TariffName)
+	if a.Class, ok = in.names.Class(o.ClassName); !ok {
+		return fmt.Errorf("Class: unknown: %q", o.ClassName)
 	}
-	a.Customer, a.Key = in.names.Customer(o.CustomerName), figures.Hash(o.KeyName)
+	a.Tenant, a.Key = in.names.Tenant(o.TenantName), figures.NameHash(o.KeyName)
 	if _, ok = in.lookups[o.ID]; ok {
 		return fmt.Errorf("Job: used before: %q", o.ID)
 	}
@@ -105,25 +105,25 @@
 	}
 	in.lookups[o.ID] = a.Ref
 	in.slots[a.Ref].id = o.ID
-	return h.decide(in, func(now float64) *balance.Orders {
-		l, orders := in.b.Take(now, a)
+	return h.decide(in, func(now float64) *balance.Actions {
+		l, orders := in.b.RequestArrived(now, a)
 		in.slots[a.Ref].lookup = l
 		return orders
 	})
 }
 
 func (h *host) Started(id string, leg int) error {
-	return h.tell(id, func(l *balance.Lookup, now float64) *balance.Orders { return l.Started(now, leg) })
+	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ResponseStarted(now, leg) })
 }
 
 func (h *host) Ended(e benchwire.End) error {
-	return h.tell(e.ID, func(l *balance.Lookup, now float64) *balance.Orders {
-		return l.Ended(now, e.Leg, e.Outcome, e.Latency, e.Over)
+	return h.tell(e.ID, func(l *balance.Request, now float64) *balance.Actions {
+		return l.AttemptEnded(now, e.Leg, e.Outcome, e.Latency, e.Over)
 	})
 }
 
 func (h *host) Left(id string) error {
-	return h.tell(id, func(l *balance.Lookup, now float64) *balance.Orders { return l.Left(now) })
+	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ClientDisconnected(now) })
 }
 
 func (h *host) Fired(label int) error {
@@ -132,18 +132,18 @@
 		return err
 	}
 	if label == 0 {
-		return h.decide(in, in.b.Wake)
+		return h.decide(in, in.b.TimerFired)
 	}
 	if label < 0 || label > len(in.slots) {
 		return fmt.Errorf("Label: never set: %d", label)
 	}
 	if l := in.slots[label-1].lookup; l != nil { // a slot's later lookup may hear its earlier one's timer
-		return h.decide(in, l.Wake)
+		return h.decide(in, l.TimerFired)
 	}
 	return nil
 }
 
-func (h *host) Probed(backend string, ok bool, r balance.Report) error {
+func (h *host) Probed(backend string, ok bool, r balance.LoadReport) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
@@ -152,15 +152,15 @@
 	if !known {
 		return nil
 	}
-	return h.decide(in, func(now float64) *balance.Orders { return in.b.Probed(now, index, ok, r) })
+	return h.decide(in, func(now float64) *balance.Actions { return in.b.HealthChecked(now, index, ok, r) })
 }
 
-func (h *host) Heard(from int, n balance.Note) error {
+func (h *host) Heard(from int, n balance.GossipMessage) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	return h.decide(in, func(now float64) *balance.Orders { return in.b.Heard(now, from, n) })
+	return h.decide(in, func(now float64) *balance.Actions { return in.b.GossipReceived(now, from, n) })
 }
 
 func (h *host) instance() (*instance, error) {
@@ -172,7 +172,7 @@
 }
 
 // tell calls a lookup that is still kept; of one that has wholly ended there is nothing to say.
-func (h *host) tell(id string, call func(*balance.Lookup, float64) *balance.Orders) error {
+func (h *host) tell(id string, call func(*balance.Request, float64) *balance.Actions) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
@@ -182,13 +182,13 @@
 		return nil
 	}
 	l := in.slots[ref].lookup
-	err = h.decide(in, func(now float64) *balance.Orders { return call(l, now) })
+	err = h.decide(in, func(now float64) *balance.Actions { return call(l, now) })
 	in.release(ref)
 	return err
 }
 
 // decide makes one call on the decisions and writes what they order.
-func (h *host) decide(in *instance, call func(now float64) *balance.Orders) error {
+func (h *host) decide(in *instance, call func(now float64) *balance.Actions) error {
 	defer func() {
 		if p := recover(); p != nil {
 			h.context()
@@ -196,45 +196,45 @@
 		}
 	}()
 	o := call(h.now)
-	if len(o.Steps) > 0 || len(o.Probe) > 0 || len(o.HangUp) > 0 || o.Tell != nil || o.Subscribe || o.Wake > 0 {
+	if len(o.Requests) > 0 || len(o.HealthChecks) > 0 || len(o.CloseIdle) > 0 || o.Gossip != nil || o.Subscribe || o.WakeAt > 0 {
 		h.context()
 	}
-	for _, i := range o.HangUp { // before a send, which then opens anew
+	for _, i := range o.CloseIdle { // before a send, which then opens anew
 		h.w.HangUp(in.names.Name(i))
 	}
-	for _, i := range o.Probe {
+	for _, i := range o.HealthChecks {
 		h.w.Probe(in.names.Name(i))
 	}
-	if o.Tell != nil {
-		h.w.Tell(o.Peer, notes.ToHex(*o.Tell))
+	if o.Gossip != nil {
+		h.w.Tell(o.GossipPeer, notes.ToHex(*o.Gossip))
 	}
-	for i := range o.Steps {
-		s := &o.Steps[i]
+	for i := range o.Requests {
+		s := &o.Requests[i]
 		id := in.slots[s.Ref].id
 		if s.Send {
-			h.w.Send(id, in.names.Name(s.Backend), s.Until)
+			h.w.Send(id, in.names.Name(s.Endpoint), s.Deadline)
 		}
-		if s.CallOff > 0 {
-			h.w.CallOff(id, s.CallOff-1)
+		if s.CancelAttempt > 0 {
+			h.w.CallOff(id, s.CancelAttempt-1)
 		}
-		switch s.Answer {
-		case balance.Dismissed:
-			h.w.Dismiss(id, s.Advice)
-		case balance.Forfeited:
+		switch s.Reply {
+		case balance.Rejected:
+			h.w.Dismiss(id, s.RetryAfter)
+		case balance.Failed:
 			h.w.Forfeit(id)
 		}
-		if s.Wake > 0 {
-			h.w.Wake(max(0, s.Wake-h.now), s.Ref+1)
+		if s.WakeAt > 0 {
+			h.w.Wake(max(0, s.WakeAt-h.now), s.Ref+1)
 		}
 	}
 	if o.Subscribe {
 		h.w.Subscribe()
 	}
-	if o.Wake > 0 {
-		h.w.Wake(max(0, o.Wake-h.now), 0)
+	if o.WakeAt > 0 {
+		h.w.Wake(max(0, o.WakeAt-h.now), 0)
 	}
-	for i := range o.Steps { // free what has wholly ended
-		in.release(o.Steps[i].Ref)
+	for i := range o.Requests { // free what has wholly ended
+		in.release(o.Requests[i].Ref)
 	}
 	return nil
 }
--- a/control/keep_test.go
+++ b/control/keep_test.go
@@ -14,10 +14,10 @@
 // the older build restores what this one leaves.
 func TestSnapshotOfF83df88(t *testing.T) {
 	const file = "testdata/f83df88-snapshot.json"
-	want := map[string]assign.Memory{
-		"web": {At: 1790000000.25, Servers: []assign.Remembered{
-			{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a", Health: assign.Healthy, Weight: 1.75, UpSince: 1789999000.5},
-			{Name: "s-2", Addr: "127.0.0.1:3", Zone: "b", Health: assign.Unhealthy, Weight: .125, Rest: 3.5, UpSince: 1789999001},
+	want := map[string]assign.Snapshot{
+		"web": {At: 1790000000.25, Servers: []assign.ServerSnapshot{
+			{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a", Health: assign.Healthy, Weight: 1.75, StartedAt: 1789999000.5},
+			{Name: "s-2", Addr: "127.0.0.1:3", Zone: "b", Health: assign.Unhealthy, Weight: .125, PauseRemaining: 3.5, StartedAt: 1789999001},
 			{Name: "s-3", Addr: "127.0.0.1:4", Health: assign.Draining, Weight: 1}}},
 		"api": {At: 1790000001}}
 	got, err := read(file)
--- a/control/resources.go
+++ b/control/resources.go
@@ -79,7 +79,7 @@
 }
 
 // fixed are the resources that follow from the operator file alone, with what of it subscribers cannot be told, a line each.
-func fixed(s *operator.Setup) (out set, left []string, err error) {
+func fixed(s *operator.Config) (out set, left []string, err error) {
 	var faults []error
 	note := func(err error) {
 		if err != nil {
@@ -108,7 +108,7 @@
 			Name: "all", Domains: []string{"*"}, Routes: []*route.Route{{
 				Match:  &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: ""}},
 				Action: &route.Route_Route{Route: &route.RouteAction{ClusterSpecifier: &route.RouteAction_Cluster{Cluster: p.Name}}}}}}}}))
-		if p.Room > 0 {
+		if p.Capacity > 0 {
 			left = append(left, fmt.Sprintf("pool %q: room is not told: each subscriber would have the whole", p.Name))
 		}
 	}
@@ -213,7 +213,7 @@
 
 // teller writes routes as subscribers understand them: the first that matches wins.
 type teller struct {
-	setup *operator.Setup
+	setup *operator.Config
 	left  []string // what they are not told
 	fault []error
 }
@@ -358,14 +358,14 @@
 			MatchPattern: &matcher.StringMatcher_SafeRegex{SafeRegex: &matcher.RegexMatcher{Regex: strings.Join(all, "|")}}})})
 	}
 	for _, c := range r.Fields {
-		h := &route.HeaderMatcher{Name: strings.ToLower(c.Name), InvertMatch: c.Not, HeaderMatchSpecifier: &route.HeaderMatcher_PresentMatch{PresentMatch: true}}
+		h := &route.HeaderMatcher{Name: strings.ToLower(c.Name), InvertMatch: c.Negate, HeaderMatchSpecifier: &route.HeaderMatcher_PresentMatch{PresentMatch: true}}
 		if c.Value != "" {
 			h.HeaderMatchSpecifier = text(value(c))
 		}
 		out = append(out, h)
 	}
 	for _, c := range r.Query {
-		if c.Not {
+		if c.Negate {
 			t.fault = append(t.fault, fmt.Errorf("route %q: query %q: that it is not so cannot be told to subscribers", r.Name, c.Name))
 			continue
 		}
@@ -396,11 +396,11 @@
 		if to, err = redirect(r.Redirect); err == nil {
 			out.Action = &route.Route_Redirect{Redirect: to}
 		}
-	case r.Answer != nil:
-		out.Action = &route.Route_DirectResponse{DirectResponse: &route.DirectResponseAction{Status: uint32(r.Answer.Status),
-			Body: &core.DataSource{Specifier: &core.DataSource_InlineString{InlineString: r.Answer.Body}}}}
-		if r.Answer.Type != "" {
-			out.ResponseHeadersToAdd = []*core.HeaderValueOption{{Header: &core.HeaderValue{Key: "content-type", Value: r.Answer.Type},
+	case r.Response != nil:
+		out.Action = &route.Route_DirectResponse{DirectResponse: &route.DirectResponseAction{Status: uint32(r.Response.Status),
+			Body: &core.DataSource{Specifier: &core.DataSource_InlineString{InlineString: r.Response.Body}}}}
+		if r.Response.Type != "" {
+			out.ResponseHeadersToAdd = []*core.HeaderValueOption{{Header: &core.HeaderValue{Key: "content-type", Value: r.Response.Type},
 				AppendAction: core.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}}
 		}
 	default:
@@ -451,18 +451,18 @@
 		}
 		a.RegexRewrite = &matcher.RegexMatchAndSubstitute{Pattern: &matcher.RegexMatcher{Regex: anywhere(r.Regex)}, Substitution: to}
 	}
-	for _, x := range t.setup.Tariffs {
-		if x.Name == r.Tariff {
-			a.Timeout = durationpb.New(time.Duration(x.HardStop * float64(time.Second)))
+	for _, x := range t.setup.Classes {
+		if x.Name == r.Class {
+			a.Timeout = durationpb.New(time.Duration(x.Deadline * float64(time.Second)))
 			a.MaxStreamDuration = &route.RouteAction_MaxStreamDuration{MaxStreamDuration: a.Timeout}
 		}
 	}
-	rule := t.setup.Rule(r)
+	rule := t.setup.RetryRule(r)
 	again := &route.RetryPolicy{RetryOn: "connect-failure,refused-stream", NumRetries: wrapperspb.UInt32(1)} // these never ran
-	if rule.Legs > 0 {
-		again.NumRetries = wrapperspb.UInt32(uint32(rule.Legs - 1))
+	if rule.MaxAttempts > 0 {
+		again.NumRetries = wrapperspb.UInt32(uint32(rule.MaxAttempts - 1))
 	}
-	if len(r.Methods) > 0 && !slices.ContainsFunc(r.Methods, func(m string) bool { return rule.Of(m, false) != limits.Freely }) {
+	if len(r.Methods) > 0 && !slices.ContainsFunc(r.Methods, func(m string) bool { return rule.SafetyOf(m, false) != limits.RetryAlways }) {
 		again.RetryOn += ",5xx,reset" // danger: only where every method of the route may run twice
 	}
 	if again.NumRetries.Value > 0 {
@@ -486,12 +486,12 @@
 	if !ok {
 		return nil, fmt.Errorf("redirect with %d cannot be told to subscribers", r.Status)
 	}
-	a := &route.RedirectAction{ResponseCode: code, HostRedirect: u.Host, StripQuery: !r.Keep}
+	a := &route.RedirectAction{ResponseCode: code, HostRedirect: u.Host, StripQuery: !r.KeepPath}
 	if u.Scheme != "" {
 		a.SchemeRewriteSpecifier = &route.RedirectAction_SchemeRedirect{SchemeRedirect: u.Scheme}
 	}
 	switch {
-	case !r.Keep:
+	case !r.KeepPath:
 		a.PathRewriteSpecifier = &route.RedirectAction_PathRedirect{PathRedirect: u.RequestURI()}
 	case strings.Trim(u.Path, "/") != "":
 		return nil, fmt.Errorf("redirect to %q with the path kept behind it cannot be told to subscribers", r.To)
--- a/control/resources_test.go
+++ b/control/resources_test.go
@@ -103,7 +103,7 @@
 pool = "p"
 `
 
-func setupOf(t testing.TB, text string) *operator.Setup {
+func setupOf(t testing.TB, text string) *operator.Config {
 	s, faults := operator.Read("test.toml", []byte(text))
 	require.Empty(t, faults)
 	return s
@@ -204,7 +204,7 @@
 				"/x.png", "/x.png/y", "/v1/x", "/av1/x", "/v2/x.gif", "/v2/.png", "/shop/a/v1/.png"} {
 				for _, query := range []string{"", "x=1", "y=1&x=", "xx=gif"} {
 					for _, f := range []fields{{}, {"x-beta": "yes"}, {"x-beta": "yes and no"}} {
-						m, ok := s.Table.Match(&routes.Request{Host: host, Method: method, Path: path, Query: query, Fields: f})
+						m, ok := s.RouteTable.Match(&routes.Request{Host: host, Method: method, Path: path, Query: query, Fields: f})
 						want := ""
 						if ok {
 							want = m.Route.Name
@@ -280,7 +280,7 @@
 
 func TestAssigned(t *testing.T) {
 	server := func(name, zone string, h assign.Health, weight, priority int) assign.Server {
-		return assign.Server{Opinion: assign.Opinion{Name: name, Zone: zone, Addr: "10.0.0.1:80"}, Health: h, Weight: weight, Priority: priority}
+		return assign.Server{ServerEstimate: assign.ServerEstimate{Name: name, Zone: zone, Addr: "10.0.0.1:80"}, Health: h, Weight: weight, Priority: priority}
 	}
 	out := assigned("p", []assign.Assignment{
 		{Drop: .25, Servers: []assign.Server{server("a", "z", assign.Healthy, 7000, 0), server("b", "y", assign.Draining, 1, 1), server("c", "z", assign.Unhealthy, 1, 0)}},
--- a/control/scripted_test.go
+++ b/control/scripted_test.go
@@ -47,7 +47,7 @@
 	log    *test.Hook
 	addr   string
 	mu     sync.Mutex
-	sights map[string]assign.Sight
+	sights map[string]assign.Observation
 }
 
 // station opens a service whose pool p has so many servers.
@@ -60,11 +60,11 @@
 // begin opens one that has seen nothing yet.
 func begin(t testing.TB, text string, servers int) *station {
 	log, hook := test.NewNullLogger()
-	s, err := New(setupOf(t, text), assign.Terms{ColdShare: .2, ColdFor: 20, FallMultiple: 3}, log)
+	s, err := New(setupOf(t, text), assign.Settings{SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3}, log)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := &station{Service: s, t: t, log: hook, addr: ln.Addr().String(), sights: map[string]assign.Sight{"p": sight(servers)}}
+	k := &station{Service: s, t: t, log: hook, addr: ln.Addr().String(), sights: map[string]assign.Observation{"p": sight(servers)}}
 	go s.Serve(ln)
 	t.Cleanup(k.stop)
 	return k
@@ -84,13 +84,13 @@
 	defer k.mu.Unlock()
 	k.Update(float64(time.Now().UnixMicro())/1e6, maps.Clone(k.sights))
 	for p, s := range k.sights {
-		s.Gone = nil
+		s.Removed = nil
 		k.sights[p] = s
 	}
 }
 
 // change changes pool p's sight.
-func (k *station) change(call func(s *assign.Sight)) {
+func (k *station) change(call func(s *assign.Observation)) {
 	k.mu.Lock()
 	s := k.sights["p"]
 	s.Servers = slices.Clone(s.Servers)
@@ -100,11 +100,13 @@
 	k.see()
 }
 
-func (k *station) drain(i int) { k.change(func(s *assign.Sight) { s.Servers[i].Draining = true }) }
+func (k *station) drain(i int) {
+	k.change(func(s *assign.Observation) { s.Servers[i].Draining = true })
+}
 
-func sight(n int) (s assign.Sight) {
+func sight(n int) (s assign.Observation) {
 	for i := range n {
-		s.Servers = append(s.Servers, assign.Opinion{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: string("ab"[i%2]), Payoff: .9})
+		s.Servers = append(s.Servers, assign.ServerEstimate{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: string("ab"[i%2]), Payoff: .9})
 	}
 	return s
 }
--- a/control/service.go
+++ b/control/service.go
@@ -57,10 +57,10 @@
 	inbox inbox
 
 	mu          sync.Mutex
-	setup       *operator.Setup
-	terms       assign.Terms
+	setup       *operator.Config
+	terms       assign.Settings
 	pools       map[string]*assign.Pool
-	known       map[string]assign.Memory // of pools that were not seen yet since the start
+	known       map[string]assign.Snapshot // of pools that were not seen yet since the start
 	fixed       set
 	views       map[viewer]*set
 	subscribers map[*subscriber]bool
@@ -75,7 +75,7 @@
 type inbox struct {
 	mu     sync.Mutex
 	now    float64
-	sights map[string]assign.Sight
+	sights map[string]assign.Observation
 	kick   chan struct{}
 }
 
@@ -86,14 +86,14 @@
 }
 
 // New makes a service of an operator file with a control table. It is at work until Stop.
-func New(s *operator.Setup, t assign.Terms, log logrus.FieldLogger) (*Service, error) {
-	c := s.Control
+func New(s *operator.Config, t assign.Settings, log logrus.FieldLogger) (*Service, error) {
+	c := s.ControlPlane
 	if c == nil {
 		return nil, errors.New("the operator file has no control table")
 	}
 	run := make([]byte, 4)
 	rand.Read(run)
-	t.Local = c.Local
+	t.PreferLocalZone = c.PreferLocalZone
 	out := &Service{log: log, run: hex.EncodeToString(run), terms: t, pools: map[string]*assign.Pool{}, views: map[viewer]*set{},
 		subscribers: map[*subscriber]bool{}, loads: map[*reporter]bool{}, seen: make(chan struct{}), quit: make(chan struct{}), inbox: inbox{kick: make(chan struct{}, 1)},
 		Reported: func(string, map[string][2]int) {}}
@@ -122,8 +122,8 @@
 }
 
 // Operate tells by another operator file from now on. Address, keys' places and bounds change with the next start.
-func (s *Service) Operate(setup *operator.Setup) error {
-	if setup.Control == nil {
+func (s *Service) Operate(setup *operator.Config) error {
+	if setup.ControlPlane == nil {
 		return errors.New("the operator file has no control table")
 	}
 	f, left, err := fixed(setup)
@@ -149,13 +149,13 @@
 }
 
 // Update takes in what the instance holds of its pools. It does not wait.
-func (s *Service) Update(now float64, sights map[string]assign.Sight) {
+func (s *Service) Update(now float64, sights map[string]assign.Observation) {
 	in := &s.inbox
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for name, was := range in.sights { // danger: what was gone in a sight that nobody looked at would be missed
-		if sight, ok := sights[name]; ok && len(was.Gone) > 0 {
-			sight.Gone = slices.Concat(was.Gone, sight.Gone)
+		if sight, ok := sights[name]; ok && len(was.Removed) > 0 {
+			sight.Removed = slices.Concat(was.Removed, sight.Removed)
 			sights[name] = sight
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // see has the pools settle what is told.
-func (s *Service) see(now float64, sights map[string]assign.Sight) {
+func (s *Service) see(now float64, sights map[string]assign.Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -219,14 +219,14 @@
 		if p == nil {
 			p = assign.New(s.terms)
 			if m, ok := s.known[name]; ok {
-				p.Remember(now, m)
+				p.Restore(now, m)
 				delete(s.known, name)
 			}
 			s.pools[name] = p
 		}
 		holds, rate := s.load(name)
 		sight.Load, sight.Rate = sight.Load+holds, sight.Rate+rate
-		if c, urgent := p.Next(now, sight); c {
+		if c, urgent := p.Update(now, sight); c {
 			changed, hurry = append(changed, name), hurry || urgent
 		}
 	}
@@ -289,7 +289,7 @@
 			seen[next.Name] = true
 			touched = touched || slices.Contains(pools, next.Name)
 			if of := s.pools[next.Name]; of != nil {
-				all = append(all, of.View(v.zone))
+				all = append(all, of.AssignmentFor(v.zone))
 			}
 		}
 		if touched {
@@ -322,7 +322,7 @@
 func (s *Service) enter(sub *subscriber) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most := cmp.Or(s.setup.Control.Subscribers, subscribersMost); len(s.subscribers) >= most {
+	if most := cmp.Or(s.setup.ControlPlane.Subscribers, subscribersMost); len(s.subscribers) >= most {
 		return fmt.Errorf("%d subscribers: no more are taken", most)
 	}
 	s.subscribers[sub] = true
@@ -338,7 +338,7 @@
 // allowed are the pools that a subscriber of this certificate may see, as a viewer names them; an error: none.
 func (s *Service) allowed(ctx context.Context) (string, error) {
 	s.mu.Lock()
-	c := s.setup.Control
+	c := s.setup.ControlPlane
 	s.mu.Unlock()
 	if len(c.Allow) == 0 {
 		return "", nil
@@ -356,7 +356,7 @@
 func (s *Service) narrowed(pools string, n *core.Node) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, sub := range s.setup.Control.Subsets {
+	for _, sub := range s.setup.ControlPlane.Subsets {
 		if sub.Fits(n.GetId(), n.GetCluster(), n.GetLocality().GetZone()) {
 			left := slices.DeleteFunc(slices.Clone(sub.Pools), func(p string) bool { return !among(pools, p) })
 			if len(left) == 0 { // danger: no pools would stand for all
--- a/control/service_test.go
+++ b/control/service_test.go
@@ -187,7 +187,7 @@
 	file := filepath.Join(t.TempDir(), "memory.json")
 	with := written(fmt.Sprintf("memory = %q", file))
 	k := open(t, with, 4)
-	k.change(func(s *assign.Sight) { s.Servers[2].Paused = true })
+	k.change(func(s *assign.Observation) { s.Servers[2].Paused = true })
 	first := k.subscribe(script{id: "x"})
 	first.until(3*time.Second, "is told of the pause", first.is("s2", core.HealthStatus_UNHEALTHY))
 	k.stop()
--- a/control/keep.go
+++ b/control/snapshot.go
@@ -29,13 +29,13 @@
 // stops snapshots, not the service.
 func (s *Service) keep() {
 	s.mu.Lock()
-	file := s.setup.Control.Memory
-	all := map[string]assign.Memory{}
+	file := s.setup.ControlPlane.SnapshotFile
+	all := map[string]assign.Snapshot{}
 	for name, m := range s.known { // not seen yet: it stays what it was
 		all[name] = m
 	}
 	for name, p := range s.pools {
-		all[name] = p.Recall()
+		all[name] = p.Snapshot()
 	}
 	s.mu.Unlock()
 	if file == "" {
@@ -46,7 +46,7 @@
 	}
 }
 
-func write(file string, all map[string]assign.Memory) error {
+func write(file string, all map[string]assign.Snapshot) error {
 	pools, err := json.Marshal(all)
 	if err != nil {
 		return err
@@ -74,8 +74,8 @@
 }
 
 // recall reads the snapshot, if there is one that can be believed.
-func (s *Service) recall() map[string]assign.Memory {
-	file := s.setup.Control.Memory
+func (s *Service) recall() map[string]assign.Snapshot {
+	file := s.setup.ControlPlane.SnapshotFile
 	if file == "" {
 		return nil
 	}
@@ -90,7 +90,7 @@
 	return all
 }
 
-func read(file string) (map[string]assign.Memory, error) {
+func read(file string) (map[string]assign.Snapshot, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	if crc32.ChecksumIEEE(bytes.TrimSpace(k.Pools)) != k.Sum {
 		return nil, fmt.Errorf("%s: its sum does not fit: it was changed or torn", file)
 	}
-	var all map[string]assign.Memory
+	var all map[string]assign.Snapshot
 	if err := json.Unmarshal(k.Pools, &all); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/duty/ids.go
+++ b/duty/idset.go
@@ -1,19 +1,19 @@
 package duty
 
-// IDs remembers the marks of the ids that were ever listed, so that a call for one that never was is told so. Of more than its
+// IDSet remembers the marks of the ids that were ever listed, so that a call for one that never was is told so. Of more than its
 // bound the first are forgotten: a call for such a one is told that it was never listed.
-type IDs struct {
+type IDSet struct {
 	most int
 	have map[uint64]bool
 	ring []uint64
 	next int
 }
 
-// NewIDs remembers so many.
-func NewIDs(most int) *IDs { return &IDs{most: most, have: map[uint64]bool{}} }
+// NewIDSet remembers so many.
+func NewIDSet(most int) *IDSet { return &IDSet{most: most, have: map[uint64]bool{}} }
 
 // Add remembers one.
-func (s *IDs) Add(mark uint64) {
+func (s *IDSet) Add(mark uint64) {
 	switch {
 	case s.have[mark]:
 		return
@@ -28,9 +28,9 @@
 }
 
 // Has tells whether one is remembered.
-func (s *IDs) Has(mark uint64) bool { return s.have[mark] }
+func (s *IDSet) Has(mark uint64) bool { return s.have[mark] }
 
 // All are the remembered ones, the first first.
-func (s *IDs) All() []uint64 {
+func (s *IDSet) All() []uint64 {
 	return append(append([]uint64(nil), s.ring[s.next:]...), s.ring[:s.next]...)
 }
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -31,39 +31,39 @@
 
 // Exchange is one request to a backend.
 type Exchange struct {
-	Head, Tail, Body []byte        // written one after the other
-	Until            time.Time     // no answer by then: it timed out
-	Before           time.Time     // not sent where it can't be at its backend by then; zero: no such bound
-	Gone             func() bool   // whether its client has gone: it is not sent then; called by any goroutine; nil: nobody waits for it
-	Report           func(Result)  // called once, on the owner's goroutine
-	Plain            bool          // what a server answers goes on as it is, but for its own failures
-	Bare             bool          // only a head is asked for
-	Upload           *Upload       // the rest of a body that is not kept; nil: Body is all
-	Wait             time.Duration // of an exchange with an Upload: from its last byte, in the place of Until
-	Begun            func(Result)  // a large answer has begun and flows; called at most once, before Report, on the owner's goroutine
-	off, begun       bool          // called off; being written; under conn.mu
-	flows            bool          // its answer has begun to flow; likewise
-	wrote            chan struct{}
-	opening          time.Duration // its connection's
-	writing          time.Time     // when its writing began; under conn.mu
-	sent             time.Time     // the same, or for one that opened its connection as much earlier; read after wrote is closed
-	whole            bool          // its last byte is written; read after wrote is closed
-	some             bool          // a byte may have gone out; likewise
-	conn             *conn
+	Head, Tail, Body  []byte        // written one after the other
+	Deadline          time.Time     // no answer by then: it timed out
+	SendBy            time.Time     // not sent where it can't be at its backend by then; zero: no such bound
+	ClientGone        func() bool   // whether its client has gone: it is not sent then; called by any goroutine; nil: nobody waits for it
+	OnDone            func(Result)  // called once, on the owner's goroutine
+	Passthrough       bool          // what a server answers goes on as it is, but for its own failures
+	HeadOnly          bool          // only a head is asked for
+	Upload            *Upload       // the rest of a body that is not kept; nil: Body is all
+	ResponseTimeout   time.Duration // of an exchange with an Upload: from its last byte, in the place of Until
+	OnResponseStarted func(Result)  // a large answer has begun and flows; called at most once, before Report, on the owner's goroutine
+	off, begun        bool          // called off; being written; under conn.mu
+	flows             bool          // its answer has begun to flow; likewise
+	wrote             chan struct{}
+	opening           time.Duration // its connection's
+	writing           time.Time     // when its writing began; under conn.mu
+	sent              time.Time     // the same, or for one that opened its connection as much earlier; read after wrote is closed
+	whole             bool          // its last byte is written; read after wrote is closed
+	some              bool          // a byte may have gone out; likewise
+	conn              *conn
 }
 
 // Result is what came of an exchange.
 type Result struct {
-	Outcome balance.Outcome
-	Sent    time.Time      // when it was written, or for one that opened its connection as much earlier as that took; zero: it was not
-	At      time.Time      // when the answer's end had come, or what else ended it
-	Err     error          // of an answer that did not come whole
-	Status  int            // of an answer; 0: none came
-	Length  int            // of its body, or of the one that it would have; -1: not told
-	Fields  []byte         // of an honoured answer, and of any plain one: the lines that go on
-	Body    []byte         // of one that has begun: its first bytes
-	Held    int64          // bytes of room held for it
-	Flow    *io.PipeReader // of one that has begun: the rest of its body. Who does not read it to its end closes it
+	Outcome       balance.Outcome
+	SentAt        time.Time      // when it was written, or for one that opened its connection as much earlier as that took; zero: it was not
+	EndedAt       time.Time      // when the answer's end had come, or what else ended it
+	Err           error          // of an answer that did not come whole
+	Status        int            // of an answer; 0: none came
+	Length        int            // of its body, or of the one that it would have; -1: not told
+	Fields        []byte         // of an honoured answer, and of any plain one: the lines that go on
+	Body          []byte         // of one that has begun: its first bytes
+	ReservedBytes int64          // bytes of room held for it
+	Stream        *io.PipeReader // of one that has begun: the rest of its body. Who does not read it to its end closes it
 }
 
 // conn is one connection to a backend. One goroutine opens it and writes, one reads; the owner hands it
@@ -99,7 +99,7 @@
 		return false
 	}
 	ex.conn, c.ex = c, ex
-	c.until(ex.Until)
+	c.until(ex.Deadline)
 	c.jobs <- ex // never blocks: the last one was taken before its answer came
 	return true
 }
@@ -127,21 +127,21 @@
 
 // run opens the connection for its first exchange and writes.
 func (c *conn) run(ex *Exchange, addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(c.pool.Connect, time.Until(ex.Until)))
+	ctx, cancel := context.WithTimeout(context.Background(), min(c.pool.ConnectTimeout, time.Until(ex.Deadline)))
 	began := time.Now()
 	nc, err := c.pool.dial(ctx, addr)
 	cancel()
 	if err != nil {
-		res := Result{Outcome: balance.NoRoute, At: time.Now(), Err: err}
+		res := Result{Outcome: balance.ConnectFailed, EndedAt: time.Now(), Err: err}
 		c.mu.Lock()
 		if ex.off {
-			res.Outcome = balance.NeverSent
+			res.Outcome = balance.NotSent
 		}
 		c.ex, c.dead = nil, true
 		c.mu.Unlock()
 		c.pool.post(func() {
 			c.pool.forget(c)
-			ex.Report(res)
+			ex.OnDone(res)
 		})
 		return
 	}
@@ -149,7 +149,7 @@
 	c.mu.Lock()
 	c.nc, c.pending = nc, pending(nc)
 	c.way = min(ex.opening, wayMost)
-	c.until(ex.Until)
+	c.until(ex.Deadline)
 	c.mu.Unlock()
 	go c.read()
 	c.write(ex)
@@ -164,12 +164,12 @@
 	switch {
 	case ex.off:
 		return errOff
-	case !ex.Before.IsZero() && time.Now().Add(c.way).After(ex.Before):
+	case !ex.SendBy.IsZero() && time.Now().Add(c.way).After(ex.SendBy):
 		return errLate
 	case c.to.shut():
 		return errDrains
-	case ex.Gone != nil && ex.Gone():
-		return ErrLeft
+	case ex.ClientGone != nil && ex.ClientGone():
+		return ErrClientGone
 	}
 	return nil
 }
@@ -188,22 +188,22 @@
 	c.mu.Unlock()
 	if sound && why != nil {
 		close(ex.wrote)
-		res := Result{Outcome: balance.NeverSent, At: ex.writing, Err: why}
+		res := Result{Outcome: balance.NotSent, EndedAt: ex.writing, Err: why}
 		c.pool.post(func() {
 			c.pool.rest(c)
-			ex.Report(res)
+			ex.OnDone(res)
 		})
 		return
 	}
 	err := errUnasked
 	if ex.begun {
-		c.nc.SetWriteDeadline(ex.Until)
+		c.nc.SetWriteDeadline(ex.Deadline)
 		ex.sent = ex.writing.Add(-ex.opening)
 		var n int64
-		n, err = heads.WriteSome(c.nc, ex.Head, ex.Tail, ex.Body)
+		n, err = heads.WriteCounted(c.nc, ex.Head, ex.Tail, ex.Body)
 		if ex.some = n > 0; err == nil && ex.Upload != nil {
-			if err = ex.Upload.to(c.nc); err == nil && ex.Wait > 0 {
-				c.due(ex, time.Now().Add(ex.Wait))
+			if err = ex.Upload.to(c.nc); err == nil && ex.ResponseTimeout > 0 {
+				c.due(ex, time.Now().Add(ex.ResponseTimeout))
 			}
 		}
 	}
@@ -250,9 +250,9 @@
 	errEarly   = errors.New("an answer that came before its request was written")
 )
 
-// Pending tells whether bytes or the end wait to be read, as far as a connection can tell. The reader that waits for
+// HasUnreadBytes tells whether bytes or the end wait to be read, as far as a connection can tell. The reader that waits for
 // them may not have run yet.
-func Pending(nc net.Conn) bool { return pending(nc)() }
+func HasUnreadBytes(nc net.Conn) bool { return pending(nc)() }
 
 func pending(nc net.Conn) func() bool {
 	sc, ok := nc.(syscall.Conn)
@@ -274,9 +274,9 @@
 	}
 }
 
-// HungUp tells whether the other side has closed a connection or ended its sending, whatever bytes wait before that, as far as a
+// ClosedByPeer tells whether the other side has closed a connection or ended its sending, whatever bytes wait before that, as far as a
 // connection can tell.
-func HungUp(nc net.Conn) bool {
+func ClosedByPeer(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -334,19 +334,19 @@
 		if ex == nil {
 			break
 		}
-		res, keep := Result{Outcome: balance.NeverSent, Err: errUnasked}, false
+		res, keep := Result{Outcome: balance.NotSent, Err: errUnasked}, false
 		if unasked {
 			<-ex.wrote // it was not
-			res.At = time.Now()
+			res.EndedAt = time.Now()
 		} else {
 			if early {
 				err = errEarly
 			}
 			res, keep = c.answer(r, ex, err)
-			if at := in.Received(); res.Status > 0 && at.After(ex.sent) && at.Before(res.At) { // it waited here to be read
-				res.At = at
+			if at := in.Received(); res.Status > 0 && at.After(ex.sent) && at.Before(res.EndedAt) { // it waited here to be read
+				res.EndedAt = at
 			}
-			res.Sent = ex.sent
+			res.SentAt = ex.sent
 		}
 		keep = keep && !c.pool.shut.Load()
 		if !keep {
@@ -359,7 +359,7 @@
 			if keep {
 				c.pool.rest(c)
 			}
-			ex.Report(res)
+			ex.OnDone(res)
 		})
 		if !keep {
 			break
@@ -380,29 +380,29 @@
 	never := false
 	if err == nil {
 		res.Status, res.Length = h.Status, h.Length
-		if ex.Bare {
+		if ex.HeadOnly {
 			h.Length, h.Chunked = 0, false
 		}
 		never = string(h.Get("X-Never-Ran")) == "1"
-		if h.Status == 200 || ex.Plain { // copied, since reading the body moves the head
-			res.Fields = heads.AppendOnward(nil, h, "Endpoint-Load-Metrics", "X-Never-Ran")
+		if h.Status == 200 || ex.Passthrough { // copied, since reading the body moves the head
+			res.Fields = heads.AppendForwardedFields(nil, h, "Endpoint-Load-Metrics", "X-Never-Ran")
 		}
-		if flows := h.Length < 0 || h.Length > heads.Most; flows && (h.Status == 200 || ex.Plain && h.Status < 500) && ex.Begun != nil &&
-			(h.Length <= flowMost || ex.Plain) {
+		if flows := h.Length < 0 || h.Length > heads.DefaultMaxBytes; flows && (h.Status == 200 || ex.Passthrough && h.Status < 500) && ex.OnResponseStarted != nil &&
+			(h.Length <= flowMost || ex.Passthrough) {
 			return c.flow(r, ex, h, res)
 		}
-		if want := h.Length; want < 0 || want > heads.Most {
+		if want := h.Length; want < 0 || want > heads.DefaultMaxBytes {
 			if want < 0 {
 				want = largeMost
 			}
-			if want <= largeMost && c.pool.Hold(int64(want)) {
-				res.Held = int64(want)
-				r.Allow(want)
+			if want <= largeMost && c.pool.ReserveMemory(int64(want)) {
+				res.ReservedBytes = int64(want)
+				r.SetMaxBytes(want)
 			}
 		}
 		res.Body, err = r.Body(h.Length, h.Chunked)
 	}
-	res.At = time.Now()
+	res.EndedAt = time.Now()
 	if err != nil {
 		c.nc.Close()
 		ex.written()
@@ -410,26 +410,26 @@
 		return res, false
 	}
 	switch {
-	case h.Status == 200 || ex.Plain && h.Status < 500:
-		res.Outcome = balance.Honoured
+	case h.Status == 200 || ex.Passthrough && h.Status < 500:
+		res.Outcome = balance.Succeeded
 	case (h.Status == 503 || h.Status == 504) && never:
-		res.Outcome = balance.NoRoom
+		res.Outcome = balance.ServerRejected
 	case h.Status >= 400 && h.Status < 500 && h.Status != 408 && h.Status != 429: // of time and of room: not the lookup's fault
-		res.Outcome = balance.Unfit
+		res.Outcome = balance.InvalidRequest
 	default:
-		res.Outcome = balance.Fault
+		res.Outcome = balance.ServerError
 	}
 	// Danger: the writer may not have run on since its last byte went, which must not cost the connection; or it
 	// is at a long body that the backend answered without reading, which must not keep the answer.
 	select {
 	case <-ex.wrote:
 	default:
-		c.nc.SetWriteDeadline(res.At.Add(writeOn))
+		c.nc.SetWriteDeadline(res.EndedAt.Add(writeOn))
 	}
 	ex.written()
-	if !ex.whole && res.Outcome == balance.Honoured && !ex.Plain && ex.Upload == nil { // a backend begins when the last byte has come
+	if !ex.whole && res.Outcome == balance.Succeeded && !ex.Passthrough && ex.Upload == nil { // a backend begins when the last byte has come
 		c.nc.Close()
-		res.Outcome, res.Err = balance.NoRoute, errEarly
+		res.Outcome, res.Err = balance.ConnectFailed, errEarly
 		return res, false
 	}
 	return res, !h.Close && ex.whole && !r.Buffered()
@@ -439,8 +439,8 @@
 // kept: if it ends or breaks by then it is a small answer, or one that another leg may still give.
 func (c *conn) flow(r *heads.Reader, ex *Exchange, h *heads.Head, res Result) (Result, bool) {
 	length, chunked, closes := h.Length, h.Chunked, h.Close // reading on moves the head
-	enough := heads.Most + 1
-	if length > heads.Most {
+	enough := heads.DefaultMaxBytes + 1
+	if length > heads.DefaultMaxBytes {
 		enough = flowBegin
 	}
 	var mu sync.Mutex
@@ -455,9 +455,9 @@
 		c.nc.SetReadDeadline(time.Now().Add(flowIdle)) // danger: a large answer takes longer than any hard stop; once begun it counts as given
 		c.mu.Unlock()
 		begun := res
-		begun.Body, begun.Flow = first, out
+		begun.Body, begun.Stream = first, out
 		first = nil
-		c.pool.post(func() { ex.Begun(begun) }) // with the lock: it comes before the report
+		c.pool.post(func() { ex.OnResponseStarted(begun) }) // with the lock: it comes before the report
 	}
 	timer := time.AfterFunc(flowFirst, func() { // danger: a server that gives a large answer slowly keeps its client waiting
 		mu.Lock()
@@ -467,7 +467,7 @@
 		}
 	})
 	defer timer.Stop()
-	from, buf := r.Flow(length, chunked), make([]byte, flowBytes)
+	from, buf := r.StreamBody(length, chunked), make([]byte, flowBytes)
 	var err error
 	for err == nil {
 		var n int
@@ -489,7 +489,7 @@
 		}
 		c.nc.SetReadDeadline(time.Now().Add(flowIdle)) // what a slow client takes its time for does not count
 	}
-	res.At = time.Now()
+	res.EndedAt = time.Now()
 	if in != nil {
 		in.CloseWithError(err) // io.EOF where there is none
 	}
@@ -499,7 +499,7 @@
 		if in == nil {
 			res.Body, res.Length = first, len(first)
 		}
-		res.Outcome = balance.Honoured
+		res.Outcome = balance.Succeeded
 		return res, !closes && ex.whole && !r.Buffered()
 	case in == nil:
 		c.nc.Close()
@@ -507,10 +507,10 @@
 		res.Status, res.Fields = 0, nil
 		res.Outcome, res.Err = c.broke(ex, err), err
 		return res, false
-	case c.isOff(ex) || errors.Is(err, io.ErrClosedPipe) || errors.Is(err, ErrLeft):
-		res.Outcome = balance.CalledOff // its client has gone
+	case c.isOff(ex) || errors.Is(err, io.ErrClosedPipe) || errors.Is(err, ErrClientGone):
+		res.Outcome = balance.Canceled // its client has gone
 	default:
-		res.Outcome, res.Err = balance.Cut, err
+		res.Outcome, res.Err = balance.ConnectionLost, err
 	}
 	c.nc.Close()
 	ex.written()
@@ -532,14 +532,14 @@
 	return u
 }
 
-// Begun tells whether some of it may have gone to a server: there can be no other leg then.
-func (u *Upload) Begun() bool { return u.begun.Load() }
+// OnResponseStarted tells whether some of it may have gone to a server: there can be no other leg then.
+func (u *Upload) Started() bool { return u.begun.Load() }
 
 // Stop lets the client's side end: nothing more of it is wanted.
-func (u *Upload) Stop() { u.out.CloseWithError(ErrStopped) }
+func (u *Upload) Stop() { u.out.CloseWithError(ErrUploadStopped) }
 
-// ErrStopped is what the client's side of an upload meets when its lookup has its answer.
-var ErrStopped = errors.New("the body is not wanted any more")
+// ErrUploadStopped is what the client's side of an upload meets when its lookup has its answer.
+var ErrUploadStopped = errors.New("the body is not wanted any more")
 
 // to writes it to a server, at the pace of both.
 func (u *Upload) to(nc net.Conn) error {
@@ -570,19 +570,19 @@
 // written waits until a request's writing has ended. Danger: a body that flows may wait for its client for ever, who waits for
 // the answer.
 func (ex *Exchange) written() {
-	if ex.Upload != nil && ex.Upload.Begun() {
+	if ex.Upload != nil && ex.Upload.Started() {
 		ex.Upload.Stop()
 	}
 	<-ex.wrote
 }
 
-// ErrLeft closes the flow of an answer whose client has gone.
-var ErrLeft = errors.New("the client has gone")
+// ErrClientGone closes the flow of an answer whose client has gone.
+var ErrClientGone = errors.New("the client has gone")
 
 // broke is the outcome of an exchange whose writing has ended and whose answer did not come whole.
 func (c *conn) broke(ex *Exchange, err error) balance.Outcome {
-	if ex.Plain && !ex.whole && ex.some { // danger: a server that is not the platform's may begin before a request's last byte
-		return balance.Cut
+	if ex.Passthrough && !ex.whole && ex.some { // danger: a server that is not the platform's may begin before a request's last byte
+		return balance.ConnectionLost
 	}
 	return broken(err, ex.whole, c.isOff(ex))
 }
@@ -591,15 +591,15 @@
 func broken(err error, whole, off bool) balance.Outcome {
 	switch {
 	case off && whole:
-		return balance.CalledOff
+		return balance.Canceled
 	case off:
-		return balance.NeverSent
+		return balance.NotSent
 	case !whole: // a backend begins a request when its last byte has come
-		return balance.NoRoute
+		return balance.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return balance.TooSlow
+		return balance.TimedOut
 	}
-	return balance.Cut // danger: anything malformed may have run as well
+	return balance.ConnectionLost // danger: anything malformed may have run as well
 }
 
 func (c *conn) isOff(ex *Exchange) bool {
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -16,10 +16,10 @@
 // Pool hands out connections, the one idle for longest first: what a backend sends behind an answer, or its closing, has
 // come by then.
 type Pool struct {
-	Connect time.Duration          // a connection that is not up by then never comes up
-	Idle    time.Duration          // one idle for so long is closed
-	Most    int                    // connections at once, those being opened included
-	Hold    func(bytes int64) bool // asks for room for a large answer; who gets its Result gives back what it holds
+	ConnectTimeout time.Duration          // a connection that is not up by then never comes up
+	IdleTimeout    time.Duration          // one idle for so long is closed
+	MaxConnections int                    // connections at once, those being opened included
+	ReserveMemory  func(bytes int64) bool // asks for room for a large answer; who gets its Result gives back what it holds
 
 	Opened, Retired, Lost, Full int // counted
 
@@ -46,20 +46,20 @@
 	return &Pool{dial: dial, post: post}
 }
 
-// Place says where a backend listens. What is idle to it is closed where it moved or began anew.
-func (p *Pool) Place(index int, addr string, started float64) {
+// SetEndpoint says where a backend listens. What is idle to it is closed where it moved or began anew.
+func (p *Pool) SetEndpoint(index int, addr string, started float64) {
 	for len(p.backends) <= index {
 		p.backends = append(p.backends, &backend{})
 	}
 	b := p.backends[index]
 	if b.addr != addr || b.started != started {
 		b.addr, b.started = addr, started
-		p.Close(index)
+		p.CloseIdle(index)
 	}
 }
 
-// Close ends the idle connections of a backend; those in use end with their exchange.
-func (p *Pool) Close(index int) {
+// CloseIdle ends the idle connections of a backend; those in use end with their exchange.
+func (p *Pool) CloseIdle(index int) {
 	b := p.backends[index]
 	b.era++
 	for _, c := range b.idle {
@@ -68,9 +68,9 @@
 	b.idle = b.idle[:0]
 }
 
-// Until sets from when on nothing is written to a backend; zero: no such bound. Danger: a leg that was ordered in time may be on
+// StopSendingAt sets from when on nothing is written to a backend; zero: no such bound. Danger: a leg that was ordered in time may be on
 // a connection that is being opened for longer than a drain's grace.
-func (p *Pool) Until(index int, at time.Time) {
+func (p *Pool) StopSendingAt(index int, at time.Time) {
 	if at.IsZero() {
 		p.backends[index].until.Store(0)
 	} else {
@@ -84,9 +84,9 @@
 	return until != 0 && time.Now().UnixNano() > until
 }
 
-// Drop forgets a backend, whose index may be given to another. What is in use ends with its exchange.
-func (p *Pool) Drop(index int) {
-	p.Close(index)
+// Remove forgets a backend, whose index may be given to another. What is in use ends with its exchange.
+func (p *Pool) Remove(index int) {
+	p.CloseIdle(index)
 	p.backends[index] = &backend{}
 }
 
@@ -98,13 +98,13 @@
 	for len(b.idle) > 0 {
 		c := b.idle[0]
 		b.idle = slices.Delete(b.idle, 0, 1)
-		if now.Sub(c.since) >= p.Idle { // danger: a request to a connection that is being closed ends as a reset
+		if now.Sub(c.since) >= p.IdleTimeout { // danger: a request to a connection that is being closed ends as a reset
 			p.retire(c)
 		} else if c.begin(ex) {
 			return true
 		}
 	}
-	if p.total >= p.Most && !p.spare() {
+	if p.total >= p.MaxConnections && !p.spare() {
 		p.Full++
 		return false
 	}
@@ -117,18 +117,18 @@
 	return true
 }
 
-// CallOff gives an exchange up. It is still reported.
-func (p *Pool) CallOff(ex *Exchange) { ex.conn.callOff(ex) }
+// Cancel gives an exchange up. It is still reported.
+func (p *Pool) Cancel(ex *Exchange) { ex.conn.callOff(ex) }
 
-// Withhold has an exchange that is not being written yet end as never sent; any other goes on.
-func (p *Pool) Withhold(ex *Exchange) { ex.conn.withhold(ex) }
+// DiscardResponse has an exchange that is not being written yet end as never sent; any other goes on.
+func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.withhold(ex) }
 
-// Sweep closes what was idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes what was idle for too long.
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	for _, b := range p.backends {
 		n := 0
-		for n < len(b.idle) && now.Sub(b.idle[n].since) >= p.Idle {
+		for n < len(b.idle) && now.Sub(b.idle[n].since) >= p.IdleTimeout {
 			p.retire(b.idle[n])
 			n++
 		}
@@ -136,26 +136,26 @@
 	}
 }
 
-// Shut closes what is idle; what is in use ends with its exchange.
-func (p *Pool) Shut() {
+// Close closes what is idle; what is in use ends with its exchange.
+func (p *Pool) Close() {
 	p.shut.Store(true)
 	for i := range p.backends {
-		p.Close(i)
+		p.CloseIdle(i)
 	}
 }
 
-// Share sets how many connections there may be at once; what is idle over that is closed.
-func (p *Pool) Share(most int) {
-	p.Most = max(most, 1)
-	for over := p.total - p.Most; over > 0 && p.spare(); over-- {
+// SetMaxConnections sets how many connections there may be at once; what is idle over that is closed.
+func (p *Pool) SetMaxConnections(most int) {
+	p.MaxConnections = max(most, 1)
+	for over := p.total - p.MaxConnections; over > 0 && p.spare(); over-- {
 	}
 }
 
 // Total is how many connections there are.
 func (p *Pool) Total() int { return p.total }
 
-// Busy is how many connections to a backend carry an exchange, or are opened for one.
-func (p *Pool) Busy(index int) int { return p.backends[index].open - len(p.backends[index].idle) }
+// InFlight is how many connections to a backend carry an exchange, or are opened for one.
+func (p *Pool) InFlight(index int) int { return p.backends[index].open - len(p.backends[index].idle) }
 
 // spare closes the connection that was idle for longest, to make room for another.
 func (p *Pool) spare() bool {
