--- a/internal/backends/backends_test.go
+++ b/internal/backends/upstream_test.go
@@ -43,13 +43,13 @@
 		b.ends <- theirs
 		return ours, nil
 	}, func(f func()) { b.posted <- f })
-	b.Hold = func(bytes int64) bool {
+	b.ReserveMemory = func(bytes int64) bool {
 		b.room -= bytes
 		return b.room >= 0
 	}
-	b.Connect, b.Idle, b.Most = 75*time.Millisecond, 4*time.Second, 2
-	b.Place(0, "one:1", 0)
-	b.Place(1, "two:1", 0)
+	b.ConnectTimeout, b.IdleTimeout, b.MaxConnections = 75*time.Millisecond, 4*time.Second, 2
+	b.SetEndpoint(0, "one:1", 0)
+	b.SetEndpoint(1, "two:1", 0)
 	return b
 }
 
@@ -69,8 +69,8 @@
 // leg sends an exchange; its results come one by one.
 func (b *bank) leg(index int) (*Exchange, *[]Result) {
 	results := &[]Result{}
-	ex := &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Until: time.Now().Add(time.Second),
-		Report: func(r Result) { *results = append(*results, r) }}
+	ex := &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Deadline: time.Now().Add(time.Second),
+		OnDone: func(r Result) { *results = append(*results, r) }}
 	if !b.Send(index, ex) {
 		return nil, results
 	}
@@ -100,24 +100,24 @@
 		want         balance.Outcome
 		kept         bool
 	}{
-		{"honoured", honoured, false, balance.Honoured, true},
-		{"honoured to the close", "HTTP/1.1 200 OK\r\n\r\nok", true, balance.Honoured, false},
-		{"honoured and closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false, balance.Honoured, false},
-		{"more than its answer", honoured + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false, balance.Honoured, false},
-		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false, balance.Fault, true},
-		{"turned away", "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.NoRoom, true},
-		{"turned away late", "HTTP/1.1 504 x\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.NoRoom, true},
-		{"503 that may have run", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, balance.Fault, true},
-		{"never ran, but of no such status", "HTTP/1.1 500 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.Fault, true},
-		{"lookup at fault", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false, balance.Unfit, true},
-		{"too many", "HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n", false, balance.Fault, true},
-		{"other success", "HTTP/1.1 206 x\r\nContent-Length: 0\r\n\r\n", false, balance.Fault, true},
-		{"reset", "", true, balance.Cut, false},
-		{"cut within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", true, balance.Cut, false},
-		{"malformed", "what?\r\n\r\n", false, balance.Cut, false},
-		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n", false, balance.Cut, false},
-		{"silent", "", false, balance.TooSlow, false},
-		{"silent within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", false, balance.TooSlow, false},
+		{"honoured", honoured, false, balance.Succeeded, true},
+		{"honoured to the close", "HTTP/1.1 200 OK\r\n\r\nok", true, balance.Succeeded, false},
+		{"honoured and closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false, balance.Succeeded, false},
+		{"more than its answer", honoured + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false, balance.Succeeded, false},
+		{"error", "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", false, balance.ServerError, true},
+		{"turned away", "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.ServerRejected, true},
+		{"turned away late", "HTTP/1.1 504 x\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.ServerRejected, true},
+		{"503 that may have run", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false, balance.ServerError, true},
+		{"never ran, but of no such status", "HTTP/1.1 500 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", false, balance.ServerError, true},
+		{"lookup at fault", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", false, balance.InvalidRequest, true},
+		{"too many", "HTTP/1.1 429 x\r\nContent-Length: 0\r\n\r\n", false, balance.ServerError, true},
+		{"other success", "HTTP/1.1 206 x\r\nContent-Length: 0\r\n\r\n", false, balance.ServerError, true},
+		{"reset", "", true, balance.ConnectionLost, false},
+		{"cut within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", true, balance.ConnectionLost, false},
+		{"malformed", "what?\r\n\r\n", false, balance.ConnectionLost, false},
+		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n", false, balance.ConnectionLost, false},
+		{"silent", "", false, balance.TimedOut, false},
+		{"silent within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", false, balance.TimedOut, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := open()
@@ -129,7 +129,7 @@
 				end.Close()
 			}
 			b.settle()
-			if c.want == balance.TooSlow {
+			if c.want == balance.TimedOut {
 				assert.Empty(t, *got, c.name)
 				time.Sleep(time.Second)
 				b.settle()
@@ -137,7 +137,7 @@
 			if assert.Len(t, *got, 1, c.name) {
 				r := (*got)[0]
 				assert.Equal(t, c.want, r.Outcome, c.name)
-				if c.want == balance.Honoured {
+				if c.want == balance.Succeeded {
 					assert.Equal(t, "ok", string(r.Body), c.name)
 				}
 				if c.answer == honoured {
@@ -145,7 +145,7 @@
 				}
 			}
 			assert.Equal(t, c.kept, b.Total() == 1, c.name)
-			b.Shut()
+			b.Close()
 			b.settle()
 			assert.Zero(t, b.Total(), c.name)
 			end.Close()
@@ -162,14 +162,14 @@
 		room       int64
 		want       balance.Outcome
 	}{
-		{"there is room", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 400000, balance.Honoured},
-		{"there is none", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 399999, balance.Cut},
-		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 399999, 1 << 30, balance.Cut},
-		{"too large in any case", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 400000, 1 << 40, balance.Cut},
-		{"chunks", chunked + "61a80\r\n", 400000, largeMost, balance.Honoured},
-		{"chunks without room", chunked + "61a80\r\n", 400000, 0, balance.Cut},
-		{"chunks without end", chunked + "ffffff\r\n", 2 * largeMost, 1 << 30, balance.Cut},
-		{"to the close", "HTTP/1.1 200 OK\r\n\r\n", 400000, largeMost, balance.Honoured},
+		{"there is room", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 400000, balance.Succeeded},
+		{"there is none", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 399999, balance.ConnectionLost},
+		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 399999, 1 << 30, balance.ConnectionLost},
+		{"too large in any case", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 400000, 1 << 40, balance.ConnectionLost},
+		{"chunks", chunked + "61a80\r\n", 400000, largeMost, balance.Succeeded},
+		{"chunks without room", chunked + "61a80\r\n", 400000, 0, balance.ConnectionLost},
+		{"chunks without end", chunked + "ffffff\r\n", 2 * largeMost, 1 << 30, balance.ConnectionLost},
+		{"to the close", "HTTP/1.1 200 OK\r\n\r\n", 400000, largeMost, balance.Succeeded},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := open()
@@ -179,7 +179,7 @@
 			asked(t, end)
 			io.WriteString(end, c.head)
 			io.WriteString(end, strings.Repeat("x", c.size))
-			if strings.HasPrefix(c.head, chunked) && c.want == balance.Honoured {
+			if strings.HasPrefix(c.head, chunked) && c.want == balance.Succeeded {
 				io.WriteString(end, "\r\n0\r\n\r\n")
 			}
 			end.Close()
@@ -187,12 +187,12 @@
 			if assert.Len(t, *got, 1, c.name) {
 				r := (*got)[0]
 				assert.Equal(t, c.want, r.Outcome, c.name)
-				if c.want == balance.Honoured {
+				if c.want == balance.Succeeded {
 					assert.Len(t, r.Body, c.size, c.name)
-					assert.Equal(t, c.room-b.room, r.Held, "who gets it gives it back: %s", c.name)
+					assert.Equal(t, c.room-b.room, r.ReservedBytes, "who gets it gives it back: %s", c.name)
 				}
 			}
-			b.Shut()
+			b.Close()
 			b.settle()
 		})
 	}
@@ -205,10 +205,10 @@
 		part bool // the backend reads a part of the request, then closes
 		want balance.Outcome
 	}{
-		{"refused", func(b *bank) { b.refuses = true }, false, balance.NoRoute},
-		{"never up", func(b *bank) { b.hangs = true }, false, balance.NoRoute},
-		{"broken before the last byte", func(*bank) {}, true, balance.NoRoute},
-		{"not taken in time", func(*bank) {}, false, balance.NoRoute},
+		{"refused", func(b *bank) { b.refuses = true }, false, balance.ConnectFailed},
+		{"never up", func(b *bank) { b.hangs = true }, false, balance.ConnectFailed},
+		{"broken before the last byte", func(*bank) {}, true, balance.ConnectFailed},
+		{"not taken in time", func(*bank) {}, false, balance.ConnectFailed},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := open()
@@ -231,7 +231,7 @@
 				assert.Equal(t, c.want, (*got)[0].Outcome, c.name)
 			}
 			if c.name == "never up" {
-				assert.Equal(t, b.Connect, (*got)[0].At.Sub(began))
+				assert.Equal(t, b.ConnectTimeout, (*got)[0].EndedAt.Sub(began))
 			}
 			assert.Zero(t, b.Total())
 		})
@@ -245,8 +245,8 @@
 		answer string
 		want   balance.Outcome
 	}{
-		{"HTTP/1.1 503 too many connections\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.NoRoom},
-		{"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", balance.Fault}, {honoured, balance.NoRoute},
+		{"HTTP/1.1 503 too many connections\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.ServerRejected},
+		{"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", balance.ServerError}, {honoured, balance.ConnectFailed},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := open()
@@ -259,7 +259,7 @@
 			b.settle()
 			if assert.Len(t, *got, 1) {
 				assert.Equal(t, c.want, (*got)[0].Outcome)
-				assert.Equal(t, began, (*got)[0].At)
+				assert.Equal(t, began, (*got)[0].EndedAt)
 			}
 			assert.Zero(t, b.Total())
 		})
@@ -273,17 +273,17 @@
 		ex, got := b.leg(0)
 		end := <-b.ends
 		b.settle() // not read yet: it may not have run, but is not written whole
-		b.CallOff(ex)
+		b.Cancel(ex)
 		b.settle()
-		assert.Equal(t, balance.NeverSent, (*got)[0].Outcome)
+		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
 
 		ex, got = b.leg(0)
 		end = <-b.ends
 		asked(t, end)
-		b.CallOff(ex)
-		b.CallOff(ex)
+		b.Cancel(ex)
+		b.Cancel(ex)
 		b.settle()
-		assert.Equal(t, balance.CalledOff, (*got)[0].Outcome)
+		assert.Equal(t, balance.Canceled, (*got)[0].Outcome)
 		_, err := end.Write([]byte(honoured))
 		assert.Error(t, err)
 		assert.Zero(t, b.Total())
@@ -291,10 +291,10 @@
 		b.hangs = true
 		ex, got = b.leg(0)
 		b.settle()
-		b.CallOff(ex)
-		time.Sleep(b.Connect)
+		b.Cancel(ex)
+		time.Sleep(b.ConnectTimeout)
 		b.settle()
-		assert.Equal(t, balance.NeverSent, (*got)[0].Outcome)
+		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
 	})
 }
 
@@ -309,13 +309,13 @@
 			return dial(ctx, addr)
 		}
 		var got []Result
-		ex := &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Until: time.Now().Add(time.Second),
-			Before: time.Now().Add(40 * time.Millisecond), Report: func(r Result) { got = append(got, r) }}
+		ex := &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Deadline: time.Now().Add(time.Second),
+			SendBy: time.Now().Add(40 * time.Millisecond), OnDone: func(r Result) { got = append(got, r) }}
 		b.Send(0, ex)
 		time.Sleep(60 * time.Millisecond)
 		b.settle()
 		if assert.Len(t, got, 1) {
-			assert.Equal(t, balance.NeverSent, got[0].Outcome)
+			assert.Equal(t, balance.NotSent, got[0].Outcome)
 		}
 		_, second := b.leg(0)
 		end := <-b.ends
@@ -324,7 +324,7 @@
 		b.settle()
 		assert.Len(t, *second, 1, "the connection is good for another")
 		assert.Len(t, b.dials, 1)
-		b.Shut()
+		b.Close()
 		b.settle()
 	})
 }
@@ -338,25 +338,25 @@
 		assert.NoError(t, err)
 		end, err := ln.Accept()
 		assert.NoError(t, err)
-		assert.False(t, Pending(ours))
+		assert.False(t, HasUnreadBytes(ours))
 		io.WriteString(end, come)
 		if come == "" {
 			end.(*net.TCPConn).CloseWrite()
 		}
-		for !Pending(ours) {
+		for !HasUnreadBytes(ours) {
 			time.Sleep(time.Millisecond)
 		}
 		posted := make(chan func(), 2)
 		p := New(nil, func(f func()) { posted <- f })
-		p.Place(0, "one:1", 0)
+		p.SetEndpoint(0, "one:1", 0)
 		var got []Result
-		ex := &Exchange{Head: []byte("GET"), wrote: make(chan struct{}), Report: func(r Result) { got = append(got, r) }}
+		ex := &Exchange{Head: []byte("GET"), wrote: make(chan struct{}), OnDone: func(r Result) { got = append(got, r) }}
 		c := &conn{pool: p, to: p.backends[0], nc: ours, pending: pending(ours), ex: ex, jobs: make(chan *Exchange, 1)}
 		c.write(ex)
 		go c.read()
 		(<-posted)()
 		if assert.Len(t, got, 1) {
-			assert.Equal(t, balance.NeverSent, got[0].Outcome)
+			assert.Equal(t, balance.NotSent, got[0].Outcome)
 		}
 		(<-posted)()
 		rest, _ := io.ReadAll(end)
@@ -376,20 +376,20 @@
 		want bool
 	}{
 		{"in time", func(*Pool, *Exchange) {}, true},
-		{"withheld", func(p *Pool, ex *Exchange) { p.Withhold(ex) }, false},
-		{"past the window", func(_ *Pool, ex *Exchange) { ex.Before = time.Now().Add(-1) }, false},
-		{"past the window once it is there", func(_ *Pool, ex *Exchange) { ex.Before = time.Now().Add(wayThere / 2) }, false},
-		{"its client has gone", func(_ *Pool, ex *Exchange) { ex.Gone = func() bool { return true } }, false},
-		{"its client is there", func(_ *Pool, ex *Exchange) { ex.Gone = func() bool { return false } }, true},
-		{"its backend drains", func(p *Pool, ex *Exchange) { p.Until(0, time.Now().Add(-1)) }, false},
+		{"withheld", func(p *Pool, ex *Exchange) { p.DiscardResponse(ex) }, false},
+		{"past the window", func(_ *Pool, ex *Exchange) { ex.SendBy = time.Now().Add(-1) }, false},
+		{"past the window once it is there", func(_ *Pool, ex *Exchange) { ex.SendBy = time.Now().Add(wayThere / 2) }, false},
+		{"its client has gone", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return true } }, false},
+		{"its client is there", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return false } }, true},
+		{"its backend drains", func(p *Pool, ex *Exchange) { p.StopSendingAt(0, time.Now().Add(-1)) }, false},
 	} {
 		ours, end := net.Pipe()
 		posted := make(chan func(), 3)
 		p := New(nil, func(f func()) { posted <- f })
-		p.Place(0, "one:1", 0)
+		p.SetEndpoint(0, "one:1", 0)
 		var got []Result
-		ex := &Exchange{Head: []byte("GET"), Until: time.Now().Add(time.Minute), wrote: make(chan struct{}), Report: func(r Result) { got = append(got, r) }}
-		c0 := &conn{pool: p, to: p.backends[0], nc: ours, pending: pending(ours), ex: ex, by: ex.Until, jobs: make(chan *Exchange, 1), way: wayThere, era: p.backends[0].era}
+		ex := &Exchange{Head: []byte("GET"), Deadline: time.Now().Add(time.Minute), wrote: make(chan struct{}), OnDone: func(r Result) { got = append(got, r) }}
+		c0 := &conn{pool: p, to: p.backends[0], nc: ours, pending: pending(ours), ex: ex, by: ex.Deadline, jobs: make(chan *Exchange, 1), way: wayThere, era: p.backends[0].era}
 		ex.conn = c0
 		c.set(p, ex)
 		go c0.write(ex)
@@ -410,15 +410,15 @@
 		assert.Equal(t, !c.want, slices.Contains(p.backends[0].idle, c0), c.name)
 		end.Close()
 		if assert.Len(t, got, 1, c.name) {
-			assert.Equal(t, !c.want, got[0].Outcome == balance.NeverSent, c.name)
-			assert.Equal(t, c.want, !got[0].Sent.IsZero(), c.name)
+			assert.Equal(t, !c.want, got[0].Outcome == balance.NotSent, c.name)
+			assert.Equal(t, c.want, !got[0].SentAt.IsZero(), c.name)
 		}
 	}
 	p := New(nil, nil)
 	c := &conn{pool: p}
 	ex := &Exchange{conn: c, begun: true}
 	c.ex = ex
-	p.Withhold(ex)
+	p.DiscardResponse(ex)
 	assert.False(t, ex.off, "one that is being written goes on")
 }
 
@@ -432,9 +432,9 @@
 	p := New(func(ctx context.Context, addr string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", addr)
 	}, func(f func()) { posted <- f })
-	p.Connect, p.Idle, p.Most = time.Second, time.Minute, 2
-	p.Hold = func(int64) bool { return true }
-	p.Place(0, ln.Addr().String(), 0)
+	p.ConnectTimeout, p.IdleTimeout, p.MaxConnections = time.Second, time.Minute, 2
+	p.ReserveMemory = func(int64) bool { return true }
+	p.SetEndpoint(0, ln.Addr().String(), 0)
 	times := 0
 	p.came = func() {
 		if times++; times == 2 { // the reader has the second answer, and has not looked at it
@@ -443,7 +443,7 @@
 		}
 	}
 	ask := func(got chan Result) {
-		p.Send(0, &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Until: time.Now().Add(5 * time.Second), Report: func(r Result) { got <- r }})
+		p.Send(0, &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Deadline: time.Now().Add(5 * time.Second), OnDone: func(r Result) { got <- r }})
 	}
 	first, second := make(chan Result, 1), make(chan Result, 1)
 	ask(first)
@@ -465,7 +465,7 @@
 		(<-posted)()
 	}
 	r := <-second
-	assert.Equal(t, balance.Cut, r.Outcome, "it may run, and this is not its answer")
+	assert.Equal(t, balance.ConnectionLost, r.Outcome, "it may run, and this is not its answer")
 	assert.Empty(t, r.Body)
 }
 
@@ -476,16 +476,16 @@
 		dials  []string
 	}{
 		{"at once", func(*bank, net.Conn) {}, []string{"one:1"}},
-		{"idle for a while", func(b *bank, _ net.Conn) { time.Sleep(b.Idle - 1); b.Sweep() }, []string{"one:1"}},
+		{"idle for a while", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout - 1); b.CloseExpired() }, []string{"one:1"}},
 		// Danger: a request to a connection that the backend is closing ends as a reset, and may have run.
-		{"idle for long", func(b *bank, _ net.Conn) { time.Sleep(b.Idle) }, []string{"one:1", "one:1"}},
-		{"idle for long and swept", func(b *bank, _ net.Conn) { time.Sleep(b.Idle); b.Sweep() }, []string{"one:1", "one:1"}},
+		{"idle for long", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout) }, []string{"one:1", "one:1"}},
+		{"idle for long and swept", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout); b.CloseExpired() }, []string{"one:1", "one:1"}},
 		{"closed by the backend, owner told", func(b *bank, end net.Conn) { end.Close(); b.settle() }, []string{"one:1", "one:1"}},
 		{"closed by the backend, owner not told", func(b *bank, end net.Conn) { end.Close(); synctest.Wait() }, []string{"one:1", "one:1"}},
 		{"answer to nothing", func(b *bank, end net.Conn) { io.WriteString(end, honoured[:1]) }, []string{"one:1", "one:1"}},
-		{"backend began anew", func(b *bank, _ net.Conn) { b.Place(0, "one:1", 7) }, []string{"one:1", "one:1"}},
-		{"backend moved", func(b *bank, _ net.Conn) { b.Place(0, "one:2", 0) }, []string{"one:1", "one:2"}},
-		{"backend listed again", func(b *bank, _ net.Conn) { b.Place(0, "one:1", 0) }, []string{"one:1"}},
+		{"backend began anew", func(b *bank, _ net.Conn) { b.SetEndpoint(0, "one:1", 7) }, []string{"one:1", "one:1"}},
+		{"backend moved", func(b *bank, _ net.Conn) { b.SetEndpoint(0, "one:2", 0) }, []string{"one:1", "one:2"}},
+		{"backend listed again", func(b *bank, _ net.Conn) { b.SetEndpoint(0, "one:1", 0) }, []string{"one:1"}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			b := open()
@@ -506,10 +506,10 @@
 			io.WriteString(end, honoured)
 			b.settle()
 			if assert.Len(t, *second, 1, c.name) {
-				assert.Equal(t, balance.Honoured, (*second)[0].Outcome, c.name)
+				assert.Equal(t, balance.Succeeded, (*second)[0].Outcome, c.name)
 			}
 			assert.Equal(t, 1, b.Total(), c.name)
-			b.Shut()
+			b.Close()
 			b.settle()
 		})
 	}
@@ -522,10 +522,10 @@
 		_, got := b.leg(0)
 		end := <-b.ends
 		asked(t, end)
-		b.Place(0, "one:2", 0)
+		b.SetEndpoint(0, "one:2", 0)
 		io.WriteString(end, honoured)
 		b.settle()
-		assert.Equal(t, balance.Honoured, (*got)[0].Outcome)
+		assert.Equal(t, balance.Succeeded, (*got)[0].Outcome)
 		assert.Zero(t, b.Total())
 	})
 }
@@ -554,7 +554,7 @@
 		assert.Len(t, *third, 1, "the idle one made room")
 		assert.Equal(t, 2, b.Total())
 		two.Close()
-		b.Shut()
+		b.Close()
 		b.settle()
 		assert.Zero(t, b.Total())
 	})
--- a/internal/benchwire/reader.go
+++ b/internal/benchwire/reader.go
@@ -20,16 +20,16 @@
 	Batch(now float64, number string) // a batch begins
 	Finish() error                    // and ends: its reply is due
 	Instance(n int) error             // the calls below are for this one
-	Launched(figures.Figures) error
+	Launched(figures.Settings) error
 	Stopped() error
 	Listed(kind ListKind, entries []figures.Entry) error
-	Order(Order) error
+	Order(RequestOrder) error
 	Started(id string, leg int) error
 	Ended(End) error
 	Left(id string) error
 	Fired(label int) error
-	Probed(backend string, ok bool, r balance.Report) error
-	Heard(from int, n balance.Note) error
+	Probed(backend string, ok bool, r balance.LoadReport) error
+	Heard(from int, n balance.GossipMessage) error
 }
 
 // ListKind says what a list of backends holds.
@@ -37,15 +37,15 @@
 
 const (
 	Changes ListKind = iota
-	Whole
-	Remembered // the whole list, perhaps stale
-	Failed     // none: asking failed
+	FullList
+	CachedList // the whole list, perhaps stale
+	PollFailed // none: asking failed
 )
 
-// Order is a lookup with its names; the rest is as the module takes it, but for Ref, Tariff, Customer and Key.
-type Order struct {
-	balance.Arrival
-	ID, TariffName, CustomerName, KeyName string
+// RequestOrder is a lookup with its names; the rest is as the module takes it, but for Ref, Tariff, Customer and Key.
+type RequestOrder struct {
+	balance.RequestInfo
+	ID, ClassName, TenantName, KeyName string
 }
 
 // End is the end of a leg.
@@ -58,11 +58,11 @@
 }
 
 var (
-	outcomes = map[string]balance.Outcome{"pass": balance.Honoured, "fault": balance.Fault,
-		"no_room": balance.NoRoom, "too_slow": balance.TooSlow, "no_route": balance.NoRoute,
-		"cut": balance.Cut, "undone": balance.CalledOff, "stale_send": balance.NeverSent}
-	states = map[string]balance.State{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Gone}
-	lists  = map[string]ListKind{"D": Changes, "F": Whole, "C": Remembered, "X": Failed}
+	outcomes = map[string]balance.Outcome{"pass": balance.Succeeded, "fault": balance.ServerError,
+		"no_room": balance.ServerRejected, "too_slow": balance.TimedOut, "no_route": balance.ConnectFailed,
+		"cut": balance.ConnectionLost, "undone": balance.Canceled, "stale_send": balance.NotSent}
+	states = map[string]balance.EndpointState{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Removed}
+	lists  = map[string]ListKind{"D": Changes, "F": FullList, "C": CachedList, "X": PollFailed}
 )
 
 // line is one message: its name, its fields, and the first thing found wrong with them.
@@ -134,9 +134,9 @@
 }
 
 // report reads a load report, where there is one.
-func (l *line) report() balance.Report {
+func (l *line) report() balance.LoadReport {
 	text, _ := l.text("Pressure")
-	return figures.Report(text)
+	return figures.ParseLoadReport(text)
 }
 
 func word[T any](l *line, field string, words map[string]T) T {
@@ -201,14 +201,14 @@
 			e.ZoneName, _ = l.text("Az")
 			e.ModelName, _ = l.text("Flavor")
 			e.State = word(l, "StageState", states)
-			e.UpSince = l.maybe("UpSinceMs") / 1000
-			e.Size = l.maybe("Heft")
+			e.StartedAt = l.maybe("UpSinceMs") / 1000
+			e.Cores = l.maybe("Heft")
 			e.Pod = int(l.maybe("Pack"))
 			pages[page] = append(pages[page], e)
 		case "view":
 			kind := word(l, "How", lists)
 			var entries []figures.Entry
-			if kind != Failed {
+			if kind != PollFailed {
 				i := l.whole("List")
 				var ok bool
 				if entries, ok = pages[i]; !ok {
@@ -217,12 +217,12 @@
 			}
 			call = func() error { return to.Listed(kind, entries) }
 		case "order":
-			o := Order{ID: l.must("Job"), TariffName: l.must("Class")}
-			o.CustomerName, _ = l.text("Realm")
+			o := RequestOrder{ID: l.must("Job"), ClassName: l.must("Class")}
+			o.TenantName, _ = l.text("Realm")
 			o.KeyName, _ = l.text("Entity")
-			o.HardStop = l.num("DeadlineMs") / 1000
-			o.Work = l.maybe("ExpectedMs") / 1000
-			o.Again = l.bool("AgainByClient")
+			o.Deadline = l.num("DeadlineMs") / 1000
+			o.ExpectedWork = l.maybe("ExpectedMs") / 1000
+			o.ClientRetry = l.bool("AgainByClient")
 			call = func() error { return to.Order(o) }
 		case "first":
 			id, leg := l.must("Job"), l.whole("Leg")
--- a/internal/benchwire/launch.go
+++ b/internal/benchwire/settings.go
@@ -9,7 +9,7 @@
 )
 
 // launch reads what a new instance is told.
-func launch(l *line) figures.Figures {
+func launch(l *line) figures.Settings {
 	seed, err := strconv.ParseUint(l.must("Prng"), 10, 64)
 	if err != nil {
 		l.fail("Prng", "not a whole number")
--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -49,24 +49,24 @@
 	Digest  uint16
 	Lookup  uint64 // which, counted from 1 by pool; of Take and of calls on a handle
 	ID      uint32 // of Take: the hash of the id, see IDOf
-	Arrival balance.Arrival
+	Arrival balance.RequestInfo
 	Leg     int
 	Outcome balance.Outcome
 	Latency float64
 	Over    bool
 	Full    bool // of Listed
 	First   bool
-	List    []balance.Backend
+	List    []balance.Endpoint
 	Backend int // of Probed
 	OK      bool
-	Report  balance.Report
+	Report  balance.LoadReport
 	From    int // of Heard
-	Note    balance.Note
-	Results []balance.Results
+	Note    balance.GossipMessage
+	Results []balance.ReportedOutcomes
 	Part    float64
 	Slack   float64
 	Lag     float64
-	Memory  balance.Memory
+	Memory  balance.Snapshot
 }
 
 // IDOf is the hash under which a lookup's id is recorded.
@@ -77,40 +77,40 @@
 }
 
 // Digest is a number that two sets of orders share if they say the same, but for one chance in 65,536.
-func Digest(o *balance.Orders) uint16 {
+func Digest(o *balance.Actions) uint16 {
 	if o == nil {
 		return 0
 	}
 	h := uint64(14695981039346656037)
 	add := func(n uint64) { h = (h ^ n) * 1099511628211; h ^= h >> 29 }
-	for i := range o.Steps {
-		s := &o.Steps[i]
-		add(uint64(s.Ref)<<8 | uint64(s.Answer))
+	for i := range o.Requests {
+		s := &o.Requests[i]
+		add(uint64(s.Ref)<<8 | uint64(s.Reply))
 		if s.Send {
-			add(uint64(s.Backend)<<1 | 1)
-			add(math.Float64bits(s.Until))
+			add(uint64(s.Endpoint)<<1 | 1)
+			add(math.Float64bits(s.Deadline))
 		}
-		add(uint64(s.CallOff))
-		add(math.Float64bits(s.Advice))
-		add(math.Float64bits(s.Wake))
+		add(uint64(s.CancelAttempt))
+		add(math.Float64bits(s.RetryAfter))
+		add(math.Float64bits(s.WakeAt))
 	}
-	for _, i := range o.Probe {
+	for _, i := range o.HealthChecks {
 		add(uint64(i) + 1<<40)
 	}
-	for _, i := range o.HangUp {
+	for _, i := range o.CloseIdle {
 		add(uint64(i) + 1<<41)
 	}
-	if o.Tell != nil {
-		add(uint64(o.Peer) + 1<<42)
-		add(math.Float64bits(o.Tell.Rate))
-		for _, s := range o.Tell.Sights {
-			add(uint64(s.Mark) ^ math.Float64bits(s.Value) ^ uint64(s.Tariff)<<48)
+	if o.Gossip != nil {
+		add(uint64(o.GossipPeer) + 1<<42)
+		add(math.Float64bits(o.Gossip.Rate))
+		for _, s := range o.Gossip.Observations {
+			add(uint64(s.NameHash) ^ math.Float64bits(s.Value) ^ uint64(s.Class)<<48)
 		}
 	}
 	if o.Subscribe {
 		add(1 << 43)
 	}
-	add(math.Float64bits(o.Wake))
+	add(math.Float64bits(o.WakeAt))
 	return uint16(h ^ h>>16 ^ h>>32 ^ h>>48)
 }
 
@@ -239,17 +239,17 @@
 		c.uint(&x.Lookup)
 		c.u32(&x.ID)
 		c.int(&a.Ref)
-		c.int(&a.Tariff)
-		c.int(&a.Customer)
+		c.int(&a.Class)
+		c.int(&a.Tenant)
 		keyed := a.Key != 0
 		c.bool(&keyed)
 		if keyed {
 			c.u64(&a.Key)
 		}
-		c.time(&a.HardStop, false)
-		c.float(&a.Work)
-		c.bool(&a.Again)
-		c.bool(&a.Flows)
+		c.time(&a.Deadline, false)
+		c.float(&a.ExpectedWork)
+		c.bool(&a.ClientRetry)
+		c.bool(&a.Streaming)
 	case Ended:
 		c.uint(&x.Lookup)
 		c.int(&x.Leg)
@@ -268,37 +268,37 @@
 	case Listed:
 		c.bool(&x.Full)
 		c.bool(&x.First)
-		all(c, &x.List, func(b *balance.Backend) {
+		all(c, &x.List, func(b *balance.Endpoint) {
 			c.int(&b.Index)
-			c.u64(&b.Mark)
+			c.u64(&b.NameHash)
 			c.int(&b.Zone)
 			c.int(&b.Pod)
 			c.int(&b.Model)
 			s := uint64(b.State)
 			c.uint(&s)
-			b.State = balance.State(s)
-			c.float(&b.Size)
-			c.float(&b.UpSince)
+			b.State = balance.EndpointState(s)
+			c.float(&b.Cores)
+			c.float(&b.StartedAt)
 		})
 	case Probed:
 		c.int(&x.Backend)
 		c.bool(&x.OK)
-		c.float(&x.Report.Held)
-		c.float(&x.Report.Busy)
+		c.float(&x.Report.InFlight)
+		c.float(&x.Report.Utilization)
 	case Heard:
 		c.int(&x.From)
 		c.float(&x.Note.Rate)
-		all(c, &x.Note.Sights, func(s *balance.Sight) {
-			c.u32(&s.Mark)
-			c.int(&s.Tariff)
+		all(c, &x.Note.Observations, func(s *balance.Observation) {
+			c.u32(&s.NameHash)
+			c.int(&s.Class)
 			c.float(&s.Age)
 			c.float(&s.Value)
 		})
 	case Reported:
-		all(c, &x.Results, func(r *balance.Results) {
-			c.int(&r.Backend)
-			c.int(&r.Tariff)
-			c.int(&r.Honoured)
+		all(c, &x.Results, func(r *balance.ReportedOutcomes) {
+			c.int(&r.Endpoint)
+			c.int(&r.Class)
+			c.int(&r.Succeeded)
 			c.int(&r.Failed)
 		})
 	case Part:
@@ -307,10 +307,10 @@
 		c.float(&x.Slack)
 		c.float(&x.Lag)
 	case Remember:
-		all(c, &x.Memory.Bases, c.float)
-		all(c, &x.Memory.Servers, func(l *balance.Learned) {
-			c.u64(&l.Mark)
-			for _, f := range []*float64{&l.UpSince, &l.Limit, &l.Pace, &l.Pay, &l.Sure, &l.Age, &l.PausedFor} {
+		all(c, &x.Memory.BaseLatencies, c.float)
+		all(c, &x.Memory.Servers, func(l *balance.ServerSnapshot) {
+			c.u64(&l.NameHash)
+			for _, f := range []*float64{&l.StartedAt, &l.Limit, &l.RelativeLatency, &l.Payoff, &l.Confidence, &l.Age, &l.PauseRemaining} {
 				c.float(f)
 			}
 			c.bool(&l.Paused)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -25,83 +25,83 @@
 	*Balancer
 	now  float64
 	draw *rand.Rand
-	hand []*Lookup
-	legs map[*Lookup]int
+	hand []*Request
+	legs map[*Request]int
 	ref  int
 }
 
 func deployment() balance.Deployment {
-	return balance.Deployment{Seed: 7, Proxies: 2, MaxLegs: 3, CallOff: true, Beside: true, ColdShare: .2, ColdFor: 20, FallMultiple: 3, FallFor: 2, AskEvery: 10,
-		Peers: true, Probes: true, PeerPrice: .01, ProbePrice: .01, WarmKeys: true, MaxAdvice: 1, Tariffs: []balance.Tariff{
-			{Name: "page", Due: .3, HardStop: 1, Value: 1}, {Name: "sms", Kind: balance.SingleUse, Due: .3, HardStop: 1, Value: 4},
-			{Name: "sign", Kind: balance.Referenced, Scope: balance.ScopeZone, Window: 2, Due: .3, HardStop: 1, Value: 2}}}
+	return balance.Deployment{Seed: 7, Proxies: 2, MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3, CrashDuration: 2, NotificationDeadline: 10,
+		Gossip: true, HealthChecks: true, GossipCost: .01, HealthCheckCost: .01, CacheAffinity: true, MaxRetryAfter: 1, Classes: []balance.Class{
+			{Name: "page", LatencyObjective: .3, Deadline: 1, PriorityWeight: 1}, {Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: .3, Deadline: 1, PriorityWeight: 4},
+			{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupZone, DedupWindow: 2, LatencyObjective: .3, Deadline: 1, PriorityWeight: 2}}}
 }
 
 func begin(t require.TestingT, r *Recorder, name string, seed uint64) *live {
 	b, err := balance.New(deployment(), 100)
 	require.NoError(t, err)
-	v := &live{Balancer: r.Balancer(name, b), now: 100, draw: rand.New(rand.NewPCG(seed, 1)), legs: map[*Lookup]int{}}
+	v := &live{Balancer: r.Balancer(name, b), now: 100, draw: rand.New(rand.NewPCG(seed, 1)), legs: map[*Request]int{}}
 	v.list()
 	return v
 }
 
 func (v *live) list() {
-	var all []balance.Backend
+	var all []balance.Endpoint
 	for i := range 6 {
 		if v.draw.Float64() < .9 {
-			all = append(all, balance.Backend{Index: i, Mark: uint64(i + 1), Zone: i % 2, Pod: i / 2, State: balance.State(v.draw.IntN(2) * v.draw.IntN(2)),
-				Size: 2, UpSince: float64(v.draw.IntN(2)) * 90})
+			all = append(all, balance.Endpoint{Index: i, NameHash: uint64(i + 1), Zone: i % 2, Pod: i / 2, State: balance.EndpointState(v.draw.IntN(2) * v.draw.IntN(2)),
+				Cores: 2, StartedAt: float64(v.draw.IntN(2)) * 90})
 		}
 	}
-	v.Listed(v.now, true, v.ref == 0, all)
+	v.EndpointsUpdated(v.now, true, v.ref == 0, all)
 }
 
 // step makes one call, drawn.
 func (v *live) step() {
 	v.now += v.draw.ExpFloat64() * .004
-	sent := func(l *Lookup, o *balance.Orders) {
-		for _, s := range o.Steps {
-			if s.Send && s.Ref == l.Arrival.Ref {
+	sent := func(l *Request, o *balance.Actions) {
+		for _, s := range o.Requests {
+			if s.Send && s.Ref == l.RequestInfo.Ref {
 				v.legs[l]++
 			}
 		}
 	}
-	var l *Lookup
+	var l *Request
 	if len(v.hand) > 0 {
 		l = v.hand[v.draw.IntN(len(v.hand))]
 	}
 	switch n := v.draw.IntN(40); {
 	case n < 14 || l == nil:
 		v.ref++
-		a := balance.Arrival{Ref: v.ref, Tariff: v.draw.IntN(3), Customer: -1, HardStop: v.now + 1, Work: v.draw.Float64() * .05}
+		a := balance.RequestInfo{Ref: v.ref, Class: v.draw.IntN(3), Tenant: -1, Deadline: v.now + 1, ExpectedWork: v.draw.Float64() * .05}
 		if v.draw.IntN(2) == 0 {
 			a.Key = v.draw.Uint64N(20) + 1
 		}
-		l, o := v.Take(v.now, a, fmt.Sprint("id", v.ref))
+		l, o := v.RequestArrived(v.now, a, fmt.Sprint("id", v.ref))
 		sent(l, o)
 		v.hand = append(v.hand, l)
 	case n < 30:
 		if k := v.legs[l]; k > 0 {
 			outcome := balance.Outcome(v.draw.IntN(9) * v.draw.IntN(2))
-			sent(l, l.Ended(v.now, v.draw.IntN(k), outcome, v.draw.Float64()*.3, outcome == balance.Honoured))
+			sent(l, l.AttemptEnded(v.now, v.draw.IntN(k), outcome, v.draw.Float64()*.3, outcome == balance.Succeeded))
 		}
 	case n < 32:
-		l.Left(v.now)
+		l.ClientDisconnected(v.now)
 	case n < 34:
-		sent(l, l.Wake(v.now))
+		sent(l, l.TimerFired(v.now))
 	case n < 36:
-		v.Wake(v.now)
+		v.TimerFired(v.now)
 	case n == 36:
-		v.Probed(v.now, v.draw.IntN(6), true, balance.Report{Held: 3, Busy: .5})
+		v.HealthChecked(v.now, v.draw.IntN(6), true, balance.LoadReport{InFlight: 3, Utilization: .5})
 	case n == 37:
-		v.Heard(v.now, 1, balance.Note{Rate: 9, Sights: []balance.Sight{{Mark: 2, Tariff: 0, Age: .1, Value: .4}}})
+		v.GossipReceived(v.now, 1, balance.GossipMessage{Rate: 9, Observations: []balance.Observation{{NameHash: 2, Class: 0, Age: .1, Value: .4}}})
 	case n == 38 && v.draw.IntN(20) == 0:
 		v.list()
 	case n == 39:
-		v.Beliefs(v.now)
-		v.Reported(v.now, []balance.Results{{Backend: 1, Honoured: 3, Failed: 1}})
+		v.ServerStatuses(v.now)
+		v.OutcomesReported(v.now, []balance.ReportedOutcomes{{Endpoint: 1, Succeeded: 3, Failed: 1}})
 	}
-	v.hand = slices.DeleteFunc(v.hand, func(l *Lookup) bool {
+	v.hand = slices.DeleteFunc(v.hand, func(l *Request) bool {
 		if l.Done() {
 			delete(v.legs, l)
 		}
@@ -132,7 +132,7 @@
 		for i := range rapid.IntRange(1, 150).Draw(r, "calls") {
 			[]*live{a, b}[i%2].step()
 			if i%20 == 7 {
-				a.Slack(1+float64(i%3), float64(i%5)/100)
+				a.SetLocalDelay(1+float64(i%3), float64(i%5)/100)
 			}
 		}
 		require.NoError(t, rec.Close())
@@ -200,7 +200,7 @@
 // Other orders than those recorded stop a replay, with both sides.
 func TestDiffers(t *testing.T) {
 	rec, v, dir := record(t, 500, Options{Wait: true})
-	v.Balancer.Balancer.Take(v.now, balance.Arrival{Ref: 1 << 20, HardStop: v.now + 1, Customer: -1}) // past the recorder
+	v.Balancer.Balancer.RequestArrived(v.now, balance.RequestInfo{Ref: 1 << 20, Deadline: v.now + 1, Tenant: -1}) // past the recorder
 	for range 500 {
 		v.step()
 	}
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -13,7 +13,7 @@
 
 // Shows says whether a replay of calls shows something. It is told every call of a fresh replay, and asked at the end.
 type Shows interface {
-	After(p *Pool, x *Call, o *balance.Orders)
+	After(p *Pool, x *Call, o *balance.Actions)
 	Shown() bool
 	Lookup() uint64 // that showed it; 0: none is known
 }
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Pool{state: state{Name: e.Pool, B: b, Hand: map[uint64]*balance.Lookup{}}}, nil
+	return &Pool{state: state{Name: e.Pool, B: b, Hand: map[uint64]*balance.Request{}}}, nil
 }
 
 // Write writes an excerpt as a capture of its own, with the digests that came of it.
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	results := 0
-	for _, learned := range s.B.Recall(0).Servers {
+	for _, learned := range s.B.Snapshot(0).Servers {
 		results += learned.Results
 	}
 	r.hand, r.results = append(r.hand, len(s.Hand)), append(r.results, results)
@@ -66,7 +66,7 @@
 	} {
 		r := &reading{}
 		r.Warn = func(text string) { assert.Fail(t, text, c.file) }
-		r.After = func(_ *Pool, x *Call, _ *balance.Orders) { r.kinds[x.Kind]++ }
+		r.After = func(_ *Pool, x *Call, _ *balance.Actions) { r.kinds[x.Kind]++ }
 		f, err := openFile(filepath.Join("testdata", "f83df88", c.file+suffix))
 		require.NoError(t, err)
 		defer f.Close()
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -41,7 +41,7 @@
 )
 
 // share triggers where more than a share of a second's lookups were dismissed.
-func (r *Recorder) share(x *Call, o *balance.Orders) {
+func (r *Recorder) share(x *Call, o *balance.Actions) {
 	if r.to.Dismissed == 0 {
 		return
 	}
@@ -49,8 +49,8 @@
 		r.taken++
 	}
 	if o != nil {
-		for i := range o.Steps {
-			if o.Steps[i].Answer == balance.Dismissed {
+		for i := range o.Requests {
+			if o.Requests[i].Reply == balance.Rejected {
 				r.dismissed++
 			}
 		}
@@ -69,7 +69,7 @@
 	Pool int
 	Name string
 	B    *balance.Balancer
-	Hand map[uint64]*balance.Lookup
+	Hand map[uint64]*balance.Request
 	Next uint64
 }
 
@@ -79,20 +79,20 @@
 	rec  *Recorder
 	pool int
 	name string
-	hand map[uint64]*balance.Lookup
+	hand map[uint64]*balance.Request
 	next uint64
 }
 
-// Lookup is a handle of one.
-type Lookup struct {
-	*balance.Lookup
+// Request is a handle of one.
+type Request struct {
+	*balance.Request
 	of     *Balancer
 	number uint64
 }
 
 // Balancer has a pool's calls recorded.
 func (r *Recorder) Balancer(name string, b *balance.Balancer) *Balancer {
-	out := &Balancer{Balancer: b, rec: r, pool: len(r.pools), name: name, hand: map[uint64]*balance.Lookup{}}
+	out := &Balancer{Balancer: b, rec: r, pool: len(r.pools), name: name, hand: map[uint64]*balance.Request{}}
 	r.Flush()
 	r.pools = append(r.pools, out)
 	r.on = false // the next call begins a segment that has it
@@ -103,7 +103,7 @@
 func (b *Balancer) Dropped() { b.rec.pools[b.pool] = nil }
 
 // note records a call that was made.
-func (r *Recorder) note(x *Call, o *balance.Orders) {
+func (r *Recorder) note(x *Call, o *balance.Actions) {
 	if !r.on {
 		return
 	}
@@ -192,13 +192,13 @@
 	}
 }
 
-func (b *Balancer) did(x Call, o *balance.Orders) *balance.Orders {
+func (b *Balancer) did(x Call, o *balance.Actions) *balance.Actions {
 	x.Pool = b.pool
 	b.rec.note(&x, o)
 	return o
 }
 
-func (l *Lookup) did(x Call, o *balance.Orders) *balance.Orders {
+func (l *Request) did(x Call, o *balance.Actions) *balance.Actions {
 	x.Lookup = l.number
 	l.of.did(x, o)
 	if l.Done() {
@@ -209,103 +209,103 @@
 
 // The calls of a Balancer, as it has them; Take is told the lookup's id besides.
 
-func (b *Balancer) Take(now float64, a balance.Arrival, id string) (*Lookup, *balance.Orders) {
+func (b *Balancer) RequestArrived(now float64, a balance.RequestInfo, id string) (*Request, *balance.Actions) {
 	b.rec.ready(now)
-	l, o := b.Balancer.Take(now, a)
+	l, o := b.Balancer.RequestArrived(now, a)
 	b.next++
-	h := &Lookup{l, b, b.next}
+	h := &Request{l, b, b.next}
 	b.hand[b.next] = l
 	return h, h.did(Call{Kind: Take, Now: now, Arrival: a, ID: IDOf(id)}, o)
 }
 
-func (l *Lookup) Ended(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Orders {
+func (l *Request) AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Ended, Now: now, Leg: leg, Outcome: o, Latency: latency, Over: over}, l.Lookup.Ended(now, leg, o, latency, over))
+	return l.did(Call{Kind: Ended, Now: now, Leg: leg, Outcome: o, Latency: latency, Over: over}, l.Request.AttemptEnded(now, leg, o, latency, over))
 }
 
-func (l *Lookup) Left(now float64) *balance.Orders {
+func (l *Request) ClientDisconnected(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Left, Now: now}, l.Lookup.Left(now))
+	return l.did(Call{Kind: Left, Now: now}, l.Request.ClientDisconnected(now))
 }
 
-func (l *Lookup) Started(now float64, leg int) *balance.Orders {
+func (l *Request) ResponseStarted(now float64, leg int) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Started, Now: now, Leg: leg}, l.Lookup.Started(now, leg))
+	return l.did(Call{Kind: Started, Now: now, Leg: leg}, l.Request.ResponseStarted(now, leg))
 }
 
-func (l *Lookup) Whole(now float64) *balance.Orders {
+func (l *Request) BodyCompleted(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Whole, Now: now}, l.Lookup.Whole(now))
+	return l.did(Call{Kind: Whole, Now: now}, l.Request.BodyCompleted(now))
 }
 
-func (l *Lookup) Wake(now float64) *balance.Orders {
+func (l *Request) TimerFired(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: LookupWake, Now: now}, l.Lookup.Wake(now))
+	return l.did(Call{Kind: LookupWake, Now: now}, l.Request.TimerFired(now))
 }
 
-func (b *Balancer) Wake(now float64) *balance.Orders {
+func (b *Balancer) TimerFired(now float64) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Wake, Now: now}, b.Balancer.Wake(now))
+	return b.did(Call{Kind: Wake, Now: now}, b.Balancer.TimerFired(now))
 }
 
-func (b *Balancer) Listed(now float64, full, first bool, list []balance.Backend) *balance.Orders {
+func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Listed, Now: now, Full: full, First: first, List: list}, b.Balancer.Listed(now, full, first, list))
+	return b.did(Call{Kind: Listed, Now: now, Full: full, First: first, List: list}, b.Balancer.EndpointsUpdated(now, full, first, list))
 }
 
-func (b *Balancer) ListFailed(now float64) *balance.Orders {
+func (b *Balancer) PollFailed(now float64) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: ListFailed, Now: now}, b.Balancer.ListFailed(now))
+	return b.did(Call{Kind: ListFailed, Now: now}, b.Balancer.PollFailed(now))
 }
 
-func (b *Balancer) Probed(now float64, backend int, ok bool, r balance.Report) *balance.Orders {
+func (b *Balancer) HealthChecked(now float64, backend int, ok bool, r balance.LoadReport) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Probed, Now: now, Backend: backend, OK: ok, Report: r}, b.Balancer.Probed(now, backend, ok, r))
+	return b.did(Call{Kind: Probed, Now: now, Backend: backend, OK: ok, Report: r}, b.Balancer.HealthChecked(now, backend, ok, r))
 }
 
-func (b *Balancer) Heard(now float64, from int, n balance.Note) *balance.Orders {
+func (b *Balancer) GossipReceived(now float64, from int, n balance.GossipMessage) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Heard, Now: now, From: from, Note: n}, b.Balancer.Heard(now, from, n))
+	return b.did(Call{Kind: Heard, Now: now, From: from, Note: n}, b.Balancer.GossipReceived(now, from, n))
 }
 
-func (b *Balancer) Reported(now float64, all []balance.Results) {
+func (b *Balancer) OutcomesReported(now float64, all []balance.ReportedOutcomes) {
 	b.rec.ready(now)
-	b.Balancer.Reported(now, all)
+	b.Balancer.OutcomesReported(now, all)
 	b.did(Call{Kind: Reported, Now: now, Results: all}, nil)
 }
 
-func (b *Balancer) Part(part float64) {
+func (b *Balancer) SetBudgetShare(part float64) {
 	b.rec.ready(b.rec.begun)
-	b.Balancer.Part(part)
+	b.Balancer.SetBudgetShare(part)
 	b.did(Call{Kind: Part, Now: b.rec.begun, Part: part}, nil)
 }
 
-func (b *Balancer) Slack(times, lag float64) {
+func (b *Balancer) SetLocalDelay(times, lag float64) {
 	b.rec.ready(b.rec.begun)
-	b.Balancer.Slack(times, lag)
+	b.Balancer.SetLocalDelay(times, lag)
 	b.did(Call{Kind: Slack, Now: b.rec.begun, Slack: times, Lag: lag}, nil)
 }
 
-func (b *Balancer) Remember(now float64, m balance.Memory) {
+func (b *Balancer) Restore(now float64, m balance.Snapshot) {
 	b.rec.ready(now)
-	b.Balancer.Remember(now, m)
+	b.Balancer.Restore(now, m)
 	b.did(Call{Kind: Remember, Now: now, Memory: m}, nil)
 }
 
-func (b *Balancer) Recall(now float64) balance.Memory {
+func (b *Balancer) Snapshot(now float64) balance.Snapshot {
 	b.rec.ready(now)
 	defer b.did(Call{Kind: Look, Now: now}, nil)
-	return b.Balancer.Recall(now)
+	return b.Balancer.Snapshot(now)
 }
 
-func (b *Balancer) Beliefs(now float64) []balance.Belief {
+func (b *Balancer) ServerStatuses(now float64) []balance.ServerStatus {
 	b.rec.ready(now)
 	defer b.did(Call{Kind: Look, Now: now}, nil)
-	return b.Balancer.Beliefs(now)
+	return b.Balancer.ServerStatuses(now)
 }
 
-func (b *Balancer) Admits(now float64) (any, trial bool) {
+func (b *Balancer) Availability(now float64) (any, trial bool) {
 	b.rec.ready(now)
 	defer b.did(Call{Kind: Look, Now: now}, nil)
-	return b.Balancer.Admits(now)
+	return b.Balancer.Availability(now)
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -14,7 +14,7 @@
 type Player struct {
 	// Before and After are called round each call with the pool that it is on; nil: nobody listens.
 	Before func(p *Pool, x *Call)
-	After  func(p *Pool, x *Call, o *balance.Orders)
+	After  func(p *Pool, x *Call, o *balance.Actions)
 	// Loose goes on past orders that differ, as they do where other decisions replay; else that is an error.
 	Loose bool
 	// Warn is told what cannot be proved, and from where; nil: nobody.
@@ -36,7 +36,7 @@
 // Pool is one Balancer in replay.
 type Pool struct {
 	state
-	Last *balance.Lookup // the one that the last call was on; nil: none
+	Last *balance.Request // the one that the last call was on; nil: none
 }
 
 // errDiffers is where a replay stops.
@@ -83,7 +83,7 @@
 		return errors.New("a pool's state: it has none")
 	}
 	if s.Hand == nil {
-		s.Hand = map[uint64]*balance.Lookup{}
+		s.Hand = map[uint64]*balance.Request{}
 	}
 	p.Pools[s.Pool] = &Pool{state: *s}
 	p.proved = true
@@ -111,7 +111,7 @@
 	if p.Pools == nil {
 		return nil
 	}
-	p.Pools[b.Pool] = &Pool{state: state{Pool: b.Pool, Name: b.Name, B: made, Hand: map[uint64]*balance.Lookup{}}}
+	p.Pools[b.Pool] = &Pool{state: state{Pool: b.Pool, Name: b.Name, B: made, Hand: map[uint64]*balance.Request{}}}
 	p.proved = true
 	return nil
 }
@@ -173,21 +173,21 @@
 }
 
 // told is what orders say, in short.
-func told(o *balance.Orders) string {
+func told(o *balance.Actions) string {
 	if o == nil {
 		return "none"
 	}
 	text := ""
-	for _, s := range o.Steps {
+	for _, s := range o.Requests {
 		switch {
 		case s.Send:
-			text += fmt.Sprintf("lookup %d to backend %d; ", s.Ref, s.Backend)
-		case s.Answer == balance.Dismissed:
+			text += fmt.Sprintf("lookup %d to backend %d; ", s.Ref, s.Endpoint)
+		case s.Reply == balance.Rejected:
 			text += fmt.Sprintf("lookup %d dismissed; ", s.Ref)
-		case s.Answer == balance.Forfeited:
+		case s.Reply == balance.Failed:
 			text += fmt.Sprintf("lookup %d forfeited; ", s.Ref)
-		case s.CallOff > 0:
-			text += fmt.Sprintf("lookup %d calls off leg %d; ", s.Ref, s.CallOff)
+		case s.CancelAttempt > 0:
+			text += fmt.Sprintf("lookup %d calls off leg %d; ", s.Ref, s.CancelAttempt)
 		}
 	}
 	if text == "" {
@@ -197,11 +197,11 @@
 }
 
 // apply makes a call. It is false for one of a lookup that is not known.
-func (p *Pool) apply(x *Call) (*balance.Orders, bool) {
+func (p *Pool) apply(x *Call) (*balance.Actions, bool) {
 	b := p.B
 	p.Last = nil
 	if x.Kind == Take {
-		l, o := b.Take(x.Now, x.Arrival)
+		l, o := b.RequestArrived(x.Now, x.Arrival)
 		p.Hand[x.Lookup] = l
 		return p.after(x, l, o), true
 	}
@@ -210,47 +210,47 @@
 		if l == nil {
 			return nil, false
 		}
-		var o *balance.Orders
+		var o *balance.Actions
 		switch x.Kind {
 		case Ended:
-			o = l.Ended(x.Now, x.Leg, x.Outcome, x.Latency, x.Over)
+			o = l.AttemptEnded(x.Now, x.Leg, x.Outcome, x.Latency, x.Over)
 		case Left:
-			o = l.Left(x.Now)
+			o = l.ClientDisconnected(x.Now)
 		case Started:
-			o = l.Started(x.Now, x.Leg)
+			o = l.ResponseStarted(x.Now, x.Leg)
 		case Whole:
-			o = l.Whole(x.Now)
+			o = l.BodyCompleted(x.Now)
 		case LookupWake:
-			o = l.Wake(x.Now)
+			o = l.TimerFired(x.Now)
 		}
 		return p.after(x, l, o), true
 	}
 	switch x.Kind {
 	case Wake:
-		return b.Wake(x.Now), true
+		return b.TimerFired(x.Now), true
 	case Listed:
-		return b.Listed(x.Now, x.Full, x.First, x.List), true
+		return b.EndpointsUpdated(x.Now, x.Full, x.First, x.List), true
 	case ListFailed:
-		return b.ListFailed(x.Now), true
+		return b.PollFailed(x.Now), true
 	case Probed:
-		return b.Probed(x.Now, x.Backend, x.OK, x.Report), true
+		return b.HealthChecked(x.Now, x.Backend, x.OK, x.Report), true
 	case Heard:
-		return b.Heard(x.Now, x.From, x.Note), true
+		return b.GossipReceived(x.Now, x.From, x.Note), true
 	case Reported:
-		b.Reported(x.Now, x.Results)
+		b.OutcomesReported(x.Now, x.Results)
 	case Part:
-		b.Part(x.Part)
+		b.SetBudgetShare(x.Part)
 	case Slack:
-		b.Slack(x.Slack, x.Lag)
+		b.SetLocalDelay(x.Slack, x.Lag)
 	case Remember:
-		b.Remember(x.Now, x.Memory)
+		b.Restore(x.Now, x.Memory)
 	case Look:
-		b.Beliefs(x.Now)
+		b.ServerStatuses(x.Now)
 	}
 	return nil, true
 }
 
-func (p *Pool) after(x *Call, l *balance.Lookup, o *balance.Orders) *balance.Orders {
+func (p *Pool) after(x *Call, l *balance.Request, o *balance.Actions) *balance.Actions {
 	p.Last = l
 	if l.Done() {
 		delete(p.Hand, x.Lookup)
--- a/internal/capture/story.go
+++ b/internal/capture/story.go
@@ -43,7 +43,7 @@
 
 func (s *seen) Lookup() uint64 { return s.lookup }
 
-func (s *seen) After(p *Pool, x *Call, o *balance.Orders) {
+func (s *seen) After(p *Pool, x *Call, o *balance.Actions) {
 	if s.shown {
 		return
 	}
@@ -54,8 +54,8 @@
 		if x.Kind != Ended && x.Kind != LookupWake && x.Kind != Reported { // nothing else pauses
 			return
 		}
-		for _, b := range p.B.View() {
-			if b.Paused && (s.backend < 0 || s.backend == b.Backend) {
+		for _, b := range p.B.CurrentStatuses() {
+			if b.Paused && (s.backend < 0 || s.backend == b.Endpoint) {
 				s.shown, s.lookup = true, x.Lookup
 			}
 		}
@@ -64,15 +64,15 @@
 	if o == nil {
 		return
 	}
-	for i := range o.Steps {
-		step := &o.Steps[i]
+	for i := range o.Requests {
+		step := &o.Requests[i]
 		switch s.what {
 		case "dismissed":
-			s.shown = step.Answer == balance.Dismissed
+			s.shown = step.Reply == balance.Rejected
 		case "forfeited":
-			s.shown = step.Answer == balance.Forfeited
+			s.shown = step.Reply == balance.Failed
 		case "retried":
-			s.shown = step.Send && p.Last != nil && x.Kind != Take && x.Kind <= LookupWake && step.Ref == p.Last.Arrival.Ref
+			s.shown = step.Send && p.Last != nil && x.Kind != Take && x.Kind <= LookupWake && step.Ref == p.Last.RequestInfo.Ref
 		}
 		if s.shown {
 			s.lookup = s.number[step.Ref]
@@ -90,14 +90,14 @@
 	Found  bool
 
 	pool  int
-	l     *balance.Lookup
+	l     *balance.Request
 	taken float64
 	legs  []string
 	done  bool
 }
 
 // Tell is told of each call.
-func (s *Story) Tell(p *Pool, x *Call, o *balance.Orders) {
+func (s *Story) Tell(p *Pool, x *Call, o *balance.Actions) {
 	if s.done || s.l != nil && p.state.Pool != s.pool || s.l == nil && s.Pool != "" && p.Name != s.Pool {
 		return
 	}
@@ -107,9 +107,9 @@
 		}
 		s.Found, s.pool, s.l, s.taken, s.Number = true, p.state.Pool, p.Last, x.Now, x.Lookup
 		d := p.B.Deployment()
-		t := d.Tariffs[x.Arrival.Tariff]
+		t := d.Classes[x.Arrival.Class]
 		fmt.Fprintf(s.W, "lookup %d of pool %q, id hash %08x, taken at %.6f\n", x.Lookup, p.Name, x.ID, x.Now)
-		fmt.Fprintf(s.W, "  tariff %s, value %g, due in %.0f ms, hard stop in %.0f ms", t.Name, t.Value, t.Due*1000, (x.Arrival.HardStop-x.Now)*1000)
+		fmt.Fprintf(s.W, "  tariff %s, value %g, due in %.0f ms, hard stop in %.0f ms", t.Name, t.PriorityWeight, t.LatencyObjective*1000, (x.Arrival.Deadline-x.Now)*1000)
 		if x.Arrival.Key != 0 {
 			fmt.Fprintf(s.W, ", key %016x", x.Arrival.Key)
 		}
@@ -131,22 +131,22 @@
 	}
 	moved := false
 	if o != nil {
-		for i := range o.Steps {
-			step := &o.Steps[i]
-			if step.Ref != s.l.Arrival.Ref {
+		for i := range o.Requests {
+			step := &o.Requests[i]
+			if step.Ref != s.l.RequestInfo.Ref {
 				continue
 			}
 			var line string
 			switch {
 			case step.Send:
-				s.legs = append(s.legs, fmt.Sprint("backend ", step.Backend))
-				line = fmt.Sprintf("leg %d is sent to backend %d", len(s.legs), step.Backend)
-			case step.Answer == balance.Dismissed:
-				line = fmt.Sprintf("it is dismissed: trying again is harmless, after %.0f ms", step.Advice*1000)
-			case step.Answer == balance.Forfeited:
+				s.legs = append(s.legs, fmt.Sprint("backend ", step.Endpoint))
+				line = fmt.Sprintf("leg %d is sent to backend %d", len(s.legs), step.Endpoint)
+			case step.Reply == balance.Rejected:
+				line = fmt.Sprintf("it is dismissed: trying again is harmless, after %.0f ms", step.RetryAfter*1000)
+			case step.Reply == balance.Failed:
 				line = "it is forfeited: it may have run"
-			case step.CallOff > 0:
-				line = fmt.Sprintf("leg %d is called off", step.CallOff)
+			case step.CancelAttempt > 0:
+				line = fmt.Sprintf("leg %d is called off", step.CancelAttempt)
 			default:
 				continue
 			}
@@ -169,17 +169,17 @@
 
 // reasons tells what spoke for and against each backend just then.
 func (s *Story) reasons() {
-	out, space, held := s.l.Room()
+	out, space, held := s.l.Capacity()
 	fmt.Fprintf(s.W, "             %d legs out, %.1f places for its value, %d held\n", out, space, held)
-	list := s.l.Reasons()
-	slices.SortStableFunc(list, func(a, b balance.Reason) int {
+	list := s.l.ScoreBreakdown()
+	slices.SortStableFunc(list, func(a, b balance.ScoreBreakdown) int {
 		switch {
-		case a.Drawn != b.Drawn:
-			return map[bool]int{true: -1, false: 1}[a.Drawn]
+		case a.Considered != b.Considered:
+			return map[bool]int{true: -1, false: 1}[a.Considered]
 		case a.Score != b.Score:
 			return map[bool]int{true: -1, false: 1}[a.Score > b.Score]
 		}
-		return a.Backend - b.Backend
+		return a.Endpoint - b.Endpoint
 	})
 	for _, r := range list {
 		var notes []string
@@ -191,12 +191,12 @@
 		add(r.State != balance.Ready, "%s", [...]string{"", "drains", "gone"}[r.State])
 		add(r.Paused && !r.Trial, "paused: %d of %d failed", r.Errors, r.Results)
 		add(r.Trial, "paused, cooled down: one leg may try")
-		add(r.TariffPaused, "paused for this tariff: %d of %d failed", r.TariffErrors, r.TariffResults)
-		add(!r.Harmless, "another leg there is not harmless, or was just tried")
-		add(r.Cold, "cold")
-		add(r.Load >= max(r.Bears, 1), "full")
-		line := fmt.Sprintf("             backend %-3d payoff %.2f  %.1f of %.1f legs", r.Backend, r.Payoff, r.Load, r.Bears)
-		if r.Drawn {
+		add(r.ClassPaused, "paused for this tariff: %d of %d failed", r.ClassErrors, r.ClassResults)
+		add(!r.RetrySafe, "another leg there is not harmless, or was just tried")
+		add(r.WarmingUp, "cold")
+		add(r.Load >= max(r.Capacity, 1), "full")
+		line := fmt.Sprintf("             backend %-3d payoff %.2f  %.1f of %.1f legs", r.Endpoint, r.Payoff, r.Load, r.Capacity)
+		if r.Considered {
 			line += fmt.Sprintf("  weighed %.2f", r.Score)
 		}
 		if len(notes) > 0 {
@@ -210,7 +210,7 @@
 type Moment struct {
 	Pool string
 	At   float64 // s since the first call
-	balance.Belief
+	balance.ServerStatus
 	Honoured, Failed, Turned int // legs that ended there since the moment before
 }
 
@@ -221,13 +221,13 @@
 	begun   float64
 	next    map[string]float64
 	ends    map[string]map[int]*[3]int
-	legs    map[*balance.Lookup][]int
+	legs    map[*balance.Request][]int
 }
 
 // Tell is told of each call.
-func (l *Line) Tell(p *Pool, x *Call, o *balance.Orders) {
+func (l *Line) Tell(p *Pool, x *Call, o *balance.Actions) {
 	if l.next == nil {
-		l.begun, l.next, l.ends, l.legs = x.Now, map[string]float64{}, map[string]map[int]*[3]int{}, map[*balance.Lookup][]int{}
+		l.begun, l.next, l.ends, l.legs = x.Now, map[string]float64{}, map[string]map[int]*[3]int{}, map[*balance.Request][]int{}
 	}
 	if l.ends[p.Name] == nil {
 		l.ends[p.Name] = map[int]*[3]int{}
@@ -240,19 +240,19 @@
 			l.ends[p.Name][at] = n
 		}
 		switch x.Outcome {
-		case balance.Honoured:
+		case balance.Succeeded:
 			n[0]++
-		case balance.NoRoom:
+		case balance.ServerRejected:
 			n[2]++
-		case balance.CalledOff, balance.NeverSent:
+		case balance.Canceled, balance.NotSent:
 		default:
 			n[1]++
 		}
 	}
 	if o != nil && p.Last != nil {
-		for i := range o.Steps {
-			if o.Steps[i].Send && o.Steps[i].Ref == p.Last.Arrival.Ref {
-				l.legs[p.Last] = append(l.legs[p.Last], o.Steps[i].Backend)
+		for i := range o.Requests {
+			if o.Requests[i].Send && o.Requests[i].Ref == p.Last.RequestInfo.Ref {
+				l.legs[p.Last] = append(l.legs[p.Last], o.Requests[i].Endpoint)
 			}
 		}
 	}
@@ -263,9 +263,9 @@
 		return
 	}
 	l.next[p.Name] = x.Now + l.Every
-	for _, b := range p.B.View() {
-		m := Moment{Pool: p.Name, At: x.Now - l.begun, Belief: b}
-		if n := l.ends[p.Name][b.Backend]; n != nil {
+	for _, b := range p.B.CurrentStatuses() {
+		m := Moment{Pool: p.Name, At: x.Now - l.begun, ServerStatus: b}
+		if n := l.ends[p.Name][b.Endpoint]; n != nil {
 			m.Honoured, m.Failed, m.Turned = n[0], n[1], n[2]
 			*n = [3]int{}
 		}
--- a/internal/capture/story_test.go
+++ b/internal/capture/story_test.go
@@ -83,8 +83,8 @@
 
 	l := &Line{Every: .5}
 	ends := 0
-	p := &Player{After: func(p *Pool, x *Call, o *balance.Orders) {
-		if x.Kind == Ended && x.Outcome == balance.Honoured {
+	p := &Player{After: func(p *Pool, x *Call, o *balance.Actions) {
+		if x.Kind == Ended && x.Outcome == balance.Succeeded {
 			ends++
 		}
 		l.Tell(p, x, o)
--- a/internal/command/balancer/call.go
+++ b/internal/command/balancer/call.go
@@ -18,7 +18,7 @@
 // calling are the commands for staff, one for each call of the operators' door.
 func calling(out io.Writer) (all []*ffcli.Command) {
 	for _, c := range []struct {
-		act  operations.Act
+		act  operations.Action
 		help string
 	}{
 		{operations.Ready, "ask whether the proxy's process takes clients"},
@@ -45,7 +45,7 @@
 				case addr == "":
 					return command.Wrong("the address of the operators' door is missing, and ROUTER_OPERATOR is not set")
 				}
-				call := operations.Call{Act: c.act}
+				call := operations.Call{Action: c.act}
 				if words > 0 {
 					call.ID = args[0]
 				}
@@ -57,7 +57,7 @@
 
 // ring makes a call at a door; no is an error.
 func ring(addr string, call operations.Call, out io.Writer) error {
-	status, text, err := operations.Ask(addr, call, callFor)
+	status, text, err := operations.Send(addr, call, callFor)
 	if err != nil {
 		return err
 	}
--- a/internal/command/balancer/check.go
+++ b/internal/command/balancer/check.go
@@ -26,7 +26,7 @@
 				return err
 			}
 			fmt.Fprintf(out, "%s: %d listeners, %d tariffs, %d pools, %d routes, %d limits, %d retry rules\n", *file, len(s.Listeners),
-				len(s.Tariffs), len(s.Pools), len(s.Routes), len(s.File.Limits), len(s.Retries))
+				len(s.Classes), len(s.Pools), len(s.Routes), len(s.File.Limits), len(s.Retries))
 			return nil
 		})
 }
@@ -36,7 +36,7 @@
 }
 
 // setup reads an operator file and prints all that is wrong with it, a line each.
-func setup(file string, errs io.Writer) (*operator.Setup, error) {
+func setup(file string, errs io.Writer) (*operator.Config, error) {
 	s, faults := operator.Open(file)
 	if len(faults) == 0 {
 		return s, nil
@@ -49,7 +49,7 @@
 
 // check reads what serve would be told.
 func check(out io.Writer) error {
-	l, err := proxy.ReadLaunch(os.Getenv)
+	l, err := proxy.ReadBootstrap(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -57,6 +57,6 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s on %s: %d tariffs, %d known backends, %d proxies, %g cores, %d MB, %d sockets\n", l.Name,
-		l.Listen, len(l.Tariffs), len(l.Known.Entries), l.Proxies, l.Limits.Cores, l.Limits.Memory>>20, l.Limits.Sockets)
+		l.Listen, len(l.Classes), len(l.Known.Entries), l.Proxies, l.Limits.Cores, l.Limits.Memory>>20, l.Limits.Sockets)
 	return nil
 }
--- a/internal/command/balancer/explain.go
+++ b/internal/command/balancer/explain.go
@@ -23,7 +23,7 @@
 			if len(words) < 2 {
 				return command.Wrong("it takes a method, a URL or path, and fields as NAME:VALUE")
 			}
-			ask := operator.Ask{Method: words[0], Target: words[1], Fields: map[string]string{}}
+			ask := operator.Request{Method: words[0], Target: words[1], Fields: map[string]string{}}
 			for _, word := range words[2:] {
 				name, value, ok := strings.Cut(word, ":")
 				if !ok || name == "" {
--- a/internal/command/balancer/serve.go
+++ b/internal/command/balancer/serve.go
@@ -26,11 +26,11 @@
 )
 
 // Front is what a program serves beside the proxy's own listeners, by the operator file. It is made before the proxy serves.
-type Front func(p *proxy.Proxy, s *proxy.Setup, l *proxy.Launch, log logrus.FieldLogger) (Beside, error)
+type Front func(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig, log logrus.FieldLogger) (Beside, error)
 
 // Beside is such a front at work.
 type Beside interface {
-	Operate(s *proxy.Setup) error // by another file from now on
+	Operate(s *proxy.Config) error // by another file from now on
 	Stop()
 }
 
@@ -53,7 +53,7 @@
 		return fmt.Errorf("-log: %w", err)
 	}
 	log.SetLevel(least)
-	l, err := proxy.ReadLaunch(os.Getenv)
+	l, err := proxy.ReadBootstrap(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -61,18 +61,18 @@
 	if err != nil {
 		return err
 	}
-	if l.Operator != "" { // before all else: it answers while the rest is being made ready
-		ln, err := net.Listen("tcp", l.Operator)
+	if l.AdminAddress != "" { // before all else: it answers while the rest is being made ready
+		ln, err := net.Listen("tcp", l.AdminAddress)
 		if err != nil {
 			return fmt.Errorf("operators' door: %w", err)
 		}
 		defer ln.Close()
-		go (&operations.Door{Do: p.Do, Log: log}).Serve(ln)
+		go (&operations.Server{Do: p.Administer, Log: log}).Serve(ln)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Limits.Cores))))
 	debug.SetGCPercent(gcPercent)
-	p.Shared = func(part float64) { debug.SetMemoryLimit(int64(part * memoryPart * float64(l.Limits.Memory))) }
-	p.Shared(1)
+	p.OnShareChanged = func(part float64) { debug.SetMemoryLimit(int64(part * memoryPart * float64(l.Limits.Memory))) }
+	p.OnShareChanged(1)
 	var beside Beside
 	if file != "" {
 		s, err := setup(file, errs)
@@ -89,7 +89,7 @@
 			more = append(more, ln)
 		}
 		switch {
-		case s.Control == nil && s.Capture == nil:
+		case s.ControlPlane == nil && s.Capture == nil:
 		case front == nil:
 			return fmt.Errorf("%s: control, capture: this program has neither; loomd has", file)
 		default:
@@ -98,7 +98,7 @@
 			}
 			defer beside.Stop()
 		}
-		if err := p.Operate(s, more...); err != nil {
+		if err := p.Configure(s, more...); err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
 	}
@@ -112,17 +112,17 @@
 	defer signal.Stop(anew)
 	go func() {
 		for range anew {
-			if l, err := proxy.ReadLaunch(os.Getenv); err != nil {
+			if l, err := proxy.ReadBootstrap(os.Getenv); err != nil {
 				log.WithError(err).Error("not told anew: what held before still holds")
 			} else {
-				p.Reload(l)
+				p.ReloadBootstrap(l)
 			}
 			if file == "" {
 				continue
 			}
 			s, err := setup(file, errs)
 			if err == nil {
-				err = p.Reoperate(s)
+				err = p.ReloadConfig(s)
 			}
 			if err == nil && beside != nil {
 				err = beside.Operate(s)
--- a/internal/command/balancer/upgrade_test.go
+++ b/internal/command/balancer/upgrade_test.go
@@ -377,7 +377,7 @@
 			if !assert.Equal(t, 200, h.Status) {
 				return
 			}
-			body := r.Flow(h.Length, h.Chunked)
+			body := r.StreamBody(h.Length, h.Chunked)
 			got := int64(0)
 			for range 30 { // past its hard stop
 				n, err := io.CopyN(io.Discard, body, 10_000)
--- a/internal/command/daemon/daemon.go
+++ b/internal/command/daemon/daemon.go
@@ -47,14 +47,14 @@
 }
 
 // begin begins those that the operator file has tables for.
-func begin(p *proxy.Proxy, s *proxy.Setup, l *proxy.Launch, log logrus.FieldLogger) (balancer.Beside, error) {
+func begin(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig, log logrus.FieldLogger) (balancer.Beside, error) {
 	f := &fronts{log: log, quit: make(chan struct{})}
 	if s.Capture != nil {
 		if err := f.record(p, s, l); err != nil {
 			return nil, err
 		}
 	}
-	if s.Control != nil {
+	if s.ControlPlane != nil {
 		if err := f.steer(p, s, l); err != nil {
 			f.Stop()
 			return nil, err
@@ -64,7 +64,7 @@
 }
 
 // Operate takes in another operator file. A capture changes with the next start, or by its address.
-func (f *fronts) Operate(s *proxy.Setup) error {
+func (f *fronts) Operate(s *proxy.Config) error {
 	if f.control != nil {
 		return f.control.Operate(s)
 	}
@@ -100,34 +100,34 @@
 }
 
 // steer is the control service.
-func (f *fronts) steer(p *proxy.Proxy, s *proxy.Setup, l *proxy.Launch) error {
-	service, err := control.New(s, assign.Terms{ColdShare: l.ColdShare, ColdFor: l.ColdFor, FallMultiple: l.FallMultiple, FallFor: l.FallFor}, f.log)
+func (f *fronts) steer(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig) error {
+	service, err := control.New(s, assign.Settings{SlowStartFraction: l.SlowStartFraction, SlowStartDuration: l.SlowStartDuration, CrashFactor: l.CrashFactor, CrashDuration: l.CrashDuration}, f.log)
 	if err != nil {
 		return err
 	}
 	f.control = service
-	service.Reported = p.Reported
-	p.Opine(service.Update)
-	if s.Control.Status != "" {
-		if err := f.open("control", "status", s.Control.Status, service.Status); err != nil {
+	service.Reported = p.OutcomesReported
+	p.OnEstimates(service.Update)
+	if s.ControlPlane.Status != "" {
+		if err := f.open("control", "status", s.ControlPlane.Status, service.Status); err != nil {
 			return err
 		}
 	}
-	return f.open("control", "address", s.Control.Address, service.Serve)
+	return f.open("control", "address", s.ControlPlane.Address, service.Serve)
 }
 
 // captured are a pool's decisions through a recorder.
 type captured struct{ *capture.Balancer }
 
-func (c captured) Take(now float64, a balance.Arrival, id string) (proxy.Handle, *balance.Orders) {
-	return c.Balancer.Take(now, a, id)
+func (c captured) RequestArrived(now float64, a balance.RequestInfo, id string) (proxy.RequestHandle, *balance.Actions) {
+	return c.Balancer.RequestArrived(now, a, id)
 }
 
 // record captures the decisions of every pool.
-func (f *fronts) record(p *proxy.Proxy, s *proxy.Setup, l *proxy.Launch) error {
+func (f *fronts) record(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig) error {
 	c := s.Capture
 	r, err := capture.Open(capture.Options{Dir: c.Dir, Name: l.Name, Program: command.Version(), Total: int64(c.TotalMB) << 20, Segment: int64(c.SegmentMB) << 20,
-		Age: time.Duration(c.Age * float64(time.Second)), Ring: int64(c.RingMB) << 20, On: c.On, Dismissed: c.Dismissed, Log: f.log})
+		Age: time.Duration(c.Age * float64(time.Second)), Ring: int64(c.RingMB) << 20, On: c.On, Dismissed: c.RejectedShare, Log: f.log})
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
--- a/internal/command/tools/capture.go
+++ b/internal/command/tools/capture.go
@@ -70,7 +70,7 @@
 				p.Loose = *loose
 				w := bufio.NewWriter(out)
 				if *choices {
-					p.After = func(pool *capture.Pool, x *capture.Call, o *balance.Orders) { choice(w, pool, x, o) }
+					p.After = func(pool *capture.Pool, x *capture.Call, o *balance.Actions) { choice(w, pool, x, o) }
 				}
 				began := time.Now()
 				if err := p.Play(files, openFile); err != nil {
@@ -89,18 +89,18 @@
 }
 
 // choice prints what was ordered, a line each, by call: two programs' lines can be compared.
-func choice(w io.Writer, p *capture.Pool, x *capture.Call, o *balance.Orders) {
+func choice(w io.Writer, p *capture.Pool, x *capture.Call, o *balance.Actions) {
 	if o == nil {
 		return
 	}
-	for _, s := range o.Steps {
+	for _, s := range o.Requests {
 		switch {
 		case s.Send:
-			fmt.Fprintf(w, "%.6f %q ref %d sent to %d\n", x.Now, p.Name, s.Ref, s.Backend)
-		case s.Answer != balance.NoAnswer:
-			fmt.Fprintf(w, "%.6f %q ref %d answered %d\n", x.Now, p.Name, s.Ref, s.Answer)
-		case s.CallOff > 0:
-			fmt.Fprintf(w, "%.6f %q ref %d calls off %d\n", x.Now, p.Name, s.Ref, s.CallOff)
+			fmt.Fprintf(w, "%.6f %q ref %d sent to %d\n", x.Now, p.Name, s.Ref, s.Endpoint)
+		case s.Reply != balance.NoReply:
+			fmt.Fprintf(w, "%.6f %q ref %d answered %d\n", x.Now, p.Name, s.Ref, s.Reply)
+		case s.CancelAttempt > 0:
+			fmt.Fprintf(w, "%.6f %q ref %d calls off %d\n", x.Now, p.Name, s.Ref, s.CancelAttempt)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 					return command.Wrong("-first: %w", err)
 				}
 				shows, p := made(), player(io.Discard)
-				p.After = func(pool *capture.Pool, x *capture.Call, o *balance.Orders) {
+				p.After = func(pool *capture.Pool, x *capture.Call, o *balance.Actions) {
 					if s.Number > 0 || s.Pool != "" && s.Pool != pool.Name {
 						return
 					}
@@ -175,7 +175,7 @@
 			}
 			fmt.Fprintln(out, "pool\tat\tbackend\tout\tlimit\tpayoff\tpaused\tcold\thonoured\tfailed\tturned")
 			for _, m := range line.Moments {
-				fmt.Fprintf(out, "%s\t%.2f\t%d\t%d\t%.1f\t%.2f\t%v\t%v\t%d\t%d\t%d\n", m.Pool, m.At, m.Backend, m.Out, m.Limit, m.Payoff, m.Paused, m.Cold, m.Honoured, m.Failed, m.Turned)
+				fmt.Fprintf(out, "%s\t%.2f\t%d\t%d\t%.1f\t%.2f\t%v\t%v\t%d\t%d\t%d\n", m.Pool, m.At, m.Endpoint, m.InFlight, m.Limit, m.Payoff, m.Paused, m.WarmingUp, m.Honoured, m.Failed, m.Turned)
 			}
 			return nil
 		})
@@ -291,17 +291,17 @@
 			unknown := map[string]int{}
 			p := player(errs)
 			p.Loose = true
-			p.After = func(pool *capture.Pool, x *capture.Call, _ *balance.Orders) {
-				if x.Kind != capture.Take || x.Arrival.Again {
+			p.After = func(pool *capture.Pool, x *capture.Call, _ *balance.Actions) {
+				if x.Kind != capture.Take || x.Arrival.ClientRetry {
 					return
 				}
-				name := pool.B.Deployment().Tariffs[x.Arrival.Tariff].Name
+				name := pool.B.Deployment().Classes[x.Arrival.Class].Name
 				tariff, ok := tariffs[name]
 				if !ok {
 					unknown[name]++
 					return
 				}
-				list = append(list, load.Intent{Number: len(list), At: x.Now - p.First, Tariff: tariff, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.Work, s.Tariffs[tariff].Work)})
+				list = append(list, load.Intent{Number: len(list), At: x.Now - p.First, Tariff: tariff, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[tariff].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
--- a/internal/command/tools/rehearse.go
+++ b/internal/command/tools/rehearse.go
@@ -128,6 +128,6 @@
 // recorded is a captured Balancer as what decides in a rehearsal.
 type recorded struct{ *capture.Balancer }
 
-func (r recorded) Take(now float64, a balance.Arrival) (rehearse.Handle, *balance.Orders) {
-	return r.Balancer.Take(now, a, "")
+func (r recorded) RequestArrived(now float64, a balance.RequestInfo) (rehearse.RequestHandle, *balance.Actions) {
+	return r.Balancer.RequestArrived(now, a, "")
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -49,7 +49,7 @@
 		for _, e := range l.Entries {
 			assert.Equal(t, "s-1", e.Name)
 			assert.Equal(t, "127.0.0.1:70", e.Addr)
-			assert.Equal(t, balance.Backend{Pod: 3, State: balance.Ready, Size: 1, UpSince: 1.5}, e.Backend)
+			assert.Equal(t, balance.Endpoint{Pod: 3, State: balance.Ready, Cores: 1, StartedAt: 1.5}, e.Endpoint)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 			},
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		w := &Watch{Addr: "agent:1", Version: 41, Dial: a.dial, Log: log, Up: func() { ups++ }, Told: func(l List) { told = append(told, l) }}
+		w := &Watch{Addr: "agent:1", Version: 41, Dial: a.dial, Log: log, OnConnected: func() { ups++ }, OnList: func(l List) { told = append(told, l) }}
 		go w.Run(ctx)
 		time.Sleep(30 * time.Second)
 		stop()
@@ -163,7 +163,7 @@
 		}}
 		ctx, stop := context.WithCancel(t.Context())
 		var told []int64
-		w := &Watch{Addr: "agent:1", Version: 41, Dial: a.dial, Log: log, Up: func() {}, Told: func(l List) { told = append(told, l.Version) }}
+		w := &Watch{Addr: "agent:1", Version: 41, Dial: a.dial, Log: log, OnConnected: func() {}, OnList: func(l List) { told = append(told, l.Version) }}
 		go w.Run(ctx)
 		time.Sleep(7*time.Second - time.Millisecond)
 		synctest.Wait()
@@ -257,8 +257,8 @@
 				ctx, stop := context.WithCancel(t.Context())
 				began, told := time.Now(), make([]atomic.Int64, bank)
 				for i := range bank {
-					w := &Watch{Addr: "agent:1", Version: 41, Bank: bank, Dial: o.dial, Log: log, Up: func() {},
-						Told: func(l List) { told[i].Store(int64(time.Since(began))) }, Chance: rand.New(rand.NewPCG(seed, uint64(i))).Float64}
+					w := &Watch{Addr: "agent:1", Version: 41, FleetSize: bank, Dial: o.dial, Log: log, OnConnected: func() {},
+						OnList: func(l List) { told[i].Store(int64(time.Since(began))) }, Rand: rand.New(rand.NewPCG(seed, uint64(i))).Float64}
 					go w.Run(ctx)
 				}
 				most := time.Duration(bank)*400*time.Millisecond + 5*time.Second
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,10 +13,10 @@
 
 // List is a list of backends, or the changes of one.
 type List struct {
-	Version int64
-	Full    bool      // what is missing is gone
-	Told    time.Time // when it may have counted as told at the earliest; zero: when it is taken in
-	Entries []Entry
+	Version    int64
+	Full       bool      // what is missing is gone
+	NotifiedAt time.Time // when it may have counted as told at the earliest; zero: when it is taken in
+	Entries    []Entry
 }
 
 // Entry is a backend and where it listens.
@@ -45,7 +45,7 @@
 		Servers []row `json:"servers"`
 	}{l.Version, l.Full, make([]row, len(l.Entries))}
 	for i, e := range l.Entries {
-		out.Servers[i] = row{e.Name, e.Addr, e.ZoneName, e.ModelName, e.Pod, "", e.UpSince * 1000, e.Size}
+		out.Servers[i] = row{e.Name, e.Addr, e.ZoneName, e.ModelName, e.Pod, "", e.StartedAt * 1000, e.Cores}
 		for name, state := range states {
 			if state == e.State {
 				out.Servers[i].State = name
@@ -55,7 +55,7 @@
 	return json.Marshal(out)
 }
 
-var states = map[string]balance.State{"active": balance.Ready, "leaving": balance.Draining, "left": balance.Gone}
+var states = map[string]balance.EndpointState{"active": balance.Ready, "leaving": balance.Draining, "left": balance.Removed}
 
 // UnmarshalJSON reads discovery's form and refuses what cannot be followed.
 func (l *List) UnmarshalJSON(text []byte) error {
@@ -73,8 +73,8 @@
 	*l = List{Version: *in.Version, Full: in.Full}
 	for _, s := range in.Servers {
 		e := Entry{Addr: s.Addr}
-		e.Name, e.ZoneName, e.ModelName, e.Pod, e.UpSince = s.ID, s.Zone, s.Kind, s.Cell, s.StartedMs/1000
-		e.Size = s.Weight
+		e.Name, e.ZoneName, e.ModelName, e.Pod, e.StartedAt = s.ID, s.Zone, s.Kind, s.Cell, s.StartedMs/1000
+		e.Cores = s.Weight
 		var ok bool
 		if e.State, ok = states[s.State]; !ok {
 			return fmt.Errorf("%q: state: unknown: %q", s.ID, s.State)
@@ -82,7 +82,7 @@
 		if s.ID == "" {
 			return fmt.Errorf("id: missing")
 		}
-		if _, _, err := net.SplitHostPort(s.Addr); err != nil && e.State != balance.Gone {
+		if _, _, err := net.SplitHostPort(s.Addr); err != nil && e.State != balance.Removed {
 			return fmt.Errorf("%q: addr: %w", s.ID, err)
 		}
 		if !(s.StartedMs >= 0) {
--- a/internal/discovery/hearing.go
+++ b/internal/discovery/notification.go
@@ -20,23 +20,23 @@
 	countsFor   = 6.0  // from a watch's last word to when all that it missed counts as told
 )
 
-// Ending is how a call for the list ended.
-type Ending int
+// CallResult is how a call for the list ended.
+type CallResult int
 
 // The endings, from what says least of discovery.
 const (
-	Refused Ending = iota // no connection, or it ended before a word: nobody is there just now
-	Unheard               // no word in the time
-	Broken                // it had answered, and ended, fell silent or could not be followed
-	Turned                // discovery answered that it has no room: it is shared, and overbooked
+	Refused    CallResult = iota // no connection, or it ended before a word: nobody is there just now
+	NoResponse                   // no word in the time
+	Broken                       // it had answered, and ended, fell silent or could not be followed
+	Rejected                     // discovery answered that it has no room: it is shared, and overbooked
 )
 
-// Hearing is the clock of what counts as told to a proxy: when a watch was last alive, from when on what it misses counts as told,
+// NotificationClock is the clock of what counts as told to a proxy: when a watch was last alive, from when on what it misses counts as told,
 // and when the next call for the list is due. It is pure: all times are passed in, in seconds on one clock. What ended the last
 // call decides when the next is made. An agent of this machine's own costs nothing and is asked again at once; one that
 // turns callers away is asked within countsFor, but by a large bank, once it had let a call wait, at a pace that the bank shares. Danger:
 // a bank that asks such a one all at once, again and again, keeps it overbooked, so that nobody hears anything.
-type Hearing struct {
+type NotificationClock struct {
 	bank   float64 // mean pause at the bank's pace
 	beside float64 // from a call without a word to the next: most of a drain's grace
 	most   float64 // mean pause after several that failed: well within a grace
@@ -47,37 +47,37 @@
 	turned float64 // the same after the last turning away; 0: none was
 }
 
-// NewHearing is that of a proxy that begins now, in a bank of so many, where a drain has a grace of so many seconds (0: not told). Its
+// NewNotificationClock is that of a proxy that begins now, in a bank of so many, where a drain has a grace of so many seconds (0: not told). Its
 // first call is due at once.
-func NewHearing(now float64, bank int, grace float64) *Hearing {
+func NewNotificationClock(now float64, bank int, grace float64) *NotificationClock {
 	if grace <= 0 {
 		grace = math.Inf(1)
 	}
-	return &Hearing{bank: max(pauseFirst, float64(bank)*turnedPace), beside: max(min(besideFor, besidePart*grace), besideLeast),
+	return &NotificationClock{bank: max(pauseFirst, float64(bank)*turnedPace), beside: max(min(besideFor, besidePart*grace), besideLeast),
 		most: max(min(pauseMost, pausePart*grace), pauseFirst), alive: now, next: now, begun: now, pause: pauseFirst}
 }
 
-// Next is when a call is due; +Inf while a watch lives.
-func (h *Hearing) Next() float64 { return h.next }
+// NextCall is when a call is due; +Inf while a watch lives.
+func (h *NotificationClock) NextCall() float64 { return h.next }
 
-// Unheard is for how long no watch has spoken.
-func (h *Hearing) Unheard(now float64) float64 { return now - h.alive }
+// Silence is for how long no watch has spoken.
+func (h *NotificationClock) Silence(now float64) float64 { return now - h.alive }
 
-// Counts is when all that the agent has counts as told, unless a watch speaks before.
-func (h *Hearing) Counts() float64 { return h.alive + countsFor }
+// Deadline is when all that the agent has counts as told, unless a watch speaks before.
+func (h *NotificationClock) Deadline() float64 { return h.alive + countsFor }
 
-// Begin notes that a call is made. One that hears nothing is held, and another made beside it, late where discovery turns callers away:
+// CallStarted notes that a call is made. One that hears nothing is held, and another made beside it, late where discovery turns callers away:
 // there each call takes another's room.
-func (h *Hearing) Begin(now float64) {
+func (h *NotificationClock) CallStarted(now float64) {
 	h.begun, h.next = now, now+h.beside
 	if h.turned > 0 { // danger: what turned it away may be gone, and the call that it holds now dead
 		h.next = now + max(h.turned, turnedMost)
 	}
 }
 
-// Speaks notes a word of the watch, and returns when all that it tells may have counted as told at the earliest: while a watch lives
+// EventReceived notes a word of the watch, and returns when all that it tells may have counted as told at the earliest: while a watch lives
 // that is now, and with the first word of a new one it is the last word of the one before.
-func (h *Hearing) Speaks(now float64, first bool) (since float64) {
+func (h *NotificationClock) EventReceived(now float64, first bool) (since float64) {
 	since = now
 	if first {
 		since = h.alive
@@ -89,12 +89,12 @@
 	return since
 }
 
-// Ends notes that a call ended and that others are still held or none is, and sets when the next is due: so long after the beginning
+// CallEnded notes that a call ended and that others are still held or none is, and sets when the next is due: so long after the beginning
 // of the last, spread by chance from 0 to 1.
-func (h *Hearing) Ends(now float64, how Ending, held int, chance float64) {
+func (h *NotificationClock) CallEnded(now float64, how CallResult, held int, chance float64) {
 	pause := h.pause
 	switch {
-	case how == Turned:
+	case how == Rejected:
 		h.turned = min(h.bank, turnedMost)
 		if now-h.begun >= waitedFor && h.bank > turnedMost { // danger: a bank that large would take all room there for calls that come to nothing
 			h.turned = waitedPart * h.bank
@@ -102,7 +102,7 @@
 		pause = h.turned
 	case held > 0 && h.turned > 0:
 		return // a call waits its turn
-	case held > 0 || how == Unheard: // the call beside it has its own time
+	case held > 0 || how == NoResponse: // the call beside it has its own time
 		h.next = min(h.next, max(now, h.begun+h.beside))
 		return
 	default:
--- a/internal/discovery/hearing_test.go
+++ b/internal/discovery/notification_test.go
@@ -104,12 +104,12 @@
 					m.till = m.from.Add(length)
 					ctx, stop := context.WithCancel(t.Context())
 					var heard time.Time
-					w := &Watch{Addr: "agent:1", Bank: bank, Grace: grace, Dial: m.dial, Log: log, Up: func() {}, Told: func(l List) {
+					w := &Watch{Addr: "agent:1", FleetSize: bank, DrainGrace: grace, Dial: m.dial, Log: log, OnConnected: func() {}, OnList: func(l List) {
 						if l.Version == int64(m.news) && heard.IsZero() {
 							heard = time.Now()
-							assert.False(t, l.Told.After(m.till), "it may have counted before it was heard")
+							assert.False(t, l.NotifiedAt.After(m.till), "it may have counted before it was heard")
 						}
-					}, Chance: rand.New(rand.NewPCG(1, uint64(bank))).Float64}
+					}, Rand: rand.New(rand.NewPCG(1, uint64(bank))).Float64}
 					go w.Run(ctx)
 					time.Sleep(time.Until(m.till) + 10*time.Second)
 					stop()
@@ -140,8 +140,8 @@
 				m.till = m.from.Add(time.Duration(seed+1) * 3 * time.Second)
 				ctx, stop := context.WithCancel(t.Context())
 				var heard time.Time
-				w := &Watch{Addr: "agent:1", Bank: bank, Grace: grace, Dial: m.dial, Log: log, Up: func() {},
-					Told: func(List) { heard = time.Now() }, Chance: rand.New(rand.NewPCG(seed, uint64(bank))).Float64}
+				w := &Watch{Addr: "agent:1", FleetSize: bank, DrainGrace: grace, Dial: m.dial, Log: log, OnConnected: func() {},
+					OnList: func(List) { heard = time.Now() }, Rand: rand.New(rand.NewPCG(seed, uint64(bank))).Float64}
 				go w.Run(ctx)
 				time.Sleep(time.Until(m.till) + toDuration(most))
 				stop()
@@ -171,25 +171,25 @@
 		"nobody there": {300, []step{{0, "begin", 0, 2}, {0, Refused, 0, 0.1}, {0.1, "begin", 0, 2.1}, {0.1, Refused, 0, 0.3},
 			{0.3, "begin", 0, 2.3}, {0.3, Refused, 0, 0.7}, {0.7, "begin", 0, 2.7}, {0.7, Refused, 0, 1.2}, {1.2, "begin", 0, 3.2},
 			{2.2, Refused, 0, 2.25}}},
-		"silence: others beside it": {300, []step{{0, "begin", 0, 2}, {2, "begin", 0, 4}, {3, Refused, 1, 4}, {9.5, "begin", 0, 11.5}, {10, Unheard, 1, 11.5}}},
-		"turned away at size": {300, []step{{0, "begin", 0, 2}, {0.1, Turned, 0, 4}, {4, "begin", 0, 8}, {4, Turned, 0, 8}, {8, "begin", 0, 12},
-			{10, Turned, 0, 38}, {38, "begin", 0, 68}, {38, Turned, 0, 42}, {42, "begin", 0, 46}, {46, "begin", 0, 50}, {47, Refused, 1, 50}, {49, Unheard, 0, 49}}},
-		"turned away, 80":    {80, []step{{0, "begin", 0, 2}, {2, Turned, 0, 4}, {4, "begin", 0, 8}, {6, Turned, 0, 8}, {8, "begin", 0, 12}, {8, Turned, 0, 12}}},
-		"turned away, alone": {1, []step{{0, "begin", 0, 2}, {0, Turned, 0, 0.1}, {0.1, "begin", 0, 4.1}, {0.1, Turned, 0, 0.2}}},
+		"silence: others beside it": {300, []step{{0, "begin", 0, 2}, {2, "begin", 0, 4}, {3, Refused, 1, 4}, {9.5, "begin", 0, 11.5}, {10, NoResponse, 1, 11.5}}},
+		"turned away at size": {300, []step{{0, "begin", 0, 2}, {0.1, Rejected, 0, 4}, {4, "begin", 0, 8}, {4, Rejected, 0, 8}, {8, "begin", 0, 12},
+			{10, Rejected, 0, 38}, {38, "begin", 0, 68}, {38, Rejected, 0, 42}, {42, "begin", 0, 46}, {46, "begin", 0, 50}, {47, Refused, 1, 50}, {49, NoResponse, 0, 49}}},
+		"turned away, 80":    {80, []step{{0, "begin", 0, 2}, {2, Rejected, 0, 4}, {4, "begin", 0, 8}, {6, Rejected, 0, 8}, {8, "begin", 0, 12}, {8, Rejected, 0, 12}}},
+		"turned away, alone": {1, []step{{0, "begin", 0, 2}, {0, Rejected, 0, 0.1}, {0.1, "begin", 0, 4.1}, {0.1, Rejected, 0, 0.2}}},
 	} {
-		h := NewHearing(0, c.bank, 2.5)
+		h := NewNotificationClock(0, c.bank, 2.5)
 		for i, s := range c.steps {
 			switch what := s.what.(type) {
-			case Ending:
-				h.Ends(s.at, what, s.held, 0.5)
+			case CallResult:
+				h.CallEnded(s.at, what, s.held, 0.5)
 			default:
 				if what == "begin" {
-					h.Begin(s.at)
+					h.CallStarted(s.at)
 				} else {
-					h.Speaks(s.at, i == 1)
+					h.EventReceived(s.at, i == 1)
 				}
 			}
-			assert.InDelta(t, s.next, h.Next(), 1e-9, "%s: step %d", name, i)
+			assert.InDelta(t, s.next, h.NextCall(), 1e-9, "%s: step %d", name, i)
 		}
 	}
 }
@@ -199,22 +199,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		bank := rapid.IntRange(1, 1024).Draw(t, "bank")
 		now, held := 0.0, 0
-		h := NewHearing(now, bank, rapid.Float64Range(0, 10).Draw(t, "grace"))
+		h := NewNotificationClock(now, bank, rapid.Float64Range(0, 10).Draw(t, "grace"))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			next := h.Next()
+			next := h.NextCall()
 			if held == 0 || rapid.Bool().Draw(t, "beside") && !math.IsInf(next, 1) {
 				now = max(now, next)
-				h.Begin(now)
+				h.CallStarted(now)
 				held++
 				continue
 			}
 			now += rapid.Float64Range(0, answerFor).Draw(t, "passes")
-			if next := h.Next(); next < now {
+			if next := h.NextCall(); next < now {
 				now = next
 			}
 			held--
-			how := Ending(rapid.IntRange(int(Refused), int(Turned)).Draw(t, "how"))
-			h.Ends(now, how, held, rapid.Float64Range(0, 1).Draw(t, "chance"))
+			how := CallResult(rapid.IntRange(int(Refused), int(Rejected)).Draw(t, "how"))
+			h.CallEnded(now, how, held, rapid.Float64Range(0, 1).Draw(t, "chance"))
 			most := besideFor
 			if h.turned > 0 {
 				most = 1.5 * max(turnedMost, h.turned)
@@ -222,11 +222,11 @@
 					most = countsFor
 				}
 			}
-			if held == 0 && h.Next()-now > most+1e-9 {
-				t.Fatalf("%v later, bank %d, how %v", h.Next()-now, bank, how)
+			if held == 0 && h.NextCall()-now > most+1e-9 {
+				t.Fatalf("%v later, bank %d, how %v", h.NextCall()-now, bank, how)
 			}
-			if how != Turned && h.turned == 0 && h.Next()-now > besideFor+1e-9 {
-				t.Fatalf("nobody was turned away, and the next call is %v later", h.Next()-now)
+			if how != Rejected && h.turned == 0 && h.NextCall()-now > besideFor+1e-9 {
+				t.Fatalf("nobody was turned away, and the next call is %v later", h.NextCall()-now)
 			}
 		}
 	})
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -29,15 +29,15 @@
 
 // Watch follows a list from a version on. While it runs, Version is the list's last and nobody else changes a field.
 type Watch struct {
-	Addr    string
-	Version int64
-	Bank    int     // proxies that may ask at the same time, this one included
-	Grace   float64 // s that a drain leaves for what is under way; 0: not told
-	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	Up      func()     // each time discovery answers anew; what it tells follows
-	Told    func(List) // each list, in order
-	Log     logrus.FieldLogger
-	Chance  func() float64 // spreads the pauses, from 0 to 1; nil: a source of its own
+	Addr        string
+	Version     int64
+	FleetSize   int     // proxies that may ask at the same time, this one included
+	DrainGrace  float64 // s that a drain leaves for what is under way; 0: not told
+	Dial        func(ctx context.Context, addr string) (net.Conn, error)
+	OnConnected func()     // each time discovery answers anew; what it tells follows
+	OnList      func(List) // each list, in order
+	Log         logrus.FieldLogger
+	Rand        func() float64 // spreads the pauses, from 0 to 1; nil: a source of its own
 }
 
 // call is one call for the list, with goroutines of its own.
@@ -49,19 +49,19 @@
 	at   time.Time // when it came
 	list *List     // nil: a beat
 	err  error     // its end
-	how  Ending
+	how  CallResult
 }
 
 // Run watches until the context ends. Hearing says when a call is made; of several that are out the first that speaks is the watch,
 // and the others are given up.
 func (w *Watch) Run(ctx context.Context) {
-	chance := w.Chance
+	chance := w.Rand
 	if chance == nil {
 		chance = rand.Float64
 	}
 	began := time.Now()
 	since := func(t time.Time) float64 { return t.Sub(began).Seconds() }
-	h := NewHearing(0, w.Bank, w.Grace)
+	h := NewNotificationClock(0, w.FleetSize, w.DrainGrace)
 	var work sync.WaitGroup
 	defer work.Wait()
 	ctx, stop := context.WithCancel(ctx)
@@ -73,13 +73,13 @@
 	defer due.Stop()
 	for {
 		now := since(time.Now())
-		if now >= h.Next() {
-			if !missing && now > h.Counts() {
+		if now >= h.NextCall() {
+			if !missing && now > h.Deadline() {
 				missing = true
-				w.Log.WithFields(logrus.Fields{"version": w.Version, "seconds": round(h.Unheard(now))}).
+				w.Log.WithFields(logrus.Fields{"version": w.Version, "seconds": round(h.Silence(now))}).
 					Warn("the list is not heard: what it misses counts as told")
 			}
-			h.Begin(now)
+			h.CallStarted(now)
 			c := &call{}
 			var one context.Context
 			one, c.stop = context.WithCancel(ctx)
@@ -90,7 +90,7 @@
 			from := w.Version
 			work.Go(func() { w.call(one, c, from, words) })
 		}
-		due.Reset(toDuration(h.Next()-now) + time.Microsecond) // danger: a timer that goes off a rounding too early would spin
+		due.Reset(toDuration(h.NextCall()-now) + time.Microsecond) // danger: a timer that goes off a rounding too early would spin
 		select {
 		case <-ctx.Done():
 			return
@@ -111,7 +111,7 @@
 				} else {
 					log.Debug("no watch")
 				}
-				h.Ends(now, s.how, len(held), chance())
+				h.CallEnded(now, s.how, len(held), chance())
 				break
 			}
 			first := s.from != watch
@@ -123,16 +123,16 @@
 				}
 				held = []*call{s.from}
 				if watch = s.from; lost || missing {
-					w.Log.WithFields(logrus.Fields{"version": w.Version, "seconds": round(h.Unheard(now))}).Info("watch had again")
+					w.Log.WithFields(logrus.Fields{"version": w.Version, "seconds": round(h.Silence(now))}).Info("watch had again")
 				}
 				lost, missing = false, false
-				w.Up()
+				w.OnConnected()
 			}
-			told := h.Speaks(since(s.at), first)
+			told := h.EventReceived(since(s.at), first)
 			if s.list != nil {
-				s.list.Told = began.Add(toDuration(told))
+				s.list.NotifiedAt = began.Add(toDuration(told))
 				w.Version = s.list.Version
-				w.Told(*s.list)
+				w.OnList(*s.list)
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // follow holds a call until it ends, and returns how and why it did.
-func (w *Watch) follow(ctx context.Context, from int64, say func(word)) (Ending, error) {
+func (w *Watch) follow(ctx context.Context, from int64, say func(word)) (CallResult, error) {
 	dialing, cancel := context.WithTimeout(ctx, dialFor)
 	conn, err := w.Dial(dialing, w.Addr)
 	cancel()
@@ -180,11 +180,11 @@
 	h, err := r.Response()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Unheard, err
+		return NoResponse, err
 	case err != nil:
 		return Refused, err
 	case h.Status != 200 || !h.Chunked:
-		return Turned, fmt.Errorf("no stream: status %d", h.Status)
+		return Rejected, fmt.Errorf("no stream: status %d", h.Status)
 	}
 	came := func() time.Time { // danger: a program behind its core reads it long after it was told
 		if at := in.Received(); !at.IsZero() {
@@ -192,7 +192,7 @@
 		}
 		return time.Now()
 	}
-	values := &values{from: r.Stream(), conn: conn, beat: func() { say(word{at: came()}) }}
+	values := &values{from: r.Rest(), conn: conn, beat: func() { say(word{at: came()}) }}
 	lines := bufio.NewScanner(values)
 	lines.Buffer(nil, valueMost)
 	lines.Split(values.split)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -13,7 +13,7 @@
 	Name, Zone, Model string
 	Pod               int
 	Seat, Slot        int // the place it fills; the address it listens at
-	State             balance.State
+	State             balance.EndpointState
 	Group             int // of the scenario's
 	changed           int64
 	since             float64
@@ -152,7 +152,7 @@
 		}
 		ends, reset = m.Crash(now, back), true
 	case SetGone:
-		m.State = balance.Gone
+		m.State = balance.Removed
 		f.list(m)
 		ends, reset = m.Crash(now, math.Inf(1)), true
 	case SetDrain, SetRenew, SetRenewAt:
@@ -163,7 +163,7 @@
 			if a.Deed == SetRenewAt {
 				later = append(later, Act{At: now + a.Value, Deed: SetRenewAt, Seat: a.Seat})
 			}
-		} else if a.Deed == SetRenewAt && m.State == balance.Gone {
+		} else if a.Deed == SetRenewAt && m.State == balance.Removed {
 			f.start(now, a.Seat, m.Slot, false)
 		}
 		if a.Deed == SetRenew {
@@ -179,7 +179,7 @@
 func (f *Fleet) Settle(i int, ends []End) Effect {
 	m := f.Members[i]
 	e := Effect{Member: i, Ends: ends}
-	if since := m.Since(); since != m.since && m.State != balance.Gone {
+	if since := m.Since(); since != m.since && m.State != balance.Removed {
 		m.since, e.Listed = since, true
 		f.list(m)
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -133,7 +133,7 @@
 	s.begin(now)
 	switch {
 	case !s.up:
-		s.end(j, balance.Cut)
+		s.end(j, balance.ConnectionLost)
 	case s.silent:
 		s.Unheard++ // on its way to a server that is cut off, it is lost
 	case now < s.pauseTo:
@@ -321,7 +321,7 @@
 		if s.up { // one of them may push it over
 			s.take(j)
 		} else {
-			s.end(j, balance.Cut)
+			s.end(j, balance.ConnectionLost)
 		}
 	}
 }
@@ -339,13 +339,13 @@
 
 func (s *Server) crash(back float64) {
 	for _, r := range s.running {
-		s.end(r.job, balance.Cut)
+		s.end(r.job, balance.ConnectionLost)
 	}
 	for s.waiting.len() > 0 {
-		s.end(s.waiting.pop(), balance.Cut)
+		s.end(s.waiting.pop(), balance.ConnectionLost)
 	}
 	for _, j := range append(s.stuck, s.inbox...) {
-		s.end(j, balance.Cut)
+		s.end(j, balance.ConnectionLost)
 	}
 	s.running, s.stuck, s.inbox = s.running[:0], s.stuck[:0], nil
 	s.up, s.backAt, s.util = false, back, 0
@@ -359,7 +359,7 @@
 		sum := s.pushed.add(s.now, j.Work, s.build.FallFor)
 		if sum > s.build.FallMultiple*s.build.FallFor*float64(s.build.Cores)*s.build.Speed*s.warmth() {
 			s.Falls++
-			s.end(j, balance.Cut)
+			s.end(j, balance.ConnectionLost)
 			s.crash(s.now + s.build.DownFor)
 			return
 		}
@@ -368,11 +368,11 @@
 	case at(s.hangs, 0) || at(s.hangs, j.Tariff+1):
 		s.stuck = append(s.stuck, j)
 	case s.fails(0) || s.fails(j.Tariff+1):
-		s.end(j, balance.Fault)
+		s.end(j, balance.ServerError)
 	case len(s.running) < s.build.Cores:
 		s.run(j)
 	case s.waiting.len() >= s.build.Room:
-		s.end(j, balance.NoRoom)
+		s.end(j, balance.ServerRejected)
 	default:
 		s.waiting.push(j)
 		if s.waiting.len() == s.build.ChokeAt {
@@ -390,7 +390,7 @@
 func (s *Server) run(j Job) {
 	if j.Mark != 0 && j.Marks != nil && j.Marks.repeat(s.now, j.Mark, j.Window) {
 		s.Repeats++
-		s.ends = append(s.ends, End{Ref: j.Ref, Outcome: balance.Honoured, At: s.now, Repeat: true})
+		s.ends = append(s.ends, End{Ref: j.Ref, Outcome: balance.Succeeded, At: s.now, Repeat: true})
 		return
 	}
 	s.Begun++
@@ -402,7 +402,7 @@
 
 func (s *Server) finish() {
 	r := heap.Pop(&s.running).(run)
-	s.end(r.job, balance.Honoured)
+	s.end(r.job, balance.Succeeded)
 	for len(s.running) < s.build.Cores && s.waiting.len() > 0 {
 		s.run(s.waiting.pop())
 	}
@@ -410,11 +410,11 @@
 
 func (s *Server) end(j Job, o balance.Outcome) {
 	switch o {
-	case balance.Honoured:
+	case balance.Succeeded:
 		s.Honoured++
-	case balance.Fault:
+	case balance.ServerError:
 		s.Faults++
-	case balance.NoRoom:
+	case balance.ServerRejected:
 		s.Turned++
 	default:
 		s.Lost++
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -48,7 +48,7 @@
 	keyed := func(ref int, key uint64) func(*Server, float64) []End {
 		return func(s *Server, now float64) []End { return s.Take(now, Job{Ref: ref, Work: 1, Key: key}) }
 	}
-	const ok, fault, full, lost = balance.Honoured, balance.Fault, balance.NoRoom, balance.Cut
+	const ok, fault, full, lost = balance.Succeeded, balance.ServerError, balance.ServerRejected, balance.ConnectionLost
 	for name, c := range map[string]struct {
 		build func(*Build)
 		cold  bool
@@ -248,7 +248,7 @@
 					t.Fatalf("ended twice, never given, or in the future: %+v at %v", e, now)
 				}
 				ended[e.Ref] = true
-				if e.Outcome == balance.Honoured && !e.Repeat {
+				if e.Outcome == balance.Succeeded && !e.Repeat {
 					finished += work[e.Ref]
 				}
 			}
@@ -337,8 +337,8 @@
 	assert.Equal(t, []any{balance.Draining, true, 2}, []any{f.Members[0].State, e.Listed, len(later)}, "drains, and serves on")
 	assert.Empty(t, e.Ends)
 	e, _ = f.Do(3, later[0])
-	assert.Equal(t, []any{balance.Gone, true}, []any{f.Members[0].State, e.Reset})
-	assert.Equal(t, []outcome{{1, balance.Cut, 3}}, seen(e.Ends), "what it still had is lost")
+	assert.Equal(t, []any{balance.Removed, true}, []any{f.Members[0].State, e.Reset})
+	assert.Equal(t, []outcome{{1, balance.ConnectionLost, 3}}, seen(e.Ends), "what it still had is lost")
 	e, _ = f.Do(3, later[1])
 	m := f.Member(0)
 	assert.Equal(t, []any{true, 3, 0, 3.0, "s.3"}, []any{e.Listed, len(f.Members) - 1, m.Slot, m.Since(), m.Name}, "a new one at the old address")
--- a/internal/figures/register.go
+++ b/internal/figures/registry.go
@@ -8,25 +8,25 @@
 
 // Entry is a backend with its names; Register.Backend settles Index, Mark, Zone and Model.
 type Entry struct {
-	balance.Backend
+	balance.Endpoint
 	Name, ZoneName, ModelName string
 }
 
-// Register numbers names. A backend keeps its number until it is forgotten, all others as long as the register lives.
-type Register struct {
+// NewRegistry numbers names. A backend keeps its number until it is forgotten, all others as long as the register lives.
+type Registry struct {
 	tariffs, customers, zones, backends, models map[string]int
 	names                                       []string // of backends; empty where the number is free
 	free                                        []int    // numbers of forgotten backends
 }
 
-// Register has the deployment's tariffs, customers and zones in their order.
-func (f Figures) Register() *Register {
-	r := &Register{tariffs: map[string]int{}, customers: map[string]int{}, zones: map[string]int{},
+// NewRegistry has the deployment's tariffs, customers and zones in their order.
+func (f Settings) NewRegistry() *Registry {
+	r := &Registry{tariffs: map[string]int{}, customers: map[string]int{}, zones: map[string]int{},
 		backends: map[string]int{}, models: map[string]int{}}
-	for i, t := range f.Tariffs {
+	for i, t := range f.Classes {
 		r.tariffs[t.Name] = i
 	}
-	for i, c := range f.Customers {
+	for i, c := range f.Tenants {
 		r.customers[c.Name] = i
 	}
 	for i, z := range f.Zones {
@@ -35,24 +35,24 @@
 	return r
 }
 
-// Tariff is a tariff's number, and whether there is such a tariff.
-func (r *Register) Tariff(name string) (int, bool) {
+// Class is a tariff's number, and whether there is such a tariff.
+func (r *Registry) Class(name string) (int, bool) {
 	i, ok := r.tariffs[name]
 	return i, ok
 }
 
-// Customer is a customer's number, or -1 for one that is not known.
-func (r *Register) Customer(name string) int { return find(r.customers, name) }
+// Tenant is a customer's number, or -1 for one that is not known.
+func (r *Registry) Tenant(name string) int { return find(r.customers, name) }
 
-// Backend is an entry as the decisions take it.
-func (r *Register) Backend(e Entry) balance.Backend {
-	b := e.Backend
-	b.Mark, b.Zone = Hash(e.Name), find(r.zones, e.ZoneName)
+// Endpoint is an entry as the decisions take it.
+func (r *Registry) Endpoint(e Entry) balance.Endpoint {
+	b := e.Endpoint
+	b.NameHash, b.Zone = NameHash(e.Name), find(r.zones, e.ZoneName)
 	b.Index, b.Model = r.backend(e.Name), number(r.models, e.ModelName)
 	return b
 }
 
-func (r *Register) backend(name string) int {
+func (r *Registry) backend(name string) int {
 	i, ok := r.backends[name]
 	if ok {
 		return i
@@ -69,22 +69,22 @@
 
 // Forget frees a backend's number for another. Danger: backends under ever new names would fill the memory, and
 // make every walk over them longer.
-func (r *Register) Forget(index int) {
+func (r *Registry) Forget(index int) {
 	delete(r.backends, r.names[index])
 	r.names[index], r.free = "", append(r.free, index)
 }
 
-// Backends is how many numbers were given out at once, most.
-func (r *Register) Backends() int { return len(r.names) }
+// Size is how many numbers were given out at once, most.
+func (r *Registry) Size() int { return len(r.names) }
 
 // Find is the number of a backend's name, and whether it has one.
-func (r *Register) Find(name string) (int, bool) {
+func (r *Registry) Find(name string) (int, bool) {
 	i, ok := r.backends[name]
 	return i, ok
 }
 
 // Name is that of a backend.
-func (r *Register) Name(index int) string { return r.names[index] }
+func (r *Registry) Name(index int) string { return r.names[index] }
 
 func find(numbers map[string]int, name string) int {
 	if i, ok := numbers[name]; ok {
@@ -102,8 +102,8 @@
 	return i
 }
 
-// Hash is the mark of a name or key, alike at every proxy; no name has none.
-func Hash(s string) uint64 {
+// NameHash is the mark of a name or key, alike at every proxy; no name has none.
+func NameHash(s string) uint64 {
 	if s == "" {
 		return 0
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/hotrestart.go
@@ -37,8 +37,8 @@
 	pathMost   = 100 // bytes of a Unix socket's name
 )
 
-// Hello names the proxy. Danger: two proxies may share a folder, and one that took over the other's sockets would serve nobody.
-type Hello struct {
+// Identity names the proxy. Danger: two proxies may share a folder, and one that took over the other's sockets would serve nobody.
+type Identity struct {
 	Format int    `json:"Format"`
 	Name   string `json:"Name"`
 	Listen string `json:"Listen"`
@@ -46,19 +46,19 @@
 
 // State is what the process that serves hands over.
 type State struct {
-	Hello
-	Listeners []string       `json:"Listeners"` // the addresses of the sockets that come with it, in their order
-	Orders    duty.Orders    `json:"Orders"`
-	IDs       []uint64       `json:"IDs"`
-	List      discovery.List `json:"List"`
-	Listed    bool           `json:"Listed"` // List is told
-	Learned   balance.Memory `json:"Learned"`
+	Identity
+	Listeners  []string         `json:"Listeners"` // the addresses of the sockets that come with it, in their order
+	AdminState duty.AdminState  `json:"Orders"`
+	IDs        []uint64         `json:"IDs"`
+	List       discovery.List   `json:"List"`
+	Listed     bool             `json:"Listed"` // List is told
+	Snapshot   balance.Snapshot `json:"Learned"`
 }
 
-// Word is what one tells the other later; what is absent was not said.
-type Word struct {
-	Serving bool         `json:"Serving"` // the new one takes clients
-	Orders  *duty.Orders `json:"Orders"`
+// Update is what one tells the other later; what is absent was not said.
+type Update struct {
+	Serving    bool             `json:"Serving"` // the new one takes clients
+	AdminState *duty.AdminState `json:"Orders"`
 }
 
 // Link is the connection between two processes of one proxy.
@@ -67,19 +67,19 @@
 	mu   sync.Mutex
 }
 
-// Tell says a word.
-func (l *Link) Tell(w Word) error {
+// Send says a word.
+func (l *Link) Send(w Update) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(writeFor))
 	return writeFrame(l.conn, w)
 }
 
-// Run hands on what the other says until the link breaks.
-func (l *Link) Run(heard func(Word)) error {
+// Receive hands on what the other says until the link breaks.
+func (l *Link) Receive(heard func(Update)) error {
 	l.conn.SetReadDeadline(time.Time{})
 	for {
-		var w Word
+		var w Update
 		if err := readFrame(l.conn, &w); err != nil {
 			return err
 		}
@@ -120,8 +120,8 @@
 }
 
 // Path is where a proxy's processes meet in a folder.
-func Path(dir string, h Hello) string {
-	return filepath.Join(dir, fmt.Sprintf("lockloom-%016x", figures.Hash(h.Name+" "+h.Listen)))
+func Path(dir string, h Identity) string {
+	return filepath.Join(dir, fmt.Sprintf("lockloom-%016x", figures.NameHash(h.Name+" "+h.Listen)))
 }
 
 // short is the same place under a name that a Unix socket may have, and what closes it again.
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func (h Hello) fits(other Hello) error {
+func (h Identity) fits(other Identity) error {
 	switch {
 	case other.Format != Format:
 		return fmt.Errorf("format %d, not %d", other.Format, Format)
@@ -165,19 +165,19 @@
 	return nil
 }
 
-// ErrNobody is what Ask returns where no process of this proxy offers anything.
-var ErrNobody = errors.New("no process of this proxy serves")
+// ErrNoPredecessor is what Ask returns where no process of this proxy offers anything.
+var ErrNoPredecessor = errors.New("no process of this proxy serves")
 
-// Ask takes over from the process that offers at a path, if there is one. Who gets no error closes the listeners and the link.
-func Ask(path string, h Hello) (*State, []net.Listener, *Link, error) {
+// TakeOver takes over from the process that offers at a path, if there is one. Who gets no error closes the listeners and the link.
+func TakeOver(path string, h Identity) (*State, []net.Listener, *Link, error) {
 	if _, err := os.Lstat(path); err != nil {
-		return nil, nil, nil, ErrNobody
+		return nil, nil, nil, ErrNoPredecessor
 	}
 	name, done := short(path)
 	nc, err := net.DialTimeout("unix", name, answerFor)
 	done()
 	if errors.Is(err, unix.ECONNREFUSED) {
-		return nil, nil, nil, ErrNobody
+		return nil, nil, nil, ErrNoPredecessor
 	} else if err != nil {
 		return nil, nil, nil, err
 	}
@@ -190,7 +190,7 @@
 	return s, lns, &Link{conn: conn}, nil
 }
 
-func ask(conn *net.UnixConn, h Hello) (_ *State, lns []net.Listener, err error) {
+func ask(conn *net.UnixConn, h Identity) (_ *State, lns []net.Listener, err error) {
 	if err := same(conn); err != nil {
 		return nil, nil, err
 	}
@@ -219,7 +219,7 @@
 	if err := readFrame(conn, s); err != nil {
 		return nil, nil, err
 	}
-	if err := h.fits(s.Hello); err != nil {
+	if err := h.fits(s.Identity); err != nil {
 		return nil, nil, err
 	}
 	if len(files) != len(s.Listeners) {
@@ -273,12 +273,12 @@
 	return files, nil
 }
 
-// Offer is where the next process finds this one.
-type Offer struct{ ln *net.UnixListener }
+// Server is where the next process finds this one.
+type Server struct{ ln *net.UnixListener }
 
-// Open offers at a path, in the place of whoever did so before. Each process that asks is given the state and the sockets, and
+// Serve offers at a path, in the place of whoever did so before. Each process that asks is given the state and the sockets, and
 // met is called with the link to it, in a goroutine of its own.
-func Open(path string, h Hello, give func() (State, []*net.TCPListener), met func(*Link, error)) (*Offer, error) {
+func Serve(path string, h Identity, give func() (State, []*net.TCPListener), met func(*Link, error)) (*Server, error) {
 	beside := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(beside)
 	name, done := short(beside)
@@ -308,18 +308,18 @@
 			}()
 		}
 	}()
-	return &Offer{ln}, nil
+	return &Server{ln}, nil
 }
 
 // Close offers nothing any more.
-func (o *Offer) Close() {
+func (o *Server) Close() {
 	if o != nil {
 		o.ln.Close()
 	}
 }
 
 // hand gives what there is to one who asks.
-func hand(conn *net.UnixConn, h Hello, give func() (State, []*net.TCPListener)) error {
+func hand(conn *net.UnixConn, h Identity, give func() (State, []*net.TCPListener)) error {
 	if err := same(conn); err != nil {
 		return err
 	}
@@ -331,7 +331,7 @@
 	if string(text) != greeting {
 		return errors.New("no greeting")
 	}
-	var other Hello
+	var other Identity
 	if err := readFrame(conn, &other); err != nil {
 		return err
 	}
@@ -342,7 +342,7 @@
 	if len(lns) > mostPassed {
 		return fmt.Errorf("%d listening sockets", len(lns))
 	}
-	s.Hello = h
+	s.Identity = h
 	if err := pass(conn, lns); err != nil {
 		return err
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/hotrestart_test.go
@@ -18,15 +18,15 @@
 	"lockloom/internal/figures"
 )
 
-var hello = Hello{Format: Format, Name: "n0", Listen: "127.0.0.1:1"}
+var hello = Identity{Format: Format, Name: "n0", Listen: "127.0.0.1:1"}
 
 func state() State {
 	s := State{Listed: true, IDs: []uint64{1 << 63, 7}}
-	s.Orders.Disable("s-1", 12.5)
-	s.Orders.Drains(true, 13)
-	for i, st := range []balance.State{balance.Ready, balance.Draining} {
+	s.AdminState.Disable("s-1", 12.5)
+	s.AdminState.SetDraining(true, 13)
+	for i, st := range []balance.EndpointState{balance.Ready, balance.Draining} {
 		s.List.Entries = append(s.List.Entries, discovery.Entry{Addr: "127.0.0.1:2", Entry: figures.Entry{Name: []string{"s-1", "s-2"}[i], ZoneName: "a",
-			ModelName: "m", Backend: balance.Backend{State: st, Pod: 3, Size: 2, UpSince: 1790000000.125}}})
+			ModelName: "m", Endpoint: balance.Endpoint{State: st, Pod: 3, Cores: 2, StartedAt: 1790000000.125}}})
 	}
 	s.List.Version, s.List.Full = 41, true
 	return s
@@ -34,26 +34,26 @@
 
 func TestHandedOver(t *testing.T) {
 	path := Path(t.TempDir(), hello)
-	_, _, _, err := Ask(path, hello)
-	assert.ErrorIs(t, err, ErrNobody)
+	_, _, _, err := TakeOver(path, hello)
+	assert.ErrorIs(t, err, ErrNoPredecessor)
 	first, err := Listen("127.0.0.1:0", 0)
 	assert.NoError(t, err)
 	links := make(chan *Link, 10)
 	give := func() (State, []*net.TCPListener) {
 		s := state()
-		s.Listeners, s.Hello = []string{first.Addr().String()}, Hello{}
+		s.Listeners, s.Identity = []string{first.Addr().String()}, Identity{}
 		return s, []*net.TCPListener{first.(*net.TCPListener)}
 	}
-	offer, err := Open(path, hello, give, func(l *Link, err error) {
+	offer, err := Serve(path, hello, give, func(l *Link, err error) {
 		if assert.NoError(t, err) {
 			links <- l
 		}
 	})
 	assert.NoError(t, err)
-	s, lns, link, err := Ask(path, hello)
+	s, lns, link, err := TakeOver(path, hello)
 	assert.NoError(t, err)
 	want, _ := give()
-	want.Hello = hello
+	want.Identity = hello
 	assert.Equal(t, &want, s)
 
 	// What connects while nobody accepts, or before the first process closes, is the other's to accept: there is one queue.
@@ -70,21 +70,21 @@
 	lns[0].Close()
 
 	back := <-links
-	heard := make(chan Word, 10)
+	heard := make(chan Update, 10)
 	ended := make(chan error, 1)
-	go func() { ended <- link.Run(func(w Word) { heard <- w }) }()
-	assert.NoError(t, back.Tell(Word{Orders: &s.Orders}))
-	assert.NoError(t, back.Tell(Word{Serving: true}))
-	assert.Equal(t, s.Orders, *(<-heard).Orders)
+	go func() { ended <- link.Receive(func(w Update) { heard <- w }) }()
+	assert.NoError(t, back.Send(Update{AdminState: &s.AdminState}))
+	assert.NoError(t, back.Send(Update{Serving: true}))
+	assert.Equal(t, s.AdminState, *(<-heard).AdminState)
 	assert.True(t, (<-heard).Serving)
 	back.Close()
 	assert.Error(t, <-ended)
 	link.Close()
 
 	offer.Close()
-	_, _, _, err = Ask(path, hello)
-	assert.ErrorIs(t, err, ErrNobody, "what was left in the folder is nobody")
-	offer, err = Open(path, hello, give, func(l *Link, err error) {})
+	_, _, _, err = TakeOver(path, hello)
+	assert.ErrorIs(t, err, ErrNoPredecessor, "what was left in the folder is nobody")
+	offer, err = Serve(path, hello, give, func(l *Link, err error) {})
 	assert.NoError(t, err, "and is replaced")
 	offer.Close()
 }
@@ -119,15 +119,15 @@
 				}
 			}()
 			began := time.Now()
-			_, _, _, err = Ask(path, hello)
+			_, _, _, err = TakeOver(path, hello)
 			assert.ErrorContains(t, err, c.err)
 			assert.Less(t, time.Since(began), 3*time.Second)
 		})
 	}
 	path := filepath.Join(t.TempDir(), "file")
 	assert.NoError(t, os.WriteFile(path, []byte("garbage"), 0o600))
-	_, _, _, err := Ask(path, hello)
-	assert.ErrorIs(t, err, ErrNobody, "a file that is no socket")
+	_, _, _, err := TakeOver(path, hello)
+	assert.ErrorIs(t, err, ErrNoPredecessor, "a file that is no socket")
 }
 
 // Who asks wrongly gets nothing, also in a folder whose name is longer than a Unix socket's may be.
@@ -135,10 +135,10 @@
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	assert.NoError(t, os.Mkdir(dir, 0o700))
 	path, refused := Path(dir, hello), make(chan error, 10)
-	offer, err := Open(path, hello, func() (State, []*net.TCPListener) { return state(), nil }, func(_ *Link, err error) { refused <- err })
+	offer, err := Serve(path, hello, func() (State, []*net.TCPListener) { return state(), nil }, func(_ *Link, err error) { refused <- err })
 	assert.NoError(t, err)
 	defer offer.Close()
-	s, _, link, err := Ask(path, hello)
+	s, _, link, err := TakeOver(path, hello)
 	if assert.NoError(t, err) {
 		assert.Equal(t, int64(41), s.List.Version)
 		assert.NoError(t, <-refused)
--- a/internal/heads/heads.go
+++ b/internal/heads/http1.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	Most        = 64 << 10 // bytes of a head, and of a body: the protocol's, unless Allow says otherwise
-	slack       = 4 << 10  // bytes of chunk sizes and trailers that a message may have besides
-	mostFields  = 200      // of a head; one needs ten times the memory of its bytes at least
-	interimMost = 20       // interim answers to one request
-	firstBytes  = 4 << 10  // bytes of a buffer at first: most heads take a tenth of it
+	DefaultMaxBytes = 64 << 10 // bytes of a head, and of a body: the protocol's, unless Allow says otherwise
+	slack           = 4 << 10  // bytes of chunk sizes and trailers that a message may have besides
+	mostFields      = 200      // of a head; one needs ten times the memory of its bytes at least
+	interimMost     = 20       // interim answers to one request
+	firstBytes      = 4 << 10  // bytes of a buffer at first: most heads take a tenth of it
 )
 
 // Error is a message that cannot be taken, with the status that says so to a client.
@@ -41,7 +41,7 @@
 	Length         int  // of the body; -1 where it is not told
 	Chunked        bool // the body is
 	Close          bool // the connection ends with this message
-	Old            bool // it is of HTTP/1.0: the other side knows no chunks
+	HTTP10         bool // it is of HTTP/1.0: the other side knows no chunks
 	Continue       bool // the client waits for leave to send its body
 }
 
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Twice tells whether there are several fields of that name.
-func (h *Head) Twice(name string) bool {
+// HasRepeated tells whether there are several fields of that name.
+func (h *Head) HasRepeated(name string) bool {
 	n := 0
 	for i := range h.Fields {
 		if is(h.Fields[i].Name, name) {
@@ -74,10 +74,10 @@
 // Reader reads the messages of one connection.
 type Reader struct {
 	textproto.Reader
-	Any  bool // requests may tell of bodies of any size, which Flow reads
-	src  *budget
-	head Head
-	most int // bytes of the present message's body
+	AnyBodySize bool // requests may tell of bodies of any size, which Flow reads
+	src         *budget
+	head        Head
+	most        int // bytes of the present message's body
 }
 
 // budget bounds what one message may take from the connection, so that no line can grow without end.
@@ -100,10 +100,10 @@
 	return r
 }
 
-func (r *Reader) renew() { r.src.N, r.most = 2*Most+slack, Most }
+func (r *Reader) renew() { r.src.N, r.most = 2*DefaultMaxBytes+slack, DefaultMaxBytes }
 
-// Allow lets the body of the message whose head was read last be so large.
-func (r *Reader) Allow(bytes int) {
+// SetMaxBytes lets the body of the message whose head was read last be so large.
+func (r *Reader) SetMaxBytes(bytes int) {
 	r.src.N += int64(bytes - r.most)
 	r.most = bytes
 }
@@ -170,13 +170,13 @@
 			}
 		}
 		if end := headEnd(buf, max(scanned-3, 0)); end > 0 {
-			if end > Most {
+			if end > DefaultMaxBytes {
 				return nil, bad(431, "head too large")
 			}
 			return buf[:end], nil
 		}
 		scanned = len(buf)
-		if scanned >= Most {
+		if scanned >= DefaultMaxBytes {
 			return nil, bad(431, "head too large")
 		}
 		if scanned == r.R.Size() { // what is buffered moves to a larger buffer
@@ -231,7 +231,7 @@
 	if h.Length < 0 && !h.Chunked {
 		h.Length = 0
 	}
-	if h.Length > Most && !r.Any {
+	if h.Length > DefaultMaxBytes && !r.AnyBodySize {
 		return nil, bad(413, "body too large")
 	}
 	r.R.Discard(len(raw))
@@ -278,7 +278,7 @@
 	switch string(version) {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		h.Close, h.Old = true, true
+		h.Close, h.HTTP10 = true, true
 	default:
 		return bad(400, "unknown version")
 	}
@@ -352,7 +352,7 @@
 	case length < 0:
 		body, err = io.ReadAll(io.LimitReader(r.R, int64(r.most)+1))
 	case length > r.most:
-	case length > Most: // danger: memory for all that a head only promises
+	case length > DefaultMaxBytes: // danger: memory for all that a head only promises
 		if body, err = io.ReadAll(io.LimitReader(r.R, int64(length))); err == nil && len(body) < length {
 			err = io.ErrUnexpectedEOF
 		}
@@ -367,14 +367,14 @@
 	return body, err
 }
 
-// Stream reads a chunked body that may never end; its reader bounds what it takes.
-func (r *Reader) Stream() io.Reader { return &chunks{r: r, endless: true} }
+// Rest reads a chunked body that may never end; its reader bounds what it takes.
+func (r *Reader) Rest() io.Reader { return &chunks{r: r, endless: true} }
 
-// Flow reads the body of the message whose head was read last, of whatever size, as it comes. What it is short of what was
+// StreamBody reads the body of the message whose head was read last, of whatever size, as it comes. What it is short of what was
 // told ends with io.ErrUnexpectedEOF.
-func (r *Reader) Flow(length int, chunked bool) io.Reader {
+func (r *Reader) StreamBody(length int, chunked bool) io.Reader {
 	if chunked {
-		return r.Stream()
+		return r.Rest()
 	}
 	return &flow{r: r, left: length}
 }
--- a/internal/heads/heads_test.go
+++ b/internal/heads/http1_test.go
@@ -32,15 +32,15 @@
 			"GET /b HTTP/1.1\r\n\r\n", 0, "abc", "/b"},
 		{"bare line ends, and empty lines before", "\r\n\nGET /a HTTP/1.1\nHost: x\n\nGET /b HTTP/1.1\n\n", 0, "", "/b"},
 		{"long head", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 60000) + "\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 0, "", "/b"},
-		{"head too large", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", Most) + "\r\n\r\n", 431, "", ""},
-		{"endless head", "GET /" + strings.Repeat("x", 3*Most), 431, "", ""},
+		{"head too large", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", DefaultMaxBytes) + "\r\n\r\n", 431, "", ""},
+		{"endless head", "GET /" + strings.Repeat("x", 3*DefaultMaxBytes), 431, "", ""},
 		{"too many fields", "GET /a HTTP/1.1\r\n" + strings.Repeat("a:\r\n", mostFields+1) + "\r\n", 431, "", ""},
 		{"body too large", "POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", 413, "", ""},
 		{"huge length", "POST /a HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 400, "", ""},
 		{"chunks too large", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 3), 413, "", ""},
 		{"endless chunk size", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" +
-			strings.Repeat("x", 4*Most), 413, "", ""},
+			strings.Repeat("x", 4*DefaultMaxBytes), 413, "", ""},
 		{"two lengths", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400, "", ""},
 		{"length and chunks", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400, "", ""},
 		{"chunks and length", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400, "", ""},
@@ -134,7 +134,7 @@
 		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", 200, "", false, true},
 		{"chunks cut short", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", 200, "", false, true},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", 200, "", false, true},
-		{"too large to the close", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", Most+1), 200, "", true, true},
+		{"too large to the close", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", DefaultMaxBytes+1), 200, "", true, true},
 		{"no status", "HTTP/1.1 OK\r\n\r\n", 0, "", false, true},
 		{"other protocol", "SSH-2.0-x\r\n\r\n", 0, "", false, true},
 		{"switch", "HTTP/1.1 101 x\r\n\r\n", 0, "", false, true},
@@ -157,7 +157,7 @@
 	h, err := NewReader(strings.NewReader("POST /a?user=1 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 9\r\nConnection: close, X-Hop\r\n" +
 		"x-hop: 1\r\nKeep-Alive: 5\r\nx-expires-in: 1\r\nContent-Length: 0\r\n\r\n")).Request()
 	assert.NoError(t, err)
-	out := AppendOnward(AppendRequest(nil, h.Method, h.Target), h, "X-Expires-In")
+	out := AppendForwardedFields(AppendRequest(nil, h.Method, h.Target), h, "X-Expires-In")
 	assert.Equal(t, "POST /a?user=1 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 9\r\n", string(out))
 	out = AppendField(AppendLength(AppendStatus(nil, 503), 7), "Retry-After", AppendSeconds(nil, 0.1504))
 	assert.Equal(t, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 7\r\nRetry-After: 0.150\r\n", string(out))
@@ -208,10 +208,10 @@
 	r := NewReader(strings.NewReader("GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 60000) + "\r\n\r\nGET /rest"))
 	_, err := r.Request()
 	assert.NoError(t, err)
-	r.Any = true
+	r.AnyBodySize = true
 	r.Reset(strings.NewReader("GET /b HTTP/1.1\r\n\r\n"))
 	assert.Equal(t, firstBytes, r.R.Size())
-	assert.False(t, r.Any)
+	assert.False(t, r.AnyBodySize)
 	assert.NoError(t, r.Wait())
 	h, err := r.Request()
 	assert.NoError(t, err)
@@ -250,7 +250,7 @@
 					assert.True(t, token(x.Name) && printable(x.Value))
 				}
 				body, err := r.Body(h.Length, h.Chunked)
-				assert.LessOrEqual(t, len(body), Most)
+				assert.LessOrEqual(t, len(body), DefaultMaxBytes)
 				if err != nil {
 					break
 				}
--- a/internal/heads/write.go
+++ b/internal/heads/write.go
@@ -22,12 +22,12 @@
 
 // Write writes the parts of a message in one gathered write. It is nil only where the last byte is written.
 func Write(conn net.Conn, parts ...[]byte) error {
-	_, err := WriteSome(conn, parts...)
+	_, err := WriteCounted(conn, parts...)
 	return err
 }
 
-// WriteSome is Write that tells how many bytes may have gone out.
-func WriteSome(conn net.Conn, parts ...[]byte) (int64, error) {
+// WriteCounted is Write that tells how many bytes may have gone out.
+func WriteCounted(conn net.Conn, parts ...[]byte) (int64, error) {
 	size := 0
 	for _, part := range parts {
 		size += len(part)
@@ -51,8 +51,8 @@
 	return bufs.WriteTo(conn)
 }
 
-// AppendOnward appends those fields of a head that go on, but for the left-out ones.
-func AppendOnward(out []byte, h *Head, left ...string) []byte {
+// AppendForwardedFields appends those fields of a head that go on, but for the left-out ones.
+func AppendForwardedFields(out []byte, h *Head, left ...string) []byte {
 	named := h.Get("Connection") // fields that it names concern this connection too
 next:
 	for _, f := range h.Fields {
--- a/internal/launch/launch.go
+++ b/internal/launch/bootstrap.go
@@ -16,21 +16,21 @@
 	"lockloom/internal/figures"
 )
 
-// Launch is what a proxy is told.
-type Launch struct {
-	Name      string
-	Listen    string // where clients connect
-	Discovery string
-	Operator  string // where operators call; empty: nowhere
-	Dir       string // where a next process of this proxy finds this one; empty: nowhere
-	figures.Figures
+// Config is what a proxy is told.
+type Config struct {
+	Name          string
+	Listen        string // where clients connect
+	Discovery     string
+	AdminAddress  string // where operators call; empty: nowhere
+	HotRestartDir string // where a next process of this proxy finds this one; empty: nowhere
+	figures.Settings
 	Known  discovery.List // perhaps old
 	Limits Limits
-	Bank   Bank
+	Fleet  Fleet
 }
 
-// Bank is where this proxy hears its peers and where they hear it, in a bank that tells one another.
-type Bank struct {
+// Fleet is where this proxy hears its peers and where they hear it, in a bank that tells one another.
+type Fleet struct {
 	Listen string         `json:"Listen"`
 	Peers  map[int]string `json:"Peers"` // by number
 }
@@ -53,31 +53,31 @@
 )
 
 // Read reads the variables, by get, and the file that they name. An error names what is missing or unusable.
-func Read(get func(string) string) (Launch, error) {
+func Read(get func(string) string) (Config, error) {
 	for _, name := range []string{varName, varListen, varDiscovery, varFile} {
 		if get(name) == "" {
-			return Launch{}, fmt.Errorf("%s: missing", name)
+			return Config{}, fmt.Errorf("%s: missing", name)
 		}
 	}
 	for _, name := range []string{varListen, varDiscovery} {
 		if err := address(get(name)); err != nil {
-			return Launch{}, fmt.Errorf("%s: %w", name, err)
+			return Config{}, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	text, err := os.ReadFile(get(varFile))
 	if err != nil {
-		return Launch{}, fmt.Errorf("%s: %w", varFile, err)
+		return Config{}, fmt.Errorf("%s: %w", varFile, err)
 	}
 	l, err := Parse(text)
 	if err != nil {
-		return Launch{}, fmt.Errorf("%s: %s: %w", varFile, get(varFile), err)
+		return Config{}, fmt.Errorf("%s: %s: %w", varFile, get(varFile), err)
 	}
-	l.Name, l.Listen, l.Dir = get(varName), get(varListen), get(varDir)
+	l.Name, l.Listen, l.HotRestartDir = get(varName), get(varListen), get(varDir)
 	if at := get(varOperator); at != "" {
 		if err := address(at); err != nil {
-			return Launch{}, fmt.Errorf("%s: %w", varOperator, err)
+			return Config{}, fmt.Errorf("%s: %w", varOperator, err)
 		}
-		l.Operator = at
+		l.AdminAddress = at
 	}
 	if l.Discovery == "" {
 		l.Discovery = get(varDiscovery)
@@ -92,7 +92,7 @@
 
 // Parse reads the file. The name and where clients connect are the variables'. Discovery's address is the file's
 // where it has one: a file may be replaced while the program runs, its variables may not.
-func Parse(text []byte) (Launch, error) {
+func Parse(text []byte) (Config, error) {
 	var in struct {
 		Seed      string `json:"Seed"`
 		Discovery string `json:"Discovery"`
@@ -103,71 +103,71 @@
 			Sockets  int     `json:"Sockets"`
 		} `json:"Limits"`
 		Known    *discovery.List `json:"Known"`
-		Peers    Bank            `json:"Peers"`
+		Peers    Fleet           `json:"Peers"`
 		Settings map[string]any  `json:"Settings"`
 	}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
 	if err := dec.Decode(&in); err != nil {
-		return Launch{}, err
+		return Config{}, err
 	}
 	if in.Known == nil || in.Settings == nil {
-		return Launch{}, fmt.Errorf("known or settings: missing")
+		return Config{}, fmt.Errorf("known or settings: missing")
 	}
 	seed, err := strconv.ParseUint(in.Seed, 16, 64)
 	if err != nil {
-		return Launch{}, fmt.Errorf("seed: no hex number: %q", in.Seed)
+		return Config{}, fmt.Errorf("seed: no hex number: %q", in.Seed)
 	}
 	if !(in.Limits.Cores > 0) || !(in.Limits.MemoryMB > 0) || in.Limits.Sockets <= 0 {
-		return Launch{}, fmt.Errorf("limits: missing, or not above 0")
+		return Config{}, fmt.Errorf("limits: missing, or not above 0")
 	}
 	if in.Discovery != "" {
 		if err := address(in.Discovery); err != nil {
-			return Launch{}, fmt.Errorf("discovery: %w", err)
+			return Config{}, fmt.Errorf("discovery: %w", err)
 		}
 	}
 	if in.Operator != "" {
 		if err := address(in.Operator); err != nil {
-			return Launch{}, fmt.Errorf("operator: %w", err)
+			return Config{}, fmt.Errorf("operator: %w", err)
 		}
 	}
 	values := map[string]string{}
 	flatten(values, "", in.Settings)
 	f, err := figures.Read(values, seed)
 	if err != nil {
-		return Launch{}, fmt.Errorf("settings: %w", err)
+		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	if err := shape(f, values, in.Peers); err != nil {
-		return Launch{}, fmt.Errorf("settings: %w", err)
+		return Config{}, fmt.Errorf("settings: %w", err)
 	}
-	return Launch{Bank: in.Peers, Discovery: in.Discovery, Operator: in.Operator, Figures: f, Known: *in.Known,
+	return Config{Fleet: in.Peers, Discovery: in.Discovery, AdminAddress: in.Operator, Settings: f, Known: *in.Known,
 		Limits: Limits{in.Limits.Cores, int64(in.Limits.MemoryMB * (1 << 20)), in.Limits.Sockets}}, nil
 }
 
 // shape refuses settings that mix two shapes of a deployment, or ask for what this program does not do, by their key. A
 // bank behind a pool (any KindOfService but mesh, or none told) tells and probes nothing; where each client process has a
 // proxy of its own (mesh), proxies may do both.
-func shape(f figures.Figures, values map[string]string, bank Bank) error {
+func shape(f figures.Settings, values map[string]string, bank Fleet) error {
 	var wrong string
 	_, listens := netip.ParseAddrPort(bank.Listen) // danger: a name passes for an address here and is refused when it is opened
 	switch {
-	case f.Apart && values["Feedback.Via"] == "inline":
+	case f.Sidecar && values["Feedback.Via"] == "inline":
 		wrong = "Feedback.Via: inline, but KindOfService is mesh"
-	case f.Apart && f.WarmKeys:
+	case f.Sidecar && f.CacheAffinity:
 		wrong = "FamilyInfo.WarmKeys: true, but KindOfService is mesh"
-	case f.Apart && f.Deployment.Zone < 0:
+	case f.Sidecar && f.Deployment.Zone < 0:
 		wrong = fmt.Sprintf("Zone: not among Zones: %q", values["Zone"])
-	case f.Peers && (f.Self < 0 || f.Self >= f.Proxies):
+	case f.Gossip && (f.Self < 0 || f.Self >= f.Proxies):
 		wrong = fmt.Sprintf("SlotNo: %d: no number of a proxy of %d", f.Self, f.Proxies)
-	case f.Streams < 1:
+	case f.StreamsPerConnection < 1:
 		wrong = "Ceilings.StreamsPerConn: under 1"
-	case f.Streams > 1:
-		wrong = fmt.Sprintf("Ceilings.StreamsPerConn: %d: this program sends one lookup at a time on a connection", f.Streams)
-	case !f.Peers && (bank.Listen != "" || len(bank.Peers) > 0):
+	case f.StreamsPerConnection > 1:
+		wrong = fmt.Sprintf("Ceilings.StreamsPerConn: %d: this program sends one lookup at a time on a connection", f.StreamsPerConnection)
+	case !f.Gossip && (bank.Listen != "" || len(bank.Peers) > 0):
 		wrong = "Ceilings.PeerMessages: not true, but there are peers"
-	case f.Peers && listens != nil:
+	case f.Gossip && listens != nil:
 		wrong = fmt.Sprintf("Ceilings.PeerMessages: true, but peers.listen is no address: %q", bank.Listen)
-	case f.Peers && len(bank.Peers) == 0 && f.Proxies > 1:
+	case f.Gossip && len(bank.Peers) == 0 && f.Proxies > 1:
 		wrong = "Ceilings.PeerMessages: true, but peers.peers has none"
 	}
 	if wrong != "" {
--- a/internal/launch/launch_test.go
+++ b/internal/launch/bootstrap_test.go
@@ -26,20 +26,20 @@
 	assert.NoError(t, err)
 	assert.Equal(t, Limits{1, 192 << 20, 1024}, l.Limits)
 	assert.Equal(t, int64(7), l.Known.Version)
-	assert.Equal(t, figures.Figures{
-		Streams: 1, Deployment: balance.Deployment{Seed: 0xf2094eb940cf389a, Proxies: 2, Zone: -1, MaxLegs: 4, CallOff: true, MaxAdvice: 1.2,
-			ValueByWork: true, IdleFor: 5, Tariffs: []balance.Tariff{
-				{Name: "look", Due: 0.3, HardStop: 1, Value: 1},
-				{Name: "sign", Kind: balance.Referenced, Scope: balance.ScopePod, Window: 0.3, HardStop: 0.5, Value: 10}},
-			Customers: []balance.Customer{{Name: "a", Quota: 40}}},
-		Zones: []string{"north", "south"}, ConnectFor: 0.075, DrainGrace: 2.5}, l.Figures)
-	r := l.Register()
-	b := r.Backend(figures.Entry{Name: "s-1", ZoneName: "south", ModelName: "m"})
-	assert.Equal(t, balance.Backend{Index: 0, Mark: figures.Hash("s-1"), Zone: 1, Model: 0}, b)
-	assert.Equal(t, -1, r.Backend(figures.Entry{Name: "s-2", ZoneName: "west", ModelName: "m"}).Zone)
-	assert.Equal(t, 0, r.Backend(figures.Entry{Name: "s-1"}).Index)
+	assert.Equal(t, figures.Settings{
+		StreamsPerConnection: 1, Deployment: balance.Deployment{Seed: 0xf2094eb940cf389a, Proxies: 2, Zone: -1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1.2,
+			WeightByWork: true, ServerIdleTimeout: 5, Classes: []balance.Class{
+				{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1},
+				{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: 0.3, Deadline: 0.5, PriorityWeight: 10}},
+			Tenants: []balance.Tenant{{Name: "a", Quota: 40}}},
+		Zones: []string{"north", "south"}, ConnectTimeout: 0.075, DrainGrace: 2.5}, l.Settings)
+	r := l.NewRegistry()
+	b := r.Endpoint(figures.Entry{Name: "s-1", ZoneName: "south", ModelName: "m"})
+	assert.Equal(t, balance.Endpoint{Index: 0, NameHash: figures.NameHash("s-1"), Zone: 1, Model: 0}, b)
+	assert.Equal(t, -1, r.Endpoint(figures.Entry{Name: "s-2", ZoneName: "west", ModelName: "m"}).Zone)
+	assert.Equal(t, 0, r.Endpoint(figures.Entry{Name: "s-1"}).Index)
 	assert.Equal(t, "s-2", r.Name(1))
-	assert.Equal(t, -1, r.Customer("b"))
+	assert.Equal(t, -1, r.Tenant("b"))
 }
 
 func TestUnusable(t *testing.T) {
@@ -103,17 +103,17 @@
 func TestMixedShapes(t *testing.T) {
 	l, err := Parse([]byte(moved))
 	assert.NoError(t, err)
-	assert.Equal(t, Bank{Listen: "127.0.0.1:7100", Peers: map[int]string{0: "127.0.0.1:7101"}}, l.Bank)
-	assert.Equal(t, balance.Deployment{Seed: 1, Proxies: 2, Self: 1, Zone: 1, Apart: true, Peers: true, Probes: true,
-		PeerPrice: 0.01, ProbePrice: 0.002, ConnPrice: 0.03, OpenPrice: 0.12}, l.Deployment)
+	assert.Equal(t, Fleet{Listen: "127.0.0.1:7100", Peers: map[int]string{0: "127.0.0.1:7101"}}, l.Fleet)
+	assert.Equal(t, balance.Deployment{Seed: 1, Proxies: 2, Self: 1, Zone: 1, Sidecar: true, Gossip: true, HealthChecks: true,
+		GossipCost: 0.01, HealthCheckCost: 0.002, ConnectionCost: 0.03, HandshakeCost: 0.12}, l.Deployment)
 	for _, field := range []string{`"outstanding"`, `"utilization"`} {
 		l, err = Parse([]byte(strings.Replace(moved, field, `"backlog"`, 1)))
 		assert.NoError(t, err)
-		assert.False(t, l.Probes, "a probe costs, and without both nothing that is told would help")
+		assert.False(t, l.HealthChecks, "a probe costs, and without both nothing that is told would help")
 	}
 	l, err = Parse([]byte(strings.NewReplacer(`"mesh"`, `"proxy"`, `"Ceilings"`, `"Rules":{"GoneIsAdvice":true},"Ceilings"`).Replace(moved)))
 	assert.NoError(t, err, "proxies that clients share may tell and ask too")
-	assert.True(t, l.Peers && l.Probes && l.GoneAdvises && !l.Apart)
+	assert.True(t, l.Gossip && l.HealthChecks && l.RemovalIsAdvisory && !l.Sidecar)
 	for _, c := range []struct{ text, old, new, err string }{
 		{moved, `"PeerMessages":true`, `"PeerMessages":false`, "Ceilings.PeerMessages: not true, but there are peers"},
 		{moved, `"PeerMessages":true,`, `"PeerMessages":3,`, "Ceilings.PeerMessages: not true or false"},
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -194,8 +194,8 @@
 
 // Again tells whether a client tries again after its try-th, from 1, and how much later. A dismissal may always be tried
 // again, and no sooner than advised; of what failed only what may run twice.
-func (c *Clients) Again(try int, kind balance.Kind, answer balance.Answer, advice float64, chance *rand.Rand) (float64, bool) {
-	if try >= c.Tries || answer == balance.NoAnswer || answer == balance.Forfeited && kind != balance.Replayable {
+func (c *Clients) Again(try int, kind balance.Idempotency, answer balance.Reply, advice float64, chance *rand.Rand) (float64, bool) {
+	if try >= c.Tries || answer == balance.NoReply || answer == balance.Failed && kind != balance.Idempotent {
 		return 0, false
 	}
 	after := c.Backoff * min(math.Exp2(float64(try-1)), backoffMost) * (backoffLeast + chance.Float64())
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -62,19 +62,19 @@
 	c := Clients{Tries: 3, Backoff: .1}
 	for name, x := range map[string]struct {
 		try         int
-		kind        balance.Kind
-		answer      balance.Answer
+		kind        balance.Idempotency
+		answer      balance.Reply
 		advice      float64
 		least, most float64 // 0: no more
 	}{
-		"dismissed":                         {1, balance.SingleUse, balance.Dismissed, 0, .05, .15},
-		"dismissed again":                   {2, balance.SingleUse, balance.Dismissed, 0, .1, .3},
-		"not before it is advised":          {1, balance.SingleUse, balance.Dismissed, 2, 2, 2},
-		"three are enough":                  {3, balance.Replayable, balance.Dismissed, 0, 0, 0},
-		"forfeited, and may run twice":      {1, balance.Replayable, balance.Forfeited, 0, .05, .15},
-		"forfeited, and must not run twice": {1, balance.SingleUse, balance.Forfeited, 0, 0, 0},
-		"nor may a referenced one":          {1, balance.Referenced, balance.Forfeited, 0, 0, 0},
-		"honoured":                          {1, balance.Replayable, balance.NoAnswer, 0, 0, 0},
+		"dismissed":                         {1, balance.NonIdempotent, balance.Rejected, 0, .05, .15},
+		"dismissed again":                   {2, balance.NonIdempotent, balance.Rejected, 0, .1, .3},
+		"not before it is advised":          {1, balance.NonIdempotent, balance.Rejected, 2, 2, 2},
+		"three are enough":                  {3, balance.Idempotent, balance.Rejected, 0, 0, 0},
+		"forfeited, and may run twice":      {1, balance.Idempotent, balance.Failed, 0, .05, .15},
+		"forfeited, and must not run twice": {1, balance.NonIdempotent, balance.Failed, 0, 0, 0},
+		"nor may a referenced one":          {1, balance.Keyed, balance.Failed, 0, 0, 0},
+		"honoured":                          {1, balance.Idempotent, balance.NoReply, 0, 0, 0},
 	} {
 		after, ok := c.Again(x.try, x.kind, x.answer, x.advice, rand.New(rand.NewPCG(1, 1)))
 		assert.Equal(t, x.most > 0, ok, name)
--- a/internal/load/sockets.go
+++ b/internal/load/sockets.go
@@ -33,12 +33,12 @@
 	Asked(in *Intent)
 	Sent(in *Intent, late float64) (try int) // it is about to be written
 	Honoured(try int, in *Intent, took, whole float64)
-	Failed(try int, answer balance.Answer, wrong bool) // wrong: told that it is the client's own fault
-	Spoilt(try int)                                    // honoured with what no server made for it
-	Lost(try int, withProxy bool)                      // ended with no answer
-	Late(try int)                                      // no answer by the hard stop and some more
-	Left(try int)                                      // the client went away first
-	Unreached()                                        // no proxy took it in time
+	Failed(try int, answer balance.Reply, wrong bool) // wrong: told that it is the client's own fault
+	Spoilt(try int)                                   // honoured with what no server made for it
+	Lost(try int, withProxy bool)                     // ended with no answer
+	Late(try int)                                     // no answer by the hard stop and some more
+	Left(try int)                                     // the client went away first
+	Unreached()                                       // no proxy took it in time
 }
 
 // Target is a proxy as clients know it.
@@ -128,7 +128,7 @@
 // Driver has clients ask on sockets what a plan deals out, at the times intended.
 type Driver struct {
 	Plan      *Plan
-	Tariffs   []balance.Tariff
+	Tariffs   []balance.Class
 	Customers []string // their names
 	Ordinary  bool     // clients know nothing of the platform's fields but the id by which they are counted
 	Clients   Clients
@@ -170,7 +170,7 @@
 	whole := due
 	for n := 1; ; n++ {
 		answer, advice := d.try(ctx, &in, n, due, whole)
-		after, ok := d.Clients.Again(n, d.Tariffs[in.Tariff].Kind, answer, advice, chance)
+		after, ok := d.Clients.Again(n, d.Tariffs[in.Tariff].Idempotency, answer, advice, chance)
 		due = time.Now().Add(time.Duration(after * float64(time.Second)))
 		if !ok || due.After(last) {
 			return
@@ -183,11 +183,11 @@
 	}
 }
 
-// try sends one and tells what it was answered; NoAnswer where it is not to be tried again.
-func (d *Driver) try(ctx context.Context, in *Intent, n int, due, whole time.Time) (balance.Answer, float64) {
+// try sends one and tells what it was answered; NoReply where it is not to be tried again.
+func (d *Driver) try(ctx context.Context, in *Intent, n int, due, whole time.Time) (balance.Reply, float64) {
 	row := &d.Tariffs[in.Tariff]
-	stop := due.Add(time.Duration(row.HardStop * float64(time.Second)))
-	leaves := due.Add(time.Duration(row.HardStop * d.Clients.Patience * float64(time.Second)))
+	stop := due.Add(time.Duration(row.Deadline * float64(time.Second)))
+	leaves := due.Add(time.Duration(row.Deadline * d.Clients.Patience * float64(time.Second)))
 	id := -1
 	for again := false; ; again = true {
 		t, c, kept := d.connect(ctx, leaves, again)
@@ -197,7 +197,7 @@
 			} else {
 				d.Seen.Lost(id, true)
 			}
-			return balance.NoAnswer, 0
+			return balance.NoReply, 0
 		}
 		if id < 0 {
 			id = d.Seen.Sent(in, time.Since(due).Seconds())
@@ -224,7 +224,7 @@
 		case ctx.Err() != nil:
 			c.nc.Close()
 			d.Seen.Left(id)
-			return balance.NoAnswer, 0
+			return balance.NoReply, 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.nc.Close()
 			if leaves.Before(stop) {
@@ -232,16 +232,16 @@
 			} else {
 				d.Seen.Late(id)
 			}
-			return balance.NoAnswer, 0
+			return balance.NoReply, 0
 		}
 		c.nc.Close()
 		if killed := t.killed.Load(); killed != 0 && killed >= sent.UnixNano() {
 			d.Seen.Lost(id, true)
-			return balance.Forfeited, 0 // it may have run
+			return balance.Failed, 0 // it may have run
 		}
 		if !kept || again || h != nil { // a kept connection may have been closed just then, with nothing read
 			d.Seen.Lost(id, false)
-			return balance.Forfeited, 0
+			return balance.Failed, 0
 		}
 	}
 }
@@ -254,20 +254,20 @@
 }
 
 // answered tells what an answer is.
-func (d *Driver) answered(id int, in *Intent, status int, advice float64, body []byte, took, whole float64) (balance.Answer, float64) {
+func (d *Driver) answered(id int, in *Intent, status int, advice float64, body []byte, took, whole float64) (balance.Reply, float64) {
 	switch {
 	case status == 200 && string(bytes.TrimRight(body, "\n")) != strconv.Itoa(id):
 		d.Seen.Spoilt(id)
 	case status == 200:
 		d.Seen.Honoured(id, in, took, whole)
 	case status == 429 || status == 503:
-		d.Seen.Failed(id, balance.Dismissed, false)
-		return balance.Dismissed, advice
+		d.Seen.Failed(id, balance.Rejected, false)
+		return balance.Rejected, advice
 	default:
-		d.Seen.Failed(id, balance.Forfeited, status >= 400 && status < 500)
-		return balance.Forfeited, 0
+		d.Seen.Failed(id, balance.Failed, status >= 400 && status < 500)
+		return balance.Failed, 0
 	}
-	return balance.NoAnswer, 0
+	return balance.NoReply, 0
 }
 
 // connect finds a connection to a proxy that is up, a new one if it must be fresh; nil if there is none in time.
@@ -332,9 +332,9 @@
 }
 
 // ask writes a request and reads its answer. A head without an error means that an answer had begun.
-func (c *connection) ask(d *Driver, row *balance.Tariff, in *Intent, id int, again bool, wait float64) (*heads.Head, []byte, error) {
+func (c *connection) ask(d *Driver, row *balance.Class, in *Intent, id int, again bool, wait float64) (*heads.Head, []byte, error) {
 	method := "POST"
-	if row.Kind == balance.Replayable {
+	if row.Idempotency == balance.Idempotent {
 		method = "GET"
 	}
 	b := make([]byte, 0, headRoom)
@@ -351,7 +351,7 @@
 	}
 	b = append(b, "\r\nX-Work: "...)
 	b = strconv.AppendFloat(b, in.Work, 'g', 8, 64)
-	if row.Kind == balance.Referenced {
+	if row.Idempotency == balance.Keyed {
 		b = append(b, "\r\nIdempotency-Key: k"...)
 		b = strconv.AppendInt(b, int64(in.Number), 10)
 	}
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -738,7 +738,7 @@
 
 // normal tells whether a path is as requests' are once they are matched.
 func normal(path string) bool {
-	n, err := routes.Normal(path)
+	n, err := routes.NormalizePath(path)
 	return err == nil && n == path
 }
 
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -133,7 +133,7 @@
 					if len(want.servers) > 0 && len(got.servers) == 1 {
 						assert.Contains(t, want.servers, got.servers[0], "%+v", q)
 						want.servers = got.servers
-						want.path, err = routes.Normal(want.path)
+						want.path, err = routes.NormalizePath(want.path)
 						require.NoError(t, err)
 					}
 					if want.location != "" || want.status == 404 && len(want.body) == 0 {
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -69,7 +69,7 @@
 	return list
 }
 
-func imported(t testing.TB, text string) (*Import, *operator.Setup) {
+func imported(t testing.TB, text string) (*Import, *operator.Config) {
 	im := Convert(parsed(t, text), true)
 	s, faults := operator.Read("site.toml", []byte(im.Text))
 	require.Empty(t, faults, im.Text)
@@ -120,8 +120,8 @@
 }
 
 // lockloom's outcome by the imported file.
-func ours(s *operator.Setup, q *request) outcome {
-	m, ok := s.Table.Match(&routes.Request{Host: q.host, Method: q.method, Path: q.path, Query: q.query, Fields: q})
+func ours(s *operator.Config, q *request) outcome {
+	m, ok := s.RouteTable.Match(&routes.Request{Host: q.host, Method: q.method, Path: q.path, Query: q.query, Fields: q})
 	if !ok {
 		return outcome{status: 404}
 	}
@@ -129,10 +129,10 @@
 	switch {
 	case a.Redirect != nil:
 		return outcome{status: a.Redirect.Status, location: m.Location(q.query)}
-	case a.Fixed != nil:
-		return outcome{status: a.Fixed.Status, body: a.Fixed.Body}
+	case a.Response != nil:
+		return outcome{status: a.Response.Status, body: a.Response.Body}
 	}
-	path, err := m.Onward()
+	path, err := m.UpstreamPath()
 	if err != nil {
 		return outcome{status: 400}
 	}
@@ -170,7 +170,7 @@
 					p = "/" + p
 				}
 				for _, more := range []string{"", "/", "a", "x.png", "a/1", "deep/x.css", "/9/b", "7"} {
-					if path, err := routes.Normal(p + more); err == nil {
+					if path, err := routes.NormalizePath(p + more); err == nil {
 						paths = append(paths, path)
 					}
 				}
@@ -214,7 +214,7 @@
 			want := reference(list, &q)
 			if want.path != "" { // what goes on is in its normal form
 				var err error
-				want.path, err = routes.Normal(want.path)
+				want.path, err = routes.NormalizePath(want.path)
 				require.NoError(t, err)
 			}
 			got := ours(setup, &q)
@@ -364,7 +364,7 @@
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			var check time.Duration
-			var last *operator.Setup
+			var last *operator.Config
 			for b.Loop() {
 				im := Convert(parsed(b, text.String()), false)
 				began := time.Now()
@@ -382,7 +382,7 @@
 			const asked = 100_000
 			began := time.Now()
 			for i := range asked {
-				last.Table.Match(&routes.Request{Host: "a.example", Method: "GET", Path: "/p" + strconv.Itoa(i%n) + "/x", Fields: &request{}})
+				last.RouteTable.Match(&routes.Request{Host: "a.example", Method: "GET", Path: "/p" + strconv.Itoa(i%n) + "/x", Fields: &request{}})
 			}
 			b.ReportMetric(float64(time.Since(began).Nanoseconds())/asked, "match-ns")
 		})
--- a/internal/notes/notes.go
+++ b/internal/notes/codec.go
@@ -26,52 +26,52 @@
 	sixteenth = 16
 )
 
-// Most is how many sights a note holds.
-const Most = (MaxBytes - headBytes) / bytesEach
+// MaxObservations is how many sights a note holds.
+const MaxObservations = (MaxBytes - headBytes) / bytesEach
 
 // Encode writes a note. What does not fit in it is left out, from the end.
-func Encode(n balance.Note) []byte {
+func Encode(n balance.GossipMessage) []byte {
 	out := binary.BigEndian.AppendUint16([]byte{version}, uint16(bound(n.Rate*sixteenth, math.MaxUint16)))
-	for _, s := range n.Sights[:min(len(n.Sights), Most)] {
+	for _, s := range n.Observations[:min(len(n.Observations), MaxObservations)] {
 		tariff, value := byte(load), s.Value
-		if s.Tariff >= 0 {
-			tariff, value = byte(bound(float64(s.Tariff), load-1)), bound(s.Value, 1)*whole
+		if s.Class >= 0 {
+			tariff, value = byte(bound(float64(s.Class), load-1)), bound(s.Value, 1)*whole
 		}
-		out = binary.BigEndian.AppendUint32(out, s.Mark)
+		out = binary.BigEndian.AppendUint32(out, s.NameHash)
 		out = append(out, tariff, byte(bound(math.Ceil(s.Age*perSecond), 255)), byte(bound(value+0.5, 255)))
 	}
 	return out
 }
 
 // Decode reads a note.
-func Decode(data []byte) (balance.Note, error) {
+func Decode(data []byte) (balance.GossipMessage, error) {
 	switch {
 	case len(data) < headBytes || len(data) > MaxBytes || (len(data)-headBytes)%bytesEach != 0:
-		return balance.Note{}, fmt.Errorf("note of %d bytes", len(data))
+		return balance.GossipMessage{}, fmt.Errorf("note of %d bytes", len(data))
 	case data[0] != version:
-		return balance.Note{}, fmt.Errorf("note of version %d, not %d", data[0], version)
+		return balance.GossipMessage{}, fmt.Errorf("note of version %d, not %d", data[0], version)
 	}
-	n := balance.Note{Rate: float64(binary.BigEndian.Uint16(data[1:])) / sixteenth}
+	n := balance.GossipMessage{Rate: float64(binary.BigEndian.Uint16(data[1:])) / sixteenth}
 	for rest := data[headBytes:]; len(rest) > 0; rest = rest[bytesEach:] {
-		s := balance.Sight{Mark: binary.BigEndian.Uint32(rest), Tariff: int(rest[4]), Age: float64(rest[5]) / perSecond,
+		s := balance.Observation{NameHash: binary.BigEndian.Uint32(rest), Class: int(rest[4]), Age: float64(rest[5]) / perSecond,
 			Value: float64(rest[6])}
-		if s.Tariff == load {
-			s.Tariff = -1
+		if s.Class == load {
+			s.Class = -1
 		} else {
 			s.Value = min(s.Value/whole, 1)
 		}
-		n.Sights = append(n.Sights, s)
+		n.Observations = append(n.Observations, s)
 	}
 	return n, nil
 }
 
 // ToHex and FromHex are the same in hex digits.
-func ToHex(n balance.Note) string { return hex.EncodeToString(Encode(n)) }
+func ToHex(n balance.GossipMessage) string { return hex.EncodeToString(Encode(n)) }
 
-func FromHex(text string) (balance.Note, error) {
+func FromHex(text string) (balance.GossipMessage, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
-		return balance.Note{}, fmt.Errorf("note: %w", err)
+		return balance.GossipMessage{}, fmt.Errorf("note: %w", err)
 	}
 	return Decode(data)
 }
--- a/internal/operations/operations.go
+++ b/internal/operations/admin.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	sayFor      = 2 * time.Second        // for a caller to say its call, from its connection on
-	takeFor     = time.Second            // for it to take its answer
-	lingerFor   = 100 * time.Millisecond // to read on after an answer, so that a reset does not take it away
-	Most        = 32                     // connections at a time; of more, that which has been silent for longest goes
-	acceptPause = 10 * time.Millisecond  // after accepting failed: out of descriptors, it would spin
+	sayFor         = 2 * time.Second        // for a caller to say its call, from its connection on
+	takeFor        = time.Second            // for it to take its answer
+	lingerFor      = 100 * time.Millisecond // to read on after an answer, so that a reset does not take it away
+	MaxConnections = 32                     // connections at a time; of more, that which has been silent for longest goes
+	acceptPause    = 10 * time.Millisecond  // after accepting failed: out of descriptors, it would spin
 )
 
-// Act is what a call asks for.
-type Act uint8
+// Action is what a call asks for.
+type Action uint8
 
 const (
-	Ready Act = iota
+	Ready Action = iota
 	Disable
 	Enable
 	Drain
@@ -37,17 +37,19 @@
 )
 
 // String is its name in paths, logs and on the command line.
-func (a Act) String() string { return [...]string{"ready", "disable", "enable", "drain", "resume"}[a] }
+func (a Action) String() string {
+	return [...]string{"ready", "disable", "enable", "drain", "resume"}[a]
+}
 
 // Call is one call.
 type Call struct {
-	Act Act
-	ID  string // of a backend
+	Action Action
+	ID     string // of a backend
 }
 
 // Method is the one that the call is made with.
 func (c Call) Method() string {
-	if c.Act == Ready {
+	if c.Action == Ready {
 		return "GET"
 	}
 	return "PUT"
@@ -55,10 +57,10 @@
 
 // Path is where it is made.
 func (c Call) Path() string {
-	if c.Act == Disable || c.Act == Enable {
-		return "/-/backends/" + url.PathEscape(c.ID) + "/" + c.Act.String()
+	if c.Action == Disable || c.Action == Enable {
+		return "/-/backends/" + url.PathEscape(c.ID) + "/" + c.Action.String()
 	}
-	return "/-/" + c.Act.String()
+	return "/-/" + c.Action.String()
 }
 
 // Read is the call that a request's head makes, or a *heads.Error that says what is wrong with it.
@@ -67,19 +69,19 @@
 	refuse := func(status int, text string) (Call, error) { return Call{}, &heads.Error{Status: status, Text: text} }
 	switch path := string(h.Target); path {
 	case "/-/ready":
-		c.Act = Ready
+		c.Action = Ready
 	case "/-/drain":
-		c.Act = Drain
+		c.Action = Drain
 	case "/-/resume":
-		c.Act = Resume
+		c.Action = Resume
 	default:
 		rest, ok := strings.CutPrefix(path, "/-/backends/")
 		id, act, _ := strings.Cut(rest, "/")
 		switch {
 		case ok && act == "disable":
-			c.Act = Disable
+			c.Action = Disable
 		case ok && act == "enable":
-			c.Act = Enable
+			c.Action = Enable
 		default:
 			return refuse(404, "no such call")
 		}
@@ -97,8 +99,8 @@
 	return c, nil
 }
 
-// Ask makes a call at a door and returns what it says: 2xx is yes.
-func Ask(addr string, c Call, within time.Duration) (status int, text string, err error) {
+// Send makes a call at a door and returns what it says: 2xx is yes.
+func Send(addr string, c Call, within time.Duration) (status int, text string, err error) {
 	conn, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return 0, "", err
@@ -118,8 +120,8 @@
 	return status, strings.TrimSpace(string(body)), err
 }
 
-// Door serves callers.
-type Door struct {
+// Server serves callers.
+type Server struct {
 	Do  func(Call) (status int, text string) // 2xx is yes
 	Log logrus.FieldLogger
 
@@ -128,7 +130,7 @@
 }
 
 // Serve serves the listener's connections until it ends.
-func (d *Door) Serve(ln net.Listener) error {
+func (d *Server) Serve(ln net.Listener) error {
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
@@ -146,17 +148,17 @@
 }
 
 // enter takes a connection in. Danger: callers who say nothing would keep out the one who has to drain the proxy.
-func (d *Door) enter(nc net.Conn) {
+func (d *Server) enter(nc net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.silent) >= Most {
+	if len(d.silent) >= MaxConnections {
 		d.silent[0].Close()
 		d.silent = slices.Delete(d.silent, 0, 1)
 	}
 	d.silent = append(d.silent, nc)
 }
 
-func (d *Door) leave(nc net.Conn) {
+func (d *Server) leave(nc net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i := slices.Index(d.silent, nc); i >= 0 {
@@ -165,7 +167,7 @@
 }
 
 // one answers the one call of a connection.
-func (d *Door) one(nc net.Conn) {
+func (d *Server) one(nc net.Conn) {
 	defer nc.Close()
 	defer d.leave(nc)
 	nc.SetReadDeadline(time.Now().Add(sayFor))
@@ -185,8 +187,8 @@
 	default: // silent, or gone
 		return
 	}
-	if call.Act != Ready || err != nil {
-		d.Log.WithFields(logrus.Fields{"call": call.Act.String(), "backend": call.ID, "from": nc.RemoteAddr().String(),
+	if call.Action != Ready || err != nil {
+		d.Log.WithFields(logrus.Fields{"call": call.Action.String(), "backend": call.ID, "from": nc.RemoteAddr().String(),
 			"status": status, "answer": text}).Info("operators' call")
 	}
 	out := heads.AppendStatus(make([]byte, 0, 256), status)
--- a/internal/operations/operations_test.go
+++ b/internal/operations/admin_test.go
@@ -20,7 +20,7 @@
 	assert.NoError(t, err)
 	calls = make(chan Call, 1000)
 	log, _ := test.NewNullLogger()
-	door := &Door{Log: log, Do: func(c Call) (int, string) {
+	door := &Server{Log: log, Do: func(c Call) (int, string) {
 		calls <- c
 		if c.ID == "unknown" {
 			return 404, "never listed"
@@ -65,9 +65,9 @@
 		call   *Call
 		says   string
 	}{
-		{"GET /-/ready", 200, &Call{Act: Ready}, "done\n"},
-		{"PUT /-/drain", 200, &Call{Act: Drain}, "done\n"},
-		{"PUT /-/resume", 200, &Call{Act: Resume}, "done\n"},
+		{"GET /-/ready", 200, &Call{Action: Ready}, "done\n"},
+		{"PUT /-/drain", 200, &Call{Action: Drain}, "done\n"},
+		{"PUT /-/resume", 200, &Call{Action: Resume}, "done\n"},
 		{"PUT /-/backends/s-1/disable", 200, &Call{Disable, "s-1"}, "done\n"},
 		{"PUT /-/backends/s-1/enable", 200, &Call{Enable, "s-1"}, "done\n"},
 		{"PUT /-/backends/web%2F127.0.0.1:90/disable", 200, &Call{Disable, "web/127.0.0.1:90"}, "done\n"},
@@ -82,9 +82,9 @@
 		{"PUT /-/backends/s-1/ready", 404, nil, "no such call\n"},
 		{"GET /up", 404, nil, "no such call\n"},
 		{"GET /-/ready?x=1", 404, nil, "no such call\n"},
-		{"PUT /-/drain\nContent-Length: 0", 200, &Call{Act: Drain}, "done\n"},
+		{"PUT /-/drain\nContent-Length: 0", 200, &Call{Action: Drain}, "done\n"},
 		{"PUT /-/drain\nContent-Length: 3", 400, nil, "a call has no body\n"},
-		{"PUT /-/drain\nX: " + strings.Repeat("x", heads.Most), 431, nil, "head too large\n"},
+		{"PUT /-/drain\nX: " + strings.Repeat("x", heads.DefaultMaxBytes), 431, nil, "head too large\n"},
 		{"nonsense", 400, nil, "malformed request line\n"},
 	} {
 		line, field, _ := strings.Cut(c.line, "\n")
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	assert.GreaterOrEqual(t, ended, 200-Most)
+	assert.GreaterOrEqual(t, ended, 200-MaxConnections)
 }
 
 // Danger: a panic over what a caller sends costs the lookups of all; a call that is read otherwise than it was made does harm.
--- a/internal/operator/operator.go
+++ b/internal/operator/config.go
@@ -22,14 +22,14 @@
 
 // File is the operator file as it is written. Times are in seconds.
 type File struct {
-	Listeners []Listener `toml:"listener"`
-	Tariffs   []Tariff   `toml:"tariff"`
-	Pools     []Pool     `toml:"pool"`
-	Limits    []Limit    `toml:"limit"`
-	Retries   []Retry    `toml:"retry"`
-	Routes    []Route    `toml:"route"`
-	Control   *Control   `toml:"control"` // only a program with a control service takes it
-	Capture   *Capture   `toml:"capture"` // only one that captures
+	Listeners    []Listener    `toml:"listener"`
+	Classes      []Class       `toml:"tariff"`
+	Pools        []Pool        `toml:"pool"`
+	Limits       []Limit       `toml:"limit"`
+	Retries      []Retry       `toml:"retry"`
+	Routes       []Route       `toml:"route"`
+	ControlPlane *ControlPlane `toml:"control"` // only a program with a control service takes it
+	Capture      *Capture      `toml:"capture"` // only one that captures
 }
 
 // Listener is where clients connect.
@@ -37,14 +37,14 @@
 	Address string `toml:"address"`
 }
 
-// Tariff is a class of lookups.
-type Tariff struct {
-	Name     string  `toml:"name"`
-	Due      float64 `toml:"due"`
-	HardStop float64 `toml:"hard_stop"`
-	Value    float64 `toml:"value"`
-	Scope    string  `toml:"scope"`  // of servers that drop repeats by Idempotency-Key: none, all, zone or pod
-	Window   float64 `toml:"window"` // for how long they know them
+// Class is a class of lookups.
+type Class struct {
+	Name             string  `toml:"name"`
+	LatencyObjective float64 `toml:"due"`
+	Deadline         float64 `toml:"hard_stop"`
+	PriorityWeight   float64 `toml:"value"`
+	DedupScope       string  `toml:"scope"`  // of servers that drop repeats by Idempotency-Key: none, all, zone or pod
+	DedupWindow      float64 `toml:"window"` // for how long they know them
 }
 
 // Pool is servers that lookups go to: some of the list's, or those written out.
@@ -56,7 +56,7 @@
 	Backup      string   `toml:"backup"`       // the pool that takes over while this one has no server admitted
 	BackupAfter float64  `toml:"backup_after"` // for so long
 	BackupUntil float64  `toml:"backup_until"` // and gives back once it has had one for so long
-	Room        int      `toml:"room"`         // lookups in hand that its routes share; 0: no bound
+	Capacity    int      `toml:"room"`         // lookups in hand that its routes share; 0: no bound
 }
 
 // Same tells whether a pool has the same servers as another; who backs it up, and its room, do not matter.
@@ -66,89 +66,89 @@
 
 // Limit is a bound on what may come.
 type Limit struct {
-	Name   string  `toml:"name"`
-	By     string  `toml:"by"` // all, route, customer, address, or field:NAME
-	Rate   float64 `toml:"rate"`
-	Burst  float64 `toml:"burst"`
-	InHand int     `toml:"in_hand"`
-	Keys   int     `toml:"keys"`
+	Name        string  `toml:"name"`
+	By          string  `toml:"by"` // all, route, customer, address, or field:NAME
+	Rate        float64 `toml:"rate"`
+	Burst       float64 `toml:"burst"`
+	Concurrency int     `toml:"in_hand"`
+	MaxKeys     int     `toml:"keys"`
 }
 
 // Retry is a retry rule.
 type Retry struct {
-	Name   string   `toml:"name"`
-	Freely []string `toml:"freely"`
-	Marked []string `toml:"marked"`
-	Legs   int      `toml:"legs"`
-	Share  *float64 `toml:"share"`
+	Name              string   `toml:"name"`
+	IdempotentMethods []string `toml:"freely"`
+	KeyedMethods      []string `toml:"marked"`
+	MaxAttempts       int      `toml:"legs"`
+	BudgetRatio       *float64 `toml:"share"`
 }
 
 // Route is a route; one of Exact, Prefix, Under and Regex, and one of Pool, Split, Redirect and Answer.
 type Route struct {
-	Name     string      `toml:"name"`
-	Hosts    []string    `toml:"hosts"`
-	Exact    string      `toml:"exact"`
-	Prefix   string      `toml:"prefix"`
-	Under    string      `toml:"under"`
-	Regex    string      `toml:"regex"`
-	Final    bool        `toml:"final"`
-	Methods  []string    `toml:"methods"`
-	Fields   []Condition `toml:"fields"`
-	Query    []Condition `toml:"query"`
-	Pool     string      `toml:"pool"`
-	Split    []Share     `toml:"split"`
-	Rewrite  string      `toml:"rewrite"`
-	Redirect *Redirect   `toml:"redirect"`
-	Answer   *Answer     `toml:"answer"`
-	Tariff   string      `toml:"tariff"`
-	Limits   []string    `toml:"limits"`
-	Retry    string      `toml:"retry"`
-	Routes   []Route     `toml:"route"`
+	Name     string         `toml:"name"`
+	Hosts    []string       `toml:"hosts"`
+	Exact    string         `toml:"exact"`
+	Prefix   string         `toml:"prefix"`
+	Under    string         `toml:"under"`
+	Regex    string         `toml:"regex"`
+	Final    bool           `toml:"final"`
+	Methods  []string       `toml:"methods"`
+	Fields   []Condition    `toml:"fields"`
+	Query    []Condition    `toml:"query"`
+	Pool     string         `toml:"pool"`
+	Split    []WeightedPool `toml:"split"`
+	Rewrite  string         `toml:"rewrite"`
+	Redirect *Redirect      `toml:"redirect"`
+	Response *FixedResponse `toml:"answer"`
+	Class    string         `toml:"tariff"`
+	Limits   []string       `toml:"limits"`
+	Retry    string         `toml:"retry"`
+	Routes   []Route        `toml:"route"`
 }
 
 // Condition is on a field or a parameter of the query.
 type Condition struct {
-	Name  string `toml:"name"`
-	Value string `toml:"value"`
-	Regex bool   `toml:"regex"`
-	Not   bool   `toml:"not"`
+	Name   string `toml:"name"`
+	Value  string `toml:"value"`
+	Regex  bool   `toml:"regex"`
+	Negate bool   `toml:"not"`
 }
 
-// Share is a pool's part.
-type Share struct {
+// WeightedPool is a pool's part.
+type WeightedPool struct {
 	Pool   string  `toml:"pool"`
 	Weight float64 `toml:"weight"`
 }
 
 // Redirect sends the client elsewhere.
 type Redirect struct {
-	Status int    `toml:"status"`
-	To     string `toml:"to"`
-	Keep   bool   `toml:"keep"`
+	Status   int    `toml:"status"`
+	To       string `toml:"to"`
+	KeepPath bool   `toml:"keep"`
 }
 
-// Answer is given by the proxy itself.
-type Answer struct {
+// FixedResponse is given by the proxy itself.
+type FixedResponse struct {
 	Status int    `toml:"status"`
 	Type   string `toml:"type"`
 	Body   string `toml:"body"`
 }
 
-// Setup is an operator file ready for use.
-type Setup struct {
+// Config is an operator file ready for use.
+type Config struct {
 	File
-	Table  *routes.Table
-	Limits *limits.Limits
-	Rules  []limits.Rule
+	RouteTable *routes.Table
+	Limits     *limits.Limits
+	RetryRules []limits.RetryRule
 
 	terms map[*routes.Route]*Route // what else a route says
 }
 
-// Terms are what a matched route says of its lookups.
-func (s *Setup) Terms(r *routes.Route) *Route { return s.terms[r] }
+// RouteConfig are what a matched route says of its lookups.
+func (s *Config) RouteConfig(r *routes.Route) *Route { return s.terms[r] }
 
 // Open reads a file; the errors are all its faults, a line each.
-func Open(name string) (*Setup, []error) {
+func Open(name string) (*Config, []error) {
 	text, err := source.Load(name, fileMost)
 	if err != nil {
 		return nil, []error{err}
@@ -158,15 +158,15 @@
 
 // reader gathers faults while a file is read.
 type reader struct {
-	*Setup
+	*Config
 	file   *source.File
 	faults []error
 	nested map[string]int // tables met so far, by name
 }
 
 // Read reads a file's text.
-func Read(name string, text []byte) (*Setup, []error) {
-	r := &reader{Setup: &Setup{terms: map[*routes.Route]*Route{}}, nested: map[string]int{}}
+func Read(name string, text []byte) (*Config, []error) {
+	r := &reader{Config: &Config{terms: map[*routes.Route]*Route{}}, nested: map[string]int{}}
 	file, faults := source.Decode(name, text, &r.File)
 	if len(faults) > 0 {
 		return nil, faults
@@ -189,7 +189,7 @@
 	}
 	if len(r.faults) == 0 {
 		var err error
-		if r.Table, err = routes.Compile(list); err != nil {
+		if r.RouteTable, err = routes.Compile(list); err != nil {
 			r.located(err, places)
 		}
 	}
@@ -197,7 +197,7 @@
 		return nil, r.faults
 	}
 	r.bind(list, r.Routes)
-	return r.Setup, nil
+	return r.Config, nil
 }
 
 func (r *reader) fault(table string, n int, field, format string, args ...any) {
@@ -258,7 +258,7 @@
 }
 
 func (f *File) tariffNames() []string {
-	return namesOf(f.Tariffs, func(t *Tariff) string { return t.Name })
+	return namesOf(f.Classes, func(t *Class) string { return t.Name })
 }
 func (f *File) poolNames() []string { return namesOf(f.Pools, func(p *Pool) string { return p.Name }) }
 func (f *File) limitNames() []string {
@@ -270,22 +270,22 @@
 
 func (r *reader) tariffs() {
 	names := r.tariffNames()
-	for i := range r.Tariffs {
-		t, n := &r.Tariffs[i], i+1
+	for i := range r.Classes {
+		t, n := &r.Classes[i], i+1
 		r.named("tariff", n, t.Name, names[:i])
-		r.within("tariff", n, "hard_stop", t.HardStop, .001, secsMost)
-		r.within("tariff", n, "due", t.Due, 0, t.HardStop)
-		r.within("tariff", n, "value", t.Value, 0, 1e9)
-		r.within("tariff", n, "window", t.Window, 0, secsMost)
-		r.known("tariff", n, "scope", "scope", t.Scope, []string{"none", "all", "zone", "pod"})
-		if (t.Scope != "" && t.Scope != "none") != (t.Window > 0) {
+		r.within("tariff", n, "hard_stop", t.Deadline, .001, secsMost)
+		r.within("tariff", n, "due", t.LatencyObjective, 0, t.Deadline)
+		r.within("tariff", n, "value", t.PriorityWeight, 0, 1e9)
+		r.within("tariff", n, "window", t.DedupWindow, 0, secsMost)
+		r.known("tariff", n, "scope", "scope", t.DedupScope, []string{"none", "all", "zone", "pod"})
+		if (t.DedupScope != "" && t.DedupScope != "none") != (t.DedupWindow > 0) {
 			r.fault("tariff", n, "window", "a scope and a window go together")
 		}
-		if t.Value == 0 {
-			t.Value = 1
+		if t.PriorityWeight == 0 {
+			t.PriorityWeight = 1
 		}
 	}
-	if len(r.Tariffs) == 0 {
+	if len(r.Classes) == 0 {
 		r.fault("tariff", 0, "", "there is none")
 	}
 }
@@ -309,7 +309,7 @@
 		}
 		r.within("pool", n, "backup_after", p.BackupAfter, 0, secsMost)
 		r.within("pool", n, "backup_until", p.BackupUntil, 0, secsMost)
-		r.within("pool", n, "room", float64(p.Room), 0, 1e9)
+		r.within("pool", n, "room", float64(p.Capacity), 0, 1e9)
 	}
 	for i, p := range r.Pools { // who is whose backup must come to an end
 		seen := []string{p.Name}
@@ -338,13 +338,13 @@
 		if l.By == "" {
 			r.fault("limit", n, "by", "missing: all, route, customer, address or field:NAME")
 		}
-		list = append(list, limits.Limit{Name: l.Name, Rate: l.Rate, Burst: l.Burst, InHand: l.InHand, Keys: l.Keys})
+		list = append(list, limits.Limit{Name: l.Name, Rate: l.Rate, Burst: l.Burst, Concurrency: l.Concurrency, MaxKeys: l.MaxKeys})
 		if _, err := limits.New(list[i:]); err != nil {
 			r.fault("limit", n, "", "%v", err)
 		}
 	}
 	if len(r.faults) == 0 { // with none of them it passes everything
-		r.Setup.Limits, _ = limits.New(list) // each has been checked
+		r.Config.Limits, _ = limits.New(list) // each has been checked
 	}
 }
 
@@ -354,17 +354,17 @@
 		n := i + 1
 		r.named("retry", n, x.Name, names[:i])
 		share := shareUsual
-		if x.Share != nil {
-			share = *x.Share
+		if x.BudgetRatio != nil {
+			share = *x.BudgetRatio
 		}
 		r.within("retry", n, "share", share, 0, 1)
-		r.within("retry", n, "legs", float64(x.Legs), 0, 16)
-		for _, m := range slices.Concat(x.Freely, x.Marked) {
+		r.within("retry", n, "legs", float64(x.MaxAttempts), 0, 16)
+		for _, m := range slices.Concat(x.IdempotentMethods, x.KeyedMethods) {
 			if m == "" || strings.ToUpper(m) != m {
 				r.fault("retry", n, "freely", "method %q: in capitals", m)
 			}
 		}
-		r.Rules = append(r.Rules, limits.Rule{Name: x.Name, Freely: x.Freely, Marked: x.Marked, Legs: x.Legs, Share: share})
+		r.RetryRules = append(r.RetryRules, limits.RetryRule{Name: x.Name, IdempotentMethods: x.IdempotentMethods, KeyedMethods: x.KeyedMethods, MaxAttempts: x.MaxAttempts, BudgetRatio: share})
 	}
 }
 
@@ -398,9 +398,9 @@
 	one := routes.Route{Name: w.Name, Hosts: w.Hosts, Final: w.Final, Methods: w.Methods}
 	paths := 0
 	for _, p := range []struct {
-		kind routes.Kind
+		kind routes.MatchKind
 		text string
-	}{{routes.Exact, w.Exact}, {routes.Prefix, w.Prefix}, {routes.Under, w.Under}, {routes.Regex, w.Regex}} {
+	}{{routes.Exact, w.Exact}, {routes.Prefix, w.Prefix}, {routes.Segments, w.Under}, {routes.Regex, w.Regex}} {
 		if p.text != "" {
 			one.Kind, one.Path = p.kind, p.text
 			paths++
@@ -430,25 +430,25 @@
 	}
 	r.known(table, n, "pool", "pool", w.Pool, r.poolNames())
 	if w.Pool != "" {
-		one.Action.Pools = []routes.Share{{Pool: w.Pool, Weight: 1}}
+		one.Action.Pools = []routes.WeightedPool{{Pool: w.Pool, Weight: 1}}
 	}
 	for _, s := range w.Split {
 		r.known(table, n, "split", "pool", s.Pool, r.poolNames())
-		one.Action.Pools = append(one.Action.Pools, routes.Share(s))
+		one.Action.Pools = append(one.Action.Pools, routes.WeightedPool(s))
 	}
 	one.Action.Rewrite = w.Rewrite
 	if w.Redirect != nil {
 		one.Action.Redirect = (*routes.Redirect)(w.Redirect)
 	}
-	if w.Answer != nil {
-		one.Action.Fixed = (*routes.Fixed)(w.Answer)
+	if w.Response != nil {
+		one.Action.Response = (*routes.FixedResponse)(w.Response)
 	}
-	r.known(table, n, "tariff", "tariff", w.Tariff, r.tariffNames())
-	if len(one.Action.Pools) > 0 && w.Tariff == "" {
-		if len(r.Tariffs) == 1 {
-			w.Tariff = r.Tariffs[0].Name
+	r.known(table, n, "tariff", "tariff", w.Class, r.tariffNames())
+	if len(one.Action.Pools) > 0 && w.Class == "" {
+		if len(r.Classes) == 1 {
+			w.Class = r.Classes[0].Name
 		} else {
-			r.fault(table, n, "tariff", "missing: there are %d", len(r.Tariffs))
+			r.fault(table, n, "tariff", "missing: there are %d", len(r.Classes))
 		}
 	}
 	for _, l := range w.Limits {
@@ -470,13 +470,13 @@
 // little to double the load on a pool that fails.
 const shareUsual = 0.2
 
-var plainRule = limits.Rule{Name: "plain", Share: shareUsual}
+var plainRule = limits.RetryRule{Name: "plain", BudgetRatio: shareUsual}
 
-// Rule is a route's retry rule; without one the plain rule.
-func (s *Setup) Rule(w *Route) *limits.Rule {
-	for i := range s.Rules {
-		if s.Rules[i].Name == w.Retry {
-			return &s.Rules[i]
+// RetryRule is a route's retry rule; without one the plain rule.
+func (s *Config) RetryRule(w *Route) *limits.RetryRule {
+	for i := range s.RetryRules {
+		if s.RetryRules[i].Name == w.Retry {
+			return &s.RetryRules[i]
 		}
 	}
 	return &plainRule
--- a/internal/operator/operator_test.go
+++ b/internal/operator/config_test.go
@@ -15,22 +15,22 @@
 	s, faults := Open(sample)
 	require.Empty(t, faults)
 	for _, c := range []struct {
-		ask  Ask
+		ask  Request
 		want []string // lines, or parts of them, in order
 	}{
-		{Ask{Method: "GET", Target: "/a//b/../c?x=1", Host: "Example.org:80"},
+		{Request{Method: "GET", Target: "/a//b/../c?x=1", Host: "Example.org:80"},
 			[]string{`host "example.org", method GET, path "/a/c", query "x=1"`, "images (regex", "does not match", "met: longest prefix",
 				"route pages", "limit everybody by all: 2000 in hand", "pool pages, weight 1", "tariff page: replayable",
 				"retry rule careful: 0.1 of", "goes on as GET /a/c"}},
-		{Ask{Method: "POST", Target: "http://example.org/sign/7", Host: "example.org"},
+		{Request{Method: "POST", Target: "http://example.org/sign/7", Host: "example.org"},
 			[]string{"route signing", "limit each-address by address: 20 a second, 40 at once", "pool signatures", "tariff sign: single-use", "POST /v2/sign/7"}},
-		{Ask{Method: "POST", Target: "/sign", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff sign: referenced", "POST /v2/sign"}},
-		{Ask{Method: "POST", Target: "/page", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff page: single-use"}}, // no server knows it
-		{Ask{Method: "GET", Target: "/sign"}, []string{"method GET is not among POST", "route pages"}},
-		{Ask{Method: "GET", Target: "/sign/a.gif"}, []string{"met: expression", "pool pages, weight 9", "pool spare, weight 1", "retry rule plain"}},
-		{Ask{Method: "GET", Target: "/x?y", Host: "a.old.example.org"}, []string{"redirect 301 to https://new.example.org/x?y"}},
-		{Ask{Method: "GET", Target: "http://a.org/", Host: "b.org"}, []string{"refused with 400: the target is for a.org, Host says b.org"}},
-		{Ask{Method: "GET", Target: "/../etc"}, []string{"refused with 400: path"}},
+		{Request{Method: "POST", Target: "/sign", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff sign: referenced", "POST /v2/sign"}},
+		{Request{Method: "POST", Target: "/page", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff page: single-use"}}, // no server knows it
+		{Request{Method: "GET", Target: "/sign"}, []string{"method GET is not among POST", "route pages"}},
+		{Request{Method: "GET", Target: "/sign/a.gif"}, []string{"met: expression", "pool pages, weight 9", "pool spare, weight 1", "retry rule plain"}},
+		{Request{Method: "GET", Target: "/x?y", Host: "a.old.example.org"}, []string{"redirect 301 to https://new.example.org/x?y"}},
+		{Request{Method: "GET", Target: "http://a.org/", Host: "b.org"}, []string{"refused with 400: the target is for a.org, Host says b.org"}},
+		{Request{Method: "GET", Target: "/../etc"}, []string{"refused with 400: path"}},
 	} {
 		var out strings.Builder
 		require.NoError(t, s.Explain(&out, &c.ask))
--- a/internal/operator/control.go
+++ b/internal/operator/controlplane.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Control is what a control service needs to know; see package control.
-type Control struct {
-	Address     string   `toml:"address"`     // where subscribers connect
-	Status      string   `toml:"status"`      // where staff ask who holds what; empty: nowhere
-	Local       bool     `toml:"local"`       // subscribers keep to their own zone while it has a healthy server
-	Memory      string   `toml:"memory"`      // the file of snapshots; empty: none
-	Subscribers int      `toml:"subscribers"` // at most; 0: the service's own bound
-	Certificate string   `toml:"certificate"` // PEM files, all or none
-	Key         string   `toml:"key"`
-	Authority   string   `toml:"authority"` // of the subscribers' certificates
-	Allow       []Allow  `toml:"allow"`     // subscribers by the names in their certificates; none: all that have one
-	Subsets     []Subset `toml:"subset"`    // what subscribers are told by what they say of themselves
+// ControlPlane is what a control service needs to know; see package control.
+type ControlPlane struct {
+	Address         string   `toml:"address"`     // where subscribers connect
+	Status          string   `toml:"status"`      // where staff ask who holds what; empty: nowhere
+	PreferLocalZone bool     `toml:"local"`       // subscribers keep to their own zone while it has a healthy server
+	SnapshotFile    string   `toml:"memory"`      // the file of snapshots; empty: none
+	Subscribers     int      `toml:"subscribers"` // at most; 0: the service's own bound
+	Certificate     string   `toml:"certificate"` // PEM files, all or none
+	Key             string   `toml:"key"`
+	Authority       string   `toml:"authority"` // of the subscribers' certificates
+	Allow           []Allow  `toml:"allow"`     // subscribers by the names in their certificates; none: all that have one
+	Subsets         []Subset `toml:"subset"`    // what subscribers are told by what they say of themselves
 }
 
 // Subset narrows what some subscribers are told. It keeps nobody out: a node says of itself what it likes. Each of the first three may end
@@ -60,7 +60,7 @@
 }
 
 func (r *reader) control() {
-	c := r.Control
+	c := r.ControlPlane
 	if c == nil {
 		return
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -21,7 +21,7 @@
 
 // Link is this proxy's end of it.
 type Link struct {
-	Sent, Heard, Dropped atomic.Int64 // notes; the last came and were not taken in
+	Sent, Received, Dropped atomic.Int64 // notes; the last came and were not taken in
 
 	self  int
 	conn  *net.UDPConn
@@ -30,7 +30,7 @@
 }
 
 // Open listens for notes of a bank, by number; heard gets each, on a goroutine of its own, until Close.
-func Open(listen string, self int, bank map[int]string, heard func(from int, n balance.Note)) (*Link, error) {
+func Open(listen string, self int, bank map[int]string, heard func(from int, n balance.GossipMessage)) (*Link, error) {
 	l := &Link{self: self, bank: map[int]netip.AddrPort{}, ended: make(chan struct{})}
 	for i, addr := range bank {
 		at, err := netip.ParseAddrPort(addr)
@@ -53,8 +53,8 @@
 // Addr is where it listens.
 func (l *Link) Addr() string { return l.conn.LocalAddr().String() }
 
-// Tell sends a note to one peer. Nothing tells whether it came.
-func (l *Link) Tell(to int, n balance.Note) {
+// Send sends a note to one peer. Nothing tells whether it came.
+func (l *Link) Send(to int, n balance.GossipMessage) {
 	at, ok := l.bank[to]
 	if !ok {
 		return
@@ -71,7 +71,7 @@
 	<-l.ended
 }
 
-func (l *Link) hear(heard func(int, balance.Note)) {
+func (l *Link) hear(heard func(int, balance.GossipMessage)) {
 	defer close(l.ended)
 	buf := make([]byte, numberBytes+notes.MaxBytes+1) // one more, so that a longer one is seen to be too long
 	for {
@@ -87,18 +87,18 @@
 			l.Dropped.Add(1)
 			continue
 		}
-		l.Heard.Add(1)
+		l.Received.Add(1)
 		heard(number, n)
 	}
 }
 
-func (l *Link) read(data []byte, from netip.AddrPort) (int, balance.Note, error) {
+func (l *Link) read(data []byte, from netip.AddrPort) (int, balance.GossipMessage, error) {
 	if len(data) < numberBytes {
-		return 0, balance.Note{}, fmt.Errorf("datagram of %d bytes", len(data))
+		return 0, balance.GossipMessage{}, fmt.Errorf("datagram of %d bytes", len(data))
 	}
 	number := int(binary.BigEndian.Uint16(data))
 	if at, ok := l.bank[number]; !ok || at.Port() != from.Port() || at.Addr().Unmap() != from.Addr().Unmap() {
-		return 0, balance.Note{}, fmt.Errorf("no peer %d at %s", number, from)
+		return 0, balance.GossipMessage{}, fmt.Errorf("no peer %d at %s", number, from)
 	}
 	n, err := notes.Decode(data[numberBytes:])
 	return number, n, err
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,11 +14,11 @@
 )
 
 // pair is two proxies' links, of which the first tells, and what the second hears.
-func pair(t *testing.T) (one, two *Link, heard chan balance.Note) {
-	heard = make(chan balance.Note, 10)
+func pair(t *testing.T) (one, two *Link, heard chan balance.GossipMessage) {
+	heard = make(chan balance.GossipMessage, 10)
 	one, err := Open("127.0.0.1:0", 0, nil, nil)
 	require.NoError(t, err)
-	two, err = Open("127.0.0.1:0", 1, map[int]string{0: one.Addr()}, func(from int, n balance.Note) {
+	two, err = Open("127.0.0.1:0", 1, map[int]string{0: one.Addr()}, func(from int, n balance.GossipMessage) {
 		assert.Zero(t, from)
 		heard <- n
 	})
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	defer stranger.Close()
 	peer := func(data []byte) (int, error) { return one.conn.WriteToUDPAddrPort(data, one.bank[1]) }
-	note := notes.Encode(balance.Note{Rate: 1})
+	note := notes.Encode(balance.GossipMessage{Rate: 1})
 	for i, c := range []struct {
 		name string
 		from func([]byte) (int, error)
@@ -53,9 +53,9 @@
 		assert.Eventually(t, func() bool { return two.Dropped.Load() == int64(i+1) }, 5*time.Second, time.Millisecond, c.name)
 	}
 	assert.Empty(t, heard)
-	n := balance.Note{Rate: 2, Sights: []balance.Sight{{Mark: 7, Tariff: 1, Age: 0.1}}}
-	one.Tell(5, n) // a number that is nobody's
-	one.Tell(1, n)
+	n := balance.GossipMessage{Rate: 2, Observations: []balance.Observation{{NameHash: 7, Class: 1, Age: 0.1}}}
+	one.Send(5, n) // a number that is nobody's
+	one.Send(1, n)
 	assert.Eventually(t, func() bool { return len(heard) > 0 }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, n, <-heard)
 	assert.EqualValues(t, 1, one.Sent.Load())
@@ -64,14 +64,14 @@
 func TestAPeerThatIsGone(t *testing.T) {
 	one, two, _ := pair(t)
 	two.Close()
-	one.Tell(1, balance.Note{})
-	again, err := Open(two.Addr(), 1, map[int]string{0: one.Addr()}, func(int, balance.Note) {})
+	one.Send(1, balance.GossipMessage{})
+	again, err := Open(two.Addr(), 1, map[int]string{0: one.Addr()}, func(int, balance.GossipMessage) {})
 	require.NoError(t, err, "its address is free again")
 	t.Cleanup(again.Close)
-	assert.Eventually(t, func() bool { one.Tell(1, balance.Note{}); return again.Heard.Load() > 0 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { one.Send(1, balance.GossipMessage{}); return again.Received.Load() > 0 }, 5*time.Second, time.Millisecond)
 	one.Close()
 	sent := one.Sent.Load()
-	one.Tell(1, balance.Note{})
+	one.Send(1, balance.GossipMessage{})
 	assert.Equal(t, sent, one.Sent.Load(), "what could not be written")
 	assert.Zero(t, one.Dropped.Load(), "nothing came that was not taken in")
 	_, err = Open("localhost:7100", 0, nil, nil)
--- a/internal/rehearse/alone.go
+++ b/internal/rehearse/alone.go
@@ -38,8 +38,8 @@
 	f := s.Figures(seed)
 	clock := time.Now()
 	now := func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
-	sc := &score{now: now, start: now() + settleFor.Seconds(), tally: newTally(s, f.Tariffs, seed, "as it runs", "sockets"), slow: &lateness{},
-		audit: NewAudit(f.Tariffs, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
+	sc := &score{now: now, start: now() + settleFor.Seconds(), tally: newTally(s, f.Classes, seed, "as it runs", "sockets"), slow: &lateness{},
+		audit: NewAudit(f.Classes, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
 	sc.audit.Clients = true
 	front := load.NewFront(addrs)
 	defer front.Close()
@@ -53,7 +53,7 @@
 	ended := make(chan struct{})
 	go func() { front.Watch(watching); close(ended) }()
 	defer func() { stop(); <-ended }()
-	d := &load.Driver{Plan: load.NewPlan(s.Mix(), seed), Tariffs: f.Tariffs, Clients: load.Clients(s.Clients), Front: front, Seen: sc, Seed: seed}
+	d := &load.Driver{Plan: load.NewPlan(s.Mix(), seed), Tariffs: f.Classes, Clients: load.Clients(s.Clients), Front: front, Seen: sc, Seed: seed}
 	for _, c := range s.Customers {
 		d.Customers = append(d.Customers, c.Name)
 	}
--- a/internal/rehearse/audit.go
+++ b/internal/rehearse/audit.go
@@ -16,7 +16,7 @@
 	Broken  [5]int  // by rule, from 1
 	First   []string
 
-	tariffs []balance.Tariff
+	tariffs []balance.Class
 	tries   []tried
 	listed  map[int]float64    // a member drains or is gone since
 	told    map[[2]int]float64 // and a proxy knows since
@@ -36,7 +36,7 @@
 const firstFaults = 20 // breaches told in words; the rest is counted
 
 // NewAudit checks tries of these tariffs.
-func NewAudit(tariffs []balance.Tariff, slack, grace, counts float64) *Audit {
+func NewAudit(tariffs []balance.Class, slack, grace, counts float64) *Audit {
 	return &Audit{Slack: slack, Grace: grace, Counts: counts, tariffs: tariffs, listed: map[int]float64{}, told: map[[2]int]float64{}, banned: map[[2]int]float64{}}
 }
 
@@ -78,11 +78,11 @@
 	}
 	if t.ran > 0 {
 		switch {
-		case row.Kind == balance.SingleUse:
+		case row.Idempotency == balance.NonIdempotent:
 			a.breach(2, now, "try %d of %s: sent again though it may have run", try, row.Name)
-		case row.Kind == balance.Referenced && group != t.group:
+		case row.Idempotency == balance.Keyed && group != t.group:
 			a.breach(2, now, "try %d of %s: sent again to servers that do not know it", try, row.Name)
-		case row.Kind == balance.Referenced && now > t.firstAt+row.Window+a.Slack:
+		case row.Idempotency == balance.Keyed && now > t.firstAt+row.DedupWindow+a.Slack:
 			a.breach(2, now, "try %d of %s: sent again %.3f s later, past its window", try, row.Name, now-t.firstAt)
 		}
 	} else {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Answered notes a try's final answer at its client: NoAnswer stands for an honoured one.
-func (a *Audit) Answered(now float64, try int, answer balance.Answer) {
+// Answered notes a try's final answer at its client: NoReply stands for an honoured one.
+func (a *Audit) Answered(now float64, try int, answer balance.Reply) {
 	t := &a.tries[try]
 	row := &a.tariffs[t.tariff]
 	if t.answered {
@@ -110,16 +110,16 @@
 	if now > t.hardStop+a.Slack {
 		a.breach(1, now, "try %d of %s: answered %.3f s after its hard stop", try, row.Name, now-t.hardStop)
 	}
-	if answer == balance.Dismissed && t.ran > 0 && (row.Kind == balance.SingleUse ||
-		row.Kind == balance.Referenced && row.Scope != balance.ScopeAll) {
+	if answer == balance.Rejected && t.ran > 0 && (row.Idempotency == balance.NonIdempotent ||
+		row.Idempotency == balance.Keyed && row.DedupScope != balance.DedupAll) {
 		a.breach(2, now, "try %d of %s: dismissed though it may have run", try, row.Name)
 	}
-	if answer == balance.NoAnswer && t.ran == 0 && !a.Clients {
+	if answer == balance.NoReply && t.ran == 0 && !a.Clients {
 		a.breach(1, now, "try %d of %s: honoured by no server", try, row.Name)
 	}
 }
 
-// Left notes that no answer is owed any more: its client has gone, or its proxy was killed.
+// ClientDisconnected notes that no answer is owed any more: its client has gone, or its proxy was killed.
 func (a *Audit) Left(now float64, try int) {
 	if t := &a.tries[try]; !t.answered {
 		t.left, t.answered, t.answerAt = true, true, now
@@ -133,7 +133,7 @@
 	t.answered, t.answerAt = true, now
 }
 
-// Listed notes that the list says of a member that it drains or is gone.
+// EndpointsUpdated notes that the list says of a member that it drains or is gone.
 func (a *Audit) Listed(now float64, member int) {
 	if _, ok := a.listed[member]; !ok {
 		a.listed[member] = now
--- a/internal/rehearse/operators.go
+++ b/internal/rehearse/operators.go
@@ -39,7 +39,7 @@
 	p.mu.Lock()
 	door := p.door
 	p.mu.Unlock()
-	status, text, err := operations.Ask(door, c, answerFor)
+	status, text, err := operations.Send(door, c, answerFor)
 	if err != nil {
 		return fmt.Errorf("proxy %d: %s: %w", i+1, c.Path(), err)
 	}
@@ -59,7 +59,7 @@
 		return err
 	}
 	for end := time.Now().Add(upgradeFor); ; time.Sleep(readyEach) {
-		err := st.call(i, operations.Call{Act: operations.Ready})
+		err := st.call(i, operations.Call{Action: operations.Ready})
 		if err == nil {
 			break
 		}
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	if err := st.call(i, operations.Call{Act: operations.Drain}); err != nil {
+	if err := st.call(i, operations.Call{Action: operations.Drain}); err != nil {
 		return err
 	}
 	if err := up(false, noticeFor); err != nil {
@@ -105,7 +105,7 @@
 	case <-st.ctx.Done():
 		return nil
 	}
-	if err := st.call(i, operations.Call{Act: operations.Resume}); err != nil {
+	if err := st.call(i, operations.Call{Action: operations.Resume}); err != nil {
 		return err
 	}
 	return up(true, resumeFor)
@@ -116,7 +116,7 @@
 	var id string
 	var member int
 	st.yard.Look(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
-	if err := st.call(i, operations.Call{Act: operations.Disable, ID: id}); err != nil {
+	if err := st.call(i, operations.Call{Action: operations.Disable, ID: id}); err != nil {
 		return err
 	}
 	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, true) })
@@ -126,5 +126,5 @@
 		return nil
 	}
 	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, false) })
-	return st.call(i, operations.Call{Act: operations.Enable, ID: id})
+	return st.call(i, operations.Call{Action: operations.Enable, ID: id})
 }
--- a/internal/rehearse/policy.go
+++ b/internal/rehearse/policy.go
@@ -9,16 +9,16 @@
 
 // Decider is what decides at one proxy: the decision module, or a baseline to compare it with.
 type Decider interface {
-	Listed(now float64, full, first bool, list []balance.Backend) *balance.Orders
-	Take(now float64, a balance.Arrival) (Handle, *balance.Orders)
-	Wake(now float64) *balance.Orders
+	EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions
+	RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions)
+	TimerFired(now float64) *balance.Actions
 }
 
-// Handle is a lookup that a Decider was given.
-type Handle interface {
-	Ended(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Orders
-	Left(now float64) *balance.Orders
-	Wake(now float64) *balance.Orders
+// RequestHandle is a lookup that a Decider was given.
+type RequestHandle interface {
+	AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions
+	ClientDisconnected(now float64) *balance.Actions
+	TimerFired(now float64) *balance.Actions
 }
 
 // Policy makes a decider.
@@ -42,8 +42,8 @@
 // module is the decision module as a Decider.
 type module struct{ *balance.Balancer }
 
-func (m module) Take(now float64, a balance.Arrival) (Handle, *balance.Orders) {
-	return m.Balancer.Take(now, a)
+func (m module) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
+	return m.Balancer.RequestArrived(now, a)
 }
 
 // plain is a proxy as most are set up: every listed server alike, a leg at once, another one after what never ran or may
@@ -52,11 +52,11 @@
 	d      balance.Deployment
 	chance *rand.Rand
 	choose func(*plain, []int) int
-	list   []balance.Backend // by index
-	out    []int             // legs in flight, by index
+	list   []balance.Endpoint // by index
+	out    []int              // legs in flight, by index
 	turn   int
 	cands  []int
-	orders balance.Orders
+	orders balance.Actions
 
 	steward *steward // nil: nobody tells it where to send
 }
@@ -89,20 +89,20 @@
 	return best
 }
 
-func (p *plain) begin() *balance.Orders {
-	p.orders = balance.Orders{Steps: p.orders.Steps[:0]}
+func (p *plain) begin() *balance.Actions {
+	p.orders = balance.Actions{Requests: p.orders.Requests[:0]}
 	return &p.orders
 }
 
-func (p *plain) Listed(now float64, full, _ bool, list []balance.Backend) *balance.Orders {
+func (p *plain) EndpointsUpdated(now float64, full, _ bool, list []balance.Endpoint) *balance.Actions {
 	for i := range p.list {
 		if full {
-			p.list[i].State = balance.Gone
+			p.list[i].State = balance.Removed
 		}
 	}
 	for _, b := range list {
 		for len(p.list) <= b.Index {
-			p.list = append(p.list, balance.Backend{State: balance.Gone})
+			p.list = append(p.list, balance.Endpoint{State: balance.Removed})
 			p.out = append(p.out, 0)
 		}
 		p.list[b.Index] = b
@@ -113,15 +113,15 @@
 	return p.begin()
 }
 
-func (p *plain) Wake(float64) *balance.Orders { return p.begin() }
+func (p *plain) TimerFired(float64) *balance.Actions { return p.begin() }
 
-func (p *plain) Take(now float64, a balance.Arrival) (Handle, *balance.Orders) {
+func (p *plain) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
 	p.begin()
 	if p.steward != nil {
 		p.steward.look(now)
 	}
-	l := &asked{p: p, Arrival: a, row: &p.d.Tariffs[a.Tariff]}
-	p.orders.Steps = append(p.orders.Steps, balance.Step{Ref: a.Ref, Wake: a.HardStop - plainEarly})
+	l := &asked{p: p, RequestInfo: a, row: &p.d.Classes[a.Class]}
+	p.orders.Requests = append(p.orders.Requests, balance.RequestAction{Ref: a.Ref, WakeAt: a.Deadline - plainEarly})
 	l.next(now)
 	return l, &p.orders
 }
@@ -130,9 +130,9 @@
 
 // asked is a lookup of a baseline's.
 type asked struct {
-	balance.Arrival
+	balance.RequestInfo
 	p    *plain
-	row  *balance.Tariff
+	row  *balance.Class
 	legs []struct {
 		to       int
 		sent     float64
@@ -149,7 +149,7 @@
 			p.cands = append(p.cands, i)
 		}
 	}
-	if len(p.cands) == 0 || len(l.legs) >= p.d.MaxLegs || now >= l.HardStop-plainEarly {
+	if len(p.cands) == 0 || len(l.legs) >= p.d.MaxAttempts || now >= l.Deadline-plainEarly {
 		l.giveUp()
 		return
 	}
@@ -165,15 +165,15 @@
 	}{to: to, sent: now})
 	p.out[to]++
 	l.out = true
-	p.orders.Steps = append(p.orders.Steps, balance.Step{Ref: l.Ref, Send: true, Backend: to, Until: l.HardStop})
+	p.orders.Requests = append(p.orders.Requests, balance.RequestAction{Ref: l.Ref, Send: true, Endpoint: to, Deadline: l.Deadline})
 }
 
-func (l *asked) may(now float64, b balance.Backend) bool {
+func (l *asked) may(now float64, b balance.Endpoint) bool {
 	for _, g := range l.legs {
 		was := l.p.list[g.to]
-		if g.to == b.Index || !g.neverRan && (l.row.Kind == balance.SingleUse || l.row.Kind == balance.Referenced &&
-			(now > g.sent+l.row.Window-plainEarly || l.row.Scope == balance.ScopeZone && was.Zone != b.Zone ||
-				l.row.Scope == balance.ScopePod && was.Pod != b.Pod)) {
+		if g.to == b.Index || !g.neverRan && (l.row.Idempotency == balance.NonIdempotent || l.row.Idempotency == balance.Keyed &&
+			(now > g.sent+l.row.DedupWindow-plainEarly || l.row.DedupScope == balance.DedupZone && was.Zone != b.Zone ||
+				l.row.DedupScope == balance.DedupPod && was.Pod != b.Pod)) {
 			return false
 		}
 	}
@@ -181,24 +181,24 @@
 }
 
 func (l *asked) giveUp() {
-	answer := balance.Dismissed
+	answer := balance.Rejected
 	for _, g := range l.legs {
-		if !g.neverRan && (l.row.Kind == balance.SingleUse || l.row.Kind == balance.Referenced && l.row.Scope != balance.ScopeAll) {
-			answer = balance.Forfeited
+		if !g.neverRan && (l.row.Idempotency == balance.NonIdempotent || l.row.Idempotency == balance.Keyed && l.row.DedupScope != balance.DedupAll) {
+			answer = balance.Failed
 		}
 	}
 	l.over = true
-	l.p.orders.Steps = append(l.p.orders.Steps, balance.Step{Ref: l.Ref, Answer: answer, Advice: min(l.row.Due, l.p.d.MaxAdvice)})
+	l.p.orders.Requests = append(l.p.orders.Requests, balance.RequestAction{Ref: l.Ref, Reply: answer, RetryAfter: min(l.row.LatencyObjective, l.p.d.MaxRetryAfter)})
 	l.callOff()
 }
 
 func (l *asked) callOff() {
-	if l.out && l.p.d.CallOff {
-		l.p.orders.Steps = append(l.p.orders.Steps, balance.Step{Ref: l.Ref, CallOff: len(l.legs)})
+	if l.out && l.p.d.CancelAllowed {
+		l.p.orders.Requests = append(l.p.orders.Requests, balance.RequestAction{Ref: l.Ref, CancelAttempt: len(l.legs)})
 	}
 }
 
-func (l *asked) Ended(now float64, leg int, o balance.Outcome, _ float64, over bool) *balance.Orders {
+func (l *asked) AttemptEnded(now float64, leg int, o balance.Outcome, _ float64, over bool) *balance.Actions {
 	l.p.begin()
 	g := &l.legs[leg]
 	l.p.out[g.to]--
@@ -206,22 +206,22 @@
 		l.p.steward.ended(g.to, o)
 	}
 	g.neverRan, l.out = o.NeverRan(), false
-	if l.over = l.over || over || o == balance.Honoured; !l.over {
+	if l.over = l.over || over || o == balance.Succeeded; !l.over {
 		l.next(now)
 	}
 	return &l.p.orders
 }
 
-func (l *asked) Left(float64) *balance.Orders {
+func (l *asked) ClientDisconnected(float64) *balance.Actions {
 	l.p.begin()
 	l.over = true
 	l.callOff()
 	return &l.p.orders
 }
 
-func (l *asked) Wake(now float64) *balance.Orders {
+func (l *asked) TimerFired(now float64) *balance.Actions {
 	l.p.begin()
-	if !l.over && now >= l.HardStop-plainEarly-1e-9 {
+	if !l.over && now >= l.Deadline-plainEarly-1e-9 {
 		l.giveUp()
 	}
 	return &l.p.orders
