--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -258,8 +258,8 @@
 }
 
 var (
-	kinds  = map[string]balance.Kind{"replayable": balance.Replayable, "referenced": balance.Referenced, "single-use": balance.SingleUse}
-	scopes = map[string]balance.Scope{"": 0, "all": balance.ScopeAll, "zone": balance.ScopeZone, "pod": balance.ScopePod}
+	kinds  = map[string]balance.Idempotency{"replayable": balance.Idempotent, "referenced": balance.Keyed, "single-use": balance.NonIdempotent}
+	scopes = map[string]balance.DedupScope{"": 0, "all": balance.DedupAll, "zone": balance.DedupZone, "pod": balance.DedupPod}
 	shapes = map[string]load.Shape{"steady": load.Steady, "ramp": load.Ramp, "bursts": load.Bursts, "deadline": load.Deadline}
 )
 
@@ -321,9 +321,9 @@
 			return s.file.At("tariff", n, "name", "%q: a name of its own, of letters, digits and dashes", t.Name)
 		case !known:
 			return s.file.At("tariff", n, "kind", "%q: it is replayable, referenced or single-use", t.Kind)
-		case !scoped || kind != balance.Referenced && t.Scope != "":
+		case !scoped || kind != balance.Keyed && t.Scope != "":
 			return s.file.At("tariff", n, "scope", "%q: it is all, zone or pod, of a referenced tariff", t.Scope)
-		case kind == balance.Referenced && t.Window <= 0:
+		case kind == balance.Keyed && t.Window <= 0:
 			return s.file.At("tariff", n, "window", "a referenced tariff has one")
 		case t.Due > t.HardStop:
 			return s.file.At("tariff", n, "due", "%v is past the hard stop of %v", t.Due, t.HardStop)
@@ -549,21 +549,21 @@
 }
 
 // Figures is what each proxy is told.
-func (s *Scenario) Figures(seed uint64) figures.Figures {
+func (s *Scenario) Figures(seed uint64) figures.Settings {
 	d := &s.Deployment
-	f := figures.Figures{ConnectFor: d.ConnectFor, DrainGrace: d.Grace, Zones: s.zones()}
-	f.Deployment = balance.Deployment{Seed: seed, Proxies: s.Bank.Proxies, MaxLegs: d.MaxLegs, CallOff: d.CallOff, Beside: d.Beside,
-		MaxAdvice: d.MaxAdvice, ColdShare: d.ColdShare, ColdFor: d.ColdFor, FallMultiple: d.FallMultiple, FallFor: d.FallFor,
-		AskEvery: d.CountsAfter, IdleFor: d.IdleFor}
+	f := figures.Settings{ConnectTimeout: d.ConnectFor, DrainGrace: d.Grace, Zones: s.zones()}
+	f.Deployment = balance.Deployment{Seed: seed, Proxies: s.Bank.Proxies, MaxAttempts: d.MaxLegs, CancelAllowed: d.CallOff, HedgingAllowed: d.Beside,
+		MaxRetryAfter: d.MaxAdvice, SlowStartFraction: d.ColdShare, SlowStartDuration: d.ColdFor, CrashFactor: d.FallMultiple, CrashDuration: d.FallFor,
+		NotificationDeadline: d.CountsAfter, ServerIdleTimeout: d.IdleFor}
 	for _, t := range s.Tariffs {
-		f.Tariffs = append(f.Tariffs, balance.Tariff{Name: t.Name, Kind: kinds[t.Kind], Scope: scopes[t.Scope], Window: t.Window,
-			Due: t.Due, HardStop: t.HardStop, Value: t.Value})
+		f.Classes = append(f.Classes, balance.Class{Name: t.Name, Idempotency: kinds[t.Kind], DedupScope: scopes[t.Scope], DedupWindow: t.Window,
+			LatencyObjective: t.Due, Deadline: t.HardStop, PriorityWeight: t.Value})
 	}
 	for _, c := range s.Customers {
-		f.Customers = append(f.Customers, balance.Customer{Name: c.Name, Quota: c.Quota})
+		f.Tenants = append(f.Tenants, balance.Tenant{Name: c.Name, Quota: c.Quota})
 	}
 	for _, g := range s.Servers {
-		f.WarmKeys = f.WarmKeys || g.WarmKeys > 0
+		f.CacheAffinity = f.CacheAffinity || g.WarmKeys > 0
 	}
 	return f
 }
--- a/internal/rehearse/score.go
+++ b/internal/rehearse/score.go
@@ -55,19 +55,19 @@
 	s.locked(func(now, _ float64) {
 		s.tally.Tries++
 		s.tally.late.RecordValue(max(int64(late*1e6), 0))
-		try = s.audit.Sent(in.Tariff, now+s.tally.tariffs[in.Tariff].HardStop)
+		try = s.audit.Sent(in.Tariff, now+s.tally.tariffs[in.Tariff].Deadline)
 	})
 	return try
 }
 
 func (s *score) Honoured(try int, in *load.Intent, took, whole float64) {
 	s.locked(func(now, at float64) {
-		s.audit.Answered(now, try, balance.NoAnswer)
+		s.audit.Answered(now, try, balance.NoReply)
 		s.tally.honoured(at, in, took, whole)
 	})
 }
 
-func (s *score) Failed(try int, answer balance.Answer, wrong bool) {
+func (s *score) Failed(try int, answer balance.Reply, wrong bool) {
 	s.locked(func(now, at float64) {
 		s.audit.Answered(now, try, answer)
 		s.tally.failed(at, answer)
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/simulation_test.go
@@ -167,7 +167,7 @@
 	used bool
 }
 
-func (r *rogue) Listed(now float64, full, first bool, list []balance.Backend) *balance.Orders {
+func (r *rogue) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	if r.rule == 3 {
 		for i := range list {
 			if list[i].State == balance.Draining {
@@ -176,28 +176,28 @@
 		}
 	}
 	for _, b := range list {
-		if b.UpSince > 0 {
+		if b.StartedAt > 0 {
 			r.cold = b.Index
 		}
 	}
-	return r.Decider.Listed(now, full, first, list)
+	return r.Decider.EndpointsUpdated(now, full, first, list)
 }
 
-func (r *rogue) Take(now float64, a balance.Arrival) (Handle, *balance.Orders) {
-	h, o := r.Decider.Take(now, a)
-	for i := range o.Steps {
-		s := &o.Steps[i]
-		single := r.d.Tariffs[a.Tariff].Kind == balance.SingleUse && s.Ref == a.Ref && s.Send && !r.used
+func (r *rogue) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
+	h, o := r.Decider.RequestArrived(now, a)
+	for i := range o.Requests {
+		s := &o.Requests[i]
+		single := r.d.Classes[a.Class].Idempotency == balance.NonIdempotent && s.Ref == a.Ref && s.Send && !r.used
 		switch {
-		case r.rule == 4 && s.Send && r.cold > 0 && a.Tariff == 0: // whatever it bears
-			s.Backend = r.cold
+		case r.rule == 4 && s.Send && r.cold > 0 && a.Class == 0: // whatever it bears
+			s.Endpoint = r.cold
 		case r.rule == 1 && s.Send && !r.used:
-			r.used, s.Send, s.Wake = true, false, 0
+			r.used, s.Send, s.WakeAt = true, false, 0
 			return mute{}, o
 		case r.rule == 2 && single: // two legs at once
 			r.used = true
-			o.Steps = append(o.Steps, balance.Step{Ref: a.Ref, Send: true, Backend: (s.Backend + 1) % 6})
-			return twice{Handle: h}, o
+			o.Requests = append(o.Requests, balance.RequestAction{Ref: a.Ref, Send: true, Endpoint: (s.Endpoint + 1) % 6})
+			return twice{RequestHandle: h}, o
 		}
 	}
 	return h, o
@@ -206,31 +206,31 @@
 // mute never answers.
 type mute struct{}
 
-func (mute) Ended(float64, int, balance.Outcome, float64, bool) *balance.Orders {
-	return &balance.Orders{}
+func (mute) AttemptEnded(float64, int, balance.Outcome, float64, bool) *balance.Actions {
+	return &balance.Actions{}
 }
-func (mute) Left(float64) *balance.Orders { return &balance.Orders{} }
-func (mute) Wake(float64) *balance.Orders { return &balance.Orders{} }
+func (mute) ClientDisconnected(float64) *balance.Actions { return &balance.Actions{} }
+func (mute) TimerFired(float64) *balance.Actions         { return &balance.Actions{} }
 
 // twice hides the second leg from the decisions, which do not know of it.
-type twice struct{ Handle }
+type twice struct{ RequestHandle }
 
-func (t twice) Ended(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Orders {
+func (t twice) AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions {
 	if leg > 0 {
-		return &balance.Orders{}
+		return &balance.Actions{}
 	}
-	return t.Handle.Ended(now, leg, o, latency, over)
+	return t.RequestHandle.AttemptEnded(now, leg, o, latency, over)
 }
 
 // Each rule's check sees a proxy that breaks it, and no other rule's does.
 // deaf hears its first list only.
 type deaf struct{ Decider }
 
-func (d deaf) Listed(now float64, full, first bool, list []balance.Backend) *balance.Orders {
+func (d deaf) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	if !first {
 		list = nil
 	}
-	return d.Decider.Listed(now, first, first, list)
+	return d.Decider.EndpointsUpdated(now, first, first, list)
 }
 
 // What its agent has at discovery's return counts as told to a proxy that does not hear it; one that does breaks nothing.
@@ -278,72 +278,72 @@
 
 // What each breach looks like to the audit, and what only resembles one.
 func TestAudit(t *testing.T) {
-	tariffs := []balance.Tariff{{Name: "page"}, {Name: "sign", Kind: balance.Referenced, Scope: balance.ScopePod, Window: .3},
-		{Name: "sms", Kind: balance.SingleUse}}
+	tariffs := []balance.Class{{Name: "page"}, {Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
+		{Name: "sms", Idempotency: balance.NonIdempotent}}
 	const page, sign, sms = 0, 1, 2
 	for name, c := range map[string]struct {
 		tariff, rule int // 0: none
 		play         func(a *Audit, try int)
 	}{
-		"answered":              {page, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1.2, n, balance.NoAnswer) }},
+		"answered":              {page, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1.2, n, balance.NoReply) }},
 		"never answered":        {page, 1, func(a *Audit, n int) {}},
 		"lost":                  {page, 1, func(a *Audit, n int) { a.Lost(1, n) }},
 		"its client left":       {page, 0, func(a *Audit, n int) { a.Left(1, n) }},
-		"answered late":         {page, 1, func(a *Audit, n int) { a.Answered(2.2, n, balance.Dismissed) }},
-		"just in time":          {page, 0, func(a *Audit, n int) { a.Answered(2.04, n, balance.Dismissed) }},
-		"answered twice":        {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Dismissed); a.Answered(1, n, balance.Dismissed) }},
-		"sent after its answer": {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Dismissed); a.Reached(1.2, n, 0, 0, 0) }},
-		"honoured by nobody":    {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.NoAnswer) }},
-		"of no lookup":          {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Dismissed); a.Reached(1, n+7, 0, 0, 0) }},
+		"answered late":         {page, 1, func(a *Audit, n int) { a.Answered(2.2, n, balance.Rejected) }},
+		"just in time":          {page, 0, func(a *Audit, n int) { a.Answered(2.04, n, balance.Rejected) }},
+		"answered twice":        {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Answered(1, n, balance.Rejected) }},
+		"sent after its answer": {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Reached(1.2, n, 0, 0, 0) }},
+		"honoured by nobody":    {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.NoReply) }},
+		"of no lookup":          {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Reached(1, n+7, 0, 0, 0) }},
 		"sent to a banned server": {page, 3, func(a *Audit, n int) {
 			a.Banned(-9, 0, 4, true)
 			a.Banned(1.5, 0, 4, true) // repeated: since the first
 			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoAnswer)
+			a.Answered(1.9, n, balance.NoReply)
 		}},
 		"banned at another proxy": {page, 0, func(a *Audit, n int) {
 			a.Banned(-9, 1, 4, true)
 			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoAnswer)
+			a.Answered(1.9, n, balance.NoReply)
 		}},
 		"banned, and not any more": {page, 0, func(a *Audit, n int) {
 			a.Banned(-9, 0, 4, true)
 			a.Banned(1.8, 0, 4, false)
 			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoAnswer)
+			a.Answered(1.9, n, balance.NoReply)
 		}},
 		"replayable twice": {page, 0, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 0)
 			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Dismissed)
+			a.Answered(1, n, balance.Rejected)
 		}},
 		"single-use twice": {sms, 2, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 0)
 			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Forfeited)
+			a.Answered(1, n, balance.Failed)
 		}},
 		"single-use, turned away": {sms, 0, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 0)
 			a.Turned(n)
 			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Forfeited)
+			a.Answered(1, n, balance.Failed)
 		}},
-		"dismissed, never ran":    {sms, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Turned(n); a.Answered(1, n, balance.Dismissed) }},
-		"dismissed, may have run": {sms, 2, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1, n, balance.Dismissed) }},
+		"dismissed, never ran":    {sms, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Turned(n); a.Answered(1, n, balance.Rejected) }},
+		"dismissed, may have run": {sms, 2, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1, n, balance.Rejected) }},
 		"referenced, in its group": {sign, 0, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 5)
 			a.Reached(1.2, n, 0, 1, 5)
-			a.Answered(1.3, n, balance.NoAnswer)
+			a.Answered(1.3, n, balance.NoReply)
 		}},
 		"referenced, other group": {sign, 2, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 5)
 			a.Reached(1.2, n, 0, 1, 6)
-			a.Answered(1.3, n, balance.NoAnswer)
+			a.Answered(1.3, n, balance.NoReply)
 		}},
 		"referenced, past its window": {sign, 2, func(a *Audit, n int) {
 			a.Reached(1, n, 0, 0, 5)
 			a.Reached(1.4, n, 0, 1, 5)
-			a.Answered(1.5, n, balance.NoAnswer)
+			a.Answered(1.5, n, balance.NoReply)
 		}},
 		"within the grace": {page, 0, func(a *Audit, n int) { a.Listed(.1, 0); a.Told(.2, 0, 0); a.Reached(2.6, n, 0, 0, 0); a.Left(3, n) }},
 		"past the grace":   {page, 3, func(a *Audit, n int) { a.Listed(.1, 0); a.Told(.2, 0, 0); a.Reached(2.8, n, 0, 0, 0); a.Left(3, n) }},
--- a/internal/rehearse/sockets.go
+++ b/internal/rehearse/sockets.go
@@ -94,8 +94,8 @@
 		defer os.RemoveAll(dir)
 		st.dir = dir
 	}
-	st.score = &score{tally: newTally(s, f.Tariffs, o.Seed, o.Name, "sockets"), slow: &lateness{}, start: math.Inf(1),
-		audit: NewAudit(f.Tariffs, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
+	st.score = &score{tally: newTally(s, f.Classes, o.Seed, o.Name, "sockets"), slow: &lateness{}, start: math.Inf(1),
+		audit: NewAudit(f.Classes, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
 	clock := time.Now()
 	st.score.now = func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
 	fleet := s.Fleet(o.Seed, st.score.now())
@@ -166,8 +166,8 @@
 		zones[z] = i
 	}
 	all := map[string]standin.Lookup{}
-	for i, t := range s.Figures(0).Tariffs {
-		all[t.Name] = standin.Lookup{Number: i, Work: s.Tariffs[i].Work, Window: t.Window,
+	for i, t := range s.Figures(0).Classes {
+		all[t.Name] = standin.Lookup{Number: i, Work: s.Tariffs[i].Work, Window: t.DedupWindow,
 			Marks: func(m *emulator.Member) int { return marks(t, i, m, zones[m.Zone]) }}
 	}
 	return all
@@ -457,24 +457,24 @@
 	ms := func(s float64) float64 { return s * 1000 }
 	d := s.Deployment
 	type object map[string]any
-	effects := map[balance.Kind]string{balance.Replayable: "retryable", balance.Referenced: "dedup", balance.SingleUse: "fragile"}
-	groups := map[balance.Scope]string{balance.ScopeAll: "all", balance.ScopeZone: "zone", balance.ScopePod: "cell"}
+	effects := map[balance.Idempotency]string{balance.Idempotent: "retryable", balance.Keyed: "dedup", balance.NonIdempotent: "fragile"}
+	groups := map[balance.DedupScope]string{balance.DedupAll: "all", balance.DedupZone: "zone", balance.DedupPod: "cell"}
 	f := s.Figures(seed)
 	var profiles, realms []object
-	for _, t := range f.Tariffs {
-		p := object{"Name": t.Name, "Effect": effects[t.Kind], "DueTimeMs": ms(t.Due), "HardStopMs": ms(t.HardStop), "Value": t.Value}
-		if t.Kind == balance.Referenced {
-			p["DedupScope"], p["WindowMs"] = groups[t.Scope], ms(t.Window)
+	for _, t := range f.Classes {
+		p := object{"Name": t.Name, "Effect": effects[t.Idempotency], "DueTimeMs": ms(t.LatencyObjective), "HardStopMs": ms(t.Deadline), "Value": t.PriorityWeight}
+		if t.Idempotency == balance.Keyed {
+			p["DedupScope"], p["WindowMs"] = groups[t.DedupScope], ms(t.DedupWindow)
 		}
 		profiles = append(profiles, p)
 	}
-	for _, c := range f.Customers {
+	for _, c := range f.Tenants {
 		realms = append(realms, object{"Name": c.Name, "QuotaPerS": c.Quota})
 	}
 	return json.MarshalIndent(object{"name": name, "listen": listen, "discovery": discovery, "seed": strconv.FormatUint(seed, 16),
 		"limits": object{"cores": s.Bank.Cores, "memory_mb": s.Bank.MemoryMB, "sockets": s.Bank.Sockets}, "known": known,
 		"settings": object{"ReplicasOfMe": s.Bank.Proxies, "Zones": f.Zones, "Discovery": "push",
-			"FamilyInfo": object{"WarmKeys": f.WarmKeys},
+			"FamilyInfo": object{"WarmKeys": f.CacheAffinity},
 			"Ceilings": object{"MaxLegs": d.MaxLegs, "Cancel": d.CallOff, "ParallelTries": d.Beside, "RetryAfter": d.MaxAdvice > 0,
 				"MaxRetryAfterMs": ms(d.MaxAdvice), "ConnectTimeoutMs": ms(d.ConnectFor), "ConnIdleMs": ms(d.IdleFor)},
 			"Rules": object{"StopSendingWithinMs": ms(d.Grace), "AskEveryMs": ms(d.CountsAfter), "ColdFrom": d.ColdShare, "ColdMs": ms(d.ColdFor),
--- a/internal/rehearse/steered.go
+++ b/internal/rehearse/steered.go
@@ -17,10 +17,10 @@
 type steward struct {
 	b                *balance.Balancer
 	pool             *assign.Pool
-	all              map[uint64]*plain // by number
-	list             []balance.Backend // by index, the newest that any of them was told
-	results          []balance.Results // since the last report, by index
-	told             []assign.Server   // by index; Weight 0: nothing is to be sent there
+	all              map[uint64]*plain          // by number
+	list             []balance.Endpoint         // by index, the newest that any of them was told
+	results          []balance.ReportedOutcomes // since the last report, by index
+	told             []assign.Server            // by index; Weight 0: nothing is to be sent there
 	drop, rate       float64
 	reportAt, lookAt float64
 }
@@ -39,7 +39,7 @@
 			}
 			s = &steward{b: b, all: map[uint64]*plain{}}
 			pools[pool] = s
-			s.pool = assign.New(assign.Terms{ColdShare: d.ColdShare, ColdFor: d.ColdFor, FallMultiple: d.FallMultiple, FallFor: d.FallFor})
+			s.pool = assign.New(assign.Settings{SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration, CrashFactor: d.CrashFactor, CrashDuration: d.CrashDuration})
 		}
 		made, _ := plainly(s.choose)(d, now)
 		p := made.(*plain)
@@ -50,18 +50,18 @@
 }
 
 // listed takes in a list. Danger: one of them may be told late; what drains or is gone stays so until its next start.
-func (s *steward) listed(now float64, list []balance.Backend) {
+func (s *steward) listed(now float64, list []balance.Endpoint) {
 	for _, b := range list {
 		for len(s.list) <= b.Index {
-			s.list = append(s.list, balance.Backend{State: balance.Gone, UpSince: -1})
-			s.results = append(s.results, balance.Results{Backend: len(s.results)})
+			s.list = append(s.list, balance.Endpoint{State: balance.Removed, StartedAt: -1})
+			s.results = append(s.results, balance.ReportedOutcomes{Endpoint: len(s.results)})
 			s.told = append(s.told, assign.Server{})
 		}
-		if was := s.list[b.Index]; b.UpSince > was.UpSince || b.UpSince == was.UpSince && b.State > was.State {
+		if was := s.list[b.Index]; b.StartedAt > was.StartedAt || b.StartedAt == was.StartedAt && b.State > was.State {
 			s.list[b.Index] = b
 		}
 	}
-	s.b.Listed(now, true, true, s.list)
+	s.b.EndpointsUpdated(now, true, true, s.list)
 	s.lookAt = 0
 	s.look(now)
 }
@@ -69,9 +69,9 @@
 // ended counts how a leg ended, as its sender would see it.
 func (s *steward) ended(to int, o balance.Outcome) {
 	switch o {
-	case balance.Honoured:
-		s.results[to].Honoured++
-	case balance.CalledOff, balance.NeverSent, balance.Unfit:
+	case balance.Succeeded:
+		s.results[to].Succeeded++
+	case balance.Canceled, balance.NotSent, balance.InvalidRequest:
 	default:
 		s.results[to].Failed++
 	}
@@ -81,35 +81,35 @@
 func (s *steward) look(now float64) {
 	if now >= s.reportAt {
 		s.reportAt = now + stewardReports
-		s.b.Reported(now, s.results)
+		s.b.OutcomesReported(now, s.results)
 		s.rate = 0
 		for i := range s.results {
-			s.rate += float64(s.results[i].Honoured+s.results[i].Failed) / stewardReports
-			s.results[i].Honoured, s.results[i].Failed = 0, 0
+			s.rate += float64(s.results[i].Succeeded+s.results[i].Failed) / stewardReports
+			s.results[i].Succeeded, s.results[i].Failed = 0, 0
 		}
 	}
 	if now < s.lookAt {
 		return
 	}
 	s.lookAt = now + stewardLooks
-	sight := assign.Sight{Rate: s.rate}
+	sight := assign.Observation{Rate: s.rate}
 	for _, p := range s.all { // whole numbers: their order does not matter
 		for _, n := range p.out {
 			sight.Load += float64(n)
 		}
 	}
-	for _, x := range s.b.Beliefs(now) {
-		b := s.list[x.Backend]
-		sight.Servers = append(sight.Servers, assign.Opinion{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
-			Trial: x.Trial, Payoff: x.Payoff, Size: b.Size, UpSince: b.UpSince})
+	for _, x := range s.b.ServerStatuses(now) {
+		b := s.list[x.Endpoint]
+		sight.Servers = append(sight.Servers, assign.ServerEstimate{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
+			Trial: x.Trial, Payoff: x.Payoff, Cores: b.Cores, StartedAt: b.StartedAt})
 	}
 	for _, b := range s.list {
-		if b.State == balance.Gone {
-			sight.Gone = append(sight.Gone, strconv.Itoa(b.Index))
+		if b.State == balance.Removed {
+			sight.Removed = append(sight.Removed, strconv.Itoa(b.Index))
 		}
 	}
-	s.pool.Next(now, sight)
-	view := s.pool.View("")
+	s.pool.Update(now, sight)
+	view := s.pool.AssignmentFor("")
 	s.drop = view.Drop
 	clear(s.told)
 	for _, x := range view.Servers {
--- a/internal/rehearse/tally.go
+++ b/internal/rehearse/tally.go
@@ -107,7 +107,7 @@
 // tally counts for a Result while a run goes on.
 type tally struct {
 	Result
-	tariffs []balance.Tariff
+	tariffs []balance.Class
 	times   *hdrhistogram.Histogram
 	by      []*hdrhistogram.Histogram
 	late    *hdrhistogram.Histogram
@@ -117,7 +117,7 @@
 	useful  float64 // work of honoured legs that were handed on
 }
 
-func newTally(s *Scenario, tariffs []balance.Tariff, seed uint64, policy, clock string) *tally {
+func newTally(s *Scenario, tariffs []balance.Class, seed uint64, policy, clock string) *tally {
 	hist := func(figures int) *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, figures) }
 	t := &tally{tariffs: tariffs, times: hist(figures3), late: hist(figures3), second: hist(figures2),
 		worth: make([]float64, len(tariffs)), gained: make([]float64, len(tariffs))}
@@ -142,7 +142,7 @@
 func (t *tally) asked(at float64, in *load.Intent) {
 	t.Lookups++
 	t.Tariffs[in.Tariff].Lookups++
-	t.worth[in.Tariff] += t.tariffs[in.Tariff].Value
+	t.worth[in.Tariff] += t.tariffs[in.Tariff].PriorityWeight
 	t.now(at).Asked++
 }
 
@@ -154,14 +154,14 @@
 	t.by[in.Tariff].RecordValue(us)
 	t.second.RecordValue(us)
 	row := &t.tariffs[in.Tariff]
-	due := row.Due
+	due := row.LatencyObjective
 	if due == 0 {
-		due = row.HardStop
+		due = row.Deadline
 	}
 	if whole <= due {
 		t.InTime++
 		t.Tariffs[in.Tariff].InTime++
-		t.gained[in.Tariff] += row.Value
+		t.gained[in.Tariff] += row.PriorityWeight
 		t.now(at).InTime++
 	} else {
 		t.Late++
@@ -169,8 +169,8 @@
 	}
 }
 
-func (t *tally) failed(at float64, answer balance.Answer) {
-	if answer == balance.Dismissed {
+func (t *tally) failed(at float64, answer balance.Reply) {
+	if answer == balance.Rejected {
 		t.Dismissed++
 		t.now(at).Dismissed++
 	} else {
@@ -191,7 +191,7 @@
 	s.P50, s.P99 = float64(t.second.ValueAtQuantile(50))/1e6, float64(t.second.ValueAtQuantile(99))/1e6
 	t.second.Reset()
 	for _, m := range f.Members {
-		if m.State == balance.Gone {
+		if m.State == balance.Removed {
 			continue
 		}
 		_, waiting, _ := m.Load()
--- a/internal/rehearse/timeline.go
+++ b/internal/rehearse/timeline.go
@@ -120,15 +120,15 @@
 }
 
 // marks is the group that drops repeats of a tariff's lookups at a member: -1 none.
-func marks(t balance.Tariff, tariff int, m *emulator.Member, zone int) int {
+func marks(t balance.Class, tariff int, m *emulator.Member, zone int) int {
 	const most = serversMost + 2 // groups of one tariff: all, or zones, or pods
-	if t.Kind != balance.Referenced {
+	if t.Idempotency != balance.Keyed {
 		return -1
 	}
-	switch t.Scope {
-	case balance.ScopeZone:
+	switch t.DedupScope {
+	case balance.DedupZone:
 		return tariff*most + 1 + zone
-	case balance.ScopePod:
+	case balance.DedupPod:
 		return tariff*most + 1 + m.Pod
 	}
 	return tariff * most
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -103,7 +103,7 @@
 	sent     float64
 	hardStop float64
 	leaves   float64
-	handle   Handle
+	handle   RequestHandle
 	legs     []int32
 	open     int // legs
 	over     bool
@@ -142,7 +142,7 @@
 // virtual is a run in virtual time.
 type virtual struct {
 	s       *Scenario
-	figures figures.Figures
+	figures figures.Settings
 	policy  Policy
 	seed    uint64
 	now     float64
@@ -180,8 +180,8 @@
 	f := s.Figures(seed)
 	v := &virtual{s: s, figures: f, policy: policy, seed: seed, now: epoch, plan: lookups,
 		clients: load.Clients(s.Clients), chance: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
-		models: map[string]int{}, audit: NewAudit(f.Tariffs, 2*wire+1e-6, s.Deployment.Grace, s.Deployment.CountsAfter),
-		tally: newTally(s, f.Tariffs, seed, name, "virtual")}
+		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wire+1e-6, s.Deployment.Grace, s.Deployment.CountsAfter),
+		tally: newTally(s, f.Classes, seed, name, "virtual")}
 	for i, z := range f.Zones {
 		v.zones[z] = i
 	}
@@ -235,12 +235,12 @@
 		v.stop(e.a, e.gen)
 	case evWake:
 		if t := &v.tries[e.a]; t.gen == e.gen && t.handle != nil {
-			v.carry(t.proxy, t.pool, t.handle.Wake(v.now))
+			v.carry(t.proxy, t.pool, t.handle.TimerFired(v.now))
 			v.release(e.a)
 		}
 	case evPump:
 		if p := v.proxies[e.a]; p.era == e.gen && p.alive {
-			v.carry(e.a, e.b, p.pools[e.b].Wake(v.now))
+			v.carry(e.a, e.b, p.pools[e.b].TimerFired(v.now))
 		}
 	case evReach:
 		if v.legs[e.a].gen == e.gen {
@@ -298,9 +298,9 @@
 func (v *virtual) try(in load.Intent, n int) {
 	i := slot(&v.tries, &v.freeTry)
 	t := &v.tries[i]
-	row := &v.figures.Tariffs[in.Tariff]
-	*t = try{in: in, n: n, gen: t.gen + 1, legs: t.legs[:0], sent: v.now, hardStop: v.now + row.HardStop, proxy: -1, used: true}
-	t.leaves = v.now + row.HardStop*v.clients.Patience
+	row := &v.figures.Classes[in.Tariff]
+	*t = try{in: in, n: n, gen: t.gen + 1, legs: t.legs[:0], sent: v.now, hardStop: v.now + row.Deadline, proxy: -1, used: true}
+	t.leaves = v.now + row.Deadline*v.clients.Patience
 	v.take(i)
 }
 
@@ -328,49 +328,49 @@
 	t.id = v.audit.Sent(t.in.Tariff, t.hardStop)
 	v.tally.Tries++
 	v.agenda.add(event{at: t.leaves, what: evStop, a: i, gen: t.gen})
-	a := balance.Arrival{Ref: int(i), Tariff: t.in.Tariff, Customer: t.in.Customer, HardStop: t.hardStop, Again: t.n > 1 && v.clients.Marked}
+	a := balance.RequestInfo{Ref: int(i), Class: t.in.Tariff, Tenant: t.in.Customer, Deadline: t.hardStop, ClientRetry: t.n > 1 && v.clients.Marked}
 	if t.in.Key > 0 {
-		a.Key = figures.Hash(strconv.FormatUint(t.in.Key, 10))
+		a.Key = figures.NameHash(strconv.FormatUint(t.in.Key, 10))
 	}
 	t.pool = v.pool(t.in.Tariff)
-	handle, orders := p.pools[t.pool].Take(v.now, a)
+	handle, orders := p.pools[t.pool].RequestArrived(v.now, a)
 	v.tries[i].handle = handle
 	v.carry(t.proxy, t.pool, orders)
 	v.release(i)
 }
 
 // carry carries out what a proxy's decider orders.
-func (v *virtual) carry(proxy, pool int32, o *balance.Orders) {
-	if o.Wake > 0 {
-		v.agenda.add(event{at: max(o.Wake, v.now), what: evPump, a: proxy, b: pool, gen: v.proxies[proxy].era})
+func (v *virtual) carry(proxy, pool int32, o *balance.Actions) {
+	if o.WakeAt > 0 {
+		v.agenda.add(event{at: max(o.WakeAt, v.now), what: evPump, a: proxy, b: pool, gen: v.proxies[proxy].era})
 	}
-	for k := range o.Steps {
-		s := &o.Steps[k]
+	for k := range o.Requests {
+		s := &o.Requests[k]
 		t := &v.tries[s.Ref]
 		if s.Send {
-			v.send(int32(s.Ref), s.Backend)
+			v.send(int32(s.Ref), s.Endpoint)
 		}
-		if s.CallOff > 0 {
-			if g := t.legs[s.CallOff-1]; v.legs[g].used && !v.legs[g].closed {
+		if s.CancelAttempt > 0 {
+			if g := t.legs[s.CancelAttempt-1]; v.legs[g].used && !v.legs[g].closed {
 				v.drop(g)
-				v.agenda.add(event{at: v.now, what: evBack, a: g, b: int32(balance.CalledOff), gen: v.legs[g].gen})
+				v.agenda.add(event{at: v.now, what: evBack, a: g, b: int32(balance.Canceled), gen: v.legs[g].gen})
 			}
 		}
-		if s.Answer != balance.NoAnswer && !t.over {
+		if s.Reply != balance.NoReply && !t.over {
 			t.over = true
-			v.answered(t, s.Answer, s.Advice)
+			v.answered(t, s.Reply, s.RetryAfter)
 		}
-		if s.Wake > 0 {
-			v.agenda.add(event{at: max(s.Wake, v.now), what: evWake, a: int32(s.Ref), gen: t.gen})
+		if s.WakeAt > 0 {
+			v.agenda.add(event{at: max(s.WakeAt, v.now), what: evWake, a: int32(s.Ref), gen: t.gen})
 		}
 	}
-	for k := range o.Steps {
-		v.release(int32(o.Steps[k].Ref))
+	for k := range o.Requests {
+		v.release(int32(o.Requests[k].Ref))
 	}
 }
 
 // answered tells a client that its try was dismissed or forfeited.
-func (v *virtual) answered(t *try, answer balance.Answer, advice float64) {
+func (v *virtual) answered(t *try, answer balance.Reply, advice float64) {
 	at := v.now + wire
 	v.audit.Answered(at, t.id, answer)
 	v.tally.failed(at-epoch, answer)
@@ -378,18 +378,18 @@
 }
 
 // again has a client try again, or not.
-func (v *virtual) again(t *try, answer balance.Answer, advice float64) {
-	after, ok := v.clients.Again(t.n, v.figures.Tariffs[t.in.Tariff].Kind, answer, advice, v.chance)
+func (v *virtual) again(t *try, answer balance.Reply, advice float64) {
+	after, ok := v.clients.Again(t.n, v.figures.Classes[t.in.Tariff].Idempotency, answer, advice, v.chance)
 	if !ok || v.now+after > epoch+v.s.Seconds {
 		return
 	}
 	in, n := t.in, t.n+1
 	i := slot(&v.tries, &v.freeTry)
 	again := &v.tries[i]
-	row := &v.figures.Tariffs[in.Tariff]
+	row := &v.figures.Classes[in.Tariff]
 	at := v.now + wire + after
-	*again = try{in: in, n: n, gen: again.gen + 1, legs: again.legs[:0], sent: at, hardStop: at + row.HardStop, proxy: -1, used: true,
-		leaves: at + row.HardStop*v.clients.Patience}
+	*again = try{in: in, n: n, gen: again.gen + 1, legs: again.legs[:0], sent: at, hardStop: at + row.Deadline, proxy: -1, used: true,
+		leaves: at + row.Deadline*v.clients.Patience}
 	v.agenda.add(event{at: at, what: evTry, a: i})
 }
 
@@ -427,22 +427,22 @@
 	m := v.fleet.Members[l.member]
 	t := &v.tries[l.try]
 	switch reach := m.Reach(); {
-	case reach == emulator.Shut || m.State == balance.Gone:
-		v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.NoRoute), gen: l.gen})
+	case reach == emulator.Shut || m.State == balance.Removed:
+		v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
 	case reach == emulator.Silent && !l.kept:
-		v.agenda.add(event{at: l.sent + v.figures.ConnectFor, what: evBack, a: g, b: int32(balance.NoRoute), gen: l.gen})
+		v.agenda.add(event{at: l.sent + v.figures.ConnectTimeout, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
 	case reach == emulator.Silent:
 		v.unheard[l.member] = append(v.unheard[l.member], g)
 		m.Take(v.now, emulator.Job{Ref: int(g)})
 		return
 	}
-	row := &v.figures.Tariffs[t.in.Tariff]
+	row := &v.figures.Classes[t.in.Tariff]
 	j := emulator.Job{Ref: int(g), Tariff: t.in.Tariff, Work: l.work, Key: t.in.Key}
 	group := marks(*row, t.in.Tariff, m, v.zones[m.Zone])
 	if group >= 0 {
-		j.Mark, j.Window, j.Marks = uint64(t.in.Number)+1, row.Window, v.fleet.Group(group)
+		j.Mark, j.Window, j.Marks = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.Group(group)
 	}
 	l.reached = true
 	v.audit.Reached(v.now, t.id, int(l.proxy), int(l.member), group)
@@ -458,7 +458,7 @@
 	for _, end := range e.Ends {
 		g := int32(end.Ref)
 		l := &v.legs[g]
-		if end.Outcome == balance.NoRoom {
+		if end.Outcome == balance.ServerRejected {
 			v.audit.Turned(v.tries[l.try].id)
 		}
 		switch {
@@ -499,7 +499,7 @@
 
 // reset ends all connections to a member.
 func (v *virtual) reset(member int) {
-	if m := v.fleet.Members[member]; m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Gone {
+	if m := v.fleet.Members[member]; m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Removed {
 		v.tally.event(v.now-epoch, fmt.Sprintf("!%s fell over", m.Name))
 		v.audit.Fell(v.now, member)
 	}
@@ -510,7 +510,7 @@
 	v.unheard[member] = nil
 	for _, g := range lost {
 		if l := &v.legs[g]; l.used && !l.closed && int(l.member) == member {
-			v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.Cut), gen: l.gen})
+			v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.ConnectionLost), gen: l.gen})
 		}
 	}
 }
@@ -519,25 +519,25 @@
 func (v *virtual) back(g int32, o balance.Outcome) {
 	l := &v.legs[g]
 	t := &v.tries[l.try]
-	if l.closed && o != balance.CalledOff && o != balance.TooSlow {
+	if l.closed && o != balance.Canceled && o != balance.TimedOut {
 		return
 	}
 	l.closed = true
 	i, p := l.try, v.proxies[l.proxy]
-	if o == balance.Honoured || o == balance.Fault || o == balance.NoRoom {
+	if o == balance.Succeeded || o == balance.ServerError || o == balance.ServerRejected {
 		*v.idle(p, int(l.member))++
 	}
-	if o == balance.Honoured && !t.over {
+	if o == balance.Succeeded && !t.over {
 		t.over = true
 		v.tally.useful += l.work
 		at := v.now + wire
-		v.audit.Answered(at, t.id, balance.NoAnswer)
+		v.audit.Answered(at, t.id, balance.NoReply)
 		v.tally.honoured(at-epoch, &t.in, at-t.sent, at-epoch-t.in.At)
 	}
 	over, index, latency := t.over, int(l.index), v.now-l.sent
 	t.open--
 	v.freed(g)
-	v.carry(t.proxy, t.pool, t.handle.Ended(v.now, index, o, latency, over))
+	v.carry(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, o, latency, over))
 	v.release(i)
 }
 
@@ -575,7 +575,7 @@
 			v.audit.Lost(v.now, t.id)
 			v.tally.lost(v.now - epoch)
 		}
-		v.carry(t.proxy, t.pool, t.handle.Left(v.now))
+		v.carry(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
 	}
 	for k := 0; k < len(v.tries[i].legs); k++ {
 		t := &v.tries[i]
@@ -584,7 +584,7 @@
 		}
 		if g := t.legs[k]; v.legs[g].used && v.legs[g].try == i && !v.legs[g].closed {
 			v.drop(g)
-			v.back(g, balance.TooSlow)
+			v.back(g, balance.TimedOut)
 		}
 	}
 	v.release(i)
@@ -657,7 +657,7 @@
 			v.audit.Left(v.now, t.id)
 			v.tally.WithProxy++
 			v.tally.now(v.now-epoch).Lost++
-			v.again(t, balance.Forfeited, 0)
+			v.again(t, balance.Failed, 0)
 			t = &v.tries[k]
 		}
 		for _, g := range t.legs {
@@ -689,9 +689,9 @@
 		pools = append(pools, decider)
 	}
 	*p = vproxy{pools: pools, era: p.era + 1, up: true, alive: true, silent: p.silent, late: p.late, lateTo: p.lateTo}
-	var list []balance.Backend
+	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
-		if m.State != balance.Gone {
+		if m.State != balance.Removed {
 			list = append(list, v.entry(k))
 			v.told(i, k)
 		}
@@ -701,14 +701,14 @@
 }
 
 // entry is a member as the list has it.
-func (v *virtual) entry(i int) balance.Backend {
+func (v *virtual) entry(i int) balance.Endpoint {
 	m := v.fleet.Members[i]
 	model, ok := v.models[m.Model]
 	if !ok {
 		model = len(v.models)
 		v.models[m.Model] = model
 	}
-	return balance.Backend{Index: i, Mark: figures.Hash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, UpSince: m.Since()}
+	return balance.Endpoint{Index: i, NameHash: figures.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.Since()}
 }
 
 func (v *virtual) told(proxy, member int) {
@@ -734,7 +734,7 @@
 }
 
 // list tells each pool of a proxy what of a list concerns it.
-func (v *virtual) list(i int, first bool, list []balance.Backend) {
+func (v *virtual) list(i int, first bool, list []balance.Endpoint) {
 	for k, group := range v.s.pools() {
 		own := list
 		if group >= 0 {
@@ -745,7 +745,7 @@
 				}
 			}
 		}
-		v.carry(int32(i), int32(k), v.proxies[i].pools[k].Listed(v.now, first, first, own))
+		v.carry(int32(i), int32(k), v.proxies[i].pools[k].EndpointsUpdated(v.now, first, first, own))
 	}
 }
 
@@ -767,7 +767,7 @@
 	if !p.alive {
 		return
 	}
-	var list []balance.Backend
+	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
 		if m.Changed(p.version) {
 			list = append(list, v.entry(k))
--- a/internal/report/beliefs.go
+++ b/internal/report/beliefs.go
@@ -23,7 +23,7 @@
 }{
 	{"Payoff of a leg", "payoff", func(m *capture.Moment) float64 { return m.Payoff }},
 	{"Limit", "legs", func(m *capture.Moment) float64 { return m.Limit }},
-	{"Legs out", "legs", func(m *capture.Moment) float64 { return float64(m.Out) }},
+	{"Legs out", "legs", func(m *capture.Moment) float64 { return float64(m.InFlight) }},
 	{"Paused", "1: paused", func(m *capture.Moment) float64 {
 		if m.Paused {
 			return 1
@@ -57,7 +57,7 @@
 		if by[m.Pool] == nil {
 			by[m.Pool] = map[int][]*capture.Moment{}
 		}
-		by[m.Pool][m.Backend] = append(by[m.Pool][m.Backend], m)
+		by[m.Pool][m.Endpoint] = append(by[m.Pool][m.Endpoint], m)
 	}
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		one := pool{Name: name, More: max(len(by[name])-backendsMost, 0)}
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -276,12 +276,12 @@
 	out.Version = y.Fleet.Version
 	now := y.Now()
 	for i, m := range y.Fleet.Members[:len(y.owners)] {
-		if !m.Changed(from) || out.Full && m.State == balance.Gone {
+		if !m.Changed(from) || out.Full && m.State == balance.Removed {
 			continue
 		}
 		e := discovery.Entry{Addr: y.slots[m.Slot].doors[a.proxy].addr}
-		e.Name, e.ZoneName, e.ModelName, e.Pod, e.State, e.Size = m.Name, m.Zone, m.Model, m.Pod, m.State, 1
-		e.UpSince = math.Trunc(m.Since()*1000) / 1000
+		e.Name, e.ZoneName, e.ModelName, e.Pod, e.State, e.Cores = m.Name, m.Zone, m.Model, m.Pod, m.State, 1
+		e.StartedAt = math.Trunc(m.Since()*1000) / 1000
 		out.Entries = append(out.Entries, e)
 		if m.State != balance.Ready {
 			y.sight.Told(now, a.proxy, i)
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -140,10 +140,10 @@
 	}
 	for part := range strings.SplitSeq(query, "&") {
 		if key, ok := strings.CutPrefix(part, "user="); ok {
-			a.key = figures.Hash(key)
+			a.key = figures.NameHash(key)
 		}
 	}
-	a.mark = figures.Hash(string(h.Get("Idempotency-Key")))
+	a.mark = figures.NameHash(string(h.Get("Idempotency-Key")))
 	return a
 }
 
@@ -190,19 +190,19 @@
 		c.y.mu.Unlock()
 		var head string
 		switch end.Outcome {
-		case balance.Honoured:
+		case balance.Succeeded:
 			head = fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=%d, queue=%d, util=%.2f\r\nContent-Length: %d\r\n\r\n%s\n",
 				inWork+waiting, waiting, use, len(id)+1, id)
-		case balance.Fault:
+		case balance.ServerError:
 			head = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
-		case balance.NoRoom:
+		case balance.ServerRejected:
 			head = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 		default:
 			c.reset()
 			continue
 		}
 		c.nc.SetWriteDeadline(time.Now().Add(answerFor))
-		if _, err := c.nc.Write([]byte(head)); err == nil && end.Outcome == balance.Honoured {
+		if _, err := c.nc.Write([]byte(head)); err == nil && end.Outcome == balance.Succeeded {
 			c.y.sight.Served(id, end.Work)
 		}
 	}
--- a/internal/standin/yard.go
+++ b/internal/standin/yard.go
@@ -394,7 +394,7 @@
 		if c == nil {
 			continue // nobody waits for it
 		}
-		if end.Outcome == balance.NoRoom {
+		if end.Outcome == balance.ServerRejected {
 			y.sight.Turned(c.id)
 		}
 		if c.job = -1; m.Reach() != emulator.Silent { // else nothing that it says gets out
@@ -402,7 +402,7 @@
 		}
 	}
 	if e.Reset {
-		if m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Gone {
+		if m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Removed {
 			y.sight.Fell(now, e.Member)
 		}
 		for c := range y.slots[m.Slot].conns {
--- a/internal/standin/yard_test.go
+++ b/internal/standin/yard_test.go
@@ -204,7 +204,7 @@
 	y, n := field(t, emulator.Build{Room: 9})
 	told := make(chan discovery.List, 100)
 	log, _ := test.NewNullLogger()
-	w := &discovery.Watch{Addr: y.Agent(1).Addr(), Version: 0, Log: log, Up: func() {}, Told: func(l discovery.List) { told <- l },
+	w := &discovery.Watch{Addr: y.Agent(1).Addr(), Version: 0, Log: log, OnConnected: func() {}, OnList: func(l discovery.List) { told <- l },
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		}}
@@ -218,17 +218,17 @@
 	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetRenewAt, Value: .2}))
 	draining := <-told
 	assert.Equal(t, balance.Draining, draining.Entries[0].State)
-	states := map[string]balance.State{}
+	states := map[string]balance.EndpointState{}
 	for len(states) < 2 {
 		for _, e := range (<-told).Entries {
 			states[e.Name] = e.State
 			if e.State == balance.Ready {
 				assert.Equal(t, y.addr(1, 0), e.Addr, "the new one is where the old one was")
-				assert.Greater(t, e.UpSince, 1e9)
+				assert.Greater(t, e.StartedAt, 1e9)
 			}
 		}
 	}
-	assert.Equal(t, map[string]balance.State{"s": balance.Gone, "s.2": balance.Ready}, states)
+	assert.Equal(t, map[string]balance.EndpointState{"s": balance.Removed, "s.2": balance.Ready}, states)
 	assert.Equal(t, "200 5", dial(t, y, 1, 0).ask("page", "5", ""))
 	assert.Contains(t, n.seen(), "1 told of 0")
 	assert.Contains(t, n.seen(), "0 told of 0", "what an agent has counts as told, though nobody watches")
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -22,23 +22,23 @@
 
 // Limit is a bound for each of many keys (a route, a customer, an address), or for one thing with the key 0.
 type Limit struct {
-	Name   string
-	Rate   float64 // lookups a second; 0: no limit
-	Burst  float64 // that may come at once, after a pause; less than 1 counts as 1
-	InHand int     // lookups at a time; 0: no limit
-	Keys   int     // remembered at once; 0: a million
+	Name        string
+	Rate        float64 // lookups a second; 0: no limit
+	Burst       float64 // that may come at once, after a pause; less than 1 counts as 1
+	Concurrency int     // lookups at a time; 0: no limit
+	MaxKeys     int     // remembered at once; 0: a million
 }
 
-// Ask is one limit that a lookup must pass, and the key it counts under there.
-type Ask struct {
+// LimitKey is one limit that a lookup must pass, and the key it counts under there.
+type LimitKey struct {
 	Limit int
 	Key   uint64
 }
 
-// Refusal is the limit that a lookup did not pass, and in how many seconds it would; 0: when another ends.
-type Refusal struct {
-	Limit int
-	After float64
+// Rejection is the limit that a lookup did not pass, and in how many seconds it would; 0: when another ends.
+type Rejection struct {
+	Limit      int
+	RetryAfter float64
 }
 
 // Limits are limits in an order, wider ones first by custom.
@@ -48,21 +48,21 @@
 	inHand []map[uint64]int
 }
 
-// Ticket is what a lookup has taken; the zero value is nothing.
-type Ticket struct{ asks []Ask }
+// Permit is what a lookup has taken; the zero value is nothing.
+type Permit struct{ asks []LimitKey }
 
 // New refuses limits that mean nothing.
 func New(list []Limit) (*Limits, error) {
 	l := &Limits{list: list}
 	var faults []error
 	for _, x := range list {
-		if !(x.Rate >= 0) || math.IsInf(x.Rate, 1) || !(x.Burst >= 0) || math.IsInf(x.Burst, 1) || x.InHand < 0 || x.InHand > inHandMost ||
-			x.Keys < 0 || x.Keys > keysMost {
-			faults = append(faults, fmt.Errorf("limit %q: rate %v, burst %v, %d in hand, %d keys", x.Name, x.Rate, x.Burst, x.InHand, x.Keys))
-		} else if x.Rate == 0 && x.InHand == 0 {
+		if !(x.Rate >= 0) || math.IsInf(x.Rate, 1) || !(x.Burst >= 0) || math.IsInf(x.Burst, 1) || x.Concurrency < 0 || x.Concurrency > inHandMost ||
+			x.MaxKeys < 0 || x.MaxKeys > keysMost {
+			faults = append(faults, fmt.Errorf("limit %q: rate %v, burst %v, %d in hand, %d keys", x.Name, x.Rate, x.Burst, x.Concurrency, x.MaxKeys))
+		} else if x.Rate == 0 && x.Concurrency == 0 {
 			faults = append(faults, fmt.Errorf("limit %q: neither a rate nor a number in hand", x.Name))
 		}
-		keys := x.Keys
+		keys := x.MaxKeys
 		if keys == 0 {
 			keys = keysMost
 		}
@@ -76,24 +76,24 @@
 	return l, errors.Join(faults...)
 }
 
-// Take passes a lookup through limits in order. At the first that it does not pass it gives back what it took at the
+// Acquire passes a lookup through limits in order. At the first that it does not pass it gives back what it took at the
 // others: a lookup that is refused counts nowhere.
-func (l *Limits) Take(now float64, asks []Ask) (Ticket, *Refusal) {
+func (l *Limits) Acquire(now float64, asks []LimitKey) (Permit, *Rejection) {
 	for i, a := range asks {
 		after, ok := l.one(now, a)
 		if !ok {
 			for _, taken := range asks[:i] {
 				l.undo(taken)
 			}
-			return Ticket{}, &Refusal{Limit: a.Limit, After: after}
+			return Permit{}, &Rejection{Limit: a.Limit, RetryAfter: after}
 		}
 	}
-	return Ticket{asks}, nil
+	return Permit{asks}, nil
 }
 
-func (l *Limits) one(now float64, a Ask) (after float64, ok bool) {
+func (l *Limits) one(now float64, a LimitKey) (after float64, ok bool) {
 	x := &l.list[a.Limit]
-	if x.InHand > 0 && l.inHand[a.Limit][a.Key] >= x.InHand {
+	if x.Concurrency > 0 && l.inHand[a.Limit][a.Key] >= x.Concurrency {
 		return 0, false
 	}
 	if b := l.rates[a.Limit]; b != nil {
@@ -101,29 +101,29 @@
 			return after, false
 		}
 	}
-	if x.InHand > 0 {
+	if x.Concurrency > 0 {
 		l.inHand[a.Limit][a.Key]++
 	}
 	return 0, true
 }
 
-func (l *Limits) undo(a Ask) {
+func (l *Limits) undo(a LimitKey) {
 	if b := l.rates[a.Limit]; b != nil {
 		b.give(a.Key)
 	}
 	l.leave(a)
 }
 
-// Leave tells that a lookup has ended: it is in hand no more. A second call does nothing.
-func (l *Limits) Leave(t *Ticket) {
+// Release tells that a lookup has ended: it is in hand no more. A second call does nothing.
+func (l *Limits) Release(t *Permit) {
 	for _, a := range t.asks {
 		l.leave(a)
 	}
 	t.asks = nil
 }
 
-func (l *Limits) leave(a Ask) {
-	if l.list[a.Limit].InHand == 0 {
+func (l *Limits) leave(a LimitKey) {
+	if l.list[a.Limit].Concurrency == 0 {
 		return
 	}
 	if n := l.inHand[a.Limit]; n[a.Key] > 1 {
@@ -133,9 +133,9 @@
 	}
 }
 
-// Keys is how many keys a limit remembers, and how many it has forgotten that still owed time: each of those may have had
+// MaxKeys is how many keys a limit remembers, and how many it has forgotten that still owed time: each of those may have had
 // its burst again too soon.
-func (l *Limits) Keys(limit int) (remembered, forgotten int) {
+func (l *Limits) KeyCounts(limit int) (remembered, forgotten int) {
 	if b := l.rates[limit]; b != nil {
 		return b.n, b.forgotten
 	}
@@ -251,65 +251,65 @@
 	b.list[free] = bucket{}
 }
 
-// Budget bounds further legs to a share of recent first ones, so that a pool that fails is not stormed.
-type Budget struct {
-	Share         float64
-	Spent, Denied int // further legs allowed and not, since the start
-	firsts, more  float64
-	at            float64
+// RetryBudget bounds further legs to a share of recent first ones, so that a pool that fails is not stormed.
+type RetryBudget struct {
+	Ratio           float64
+	Allowed, Denied int // further legs allowed and not, since the start
+	firsts, more    float64
+	at              float64
 }
 
-func (b *Budget) fade(now float64) {
+func (b *RetryBudget) fade(now float64) {
 	if now > b.at {
 		f := math.Exp((b.at - now) / budgetFor)
 		b.firsts, b.more, b.at = b.firsts*f, b.more*f, now
 	}
 }
 
-// First notes a lookup's first leg.
-func (b *Budget) First(now float64) {
+// FirstAttempt notes a lookup's first leg.
+func (b *RetryBudget) FirstAttempt(now float64) {
 	b.fade(now)
 	b.firsts++
 }
 
-// Further tells whether a further leg is in the budget, and spends it.
-func (b *Budget) Further(now float64) bool {
+// AllowRetry tells whether a further leg is in the budget, and spends it.
+func (b *RetryBudget) AllowRetry(now float64) bool {
 	b.fade(now)
-	if b.more+1 > b.Share*b.firsts+budgetLeast {
+	if b.more+1 > b.Ratio*b.firsts+budgetLeast {
 		b.Denied++
 		return false
 	}
 	b.more++
-	b.Spent++
+	b.Allowed++
 	return true
 }
 
-// Fair shares a pool's room between routes when it is nearly full: a route that has its part then waits for those that have
+// FairLimiter shares a pool's room between routes when it is nearly full: a route that has its part then waits for those that have
 // not. With room left nobody is held to a part.
-type Fair struct {
-	Room    int
-	Weights []float64 // by route
-	inHand  []int
-	total   int
-	asked   []float64 // when each route last did
+type FairLimiter struct {
+	Capacity int
+	Weights  []float64 // by route
+	inHand   []int
+	total    int
+	asked    []float64 // when each route last did
 }
 
-// NewFair shares room between routes of these weights.
-func NewFair(room int, weights []float64) *Fair {
-	f := &Fair{Room: room, Weights: weights, inHand: make([]int, len(weights)), asked: make([]float64, len(weights))}
+// NewFairLimiter shares room between routes of these weights.
+func NewFairLimiter(room int, weights []float64) *FairLimiter {
+	f := &FairLimiter{Capacity: room, Weights: weights, inHand: make([]int, len(weights)), asked: make([]float64, len(weights))}
 	for i := range f.asked {
 		f.asked[i] = math.Inf(-1)
 	}
 	return f
 }
 
-// Take takes room for a route's lookup; false: there is none for it now.
-func (f *Fair) Take(now float64, route int) bool {
+// Acquire takes room for a route's lookup; false: there is none for it now.
+func (f *FairLimiter) Acquire(now float64, route int) bool {
 	f.asked[route] = now
-	if f.total >= f.Room {
+	if f.total >= f.Capacity {
 		return false
 	}
-	if float64(f.total) >= reservePart*float64(f.Room) && float64(f.inHand[route]+1) > f.part(now, route) {
+	if float64(f.total) >= reservePart*float64(f.Capacity) && float64(f.inHand[route]+1) > f.part(now, route) {
 		return false
 	}
 	f.inHand[route]++
@@ -318,18 +318,18 @@
 }
 
 // part is what a route may have of the room while others want it too.
-func (f *Fair) part(now float64, route int) float64 {
+func (f *FairLimiter) part(now float64, route int) float64 {
 	sum := 0.0
 	for i, w := range f.Weights {
 		if f.inHand[i] > 0 || now-f.asked[i] <= activeFor {
 			sum += w
 		}
 	}
-	return max(float64(f.Room)*f.Weights[route]/sum, 1)
+	return max(float64(f.Capacity)*f.Weights[route]/sum, 1)
 }
 
-// Leave gives a lookup's room back.
-func (f *Fair) Leave(route int) {
+// Release gives a lookup's room back.
+func (f *FairLimiter) Release(route int) {
 	f.inHand[route]--
 	f.total--
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -29,7 +29,7 @@
 			pause := rapid.SampledFrom([]float64{0, 0, .001, .03, .4, 7, 1e6}).Draw(t, "pause")
 			now += pause
 			tokens = min(burst, tokens+pause*rate)
-			_, refusal := l.Take(now, []Ask{{}})
+			_, refusal := l.Acquire(now, []LimitKey{{}})
 			if near := math.Abs(tokens-1) < 1e-6; !near && (refusal == nil) != (tokens >= 1) {
 				t.Fatalf("%v tokens at %v: %v", tokens, now, refusal)
 			}
@@ -38,11 +38,11 @@
 				came = append(came, now)
 				continue
 			}
-			if refusal.After <= 0 || refusal.After > 1/rate+1e-6 {
-				t.Fatalf("after %v", refusal.After)
+			if refusal.RetryAfter <= 0 || refusal.RetryAfter > 1/rate+1e-6 {
+				t.Fatalf("after %v", refusal.RetryAfter)
 			}
-			if want := (1 - tokens) / rate; math.Abs(want-refusal.After) > 1e-6 {
-				t.Fatalf("after %v, in truth %v", refusal.After, want)
+			if want := (1 - tokens) / rate; math.Abs(want-refusal.RetryAfter) > 1e-6 {
+				t.Fatalf("after %v, in truth %v", refusal.RetryAfter, want)
 			}
 		}
 		for i := range came { // no window holds more than its rate and one burst
@@ -57,31 +57,31 @@
 
 // What a lookup took before it was refused is given back everywhere; what it holds is given back once.
 func TestLadder(t *testing.T) {
-	l := open(t, Limit{Name: "proxy", InHand: 3}, Limit{Name: "pool", Rate: 10, Burst: 2}, Limit{Name: "customer", InHand: 1})
-	asks := func(customer uint64) []Ask { return []Ask{{0, 0}, {1, 0}, {2, customer}} }
-	first, refusal := l.Take(0, asks(1))
+	l := open(t, Limit{Name: "proxy", Concurrency: 3}, Limit{Name: "pool", Rate: 10, Burst: 2}, Limit{Name: "customer", Concurrency: 1})
+	asks := func(customer uint64) []LimitKey { return []LimitKey{{0, 0}, {1, 0}, {2, customer}} }
+	first, refusal := l.Acquire(0, asks(1))
 	assert.Nil(t, refusal)
 	for range 50 {
-		_, refusal = l.Take(0, asks(1))
-		assert.Equal(t, &Refusal{Limit: 2}, refusal, "the customer has one in hand, and the pool's rate is not spent on it")
+		_, refusal = l.Acquire(0, asks(1))
+		assert.Equal(t, &Rejection{Limit: 2}, refusal, "the customer has one in hand, and the pool's rate is not spent on it")
 	}
-	second, refusal := l.Take(0, asks(2))
+	second, refusal := l.Acquire(0, asks(2))
 	assert.Nil(t, refusal)
-	_, refusal = l.Take(0, asks(3))
+	_, refusal = l.Acquire(0, asks(3))
 	assert.Equal(t, 1, refusal.Limit)
-	assert.InDelta(t, .1, refusal.After, 1e-9)
-	third, refusal := l.Take(.1, asks(3))
+	assert.InDelta(t, .1, refusal.RetryAfter, 1e-9)
+	third, refusal := l.Acquire(.1, asks(3))
 	assert.Nil(t, refusal)
-	_, refusal = l.Take(5, asks(4))
-	assert.Equal(t, &Refusal{Limit: 0}, refusal)
+	_, refusal = l.Acquire(5, asks(4))
+	assert.Equal(t, &Rejection{Limit: 0}, refusal)
 	for range 2 { // the second time does nothing
-		l.Leave(&first)
+		l.Release(&first)
 	}
-	l.Leave(&second)
-	l.Leave(&third)
+	l.Release(&second)
+	l.Release(&third)
 	for limit := range 3 {
 		if limit != 1 {
-			n, _ := l.Keys(limit)
+			n, _ := l.KeyCounts(limit)
 			assert.Zero(t, n, "nothing is remembered of who has nothing in hand")
 		}
 	}
@@ -89,21 +89,21 @@
 
 // Under more keys than it remembers a limit stays within its bound, and forgets first what was idle for long.
 func TestManyKeys(t *testing.T) {
-	l := open(t, Limit{Rate: 1, Burst: 1, Keys: 1000})
+	l := open(t, Limit{Rate: 1, Burst: 1, MaxKeys: 1000})
 	for k := range uint64(1_000_000) {
-		_, refusal := l.Take(float64(k)*.01, []Ask{{0, k}})
+		_, refusal := l.Acquire(float64(k)*.01, []LimitKey{{0, k}})
 		assert.Nil(t, refusal)
 	}
-	remembered, forgotten := l.Keys(0)
+	remembered, forgotten := l.KeyCounts(0)
 	assert.Equal(t, 1000, remembered)
 	assert.Less(t, forgotten, 10_000, "nearly each that was forgotten was idle, so nothing was lost")
 	was := forgotten
 	for k := range uint64(2000) {
-		l.Take(20_000, []Ask{{0, k}})
+		l.Acquire(20_000, []LimitKey{{0, k}})
 	}
-	_, forgotten = l.Keys(0)
+	_, forgotten = l.KeyCounts(0)
 	assert.GreaterOrEqual(t, forgotten-was, 1000, "these were not, and it is counted")
-	_, refusal := l.Take(20_000, []Ask{{0, 1999}})
+	_, refusal := l.Acquire(20_000, []LimitKey{{0, 1999}})
 	assert.NotNil(t, refusal)
 }
 
@@ -153,7 +153,7 @@
 
 func TestNewRefuses(t *testing.T) {
 	for _, x := range []Limit{{Name: "a"}, {Name: "a", Rate: -1}, {Name: "a", Rate: math.NaN()}, {Name: "a", Rate: math.Inf(1)},
-		{Name: "a", Rate: 1, Burst: -1}, {Name: "a", InHand: -1}, {Name: "a", Rate: 1, Keys: 1 << 30}} {
+		{Name: "a", Rate: 1, Burst: -1}, {Name: "a", Concurrency: -1}, {Name: "a", Rate: 1, MaxKeys: 1 << 30}} {
 		_, err := New([]Limit{x, {Name: "b"}})
 		assert.ErrorContains(t, err, `limit "a"`)
 		assert.ErrorContains(t, err, `limit "b"`, "every fault at once")
@@ -169,41 +169,41 @@
 		"none":       {100, 0, 0, .01},
 		"next to no": {.01, .1, 1, 3},
 	} {
-		b := Budget{Share: c.share}
+		b := RetryBudget{Ratio: c.share}
 		firsts := 0.0
 		for now := 0.0; now < 600; now += 1 / c.rate {
-			b.First(now)
+			b.FirstAttempt(now)
 			firsts++
 			for range 3 {
-				b.Further(now)
+				b.AllowRetry(now)
 			}
 		}
-		assert.True(t, float64(b.Spent) >= c.least*firsts && float64(b.Spent) <= c.most*firsts+budgetLeast, "%s: %d of %v", name, b.Spent, firsts)
+		assert.True(t, float64(b.Allowed) >= c.least*firsts && float64(b.Allowed) <= c.most*firsts+budgetLeast, "%s: %d of %v", name, b.Allowed, firsts)
 	}
 }
 
 // With room left a route may have it all; once it is short, each route that asks comes to its part.
 func TestFair(t *testing.T) {
-	f := NewFair(100, []float64{1, 1, 2})
+	f := NewFairLimiter(100, []float64{1, 1, 2})
 	for range 90 {
-		assert.True(t, f.Take(0, 0))
+		assert.True(t, f.Acquire(0, 0))
 	}
-	assert.True(t, f.Take(0, 1) && f.Take(0, 2), "the others come to theirs")
-	assert.False(t, f.Take(0, 0), "beyond its part of a pool nearly full")
+	assert.True(t, f.Acquire(0, 1) && f.Acquire(0, 2), "the others come to theirs")
+	assert.False(t, f.Acquire(0, 0), "beyond its part of a pool nearly full")
 	taken := [3]int{90, 1, 1}
 	for now := 0.0; now < 10; now += .01 { // the first ends one at a time, all three ask for more
 		if taken[0] > 0 {
-			f.Leave(0)
+			f.Release(0)
 			taken[0]--
 		}
 		for route := range 3 {
-			if f.Take(now, route) {
+			if f.Acquire(now, route) {
 				taken[route]++
 			}
 		}
 		for route := 1; route < 3 && int(now*100)%2 == 0; route++ {
 			if taken[route] > 0 {
-				f.Leave(route)
+				f.Release(route)
 				taken[route]--
 			}
 		}
@@ -217,10 +217,10 @@
 	for _, keys := range []uint64{1, 1_000_000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
 			l := open(b, Limit{Rate: 1000, Burst: 10})
-			asks := []Ask{{}}
+			asks := []LimitKey{{}}
 			for k := range keys {
 				asks[0].Key = k
-				l.Take(0, asks)
+				l.Acquire(0, asks)
 			}
 			b.ReportAllocs()
 			now, k := 0.0, uint64(0)
@@ -228,7 +228,7 @@
 				now += 1e-6
 				k = k*6364136223846793005 + 1442695040888963407
 				asks[0].Key = (k >> 33) % keys
-				l.Take(now, asks)
+				l.Acquire(now, asks)
 			}
 		})
 	}
--- a/limits/strain.go
+++ b/limits/overload.go
@@ -19,20 +19,20 @@
 	slackMost    = 4.0 // times longer that legs are out than their servers have them, at the most
 )
 
-// Strain holds back what has come for a core that is behind. A few lookups at a time are in its hands, from their reading to their
+// Overload holds back what has come for a core that is behind. A few lookups at a time are in its hands, from their reading to their
 // being sent or turned away; further ones wait for their turn, which costs nothing, so that answers, which come behind none of them,
 // are soon passed on. The one worth most for its work goes first; among those worth as much, that of the customer who had least
 // lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). Who has waited too long to be answered in time is turned away, and
 // has turns for that: turned away all at once, clients that come again at once take up the whole core with it. It says too how much
 // longer legs are out than their servers have them. All times are in seconds. It is not safe for concurrent use.
-type Strain struct {
-	Passed, Queued, Refused int // counted
+type Overload struct {
+	Admitted, Queued, Rejected int // counted
 
 	hands     int // in this core's hands
 	most      int
 	turn      int
 	queue     turns
-	line      []*Turn   // the same as they came, with some that have had their turn
+	line      []*Waiter // the same as they came, with some that have had their turn
 	since     float64   // the queue was empty last; +Inf: it is
 	clock     float64   // fair queueing's
 	customers []float64 // their clocks; the first is of nobody known
@@ -42,9 +42,9 @@
 	here, dev  float64 // and spent here, and by how much that differs from its mean
 }
 
-// Turn is a lookup that waits for its turn.
-type Turn struct {
-	Of    any // the caller's
+// Waiter is a lookup that waits for its turn.
+type Waiter struct {
+	Owner any // the caller's
 	grade int // by worth, in steps of half as much again
 	tag   float64
 	came  float64
@@ -52,21 +52,21 @@
 	place int     // in the queue; -1: it had its turn
 }
 
-// NewStrain begins where so many lookups are in hand at the most, with so many customers.
-func NewStrain(most, customers int) *Strain {
-	return &Strain{most: max(most, 1), since: math.Inf(1), customers: make([]float64, customers+1)}
+// NewOverload begins where so many lookups are in hand at the most, with so many customers.
+func NewOverload(most, customers int) *Overload {
+	return &Overload{most: max(most, 1), since: math.Inf(1), customers: make([]float64, customers+1)}
 }
 
-// Come tells of a lookup that came to this machine at a time, is late past its due time, in seconds from then, and is worth so much
+// RequestArrived tells of a lookup that came to this machine at a time, is late past its due time, in seconds from then, and is worth so much
 // for its work; customer -1: none known. Where its turn has come at once it returns no turn, and whether it passes; else that is told
 // later, by Give. Whether it passed or was refused, Done is to be called.
-func (s *Strain) Come(now, came, due, worth float64, customer int, of any) (passes bool, waits *Turn) {
+func (s *Overload) RequestArrived(now, came, due, worth float64, customer int, of any) (passes bool, waits *Waiter) {
 	who := customer + 1
 	if who < 0 || who >= len(s.customers) {
 		who = 0
 	}
 	s.customers[who] = max(s.customers[who], s.clock) + 1
-	t := &Turn{Of: of, grade: int(math.Floor(2 * math.Log2(max(worth, 1e-9)))), tag: s.customers[who], came: came, last: came + strainBurst*due}
+	t := &Waiter{Owner: of, grade: int(math.Floor(2 * math.Log2(max(worth, 1e-9)))), tag: s.customers[who], came: came, last: came + strainBurst*due}
 	if s.hands < s.most && len(s.queue) == 0 {
 		return s.pass(now, t), nil
 	}
@@ -80,27 +80,27 @@
 }
 
 // pass gives one its turn.
-func (s *Strain) pass(now float64, t *Turn) bool {
+func (s *Overload) pass(now float64, t *Waiter) bool {
 	s.hands++
 	if now > t.last {
-		s.Refused++
+		s.Rejected++
 		return false
 	}
-	s.Passed++
+	s.Admitted++
 	s.clock = max(s.clock, t.tag-1)
 	s.waited = now - t.came
 	return true
 }
 
-// Done tells that one is out of this core's hands; whether others wait for their turn, which Give gives them.
-func (s *Strain) Done() (more bool) {
+// RequestDone tells that one is out of this core's hands; whether others wait for their turn, which Give gives them.
+func (s *Overload) RequestDone() (more bool) {
 	s.hands--
 	return len(s.queue) > 0
 }
 
-// Give tells by a call whose turn has come and whether it passes, as many as may be in hand. It returns whether there were any and
+// Dispatch tells by a call whose turn has come and whether it passes, as many as may be in hand. It returns whether there were any and
 // more wait. It is to be called when answers that have come were passed on.
-func (s *Strain) Give(now float64, tell func(t *Turn, passes bool)) (more bool) {
+func (s *Overload) Dispatch(now float64, tell func(t *Waiter, passes bool)) (more bool) {
 	given := false
 	for len(s.queue) > 0 && s.hands < s.most {
 		t := s.queue[0]
@@ -120,24 +120,24 @@
 }
 
 // oldest is the one that has waited longest; there is one.
-func (s *Strain) oldest() *Turn {
+func (s *Overload) oldest() *Waiter {
 	n := 0
 	for s.line[n].place < 0 {
 		n++
 	}
 	if s.line = s.line[n:]; len(s.line) > lineSlack+2*len(s.queue) {
-		s.line = slices.DeleteFunc(s.line, func(t *Turn) bool { return t.place < 0 })
+		s.line = slices.DeleteFunc(s.line, func(t *Waiter) bool { return t.place < 0 })
 	}
 	return s.line[0]
 }
 
-// Standing is what the last one that passed had waited, and whether a queue stands.
-func (s *Strain) Standing(now float64) (waited float64, stands bool) {
+// QueueStatus is what the last one that passed had waited, and whether a queue stands.
+func (s *Overload) QueueStatus(now float64) (waited float64, stands bool) {
 	return s.waited, now-s.since > strainStands
 }
 
-// Leg tells how long a leg was out, and how much of that its server had it.
-func (s *Strain) Leg(out, away float64) {
+// AttemptMeasured tells how long a leg was out, and how much of that its server had it.
+func (s *Overload) AttemptMeasured(out, away float64) {
 	s.legs++
 	part := max(strainSmooth, 1/s.legs)
 	s.away += part * (away - s.away)
@@ -145,16 +145,16 @@
 	s.here += part * (out - away - s.here)
 }
 
-// Slack is how much longer legs are out than their servers have them, from 1.
-func (s *Strain) Slack() float64 {
+// DelayFactor is how much longer legs are out than their servers have them, from 1.
+func (s *Overload) DelayFactor() float64 {
 	return min(1+max(s.here-strainIdle, 0)/max(s.away, strainIdle/4), slackMost)
 }
 
 // Lag is what a leg spends here at the most, in all likelihood; the reasoning is that of TCP's time-outs (RFC 6298).
-func (s *Strain) Lag() float64 { return min(max(s.here+lagDevs*s.dev-strainIdle, 0), lagMost) }
+func (s *Overload) Lag() float64 { return min(max(s.here+lagDevs*s.dev-strainIdle, 0), lagMost) }
 
 // turns is a heap, whoever goes first at its top.
-type turns []*Turn
+type turns []*Waiter
 
 func (t turns) Len() int { return len(t) }
 func (t turns) Less(i, j int) bool {
@@ -168,7 +168,7 @@
 	t[i].place, t[j].place = i, j
 }
 func (t *turns) Push(x any) {
-	turn := x.(*Turn)
+	turn := x.(*Waiter)
 	turn.place = len(*t)
 	*t = append(*t, turn)
 }
--- a/limits/strain_test.go
+++ b/limits/overload_test.go
@@ -14,45 +14,45 @@
 	passes bool
 }
 
-func give(s *Strain, now float64) (all []told) {
-	s.Give(now, func(t *Turn, passes bool) { all = append(all, told{t.Of, passes}) })
+func give(s *Overload, now float64) (all []told) {
+	s.Dispatch(now, func(t *Waiter, passes bool) { all = append(all, told{t.Owner, passes}) })
 	return all
 }
 
 // come has so many lookups alike come.
-func (s *Strain) come(n int, now, due float64, customer int, of any) {
+func (s *Overload) come(n int, now, due float64, customer int, of any) {
 	for range n {
-		s.Come(now, now, due, 1, customer, of)
+		s.RequestArrived(now, now, due, 1, customer, of)
 	}
 }
 
 func TestTurns(t *testing.T) {
-	s := NewStrain(2, 3)
+	s := NewOverload(2, 3)
 	for range 2 {
-		passes, waits := s.Come(10, 10, 0.1, 1, -1, nil)
+		passes, waits := s.RequestArrived(10, 10, 0.1, 1, -1, nil)
 		assert.True(t, passes)
 		assert.Nil(t, waits)
 	}
 	for i, worth := range []float64{1, 5, 1, 10} {
-		passes, waits := s.Come(10, 10, 0.1, worth, 0, i)
+		passes, waits := s.RequestArrived(10, 10, 0.1, worth, 0, i)
 		assert.False(t, passes)
 		assert.NotNil(t, waits, "both hands are full")
 	}
 	assert.Empty(t, give(s, 10))
-	assert.True(t, s.Done())
+	assert.True(t, s.RequestDone())
 	assert.Equal(t, []told{{3, true}}, give(s, 10.01), "worth most")
-	assert.True(t, s.Done())
+	assert.True(t, s.RequestDone())
 	assert.Equal(t, []told{{1, true}}, give(s, 10.02))
-	assert.True(t, s.Done())
+	assert.True(t, s.RequestDone())
 	assert.Equal(t, []told{{0, true}}, give(s, 10.03), "came first")
-	assert.True(t, s.Done())
+	assert.True(t, s.RequestDone())
 	assert.Equal(t, []told{{2, false}}, give(s, 10.08), "it would be late")
-	_, stands := s.Standing(10.2)
+	_, stands := s.QueueStatus(10.2)
 	assert.False(t, stands, "nobody waits any more")
-	assert.False(t, s.Done())
-	assert.Equal(t, [3]int{5, 4, 1}, [3]int{s.Passed, s.Queued, s.Refused})
+	assert.False(t, s.RequestDone())
+	assert.Equal(t, [3]int{5, 4, 1}, [3]int{s.Admitted, s.Queued, s.Rejected})
 
-	passes, waits := s.Come(20, 19.9, 0.1, 1, 0, nil)
+	passes, waits := s.RequestArrived(20, 19.9, 0.1, 1, 0, nil)
 	assert.False(t, passes, "it waited elsewhere until too late")
 	assert.Nil(t, waits)
 }
@@ -60,13 +60,13 @@
 // Danger: with the best always first, those that are late would hold their clients until these give up, which costs more than to
 // tell them; with all of them told at once, they would come again and take up the core.
 func TestLateHaveTurns(t *testing.T) {
-	s := NewStrain(1, 0)
+	s := NewOverload(1, 0)
 	s.come(1, 0, 0.1, -1, "first")
 	s.come(4, 0, 0.1, -1, "late")
 	s.come(8, 0.07, 0.1, -1, "new")
 	now, late, passed := 0.08, 0, 0
 	for range 8 {
-		s.Done()
+		s.RequestDone()
 		for _, v := range give(s, now) {
 			assert.Equal(t, v.of == "new", v.passes)
 			if v.passes {
@@ -83,20 +83,20 @@
 
 // A customer that floods has its part and no more, as long as others ask.
 func TestCustomersInTurn(t *testing.T) {
-	s := NewStrain(1, 2)
+	s := NewOverload(1, 2)
 	s.come(1, 0, 10, 1, nil)
 	s.come(90, 0, 10, 0, "flood")
 	s.come(10, 0, 10, 1, "few")
 	few := 0
 	for range 24 {
-		s.Done()
+		s.RequestDone()
 		if give(s, 0.01)[0].of == "few" {
 			few++
 		}
 	}
 	assert.Equal(t, 10, few, "among the first two dozen")
 	for _, customer := range []int{-7, 2, 99} { // unknown ones count as one
-		s.Come(0, 0, 10, 1, customer, nil)
+		s.RequestArrived(0, 0, 10, 1, customer, nil)
 	}
 }
 
@@ -112,17 +112,17 @@
 		{"far longer here", 0.5, 0.01, slackMost, lagMost},
 		{"no time at the server", 0.002, 0, 4, 0.001},
 	} {
-		s := NewStrain(1, 0)
-		assert.Equal(t, 1.0, s.Slack())
+		s := NewOverload(1, 0)
+		assert.Equal(t, 1.0, s.DelayFactor())
 		for range 500 {
-			s.Leg(c.out, c.away)
+			s.AttemptMeasured(c.out, c.away)
 		}
-		assert.InDelta(t, c.slack, s.Slack(), 0.01, c.name)
+		assert.InDelta(t, c.slack, s.DelayFactor(), 0.01, c.name)
 		assert.InDelta(t, c.lag, s.Lag(), 0.001, c.name)
 	}
-	s := NewStrain(1, 0)
+	s := NewOverload(1, 0)
 	for i := range 500 {
-		s.Leg(0.01+0.02*float64(i%2), 0.01)
+		s.AttemptMeasured(0.01+0.02*float64(i%2), 0.01)
 	}
 	assert.Greater(t, s.Lag(), 0.02, "some wait here for that long, though on the mean they don't")
 }
@@ -132,7 +132,7 @@
 func TestStrainHolds(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		most := rapid.IntRange(1, 4).Draw(r, "most")
-		s := NewStrain(most, 2)
+		s := NewOverload(most, 2)
 		type one struct{ worth, last float64 }
 		now, hands := 0.0, 0
 		waiting := map[int]one{}
@@ -147,7 +147,7 @@
 			case 0:
 				came := now - rapid.Float64Range(0, 0.1).Draw(r, "waited")
 				o := one{math.Pow(4, float64(rapid.IntRange(0, 3).Draw(r, "worth"))), came + strainBurst*0.1}
-				passes, waits := s.Come(now, came, 0.1, o.worth, rapid.IntRange(-1, 2).Draw(r, "customer"), i)
+				passes, waits := s.RequestArrived(now, came, 0.1, o.worth, rapid.IntRange(-1, 2).Draw(r, "customer"), i)
 				if waits == nil {
 					assert.Empty(r, waiting, "nobody goes before those who wait")
 					verdict(i, o, passes)
@@ -157,11 +157,11 @@
 			case 1:
 				if hands > 0 {
 					hands--
-					assert.Equal(r, len(waiting) > 0, s.Done())
+					assert.Equal(r, len(waiting) > 0, s.RequestDone())
 				}
 			case 2:
-				s.Give(now, func(t *Turn, passes bool) {
-					i := t.Of.(int)
+				s.Dispatch(now, func(t *Waiter, passes bool) {
+					i := t.Owner.(int)
 					o, there := waiting[i]
 					assert.True(r, there, "one verdict")
 					delete(waiting, i)
@@ -182,18 +182,18 @@
 		queue int
 	}{{"nobody waits", 0}, {"500 wait", 500}} {
 		b.Run(c.name, func(b *testing.B) {
-			s := NewStrain(1, 20)
+			s := NewOverload(1, 20)
 			for i := range c.queue + 1 {
-				s.Come(0, 0, 1e9, float64(i%5), i%20, nil)
+				s.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
 			}
 			if c.queue == 0 {
-				s.Done()
+				s.RequestDone()
 			}
 			b.ReportAllocs()
 			for i := 0; i < b.N; i++ {
-				s.Come(0, 0, 1e9, float64(i%5), i%20, nil)
-				s.Done()
-				s.Give(0, func(*Turn, bool) {})
+				s.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
+				s.RequestDone()
+				s.Dispatch(0, func(*Waiter, bool) {})
 			}
 		})
 	}
--- a/limits/retry.go
+++ b/limits/retry.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// Again says how a lookup may be sent again, as far as its rule goes; the decision module still decides each leg.
-type Again uint8
+// RetrySafety says how a lookup may be sent again, as far as its rule goes; the decision module still decides each leg.
+type RetrySafety uint8
 
 const (
-	Never  Again = iota // its effect must not come twice: single-use
-	ByMark              // servers know a repeat by its mark: referenced
-	Freely              // it may run again: replayable
+	RetryNever  RetrySafety = iota // its effect must not come twice: single-use
+	RetryKeyed                     // servers know a repeat by its mark: referenced
+	RetryAlways                    // it may run again: replayable
 )
 
-func (a Again) String() string { return [...]string{"single-use", "referenced", "replayable"}[a] }
+func (a RetrySafety) String() string { return [...]string{"single-use", "referenced", "replayable"}[a] }
 
-// Rule is a retry rule: by which method and mark a lookup may be sent again.
-type Rule struct {
-	Name   string
-	Freely []string // methods; nil: GET, HEAD, OPTIONS and TRACE
-	Marked []string // methods that a mark makes repeatable; nil: all others
-	Legs   int      // of a lookup, at most; 0: as many as the deployment allows
-	Share  float64  // of recent first legs in a pool that may be sent again
+// RetryRule is a retry rule: by which method and mark a lookup may be sent again.
+type RetryRule struct {
+	Name              string
+	IdempotentMethods []string // methods; nil: GET, HEAD, OPTIONS and TRACE
+	KeyedMethods      []string // methods that a mark makes repeatable; nil: all others
+	MaxAttempts       int      // of a lookup, at most; 0: as many as the deployment allows
+	BudgetRatio       float64  // of recent first legs in a pool that may be sent again
 }
 
 var freely = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
-// Of is what a rule makes of a request: what it does not name is single-use. Danger: a method that is not known may have any
+// Owner is what a rule makes of a request: what it does not name is single-use. Danger: a method that is not known may have any
 // effect, so it must not be taken for one that has none.
-func (r *Rule) Of(method string, marked bool) Again {
-	list := r.Freely
+func (r *RetryRule) SafetyOf(method string, marked bool) RetrySafety {
+	list := r.IdempotentMethods
 	if list == nil {
 		list = freely
 	}
 	switch {
 	case slices.Contains(list, method):
-		return Freely
-	case marked && (r.Marked == nil || slices.Contains(r.Marked, method)):
-		return ByMark
+		return RetryAlways
+	case marked && (r.KeyedMethods == nil || slices.Contains(r.KeyedMethods, method)):
+		return RetryKeyed
 	}
-	return Never
+	return RetryNever
 }
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -13,8 +13,8 @@
 // lookup is a lookup from its taking in to its end; after that of its client's goroutine it is the owner's.
 type lookup struct {
 	in         *branch
-	row        *balance.Tariff
-	handle     Handle
+	row        *balance.Class
+	handle     RequestHandle
 	alarm      alarm // of its module's wakes and its backstop
 	ref        int
 	id         string
@@ -27,36 +27,36 @@
 	answered   bool    // or its client has left
 	curtailed  bool    // its hard stop is the process's end, which the decisions do not know
 	released   bool
-	plain      bool             // by the ordinary door: a server's answer goes on as it is
-	upload     *backends.Upload // of a body that is not kept; nil: body is all
-	from       *paced           // where it comes from
-	wait       float64          // s that its client waits from its last byte on
-	wholeAt    float64          // when that came; 0: not yet
-	failed     *reply           // what a server said of its own failure, the last one; for a plain lookup
-	bare       bool             // it asks for a head only
-	rule       *limits.Rule     // nil: the platform's, which the deployment tells
+	plain      bool              // by the ordinary door: a server's answer goes on as it is
+	upload     *backends.Upload  // of a body that is not kept; nil: body is all
+	from       *paced            // where it comes from
+	wait       float64           // s that its client waits from its last byte on
+	wholeAt    float64           // when that came; 0: not yet
+	failed     *reply            // what a server said of its own failure, the last one; for a plain lookup
+	bare       bool              // it asks for a head only
+	rule       *limits.RetryRule // nil: the platform's, which the deployment tells
 	limits     *limits.Limits
-	asks       []limits.Ask
-	ticket     limits.Ticket
+	asks       []limits.LimitKey
+	ticket     limits.Permit
 	route      string
-	share      int          // its route's number in the pool's room
-	shared     *limits.Fair // of which it holds a part; nil: none
-	answer     chan reply   // holds the one answer; the owner never waits for the client
+	share      int                 // its route's number in the pool's room
+	shared     *limits.FairLimiter // of which it holds a part; nil: none
+	answer     chan reply          // holds the one answer; the owner never waits for the client
 }
 
 // abandoned tells whether its client has gone. Danger: it is asked just before a byte goes out, by any goroutine, and what the
 // client's own goroutine saw may not have come to the owner, nor may that goroutine have been able to see anything.
 func (l *lookup) abandoned(taken time.Time) bool {
-	return l.client != nil && (l.client.left.Load() || time.Since(taken) > lookEvery && backends.HungUp(l.client.nc))
+	return l.client != nil && (l.client.left.Load() || time.Since(taken) > lookEvery && backends.ClosedByPeer(l.client.nc))
 }
 
 // admit hands a lookup to the decisions. One over a bound of this machine, of connections or of memory, is
 // dismissed unseen.
-func (p *Proxy) admit(l *lookup, a balance.Arrival, over bool) {
+func (p *Proxy) admit(l *lookup, a balance.RequestInfo, over bool) {
 	if over {
 		p.counts.Taken++
 		p.counts.Unseen++
-		p.finish(l, balance.Dismissed, p.launch.MaxAdvice)
+		p.finish(l, balance.Rejected, p.launch.MaxRetryAfter)
 		return
 	}
 	if p.open[l.id] { // danger: two legs of one id look like one lookup run twice, and either could get the other's answer
@@ -69,7 +69,7 @@
 		return
 	}
 	if last := p.last.Load(); last != nil { // danger: its last byte, or this call, may have come after the order to stop
-		a.HardStop = min(a.HardStop, p.stamp(*last))
+		a.Deadline = min(a.Deadline, p.stamp(*last))
 		l.hardStop = min(l.hardStop, p.stamp(*last))
 	}
 	p.open[l.id] = true
@@ -86,8 +86,8 @@
 	a.Ref = l.ref
 	l.alarm.call = func() { p.due(l) }
 	p.timers.add(&l.alarm, l.hardStop-backstop)
-	p.decide(l.in, func(now float64) *balance.Orders {
-		handle, orders := l.in.b.Take(now, a, cmp.Or(l.trace, l.id))
+	p.decide(l.in, func(now float64) *balance.Actions {
+		handle, orders := l.in.b.RequestArrived(now, a, cmp.Or(l.trace, l.id))
 		l.handle = handle
 		return orders
 	})
@@ -107,15 +107,15 @@
 		p.timers.add(&l.alarm, l.hardStop-backstop)
 	}
 	if l.handle != nil && !l.released {
-		p.tell(l, l.handle.Whole)
+		p.tell(l, l.handle.BodyCompleted)
 	}
 }
 
 // due looks at a lookup when it asked for that, or its time is up.
 func (p *Proxy) due(l *lookup) {
 	// Danger: a client that sends a large body slowly would have its leg taken for overdue, and the server blamed.
-	if !l.released && !(l.upload != nil && l.upload.Begun() && l.wholeAt == 0) {
-		p.tell(l, l.handle.Wake)
+	if !l.released && !(l.upload != nil && l.upload.Started() && l.wholeAt == 0) {
+		p.tell(l, l.handle.TimerFired)
 	}
 	switch {
 	case p.now() < l.hardStop-backstop:
@@ -138,18 +138,18 @@
 
 // abandon gives a lookup up with its process: dismissed where trying again is harmless, else forfeited.
 func (p *Proxy) abandon(l *lookup) {
-	answer := balance.Dismissed
-	if !l.harmless(p.now() + p.launch.MaxAdvice) {
-		answer = balance.Forfeited
+	answer := balance.Rejected
+	if !l.harmless(p.now() + p.launch.MaxRetryAfter) {
+		answer = balance.Failed
 	}
-	p.finish(l, answer, p.launch.MaxAdvice)
-	p.tell(l, l.handle.Left)
+	p.finish(l, answer, p.launch.MaxRetryAfter)
+	p.tell(l, l.handle.ClientDisconnected)
 }
 
 // expired answers a lookup that the decisions have not. Danger: one without an answer breaks rule 1.
 func (p *Proxy) expired(l *lookup) {
 	if !invariant.Holds(l.answered, "every lookup is answered before its hard stop") {
-		p.finish(l, balance.Forfeited, 0)
+		p.finish(l, balance.Failed, 0)
 	}
 }
 
@@ -160,7 +160,7 @@
 		case a := <-l.answer: // nobody takes it any more
 			p.held.Add(-a.held)
 			if a.flow != nil {
-				a.flow.CloseWithError(backends.ErrLeft)
+				a.flow.CloseWithError(backends.ErrClientGone)
 			}
 		default:
 		}
@@ -169,6 +169,6 @@
 	l.answered = true
 	p.counts.Left++
 	if l.handle != nil {
-		p.tell(l, l.handle.Left)
+		p.tell(l, l.handle.ClientDisconnected)
 	}
 }
--- a/proxy/bank_test.go
+++ b/proxy/bank_test.go
@@ -21,16 +21,16 @@
 
 // member makes a proxy of a bank of two, each client process having one of its own; notes go by loopback sockets.
 func member(t *testing.T, number int, own, other string, plays map[string][]string) *yard {
-	return made(t, plays, func(l *Launch) {
-		l.Bank = launch.Bank{Listen: own, Peers: map[int]string{1 - number: other}}
-		l.Proxies, l.Self, l.Apart, l.Peers, l.Probes = 2, number, true, true, true
-		l.PeerPrice, l.ProbePrice, l.MaxLegs = 0.001, 0.001, 1
+	return made(t, plays, func(l *BootstrapConfig) {
+		l.Fleet = launch.Fleet{Listen: own, Peers: map[int]string{1 - number: other}}
+		l.Proxies, l.Self, l.Sidecar, l.Gossip, l.HealthChecks = 2, number, true, true, true
+		l.GossipCost, l.HealthCheckCost, l.MaxAttempts = 0.001, 0.001, 1
 	})
 }
 
-func (y *yard) beliefs() []balance.Belief {
-	got := make(chan []balance.Belief)
-	y.post(func() { got <- y.main.b.Beliefs(y.now()) })
+func (y *yard) beliefs() []balance.ServerStatus {
+	got := make(chan []balance.ServerStatus)
+	y.post(func() { got <- y.main.b.ServerStatuses(y.now()) })
 	return <-got
 }
 
@@ -67,8 +67,8 @@
 	}, 5*time.Second, time.Millisecond)
 	hook := test.NewLocal(quiet.log.(*logrus.Entry).Logger)
 	other := quiet.launch
-	other.Bank.Listen = "127.0.0.1:1"
-	quiet.Reload(other)
+	other.Fleet.Listen = "127.0.0.1:1"
+	quiet.ReloadBootstrap(other)
 	quiet.beliefs()
 	require.NotEmpty(t, hook.AllEntries())
 	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "what is told anew of them counts from the next start")
@@ -95,7 +95,7 @@
 	o, err := y.build(s, nil)
 	require.NoError(t, err)
 	for b, tells := range map[Decisions]bool{y.main.b: true, o.pools["first"].b: false} {
-		_, orders := b.Take(y.now(), balance.Arrival{HardStop: y.now() + 1}, "")
-		assert.Equal(t, tells, orders.Tell != nil)
+		_, orders := b.RequestArrived(y.now(), balance.RequestInfo{Deadline: y.now() + 1}, "")
+		assert.Equal(t, tells, orders.Gossip != nil)
 	}
 }
--- a/proxy/bodies_test.go
+++ b/proxy/bodies_test.go
@@ -88,7 +88,7 @@
 				assert.Equal(t, int64(c.taken), y.taken, c.name)
 				conn.Close()
 				errors := make(chan int, 1)
-				y.post(func() { errors <- y.main.b.Beliefs(y.now())[0].Errors })
+				y.post(func() { errors <- y.main.b.ServerStatuses(y.now())[0].Errors })
 				assert.Zero(t, <-errors, "no backend is blamed for a slow client")
 				y.end()
 			})
@@ -165,7 +165,7 @@
 		{"to its end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", long, true, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			y := made(t, map[string][]string{"b1": {ok}}, func(l *Launch) { l.Limits.Memory = 1 << 20 })
+			y := made(t, map[string][]string{"b1": {ok}}, func(l *BootstrapConfig) { l.Limits.Memory = 1 << 20 })
 			y.flood = func(end net.Conn) {
 				io.WriteString(end, c.head)
 				time.Sleep(c.pause)
@@ -182,7 +182,7 @@
 			assert.NoError(t, err)
 			assert.Equal(t, 200, h.Status)
 			assert.Less(t, time.Since(came), c.pause+50*time.Millisecond, "%s: it begins with its first bytes", c.name)
-			got, err := io.ReadAll(r.Flow(h.Length, h.Chunked))
+			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
 			assert.NoError(t, err, c.name)
 			assert.True(t, long == string(got), c.name)
 			assert.Greater(t, time.Since(came), 3*time.Second, "past the hard stop")
@@ -217,7 +217,7 @@
 			r := heads.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
-			got, err := io.ReadAll(r.Flow(h.Length, h.Chunked))
+			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
 			if c.whole {
 				assert.NoError(t, err)
 				assert.Equal(t, "body", string(got))
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -20,30 +20,30 @@
 	g.ended = true
 	g.outcome, g.err, g.neverRan = r.Outcome, r.Err, r.Outcome.NeverRan()
 	p.counts.Outcomes[r.Outcome]++
-	if p.now()-p.stamp(r.At) > lateEvent {
+	if p.now()-p.stamp(r.EndedAt) > lateEvent {
 		p.counts.Late++
 	}
-	if r.Outcome == balance.Honoured && !l.answered {
+	if r.Outcome == balance.Succeeded && !l.answered {
 		l.answered = true
 		p.counts.Honoured++
 		p.withhold(l)
 		defer func() { // once its other legs are called off, see decide
-			l.answer <- reply{status: r.Status, fields: r.Fields, body: r.Body, held: r.Held, bare: l.bare, length: r.Length}
+			l.answer <- reply{status: r.Status, fields: r.Fields, body: r.Body, held: r.ReservedBytes, bare: l.bare, length: r.Length}
 		}()
 	} else {
-		if r.Outcome == balance.Fault && l.plain && r.Held == 0 {
+		if r.Outcome == balance.ServerError && l.plain && r.ReservedBytes == 0 {
 			l.failed = &reply{status: r.Status, fields: r.Fields, body: r.Body, bare: l.bare, length: r.Length}
 		}
-		p.held.Add(-r.Held)
+		p.held.Add(-r.ReservedBytes)
 	}
 	over, sent := l.answered, g.sent
-	if !r.Sent.IsZero() { // danger: what waited here to be written or read would be taken for the server's time
-		sent = p.stamp(r.Sent)
+	if !r.SentAt.IsZero() { // danger: what waited here to be written or read would be taken for the server's time
+		sent = p.stamp(r.SentAt)
 		now := p.now()
-		p.strained.ended(now-g.sent, p.stamp(r.At)-sent)
+		p.strained.ended(now-g.sent, p.stamp(r.EndedAt)-sent)
 	}
-	p.tell(l, func(now float64) *balance.Orders {
-		return l.handle.Ended(now, g.number, r.Outcome, l.took(sent, p.stamp(r.At)), over)
+	p.tell(l, func(now float64) *balance.Actions {
+		return l.handle.AttemptEnded(now, g.number, r.Outcome, l.took(sent, p.stamp(r.EndedAt)), over)
 	})
 }
 
@@ -63,14 +63,14 @@
 // as it comes.
 func (p *Proxy) started(l *lookup, g *leg, r backends.Result) {
 	if l.answered || g.ended {
-		r.Flow.CloseWithError(backends.ErrLeft)
+		r.Stream.CloseWithError(backends.ErrClientGone)
 		return
 	}
 	l.answered = true
 	p.counts.Honoured++
 	p.withhold(l)
-	p.tell(l, func(now float64) *balance.Orders { return l.handle.Started(now, g.number) })
-	l.answer <- reply{status: r.Status, fields: r.Fields, body: r.Body, bare: l.bare, length: r.Length, flow: r.Flow}
+	p.tell(l, func(now float64) *balance.Actions { return l.handle.ResponseStarted(now, g.number) })
+	l.answer <- reply{status: r.Status, fields: r.Fields, body: r.Body, bare: l.bare, length: r.Length, flow: r.Stream}
 }
 
 // counted returns what logs the counts as they are now.
@@ -78,16 +78,16 @@
 	c, pool := &p.counts, p.pool
 	fields := logrus.Fields{"taken": c.Taken, "honoured": c.Honoured, "dismissed": c.Dismissed,
 		"forfeited": c.Forfeited, "left": c.Left, "turned_away": c.TurnedAway, "unseen": c.Unseen, "in_vain": c.InVain, "legs": c.Legs, "late": c.Late,
-		"fault": c.Outcomes[balance.Fault], "no_room": c.Outcomes[balance.NoRoom],
-		"too_slow": c.Outcomes[balance.TooSlow], "no_route": c.Outcomes[balance.NoRoute],
-		"unfit": c.Outcomes[balance.Unfit], "cut": c.Outcomes[balance.Cut], "called_off": c.Outcomes[balance.CalledOff],
-		"never_sent": c.Outcomes[balance.NeverSent], "connections": pool.Total(), "opened": pool.Opened,
+		"fault": c.Outcomes[balance.ServerError], "no_room": c.Outcomes[balance.ServerRejected],
+		"too_slow": c.Outcomes[balance.TimedOut], "no_route": c.Outcomes[balance.ConnectFailed],
+		"unfit": c.Outcomes[balance.InvalidRequest], "cut": c.Outcomes[balance.ConnectionLost], "called_off": c.Outcomes[balance.Canceled],
+		"never_sent": c.Outcomes[balance.NotSent], "connections": pool.Total(), "opened": pool.Opened,
 		"retired": pool.Retired, "lost_idle": pool.Lost, "no_connection": pool.Full}
-	if p.launch.Probes {
+	if p.launch.HealthChecks {
 		fields["probes"] = c.Probes
 	}
 	if p.link != nil {
-		fields["told"], fields["heard"], fields["unheard"] = p.link.Sent.Load(), p.link.Heard.Load(), p.link.Dropped.Load()
+		fields["told"], fields["heard"], fields["unheard"] = p.link.Sent.Load(), p.link.Received.Load(), p.link.Dropped.Load()
 	}
 	fields["clients"], fields["crowded"] = p.door.counted()
 	p.strained.note(p.now(), fields)
--- a/proxy/doors_bench_test.go
+++ b/proxy/doors_bench_test.go
@@ -40,7 +40,7 @@
 	p, err := New(l, log)
 	require.NoError(b, err)
 	platform, ordinary := benchListen(b), benchListen(b)
-	require.NoError(b, p.Operate(setup, ordinary))
+	require.NoError(b, p.Configure(setup, ordinary))
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- p.Serve(ctx, platform) }()
@@ -83,7 +83,7 @@
 							b.Error(err, h)
 							return
 						}
-						if n, err := io.Copy(io.Discard, r.Flow(h.Length, h.Chunked)); err != nil || way.path == "/page?large" && n != largeAnswer {
+						if n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked)); err != nil || way.path == "/page?large" && n != largeAnswer {
 							b.Error(n, err)
 							return
 						}
--- a/proxy/endings_test.go
+++ b/proxy/endings_test.go
@@ -43,9 +43,9 @@
 
 func onStreetWith(t *testing.T, sockets int, reply func(n int, end net.Conn)) *street {
 	s := &street{t: t, open: make(chan struct{}), reply: reply}
-	l := Launch{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true}, Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
-		Figures: Figures{ConnectFor: 5, DrainGrace: 2.5, Deployment: balance.Deployment{Proxies: 1, MaxLegs: 4, CallOff: true, Beside: true,
-			Tariffs: []balance.Tariff{{Name: "look", Due: 4, HardStop: 5, Value: 1}, {Name: "sms", Kind: balance.SingleUse, Due: 4, HardStop: 5, Value: 1}}}}}
+	l := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true}, Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
+		Settings: Settings{ConnectTimeout: 5, DrainGrace: 2.5, Deployment: balance.Deployment{Proxies: 1, MaxAttempts: 4, CancelAllowed: true, HedgingAllowed: true,
+			Classes: []balance.Class{{Name: "look", LatencyObjective: 4, Deadline: 5, PriorityWeight: 1}, {Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 4, Deadline: 5, PriorityWeight: 1}}}}}
 	for _, id := range []string{"b1", "b2"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -266,7 +266,7 @@
 		{"turned away in a body that flows", "POST /sms HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: sms\r\nX-Expires-In: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"20000\r\n" + strings.Repeat("z", 0x20000) + "\r\nno chunk\r\n", 400},
 		{"turned away", strings.Replace(longLook, "X-Qos: look", "X-Qos: none", 1), 400},
-		{"too large", strings.Replace(longLook, "t1", strings.Repeat("x", 3*heads.Most/2), 1), 431},
+		{"too large", strings.Replace(longLook, "t1", strings.Repeat("x", 3*heads.DefaultMaxBytes/2), 1), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			on := make(chan bool)
@@ -334,8 +334,8 @@
 func TestStopIsOverWhenThePlatformKills(t *testing.T) {
 	for _, c := range []struct{ hardStop, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
-			y := serve(t, map[string][]string{"b1": {silent}}, func(l *Launch) {
-				l.Tariffs[0].HardStop, l.Tariffs[1].HardStop, l.Tariffs[2].HardStop = c.hardStop, 0.1, c.hardStop
+			y := serve(t, map[string][]string{"b1": {silent}}, func(l *BootstrapConfig) {
+				l.Classes[0].Deadline, l.Classes[1].Deadline, l.Classes[2].Deadline = c.hardStop, 0.1, c.hardStop
 			})
 			conn := y.client()
 			go io.WriteString(conn, "GET /up HTTP/1.1\r\n\r\n")
--- a/proxy/life.go
+++ b/proxy/life.go
@@ -30,8 +30,8 @@
 // takes the lock for a moment; the owner then obeys it, see obey.
 type life struct {
 	mu     sync.Mutex
-	duty   duty.Life
-	ids    *duty.IDs
+	duty   duty.Process
+	ids    *duty.IDSet
 	before *handover.Link          // to the process that served before
 	heirs  map[*handover.Link]bool // to those that asked, and whether they serve
 	lns    map[string]net.Listener // handed over, by address, until they are asked for
@@ -40,15 +40,15 @@
 	state  *handover.State         // what was handed over
 	news   chan struct{}           // orders that the owner has not obeyed
 	asked  bool                    // before was looked for
-	offer  *handover.Offer
+	offer  *handover.Server
 }
 
 func newLife() *life {
-	return &life{ids: duty.NewIDs(idsKept), heirs: map[*handover.Link]bool{}, news: make(chan struct{}, 1)}
+	return &life{ids: duty.NewIDSet(idsKept), heirs: map[*handover.Link]bool{}, news: make(chan struct{}, 1)}
 }
 
 // peek reads something of a life.
-func peek[T any](l *life, f func(*duty.Life) T) T {
+func peek[T any](l *life, f func(*duty.Process) T) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return f(&l.duty)
@@ -56,32 +56,32 @@
 
 // stopping says whether this process was told to end.
 func (p *Proxy) stopping() bool {
-	return peek(p.life, func(d *duty.Life) bool { return d.Stopped > 0 })
+	return peek(p.life, func(d *duty.Process) bool { return d.StoppedAt > 0 })
 }
 
-// Do carries out an operators' call. It is in force when this returns: what the owner has still to do, it does within the grace
+// Administer carries out an operators' call. It is in force when this returns: what the owner has still to do, it does within the grace
 // that a drain has.
-func (p *Proxy) Do(c operations.Call) (status int, text string) {
+func (p *Proxy) Administer(c operations.Call) (status int, text string) {
 	l, now := p.life, p.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch c.Act {
+	switch c.Action {
 	case operations.Ready:
 		if !l.duty.Ready() {
 			return 503, "not ready"
 		}
 		return 200, "ready"
 	case operations.Disable, operations.Enable:
-		if !l.ids.Has(figures.Hash(c.ID)) {
+		if !l.ids.Has(figures.NameHash(c.ID)) {
 			return 404, "no backend of that id was ever listed"
 		}
-		if c.Act == operations.Disable {
+		if c.Action == operations.Disable {
 			l.duty.Disable(c.ID, now)
 		} else {
 			l.duty.Enable(c.ID, now)
 		}
 	case operations.Drain, operations.Resume:
-		l.duty.Drains(c.Act == operations.Drain, now)
+		l.duty.SetDraining(c.Action == operations.Drain, now)
 	}
 	l.ordered(nil)
 	return 200, "done"
@@ -95,26 +95,26 @@
 	}
 	w := l.word()
 	if l.before != nil && l.before != but {
-		go l.before.Tell(w)
+		go l.before.Send(w)
 	}
 	for link := range l.heirs {
 		if link != but {
-			go link.Tell(w) // danger: it may not read, and whoever gave the order waits
+			go link.Send(w) // danger: it may not read, and whoever gave the order waits
 		}
 	}
 }
 
 // word is all orders, to be said; the caller holds the lock.
-func (l *life) word() handover.Word {
-	orders := l.duty.Orders.Clone()
-	return handover.Word{Orders: &orders}
+func (l *life) word() handover.Update {
+	orders := l.duty.AdminState.Clone()
+	return handover.Update{AdminState: &orders}
 }
 
 // heard takes in what another process says.
-func (l *life) heard(from *handover.Link, w handover.Word) {
+func (l *life) heard(from *handover.Link, w handover.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.Orders != nil && l.duty.Merge(*w.Orders) {
+	if w.AdminState != nil && l.duty.Merge(*w.AdminState) {
 		l.ordered(from)
 	}
 	if serves, known := l.heirs[from]; known && w.Serving && !serves {
@@ -125,9 +125,9 @@
 
 // inherit settles whether another process serves in this one's stead, and has accept look again.
 func (l *life) inherit() {
-	l.duty.Heir = slices.Contains(slices.Collect(maps.Values(l.heirs)), true)
+	l.duty.SuccessorServing = slices.Contains(slices.Collect(maps.Values(l.heirs)), true)
 	for _, ln := range l.all {
-		if l.duty.Accepts() {
+		if l.duty.AcceptsConnections() {
 			ln.SetDeadline(time.Time{})
 		} else {
 			ln.SetDeadline(time.Unix(1, 0))
@@ -137,12 +137,12 @@
 
 // obey has the decisions hear of the bans that are new or over. It is the owner's.
 func (p *Proxy) obey() {
-	orders := peek(p.life, func(d *duty.Life) duty.Orders { return d.Orders.Clone() })
+	orders := peek(p.life, func(d *duty.Process) duty.AdminState { return d.AdminState.Clone() })
 	old := p.orders
 	p.orders = orders
 	var changed List
-	for _, id := range slices.Sorted(maps.Keys(orders.Backends)) {
-		if old.Backends[id] == orders.Backends[id] {
+	for _, id := range slices.Sorted(maps.Keys(orders.Servers)) {
+		if old.Servers[id] == orders.Servers[id] {
 			continue
 		}
 		index, ok := p.names.Find(id)
@@ -153,7 +153,7 @@
 			changed.Entries = append(changed.Entries, e)
 		}
 		for _, in := range p.branches {
-			if in.written && slices.ContainsFunc(in.first, func(b balance.Backend) bool { return b.Index == index }) {
+			if in.written && slices.ContainsFunc(in.first, func(b balance.Endpoint) bool { return b.Index == index }) {
 				in.listed(p, List{Full: true}, true, nil)
 			}
 		}
@@ -171,26 +171,26 @@
 
 // ruled is an entry of the list as operators' orders leave it, and since when its backend is banned, if it is.
 func (p *Proxy) ruled(e discovery.Entry) (discovery.Entry, float64) {
-	banned, started := p.orders.Banned(e.Name, e.UpSince)
-	e.UpSince = started
+	banned, started := p.orders.Disabled(e.Name, e.StartedAt)
+	e.StartedAt = started
 	if !banned {
 		return e, 0
 	}
 	if e.State == balance.Ready {
 		e.State = balance.Draining
 	}
-	return e, p.orders.Backends[e.Name].Since
+	return e, p.orders.Servers[e.Name].Since
 }
 
 // ruledOut are the written-out servers of a pool as operators' orders leave them.
-func (p *Proxy) ruledOut(first []balance.Backend) []balance.Backend {
+func (p *Proxy) ruledOut(first []balance.Endpoint) []balance.Endpoint {
 	out := slices.Clone(first)
 	for i := range out {
 		b := &out[i]
 		var e discovery.Entry
-		e.Name, e.State, e.UpSince = p.names.Name(b.Index), b.State, b.UpSince
+		e.Name, e.State, e.StartedAt = p.names.Name(b.Index), b.State, b.StartedAt
 		e, banned := p.ruled(e)
-		b.State, b.UpSince = e.State, e.UpSince
+		b.State, b.StartedAt = e.State, e.StartedAt
 		p.told(b.Index, b.State, p.now(), banned)
 	}
 	return out
@@ -218,27 +218,27 @@
 	return ln, nil
 }
 
-func (p *Proxy) hello() handover.Hello {
-	return handover.Hello{Format: handover.Format, Name: p.launch.Name, Listen: p.launch.Listen}
+func (p *Proxy) hello() handover.Identity {
+	return handover.Identity{Format: handover.Format, Name: p.launch.Name, Listen: p.launch.Listen}
 }
 
 // succeed takes over from a process of this proxy, if there is one that offers to.
 func (p *Proxy) succeed() {
 	l := p.life
-	if p.launch.Dir == "" || l.asked {
+	if p.launch.HotRestartDir == "" || l.asked {
 		return
 	}
 	l.asked = true
-	s, lns, link, err := handover.Ask(handover.Path(p.launch.Dir, p.hello()), p.hello())
+	s, lns, link, err := handover.TakeOver(handover.Path(p.launch.HotRestartDir, p.hello()), p.hello())
 	if err != nil {
-		if !errors.Is(err, handover.ErrNobody) {
+		if !errors.Is(err, handover.ErrNoPredecessor) {
 			p.log.WithError(err).Warn("nothing was handed over: starting as after a plain start")
 		}
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.duty.Before = true
+	l.duty.PredecessorServing = true
 	l.state, l.before, l.lns = s, link, map[string]net.Listener{}
 	for i, ln := range lns {
 		l.lns[s.Listeners[i]] = ln
@@ -246,18 +246,18 @@
 	for _, mark := range s.IDs {
 		l.ids.Add(mark)
 	}
-	if l.duty.Merge(s.Orders) {
+	if l.duty.Merge(s.AdminState) {
 		l.ordered(link)
 	}
 	if s.Listed && s.List.Version >= p.launch.Known.Version {
 		p.launch.Known = s.List
 	}
-	p.log.WithFields(logrus.Fields{"sockets": len(lns), "version": s.List.Version, "orders": len(s.Orders.Backends)}).Info("handed over")
+	p.log.WithFields(logrus.Fields{"sockets": len(lns), "version": s.List.Version, "orders": len(s.AdminState.Servers)}).Info("handed over")
 	go func() {
-		err := link.Run(func(w handover.Word) { l.heard(link, w) })
+		err := link.Receive(func(w handover.Update) { l.heard(link, w) })
 		p.log.WithError(err).Info("the process before has left")
 		l.mu.Lock()
-		l.before, l.duty.Before = nil, false
+		l.before, l.duty.PredecessorServing = nil, false
 		l.mu.Unlock()
 		p.shares()
 	}()
@@ -267,19 +267,19 @@
 func (l *life) listed(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ids.Add(figures.Hash(id))
+	l.ids.Add(figures.NameHash(id))
 }
 
 // closes says whether connections close with their answers.
 func (p *Proxy) closes() bool {
 	now := p.now()
-	return peek(p.life, func(d *duty.Life) bool { return d.Closes(now) })
+	return peek(p.life, func(d *duty.Process) bool { return d.ClosesAfterResponse(now) })
 }
 
 // takes says whether what has come whole is a lookup.
 func (p *Proxy) takes() bool {
 	now := p.now()
-	return peek(p.life, func(d *duty.Life) bool { return d.Takes(now) })
+	return peek(p.life, func(d *duty.Process) bool { return d.AdmitsRequests(now) })
 }
 
 // stop notes the order to end, and tells whether another process serves already. Its idle connections are closed by last.
@@ -287,10 +287,10 @@
 	l, now := p.life, p.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.duty.Stopped == 0 {
-		l.duty.Stopped, l.duty.Last = now, p.stamp(last)
+	if l.duty.StoppedAt == 0 {
+		l.duty.StoppedAt, l.duty.IdleCloseDeadline = now, p.stamp(last)
 	}
-	return l.duty.Heir
+	return l.duty.SuccessorServing
 }
 
 // end notes that connections end with their answers from now on.
@@ -298,7 +298,7 @@
 	p.stop(time.Now())
 	p.life.mu.Lock()
 	defer p.life.mu.Unlock()
-	p.life.duty.Ending = true
+	p.life.duty.Terminating = true
 }
 
 // leave ends what is between this process and others.
@@ -326,7 +326,7 @@
 	}
 	l.lns = nil
 	if l.before != nil {
-		go l.before.Tell(handover.Word{Serving: true})
+		go l.before.Send(handover.Update{Serving: true})
 	}
 	p.offers()
 }
@@ -334,12 +334,12 @@
 // offers has the next process find this one; the caller holds the lock.
 func (p *Proxy) offers() {
 	l := p.life
-	if p.launch.Dir == "" || len(l.all) == 0 {
+	if p.launch.HotRestartDir == "" || len(l.all) == 0 {
 		return
 	}
 	l.offer.Close()
 	var err error
-	l.offer, err = handover.Open(handover.Path(p.launch.Dir, p.hello()), p.hello(), p.give, p.met)
+	l.offer, err = handover.Serve(handover.Path(p.launch.HotRestartDir, p.hello()), p.hello(), p.give, p.met)
 	if err != nil {
 		p.log.WithError(err).Warn("cannot hand over to a next process")
 	}
@@ -349,7 +349,7 @@
 func (p *Proxy) give() (handover.State, []*net.TCPListener) {
 	type known struct {
 		list    List
-		learned balance.Memory
+		learned balance.Snapshot
 	}
 	told := make(chan known, 1)
 	go p.post(func() {
@@ -357,18 +357,18 @@
 		for _, index := range slices.Sorted(maps.Keys(p.known)) {
 			list.Entries = append(list.Entries, p.known[index])
 		}
-		told <- known{list, p.main.b.Recall(p.now())}
+		told <- known{list, p.main.b.Snapshot(p.now())}
 	})
 	s := handover.State{}
 	select {
 	case k := <-told:
-		s.List, s.Learned, s.Listed = k.list, k.learned, true
+		s.List, s.Snapshot, s.Listed = k.list, k.learned, true
 	case <-time.After(giveFor):
 	}
 	l := p.life
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.Orders, s.IDs = l.duty.Orders.Clone(), l.ids.All()
+	s.AdminState, s.IDs = l.duty.AdminState.Clone(), l.ids.All()
 	s.Listeners = slices.Clone(l.addrs) // danger: ":8080" is "[::]:8080" once it listens, and the next process would find nothing by it
 	return s, slices.Clone(l.all)
 }
@@ -386,14 +386,14 @@
 	w := l.word() // what was ordered while the state was on its way
 	l.mu.Unlock()
 	p.shares()
-	go link.Tell(w)
-	err = link.Run(func(w handover.Word) { l.heard(link, w) })
+	go link.Send(w)
+	err = link.Receive(func(w handover.Update) { l.heard(link, w) })
 	link.Close()
 	l.mu.Lock()
 	served := l.heirs[link]
 	delete(l.heirs, link)
 	l.inherit()
-	if served && l.duty.Stopped == 0 { // danger: nobody would accept, and the next one would find nobody
+	if served && l.duty.StoppedAt == 0 { // danger: nobody would accept, and the next one would find nobody
 		p.log.WithError(err).Warn("the process that took over has ended: serving again")
 		p.offers()
 	}
@@ -417,14 +417,14 @@
 	part := p.part()
 	p.door.share(part)
 	p.heldMost.Store(int64(part * p.heldWhole))
-	if p.Shared != nil {
-		p.Shared(part)
+	if p.OnShareChanged != nil {
+		p.OnShareChanged(part)
 	}
 	go p.post(func() {
 		part := p.part() // two such calls may come in either order
-		p.pool.Share(int(part * float64(p.poolMost)))
+		p.pool.SetMaxConnections(int(part * float64(p.poolMost)))
 		for _, in := range p.branches {
-			in.b.Part(part)
+			in.b.SetBudgetShare(part)
 		}
 	})
 }
@@ -432,7 +432,7 @@
 // rush closes idle connections where the proxy is to be emptied.
 func (p *Proxy) rush() {
 	p.life.mu.Lock()
-	share, fresh := p.life.duty.Idle(p.now(), sweepEvery.Seconds())
+	share, fresh := p.life.duty.IdleCloseFraction(p.now(), sweepEvery.Seconds())
 	p.life.mu.Unlock()
 	if share > 0 {
 		p.door.empty(share, fresh)
--- a/proxy/life_test.go
+++ b/proxy/life_test.go
@@ -16,8 +16,8 @@
 	"lockloom/internal/operations"
 )
 
-func (y *yard) call(act operations.Act, id string) int {
-	status, _ := y.Do(operations.Call{Act: act, ID: id})
+func (y *yard) call(act operations.Action, id string) int {
+	status, _ := y.Administer(operations.Call{Action: act, ID: id})
 	synctest.Wait()
 	return status
 }
@@ -68,7 +68,7 @@
 func (y *yard) beliefOf(id string) float64 {
 	index, _ := y.names.Find(id)
 	e, _ := y.ruled(y.known[index])
-	return e.UpSince
+	return e.StartedAt
 }
 
 // Danger: a leg ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
@@ -79,7 +79,7 @@
 	late := func(by time.Duration) func(y *yard) {
 		return func(y *yard) {
 			y.post(func() {
-				y.list(List{Version: 2, Told: time.Now().Add(-by), Entries: []discovery.Entry{entry("b1", balance.Draining, 0)}}, false)
+				y.list(List{Version: 2, NotifiedAt: time.Now().Add(-by), Entries: []discovery.Entry{entry("b1", balance.Draining, 0)}}, false)
 			})
 		}
 	}
@@ -96,7 +96,7 @@
 		{"heard late", 0.3, late(200 * time.Millisecond), 1}, {"heard too late", 0.3, late(400 * time.Millisecond), 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			y := made(t, map[string][]string{"b1": {ok}}, func(l *Launch) { l.DrainGrace = c.grace })
+			y := made(t, map[string][]string{"b1": {ok}}, func(l *BootstrapConfig) { l.DrainGrace = c.grace })
 			y.slow = 60 * time.Millisecond
 			y.begin()
 			conn := y.client()
@@ -115,8 +115,8 @@
 // A list of 1,024, indented, in which all leave at once; one comes back under its id, and is the only one that is sent to.
 func TestManyLeaveAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := serve(t, map[string][]string{"any": {ok}}, func(l *Launch) { l.ColdFor = 0 })
-		say := func(version int, full bool, state balance.State, ids ...string) {
+		y := serve(t, map[string][]string{"any": {ok}}, func(l *BootstrapConfig) { l.SlowStartDuration = 0 })
+		say := func(version int, full bool, state balance.EndpointState, ids ...string) {
 			l := List{Version: int64(version), Full: full}
 			for _, id := range ids {
 				l.Entries = append(l.Entries, entry(id, state, 0))
@@ -135,7 +135,7 @@
 		assert.Equal(t, 200, answered())
 		say(3, false, balance.Draining, all...)
 		assert.Equal(t, 503, answered(), "all leave")
-		say(4, false, balance.Gone, "s-700")
+		say(4, false, balance.Removed, "s-700")
 		say(5, false, balance.Ready, "s-700")
 		for range 20 {
 			assert.Equal(t, 200, answered())
@@ -211,8 +211,8 @@
 	}
 	answered := make(chan int, 4)
 	go func() {
-		for _, act := range []operations.Act{operations.Disable, operations.Drain, operations.Enable, operations.Resume} {
-			status, _ := y.Do(operations.Call{Act: act, ID: "b1"})
+		for _, act := range []operations.Action{operations.Disable, operations.Drain, operations.Enable, operations.Resume} {
+			status, _ := y.Administer(operations.Call{Action: act, ID: "b1"})
 			answered <- status
 		}
 	}()
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -19,31 +19,31 @@
 	"lockloom/routes"
 )
 
-// Setup is an operator file ready for use; see internal/operator.
-type Setup = operator.Setup
+// Config is an operator file ready for use; see internal/operator.
+type Config = operator.Config
 
-// ReadSetup reads an operator file; the errors are all its faults, a line each.
-func ReadSetup(name string) (*Setup, []error) { return operator.Open(name) }
+// ReadConfig reads an operator file; the errors are all its faults, a line each.
+func ReadConfig(name string) (*Config, []error) { return operator.Open(name) }
 
 // kindsOf is the order of a tariff's rows in an operator's pool: one for each way in which a lookup may be sent again.
-var kindsOf = [...]balance.Kind{limits.Never: balance.SingleUse, limits.ByMark: balance.Referenced, limits.Freely: balance.Replayable}
+var kindsOf = [...]balance.Idempotency{limits.RetryNever: balance.NonIdempotent, limits.RetryKeyed: balance.Keyed, limits.RetryAlways: balance.Idempotent}
 
-var scopesOf = map[string]balance.Scope{"": balance.ScopeAll, "none": balance.ScopeAll, "all": balance.ScopeAll, "zone": balance.ScopeZone,
-	"pod": balance.ScopePod}
+var scopesOf = map[string]balance.DedupScope{"": balance.DedupAll, "none": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone,
+	"pod": balance.DedupPod}
 
 // ordinary is what a proxy needs to serve ordinary HTTP. Clients' goroutines read the table and the terms; the limits, budgets
 // and branches are the owner's. It never changes: a reload puts another in its place.
 type ordinary struct {
-	setup   *Setup
+	setup   *Config
 	pools   map[string]*branch
 	tariffs map[string]int
 	limits  map[string]int
 }
 
-// Operate has the proxy serve an operator's routes on these listeners too, from Serve on. Call it before.
-func (p *Proxy) Operate(s *Setup, listeners ...net.Listener) error {
-	for _, t := range s.Tariffs {
-		p.longest = max(p.longest, seconds(t.HardStop))
+// Configure has the proxy serve an operator's routes on these listeners too, from Serve on. Call it before.
+func (p *Proxy) Configure(s *Config, listeners ...net.Listener) error {
+	for _, t := range s.Classes {
+		p.longest = max(p.longest, seconds(t.Deadline))
 	}
 	o, err := p.build(s, nil)
 	if err != nil {
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// Reoperate serves by another operator file from now on, all of it or nothing. Lookups in hand end as they were begun; pools that
+// ReloadConfig serves by another operator file from now on, all of it or nothing. Lookups in hand end as they were begun; pools that
 // are as they were keep what they have learned, and limits that are as they were their counts. Listeners, and hard stops longer
 // than any before, change with the next start.
-func (p *Proxy) Reoperate(s *Setup) error {
+func (p *Proxy) ReloadConfig(s *Config) error {
 	done := make(chan error, 1)
 	p.post(func() { done <- p.reoperate(s) })
 	select {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *Proxy) reoperate(s *Setup) error {
+func (p *Proxy) reoperate(s *Config) error {
 	old := p.ordinary.Load()
 	if old == nil {
 		return errors.New("it was started without an operator file")
@@ -76,8 +76,8 @@
 	if !reflect.DeepEqual(old.setup.Listeners, s.Listeners) {
 		return errors.New("listeners change with the next start")
 	}
-	for _, t := range s.Tariffs {
-		if seconds(t.HardStop) > p.longest {
+	for _, t := range s.Classes {
+		if seconds(t.Deadline) > p.longest {
 			return fmt.Errorf("tariff %q: a hard stop longer than %v counts from the next start", t.Name, p.longest)
 		}
 	}
@@ -101,24 +101,24 @@
 	for i := range o.setup.Pools {
 		w := &o.setup.Pools[i]
 		in := o.pools[w.Name]
-		in.backup, in.standby.After, in.standby.Until = o.pools[w.Backup], w.BackupAfter, w.BackupUntil
+		in.backup, in.standby.ActivateAfter, in.standby.RecoverAfter = o.pools[w.Backup], w.BackupAfter, w.BackupUntil
 		if w.Backup == "" {
 			in.away = false
 		}
 		shares := map[string]int{}
 		o.share(shares, w.Name, o.setup.Routes)
-		if w.Room == 0 {
+		if w.Capacity == 0 {
 			in.fair = nil
-		} else if in.fair == nil || in.fair.Room != w.Room || !maps.Equal(in.shares, shares) {
-			in.fair = limits.NewFair(w.Room, slices.Repeat([]float64{1}, len(shares)))
+		} else if in.fair == nil || in.fair.Capacity != w.Capacity || !maps.Equal(in.shares, shares) {
+			in.fair = limits.NewFairLimiter(w.Capacity, slices.Repeat([]float64{1}, len(shares)))
 		}
 		in.shares = shares
 		if slices.Contains(p.branches, in) {
 			continue
 		}
 		p.branches = append(p.branches, in)
-		in.b.Part(p.part())
-		in.b.Slack(p.strained.slack, p.strained.lag)
+		in.b.SetBudgetShare(p.part())
+		in.b.SetLocalDelay(p.strained.slack, p.strained.lag)
 		if len(w.Servers) > 0 {
 			in.written = true
 			p.writeOut(in, w.Servers)
@@ -131,16 +131,16 @@
 }
 
 // build makes what a setup needs, with the pools of an old one that are as they were.
-func (p *Proxy) build(s *Setup, old *ordinary) (*ordinary, error) {
+func (p *Proxy) build(s *Config, old *ordinary) (*ordinary, error) {
 	o := &ordinary{setup: s, pools: map[string]*branch{}, tariffs: map[string]int{}, limits: map[string]int{}}
 	d := p.launch.Deployment
-	d.Tariffs, d.Customers = nil, nil
-	d.Peers = false // danger: a note numbers the platform's tariffs; a pool's would be taken for those
-	for i, t := range s.Tariffs {
+	d.Classes, d.Tenants = nil, nil
+	d.Gossip = false // danger: a note numbers the platform's tariffs; a pool's would be taken for those
+	for i, t := range s.Classes {
 		o.tariffs[t.Name] = i
 		for _, kind := range kindsOf {
-			d.Tariffs = append(d.Tariffs, balance.Tariff{Name: t.Name, Kind: kind, Scope: scopesOf[t.Scope], Window: t.Window, Due: t.Due,
-				HardStop: t.HardStop, Value: t.Value})
+			d.Classes = append(d.Classes, balance.Class{Name: t.Name, Idempotency: kind, DedupScope: scopesOf[t.DedupScope], DedupWindow: t.DedupWindow, LatencyObjective: t.LatencyObjective,
+				Deadline: t.Deadline, PriorityWeight: t.PriorityWeight})
 		}
 	}
 	for i, l := range s.File.Limits {
@@ -151,18 +151,18 @@
 	}
 	for i := range s.Pools {
 		w := &s.Pools[i]
-		if old != nil && reflect.DeepEqual(old.setup.Tariffs, s.Tariffs) {
+		if old != nil && reflect.DeepEqual(old.setup.Classes, s.Classes) {
 			if k := slices.IndexFunc(old.setup.Pools, func(x operator.Pool) bool { return x.Name == w.Name }); k >= 0 && w.Same(&old.setup.Pools[k]) {
 				o.pools[w.Name] = old.pools[w.Name]
 				continue
 			}
 		}
-		d.Seed = p.launch.Seed ^ figures.Hash(w.Name)
+		d.Seed = p.launch.Seed ^ figures.NameHash(w.Name)
 		b, err := balance.New(d, p.now())
 		if err != nil {
 			return nil, fmt.Errorf("pool %q: %w", w.Name, err)
 		}
-		o.pools[w.Name] = &branch{b: p.decisions(w.Name, b), rows: d.Tariffs, name: w.Name, budgets: map[string]*limits.Budget{},
+		o.pools[w.Name] = &branch{b: p.decisions(w.Name, b), rows: d.Classes, name: w.Name, budgets: map[string]*limits.RetryBudget{},
 			has: func(e *discovery.Entry) bool {
 				return (len(w.Kinds) == 0 || slices.Contains(w.Kinds, e.ModelName)) && (len(w.Zones) == 0 || slices.Contains(w.Zones, e.ZoneName))
 			}}
@@ -181,7 +181,7 @@
 	}
 	for _, b := range in.first { // unless another pool has the same server written out
 		if !slices.ContainsFunc(p.branches, func(o *branch) bool {
-			return slices.ContainsFunc(o.first, func(x balance.Backend) bool { return x.Index == b.Index })
+			return slices.ContainsFunc(o.first, func(x balance.Endpoint) bool { return x.Index == b.Index })
 		}) {
 			delete(p.written, b.Index)
 			p.forget(b.Index)
@@ -193,7 +193,7 @@
 func (o *ordinary) share(shares map[string]int, pool string, list []operator.Route) {
 	for i := range list {
 		r := &list[i]
-		if r.Pool == pool || slices.ContainsFunc(r.Split, func(s operator.Share) bool { return s.Pool == pool }) {
+		if r.Pool == pool || slices.ContainsFunc(r.Split, func(s operator.WeightedPool) bool { return s.Pool == pool }) {
 			shares[r.Name] = len(shares)
 		}
 		o.share(shares, pool, r.Routes)
@@ -202,10 +202,10 @@
 
 // writeOut tells a pool its servers, which no list changes.
 func (p *Proxy) writeOut(in *branch, addrs []string) {
-	var list []balance.Backend
+	var list []balance.Endpoint
 	for i, addr := range addrs {
-		b := p.names.Backend(figures.Entry{Name: in.name + "/" + addr, ModelName: in.name, Backend: balance.Backend{Pod: i}})
-		p.pool.Place(b.Index, addr, 0)
+		b := p.names.Endpoint(figures.Entry{Name: in.name + "/" + addr, ModelName: in.name, Endpoint: balance.Endpoint{Pod: i}})
+		p.pool.SetEndpoint(b.Index, addr, 0)
 		p.told(b.Index, balance.Ready, p.now(), 0)
 		p.written[b.Index] = true
 		list = append(list, b)
@@ -215,11 +215,11 @@
 }
 
 // budget is a branch's for a retry rule.
-func (in *branch) budget(r *limits.Rule) *limits.Budget {
+func (in *branch) budget(r *limits.RetryRule) *limits.RetryBudget {
 	if in.budgets[r.Name] == nil {
-		in.budgets[r.Name] = &limits.Budget{Share: r.Share}
+		in.budgets[r.Name] = &limits.RetryBudget{Ratio: r.BudgetRatio}
 	}
-	in.budgets[r.Name].Share = r.Share // a reload may have changed it
+	in.budgets[r.Name].Ratio = r.BudgetRatio // a reload may have changed it
 	return in.budgets[r.Name]
 }
 
@@ -230,10 +230,10 @@
 	}
 	b := l.in.budget(l.rule)
 	if len(l.legs) == 0 {
-		b.First(p.now())
+		b.FirstAttempt(p.now())
 		return false
 	}
-	return l.rule.Legs > 0 && len(l.legs) >= l.rule.Legs || !b.Further(p.now())
+	return l.rule.MaxAttempts > 0 && len(l.legs) >= l.rule.MaxAttempts || !b.AllowRetry(p.now())
 }
 
 // limited takes a lookup through its limits and its pool's room. Where it does not pass it tells the client so at once, and when
@@ -247,17 +247,17 @@
 		return false
 	}
 	if len(l.asks) > 0 {
-		ticket, refusal := l.limits.Take(p.now(), l.asks)
+		ticket, refusal := l.limits.Acquire(p.now(), l.asks)
 		if refusal != nil {
-			p.turnedAt(l, reply{status: 429, advice: whole(refusal.After), body: []byte("over a limit\n")})
+			p.turnedAt(l, reply{status: 429, advice: whole(refusal.RetryAfter), body: []byte("over a limit\n")})
 			return false
 		}
 		l.ticket = ticket
 	}
 	if f := l.in.fair; f != nil {
 		l.share = l.in.shares[l.route]
-		if !f.Take(p.now(), l.share) {
-			l.limits.Leave(&l.ticket)
+		if !f.Acquire(p.now(), l.share) {
+			l.limits.Release(&l.ticket)
 			p.turnedAt(l, reply{status: 503, body: []byte("the pool is full\n")})
 			return false
 		}
@@ -280,29 +280,29 @@
 	if l.rule == nil {
 		return
 	}
-	l.limits.Leave(&l.ticket)
+	l.limits.Release(&l.ticket)
 	if l.shared != nil {
-		l.shared.Leave(l.share)
+		l.shared.Release(l.share)
 		l.shared = nil
 	}
 }
 
 // asks are the limits of a route, with the keys that a request counts under.
-func (o *ordinary) asks(r *routes.Route, w *operator.Route, customer, address string, field func(name string) string) []limits.Ask {
-	var list []limits.Ask
+func (o *ordinary) asks(r *routes.Route, w *operator.Route, customer, address string, field func(name string) string) []limits.LimitKey {
+	var list []limits.LimitKey
 	for _, name := range w.Limits {
 		i := o.limits[name]
-		a := limits.Ask{Limit: i}
+		a := limits.LimitKey{Limit: i}
 		switch by := o.setup.File.Limits[i].By; by {
 		case "all":
 		case "route":
-			a.Key = figures.Hash(r.Name)
+			a.Key = figures.NameHash(r.Name)
 		case "customer":
-			a.Key = figures.Hash(customer)
+			a.Key = figures.NameHash(customer)
 		case "address":
-			a.Key = figures.Hash(address)
+			a.Key = figures.NameHash(address)
 		default:
-			a.Key = figures.Hash(field(by[len("field:"):]))
+			a.Key = figures.NameHash(field(by[len("field:"):]))
 		}
 		list = append(list, a)
 	}
@@ -310,7 +310,7 @@
 }
 
 // row is the index of a tariff's row of a kind.
-func (o *ordinary) row(tariff string, again limits.Again) int {
+func (o *ordinary) row(tariff string, again limits.RetrySafety) int {
 	return o.tariffs[tariff]*len(kindsOf) + int(again)
 }
 
--- a/proxy/opine.go
+++ b/proxy/opine.go
@@ -14,25 +14,27 @@
 // opineEvery is how often opinions are told. What the list or operators say is told as it comes.
 const opineEvery = 100 * time.Millisecond
 
-// Opine has a control service beside the proxy hear what the proxy holds of each operator's pool: every so often, and at once when the
+// OnEstimates has a control service beside the proxy hear what the proxy holds of each operator's pool: every so often, and at once when the
 // list or an order changes something. The call is the owner's: it must not wait. Set it before Serve.
-func (p *Proxy) Opine(call func(now float64, pools map[string]assign.Sight)) { p.opined = call }
+func (p *Proxy) OnEstimates(call func(now float64, pools map[string]assign.Observation)) {
+	p.opined = call
+}
 
-// Reported takes in how legs ended that the control service's subscribers sent to a pool, by server's name: honoured, failed. Unknown
+// OutcomesReported takes in how legs ended that the control service's subscribers sent to a pool, by server's name: honoured, failed. Unknown
 // names are passed over. It may be called by anyone.
-func (p *Proxy) Reported(pool string, legs map[string][2]int) {
+func (p *Proxy) OutcomesReported(pool string, legs map[string][2]int) {
 	p.post(func() {
 		o := p.ordinary.Load()
 		if o == nil || o.pools[pool] == nil {
 			return
 		}
-		var all []balance.Results
+		var all []balance.ReportedOutcomes
 		for _, name := range slices.Sorted(maps.Keys(legs)) {
 			if index, ok := p.names.Find(name); ok {
-				all = append(all, balance.Results{Backend: index, Honoured: legs[name][0], Failed: legs[name][1]})
+				all = append(all, balance.ReportedOutcomes{Endpoint: index, Succeeded: legs[name][0], Failed: legs[name][1]})
 			}
 		}
-		o.pools[pool].b.Reported(p.now(), all)
+		o.pools[pool].b.OutcomesReported(p.now(), all)
 	})
 }
 
@@ -42,7 +44,7 @@
 	if p.opined == nil || o == nil || !p.listed {
 		return
 	}
-	all := map[string]assign.Sight{}
+	all := map[string]assign.Observation{}
 	for name, in := range o.pools {
 		all[name] = p.sight(in)
 	}
@@ -52,27 +54,27 @@
 
 // sight is what is held of one pool. Danger: the opinion of a server is the Balancer's, whether it may be sent to the list's and the
 // operators'.
-func (p *Proxy) sight(in *branch) assign.Sight {
+func (p *Proxy) sight(in *branch) assign.Observation {
 	proxies := float64(max(p.launch.Proxies, 1)) // the others are taken to be alike
 	if passed := p.now() - in.opinedAt; passed >= opineEvery.Seconds()/2 {
 		in.rate = float64(in.admitted-in.opined) / passed
 		in.opined, in.opinedAt = in.admitted, p.now()
 	}
-	s := assign.Sight{Gone: p.gone, Rate: in.rate * proxies}
-	beliefs := map[int]balance.Belief{}
-	for _, b := range in.b.Beliefs(p.now()) {
-		beliefs[b.Backend] = b
-		s.Load += float64(b.Out) * proxies
+	s := assign.Observation{Removed: p.gone, Rate: in.rate * proxies}
+	beliefs := map[int]balance.ServerStatus{}
+	for _, b := range in.b.ServerStatuses(p.now()) {
+		beliefs[b.Endpoint] = b
+		s.Load += float64(b.InFlight) * proxies
 	}
 	add := func(e discovery.Entry, index int) {
 		b := beliefs[index]
-		s.Servers = append(s.Servers, assign.Opinion{Name: e.Name, Addr: e.Addr, Zone: e.ZoneName, Draining: e.State != balance.Ready,
-			Paused: b.Paused, Trial: b.Trial, Payoff: b.Payoff, Size: e.Size, UpSince: e.UpSince})
+		s.Servers = append(s.Servers, assign.ServerEstimate{Name: e.Name, Addr: e.Addr, Zone: e.ZoneName, Draining: e.State != balance.Ready,
+			Paused: b.Paused, Trial: b.Trial, Payoff: b.Payoff, Cores: e.Cores, StartedAt: e.StartedAt})
 	}
 	if in.written {
 		for _, b := range in.first {
 			var e discovery.Entry
-			e.Name, e.State, e.UpSince = p.names.Name(b.Index), b.State, b.UpSince
+			e.Name, e.State, e.StartedAt = p.names.Name(b.Index), b.State, b.StartedAt
 			e.Addr = strings.TrimPrefix(e.Name, in.name+"/")
 			e, _ = p.ruled(e)
 			add(e, b.Index)
--- a/proxy/opine_test.go
+++ b/proxy/opine_test.go
@@ -25,33 +25,33 @@
 		s, faults := operator.Read("f.toml", []byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
 			"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
 		require.Empty(t, faults)
-		require.NoError(t, y.Operate(s, second{y}))
+		require.NoError(t, y.Configure(s, second{y}))
 		var mu sync.Mutex
-		var last map[string]assign.Sight
+		var last map[string]assign.Observation
 		var gone []string
-		y.Opine(func(_ float64, pools map[string]assign.Sight) {
+		y.OnEstimates(func(_ float64, pools map[string]assign.Observation) {
 			mu.Lock()
 			defer mu.Unlock()
-			last, gone = pools, append(gone, pools["all"].Gone...)
+			last, gone = pools, append(gone, pools["all"].Removed...)
 		})
 		y.begin()
-		now := func(pool string) (assign.Sight, []string) {
+		now := func(pool string) (assign.Observation, []string) {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
 			return last[pool], gone
 		}
-		of := func(pool, id string) *assign.Opinion {
+		of := func(pool, id string) *assign.ServerEstimate {
 			s, _ := now(pool)
-			i := slices.IndexFunc(s.Servers, func(o assign.Opinion) bool { return o.Name == id })
+			i := slices.IndexFunc(s.Servers, func(o assign.ServerEstimate) bool { return o.Name == id })
 			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, s)
 			return &s.Servers[i]
 		}
 		assert.Equal(t, "b1", of("all", "b1").Addr)
 		assert.Equal(t, "w1:80", of("own", "own/w1:80").Addr)
-		y.Reported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
-		y.Reported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
-		y.Reported("none", map[string][2]int{"b1": {0, 90}})
+		y.OutcomesReported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
+		y.OutcomesReported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
+		y.OutcomesReported("none", map[string][2]int{"b1": {0, 90}})
 		time.Sleep(2 * opineEvery)
 		assert.True(t, of("all", "b2").Paused && !of("all", "b1").Paused && of("own", "own/w1:80").Paused)
 		assert.Less(t, of("all", "b2").Payoff, of("all", "b1").Payoff)
--- a/proxy/ordinary.go
+++ b/proxy/ordinary.go
@@ -32,9 +32,9 @@
 }
 
 // routed is what a request's head says of its lookup, or the answer where the route itself is one.
-func (c *client) routed(h *heads.Head, arrived time.Time) (*lookup, balance.Arrival, *reply, error) {
-	o, a := c.p.ordinary.Load(), balance.Arrival{Customer: -1}
-	refuse := func(status int, text string) (*lookup, balance.Arrival, *reply, error) {
+func (c *client) routed(h *heads.Head, arrived time.Time) (*lookup, balance.RequestInfo, *reply, error) {
+	o, a := c.p.ordinary.Load(), balance.RequestInfo{Tenant: -1}
+	refuse := func(status int, text string) (*lookup, balance.RequestInfo, *reply, error) {
 		return nil, a, nil, &heads.Error{Status: status, Text: text}
 	}
 	method := string(h.Method)
@@ -42,14 +42,14 @@
 		return refuse(501, "method not served")
 	}
 	for _, name := range []string{"Host", "Idempotency-Key", "X-Expires-In"} {
-		if h.Twice(name) { // danger: a server may go by another of them than this proxy
+		if h.HasRepeated(name) { // danger: a server may go by another of them than this proxy
 			return refuse(400, name+" twice")
 		}
 	}
-	if h.Get("Host") == nil && !h.Old {
+	if h.Get("Host") == nil && !h.HTTP10 {
 		return refuse(400, "no Host")
 	}
-	host, path, query, err := routes.Target(string(h.Target))
+	host, path, query, err := routes.ParseTarget(string(h.Target))
 	var wrong *routes.PathError
 	if errors.As(err, &wrong) {
 		return refuse(400, wrong.Error())
@@ -57,28 +57,28 @@
 	named := string(h.Get("Host"))
 	if host == "" {
 		host = named
-	} else if named != "" && routes.Host(host) != routes.Host(named) {
+	} else if named != "" && routes.NormalizeHost(host) != routes.NormalizeHost(named) {
 		return refuse(400, "the target is for another host than Host")
 	}
 	if strings.ContainsAny(host, "/?#@\\\"<> ") { // danger: it goes on, and another may read an authority or a path in it
 		return refuse(400, "malformed Host")
 	}
-	m, ok := o.setup.Table.Match(&routes.Request{Host: routes.Host(host), Method: method, Path: path, Query: query, Fields: fieldsOf{h}})
+	m, ok := o.setup.RouteTable.Match(&routes.Request{Host: routes.NormalizeHost(host), Method: method, Path: path, Query: query, Fields: fieldsOf{h}})
 	if !ok {
 		return nil, a, &reply{status: 404, body: []byte("no route\n")}, nil
 	}
-	act, w := &m.Route.Action, o.setup.Terms(m.Route)
+	act, w := &m.Route.Action, o.setup.RouteConfig(m.Route)
 	if act.Redirect != nil {
 		return nil, a, &reply{status: act.Redirect.Status, fields: heads.AppendField(nil, "Location", m.Location(query))}, nil
 	}
-	if act.Fixed != nil {
-		answer := &reply{status: act.Fixed.Status, body: []byte(act.Fixed.Body)}
-		if act.Fixed.Type != "" {
-			answer.fields = heads.AppendField(nil, "Content-Type", act.Fixed.Type)
+	if act.Response != nil {
+		answer := &reply{status: act.Response.Status, body: []byte(act.Response.Body)}
+		if act.Response.Type != "" {
+			answer.fields = heads.AppendField(nil, "Content-Type", act.Response.Type)
 		}
 		return nil, a, answer, nil
 	}
-	onward, err := m.Onward()
+	onward, err := m.UpstreamPath()
 	if err != nil {
 		return refuse(400, err.Error())
 	}
@@ -89,35 +89,35 @@
 	if err != nil {
 		address = c.nc.RemoteAddr().String()
 	}
-	key := figures.Hash(address)
+	key := figures.NameHash(address)
 	if len(act.Pools) > 1 && address == "" {
 		key = rand.Uint64()
 	}
-	in := o.pools[act.Pools[m.Pool(key)].Pool]
-	rule := o.setup.Rule(w)
+	in := o.pools[act.Pools[m.SelectPool(key)].Pool]
+	rule := o.setup.RetryRule(w)
 	mark := h.Get("Idempotency-Key")
-	again := rule.Of(method, len(mark) > 0)
-	if again == limits.ByMark && o.setup.Tariffs[o.tariffs[w.Tariff]].Window == 0 { // no server knows the mark
-		again = limits.Never
+	again := rule.SafetyOf(method, len(mark) > 0)
+	if again == limits.RetryKeyed && o.setup.Classes[o.tariffs[w.Class]].DedupWindow == 0 { // no server knows the mark
+		again = limits.RetryNever
 	}
-	a.Tariff = o.row(w.Tariff, again)
-	row := &in.rows[a.Tariff]
-	wait := row.HardStop
+	a.Class = o.row(w.Class, again)
+	row := &in.rows[a.Class]
+	wait := row.Deadline
 	if told := h.Get("X-Expires-In"); told != nil {
 		if s, err := strconv.ParseFloat(string(told), 64); err == nil && s >= 0 && !math.IsNaN(s) {
 			wait = min(wait, s)
 		}
 	}
-	a.HardStop = c.p.stamp(arrived) + wait
+	a.Deadline = c.p.stamp(arrived) + wait
 	if last := c.p.last.Load(); last != nil {
-		a.HardStop = min(a.HardStop, c.p.stamp(*last))
+		a.Deadline = min(a.Deadline, c.p.stamp(*last))
 	}
-	l := &lookup{in: in, row: row, arrived: c.p.stamp(arrived), hardStop: a.HardStop, id: "w" + strconv.FormatUint(rand.Uint64(), 16),
+	l := &lookup{in: in, row: row, arrived: c.p.stamp(arrived), hardStop: a.Deadline, id: "w" + strconv.FormatUint(rand.Uint64(), 16),
 		answer: make(chan reply, 1), rule: rule, limits: o.setup.Limits, plain: true, bare: method == "HEAD"}
 	l.route = m.Route.Name
 	l.asks = o.asks(m.Route, w, string(h.Get("X-Customer")), address, func(name string) string { return string(h.Get(name)) })
 	l.head = heads.AppendRequest(make([]byte, 0, headGuess), h.Method, []byte(onward))
-	l.head = heads.AppendOnward(l.head, h, replaced...)
+	l.head = heads.AppendForwardedFields(l.head, h, replaced...)
 	if named == "" && host != "" {
 		l.head = heads.AppendField(l.head, "Host", host)
 	}
--- a/proxy/ordinary_test.go
+++ b/proxy/ordinary_test.go
@@ -123,7 +123,7 @@
 	s, faults := operator.Read("f.toml", []byte(operated))
 	require.Empty(t, faults)
 	y.ends2 = make(chan net.Conn, 100)
-	require.NoError(t, y.Operate(s, second{y}))
+	require.NoError(t, y.Configure(s, second{y}))
 	y.begin()
 	return y
 }
@@ -445,7 +445,7 @@
 		again := func(change ...string) error {
 			s, faults := operator.Read("f.toml", []byte(strings.NewReplacer(change...).Replace(operated)))
 			require.Empty(t, faults)
-			return y.Reoperate(s)
+			return y.ReloadConfig(s)
 		}
 		sent := func(request string) string {
 			y.got = nil
@@ -495,16 +495,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
 		s, _ := operator.Read("f.toml", []byte(operated))
-		assert.ErrorContains(t, y.Reoperate(s), "started without an operator file")
+		assert.ErrorContains(t, y.ReloadConfig(s), "started without an operator file")
 		y.end()
-		assert.ErrorContains(t, y.Reoperate(s), "has ended")
+		assert.ErrorContains(t, y.ReloadConfig(s), "has ended")
 	})
 }
 
 // A pool of listed servers has those of its kinds, and a reload's new pool knows at once what is listed, and what drains.
 func TestListedPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := made(t, map[string][]string{"b1": {ok}, "b2": {ok}}, func(l *Launch) {
+		y := made(t, map[string][]string{"b1": {ok}, "b2": {ok}}, func(l *BootstrapConfig) {
 			for i := range l.Known.Entries {
 				l.Known.Entries[i].ModelName = []string{"blue", "old"}[i]
 			}
@@ -513,7 +513,7 @@
 		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
 		s, faults := operator.Read("f.toml", []byte(text))
 		require.Empty(t, faults)
-		require.NoError(t, y.Operate(s, second{y}))
+		require.NoError(t, y.Configure(s, second{y}))
 		y.begin()
 		at := func() string {
 			y.got = nil
@@ -528,7 +528,7 @@
 		}
 		s, faults = operator.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
 		require.Empty(t, faults)
-		require.NoError(t, y.Reoperate(s))
+		require.NoError(t, y.ReloadConfig(s))
 		for range 5 {
 			assert.Equal(t, "200 b2", at())
 		}
@@ -595,7 +595,7 @@
 			h, err := r.Response()
 			require.NoError(t, err, name)
 			assert.Equal(t, c.chunked && c.version == "1.1", h.Chunked, name)
-			n, err := io.Copy(io.Discard, r.Flow(h.Length, h.Chunked))
+			n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked))
 			if c.whole {
 				assert.Equal(t, []any{int64(size), nil}, []any{n, err}, name)
 			} else {
--- a/proxy/owner.go
+++ b/proxy/owner.go
@@ -18,7 +18,7 @@
 func (p *Proxy) own() {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
-	p.every(sweepEvery, p.pool.Sweep)
+	p.every(sweepEvery, p.pool.CloseExpired)
 	p.every(sweepEvery, p.rush)
 	p.every(sweepEvery, p.slacken)
 	p.every(sweepEvery, p.door.expire)
@@ -43,7 +43,7 @@
 		case <-p.quit:
 			p.watched.end()
 			p.sought.end()
-			p.pool.Shut()
+			p.pool.Close()
 			p.counted()()
 			close(p.ended)
 			return
@@ -94,41 +94,41 @@
 
 // decide makes one call on the decisions and carries out what they order. The orders are good until the next
 // call, so whatever would lead to one is left for later.
-func (p *Proxy) decide(in *branch, call func(now float64) *balance.Orders) {
+func (p *Proxy) decide(in *branch, call func(now float64) *balance.Actions) {
 	o := call(p.now())
-	for _, i := range o.HangUp { // before a leg is sent there, which then opens anew
-		p.pool.Close(i)
+	for _, i := range o.CloseIdle { // before a leg is sent there, which then opens anew
+		p.pool.CloseIdle(i)
 	}
-	for _, i := range o.Probe {
+	for _, i := range o.HealthChecks {
 		p.probe(in, i)
 	}
-	if o.Tell != nil && p.link != nil {
-		p.link.Tell(o.Peer, *o.Tell)
+	if o.Gossip != nil && p.link != nil {
+		p.link.Send(o.GossipPeer, *o.Gossip)
 	}
-	for i := range o.Steps {
-		p.route(&o.Steps[i])
+	for i := range o.Requests {
+		p.route(&o.Requests[i])
 	}
 	// Danger: this goroutine may be held up at any place. A leg that is only called off after its lookup's answer has been let go might
 	// be written after it.
-	for i := range o.Steps {
-		if s := &o.Steps[i]; s.Answer != balance.NoAnswer {
-			p.finish(p.slots[s.Ref], s.Answer, s.Advice)
+	for i := range o.Requests {
+		if s := &o.Requests[i]; s.Reply != balance.NoReply {
+			p.finish(p.slots[s.Ref], s.Reply, s.RetryAfter)
 		}
 	}
-	if o.Wake > 0 {
+	if o.WakeAt > 0 {
 		if in.alarm.call == nil {
-			in.alarm.call = func() { p.decide(in, in.b.Wake) }
+			in.alarm.call = func() { p.decide(in, in.b.TimerFired) }
 		}
-		p.timers.add(&in.alarm, o.Wake)
+		p.timers.add(&in.alarm, o.WakeAt)
 	}
 	// Orders to subscribe need no act: on sockets the watch is always held.
-	for i := range o.Steps {
-		p.release(p.slots[o.Steps[i].Ref])
+	for i := range o.Requests {
+		p.release(p.slots[o.Requests[i].Ref])
 	}
 }
 
 // tell makes a call about one lookup, which may be its last.
-func (p *Proxy) tell(l *lookup, call func(now float64) *balance.Orders) {
+func (p *Proxy) tell(l *lookup, call func(now float64) *balance.Actions) {
 	p.decide(l.in, call)
 	p.release(l)
 }
@@ -181,8 +181,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{addr: addr, stop: stop}
 	p.sought = w
-	d := &discovery.Watch{Addr: addr, Version: p.version, Bank: p.launch.Proxies, Grace: p.launch.DrainGrace, Dial: p.Dial, Log: p.log.WithField("discovery", addr),
-		Up: func() {
+	d := &discovery.Watch{Addr: addr, Version: p.version, FleetSize: p.launch.Proxies, DrainGrace: p.launch.DrainGrace, Dial: p.Dial, Log: p.log.WithField("discovery", addr),
+		OnConnected: func() {
 			p.post(func() {
 				if w == p.sought {
 					p.watched.end()
@@ -190,7 +190,7 @@
 				}
 			})
 		},
-		Told: func(l List) {
+		OnList: func(l List) {
 			p.post(func() {
 				if !w.over {
 					p.list(l, false)
@@ -205,19 +205,19 @@
 func (p *Proxy) list(l List, first bool) {
 	p.version, p.listed = l.Version, true
 	since := p.now()
-	if !l.Told.IsZero() { // danger: it may have counted as told long before the owner, or this process, came to hear of it
-		since = min(since, p.stamp(l.Told))
+	if !l.NotifiedAt.IsZero() { // danger: it may have counted as told long before the owner, or this process, came to hear of it
+		since = min(since, p.stamp(l.NotifiedAt))
 	}
 	raw := l.Entries
 	l.Entries = slices.Clone(raw)
-	list := make([]balance.Backend, len(l.Entries))
+	list := make([]balance.Endpoint, len(l.Entries))
 	for i, e := range l.Entries {
 		p.life.listed(e.Name)
 		e, banned := p.ruled(e)
-		b := p.names.Backend(e.Entry)
+		b := p.names.Endpoint(e.Entry)
 		l.Entries[i], list[i] = e, b
-		if b.State != balance.Gone || !p.kept(b.Index) {
-			p.pool.Place(b.Index, e.Addr, b.UpSince)
+		if b.State != balance.Removed || !p.kept(b.Index) {
+			p.pool.SetEndpoint(b.Index, e.Addr, b.StartedAt)
 		}
 		p.told(b.Index, b.State, since, banned)
 	}
@@ -228,7 +228,7 @@
 		}
 		for index := range p.known {
 			if !there[index] && !p.written[index] {
-				p.told(index, balance.Gone, since, 0)
+				p.told(index, balance.Removed, since, 0)
 			}
 		}
 	}
@@ -236,13 +236,13 @@
 	for _, in := range p.branches {
 		in.listed(p, l, first, list)
 	}
-	for i := range p.names.Backends() {
+	for i := range p.names.Size() {
 		if p.names.Name(i) != "" && !p.written[i] && !p.kept(i) {
 			p.forget(i)
 		}
 	}
 	for _, e := range raw {
-		if e.State == balance.Gone && p.opined != nil { // danger: where nobody asks they would gather for ever
+		if e.State == balance.Removed && p.opined != nil { // danger: where nobody asks they would gather for ever
 			p.gone = append(p.gone, e.Name)
 		}
 	}
@@ -251,7 +251,7 @@
 
 // kept says whether a pool's decisions may still name a backend: one that is listed, or that the list has lost and that lingers.
 func (p *Proxy) kept(index int) bool {
-	return slices.ContainsFunc(p.branches, func(in *branch) bool { return in.b.Keeps(index) })
+	return slices.ContainsFunc(p.branches, func(in *branch) bool { return in.b.HasEndpoint(index) })
 }
 
 // note keeps what is listed, as discovery said: for pools that come later, bans that end and the process that comes next.
@@ -261,7 +261,7 @@
 	}
 	for _, e := range entries {
 		index, _ := p.names.Find(e.Name)
-		if e.State == balance.Gone {
+		if e.State == balance.Removed {
 			delete(p.known, index)
 		} else {
 			p.known[index] = e
@@ -273,13 +273,13 @@
 // hold on connection and server.
 func (p *Proxy) forget(index int) {
 	p.stopSend[index] = math.Inf(1)
-	p.pool.Drop(index)
+	p.pool.Remove(index)
 	p.names.Forget(index)
 }
 
 // told notes from when on nothing may be sent to a backend, and closes what is idle to it then. Its state counts as told since a time;
 // one that operators have banned, since a time (0: it is not), drains whatever its state.
-func (p *Proxy) told(index int, state balance.State, since, banned float64) {
+func (p *Proxy) told(index int, state balance.EndpointState, since, banned float64) {
 	for len(p.stopSend) <= index {
 		p.stopSend = append(p.stopSend, math.Inf(1))
 	}
@@ -288,14 +288,14 @@
 		since = banned
 	case state == balance.Ready:
 		p.stopSend[index] = math.Inf(1)
-		p.pool.Until(index, time.Time{})
+		p.pool.StopSendingAt(index, time.Time{})
 		return
-	case state == balance.Gone && p.launch.GoneAdvises: // danger: a drain told before still binds
+	case state == balance.Removed && p.launch.RemovalIsAdvisory: // danger: a drain told before still binds
 		return
 	}
 	p.stopSend[index] = min(p.stopSend[index], since)
-	p.pool.Until(index, p.at(p.stopSend[index]+p.launch.DrainGrace))
-	p.pool.Close(index)
+	p.pool.StopSendingAt(index, p.at(p.stopSend[index]+p.launch.DrainGrace))
+	p.pool.CloseIdle(index)
 }
 
 // every has a call made every so often. The next is set before this one is made, so that a panic does not end it.
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -21,14 +21,14 @@
 		return
 	}
 	to := p.names.Name(index)
-	ex := &backends.Exchange{Head: []byte(probeHead), Plain: true, Until: time.Now().Add(probeFor)}
-	ex.Report = func(r backends.Result) {
-		p.held.Add(-r.Held)
+	ex := &backends.Exchange{Head: []byte(probeHead), Passthrough: true, Deadline: time.Now().Add(probeFor)}
+	ex.OnDone = func(r backends.Result) {
+		p.held.Add(-r.ReservedBytes)
 		if p.names.Name(index) != to { // danger: the number may be another backend's by now
 			return
 		}
-		p.decide(in, func(now float64) *balance.Orders {
-			return in.b.Probed(now, index, r.Outcome == balance.Honoured, reported(r.Fields))
+		p.decide(in, func(now float64) *balance.Actions {
+			return in.b.HealthChecked(now, index, r.Outcome == balance.Succeeded, reported(r.Fields))
 		})
 	}
 	if p.pool.Send(index, ex) {
@@ -37,11 +37,11 @@
 }
 
 // reported is the report among the fields of an answer; one without tells nothing.
-func reported(fields []byte) balance.Report {
+func reported(fields []byte) balance.LoadReport {
 	for line := range strings.Lines(string(fields)) {
 		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, reportField) {
-			return figures.Report(value)
+			return figures.ParseLoadReport(value)
 		}
 	}
-	return figures.Report("")
+	return figures.ParseLoadReport("")
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -31,14 +31,14 @@
 
 // What a proxy is told when it starts.
 type (
-	Launch  = launch.Launch
-	Limits  = launch.Limits
-	Figures = figures.Figures
-	List    = discovery.List
+	BootstrapConfig = launch.Config
+	Limits          = launch.Limits
+	Settings        = figures.Settings
+	List            = discovery.List
 )
 
-// ReadLaunch reads it from the environment's variables, by get, and the file that they name.
-func ReadLaunch(get func(string) string) (Launch, error) { return launch.Read(get) }
+// ReadBootstrap reads it from the environment's variables, by get, and the file that they name.
+func ReadBootstrap(get func(string) string) (BootstrapConfig, error) { return launch.Read(get) }
 
 // Every constant of the network code but those of a package's own wire.
 const (
@@ -105,11 +105,11 @@
 	// Dial opens the connections to discovery and backends; whoever embeds a proxy may set it before Serve.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	// Shared is told this process's part, from 0 to 1, of what the proxy may use, when another process of it comes or goes; it
+	// OnShareChanged is told this process's part, from 0 to 1, of what the proxy may use, when another process of it comes or goes; it
 	// may be nil. It may be set before Listen.
-	Shared func(part float64)
+	OnShareChanged func(part float64)
 
-	launch  Launch
+	launch  BootstrapConfig
 	log     logrus.FieldLogger
 	began   time.Time
 	longest time.Duration // the longest hard stop
@@ -119,7 +119,7 @@
 	// The owner's.
 	main     *branch           // the platform's: all that is listed
 	branches []*branch         // it, and the operator's pools
-	names    *figures.Register // of tariffs and customers, which never change, clients' goroutines read too
+	names    *figures.Registry // of tariffs and customers, which never change, clients' goroutines read too
 	pool     *backends.Pool
 	poolMost int // connections to backends, where no other process of this proxy has a part
 	timers   timers
@@ -131,10 +131,10 @@
 	listed   bool                                             // a list was taken in
 	gone     []string                                         // listed as gone, since opinions were told last
 	through  func(pool string, b *balance.Balancer) Decisions // nil: nobody captures
-	opined   func(now float64, pools map[string]assign.Sight)
-	orders   duty.Orders  // those that were obeyed
-	written  map[int]bool // backends that an operator wrote out: no list takes them away
-	later    []func()     // what came up while orders were carried out
+	opined   func(now float64, pools map[string]assign.Observation)
+	orders   duty.AdminState // those that were obeyed
+	written  map[int]bool    // backends that an operator wrote out: no list takes them away
+	later    []func()        // what came up while orders were carried out
 	stopSend []float64
 	counts   counts
 	version  int64 // of the list
@@ -163,19 +163,19 @@
 }
 
 // New makes a proxy that is not serving yet.
-func New(l Launch, log logrus.FieldLogger) (*Proxy, error) {
-	p := &Proxy{launch: l, log: log.WithField("proxy", l.Name), began: time.Now(), names: l.Register(),
+func New(l BootstrapConfig, log logrus.FieldLogger) (*Proxy, error) {
+	p := &Proxy{launch: l, log: log.WithField("proxy", l.Name), began: time.Now(), names: l.NewRegistry(),
 		events: make(chan func(), eventsKept), quit: make(chan struct{}),
 		ended: make(chan struct{}), heard: make(chan struct{}), Dial: dial, life: newLife(), known: map[int]discovery.Entry{}}
 	b, err := balance.New(l.Deployment, p.now())
 	if err != nil {
 		return nil, err
 	}
-	p.main = &branch{b: bare{b}, rows: l.Tariffs}
+	p.main = &branch{b: uncaptured{b}, rows: l.Classes}
 	p.branches = []*branch{p.main}
 	p.first = sync.OnceFunc(func() { close(p.heard) })
-	for _, t := range l.Tariffs {
-		p.longest = max(p.longest, seconds(t.HardStop))
+	for _, t := range l.Classes {
+		p.longest = max(p.longest, seconds(t.Deadline))
 	}
 	if l.Limits.Sockets == 0 {
 		l.Limits.Sockets = socketsFor
@@ -187,13 +187,13 @@
 	p.door.keep = max(int(keptPart*float64(p.door.most)), 1)
 	p.pool = backends.New(func(ctx context.Context, addr string) (net.Conn, error) { return p.Dial(ctx, addr) }, p.post)
 	p.poolMost = most - clients
-	p.pool.Most, p.pool.Hold = p.poolMost, p.hold
-	p.pool.Connect, p.pool.Idle = connectFor, idleUntold
-	if l.ConnectFor > 0 {
-		p.pool.Connect = seconds(l.ConnectFor)
+	p.pool.MaxConnections, p.pool.ReserveMemory = p.poolMost, p.hold
+	p.pool.ConnectTimeout, p.pool.IdleTimeout = connectFor, idleUntold
+	if l.ConnectTimeout > 0 {
+		p.pool.ConnectTimeout = seconds(l.ConnectTimeout)
 	}
-	if l.IdleFor > 0 {
-		p.pool.Idle = max(seconds(l.IdleFor)-idleMargin, seconds(l.IdleFor/2)) // danger: in a large bank most new connections replace lapsed ones
+	if l.ServerIdleTimeout > 0 {
+		p.pool.IdleTimeout = max(seconds(l.ServerIdleTimeout)-idleMargin, seconds(l.ServerIdleTimeout/2)) // danger: in a large bank most new connections replace lapsed ones
 	}
 	p.door.whole = p.door.bounds
 	if p.heldWhole = heldPart * float64(l.Limits.Memory); p.heldWhole == 0 {
@@ -214,8 +214,8 @@
 // Serve serves the listener's connections until the context ends; then it answers all it has taken and what
 // still comes for a short time, and returns.
 func (p *Proxy) Serve(ctx context.Context, ln net.Listener) error {
-	if p.launch.Peers {
-		link, err := peers.Open(p.launch.Bank.Listen, p.launch.Self, p.launch.Bank.Peers, p.heardOf)
+	if p.launch.Gossip {
+		link, err := peers.Open(p.launch.Fleet.Listen, p.launch.Self, p.launch.Fleet.Peers, p.heardOf)
 		if err != nil {
 			ln.Close()
 			return err
@@ -225,7 +225,7 @@
 	p.obey()
 	p.list(p.launch.Known, true)
 	if s := p.life.state; s != nil {
-		p.main.b.Remember(p.now(), s.Learned)
+		p.main.b.Restore(p.now(), s.Snapshot)
 	}
 	p.follow(p.launch.Discovery)
 	p.shares()
@@ -290,20 +290,20 @@
 }
 
 // heardOf takes in what a peer tells.
-func (p *Proxy) heardOf(from int, n balance.Note) {
+func (p *Proxy) heardOf(from int, n balance.GossipMessage) {
 	p.post(func() {
-		p.decide(p.main, func(now float64) *balance.Orders { return p.main.b.Heard(now, from, n) })
+		p.decide(p.main, func(now float64) *balance.Actions { return p.main.b.GossipReceived(now, from, n) })
 	})
 }
 
-// Reload takes in what the proxy is told anew. Only discovery may be another; the rest holds until the next start,
+// ReloadBootstrap takes in what the proxy is told anew. Only discovery may be another; the rest holds until the next start,
 // since lookups were taken by it.
-func (p *Proxy) Reload(l Launch) {
+func (p *Proxy) ReloadBootstrap(l BootstrapConfig) {
 	p.post(func() {
 		log := p.log.WithField("discovery", l.Discovery)
-		old, now := p.launch.Figures, l.Figures
+		old, now := p.launch.Settings, l.Settings
 		old.Seed, now.Seed = 0, 0
-		if l.Limits != p.launch.Limits || !reflect.DeepEqual(old, now) || !reflect.DeepEqual(l.Bank, p.launch.Bank) {
+		if l.Limits != p.launch.Limits || !reflect.DeepEqual(old, now) || !reflect.DeepEqual(l.Fleet, p.launch.Fleet) {
 			log.Warn("limits, peers or settings differ: they count from the next start")
 		}
 		log.Info("told anew")
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -78,26 +78,26 @@
 func (y *yard) Close() error   { close(y.closed); return nil }
 func (y *yard) Addr() net.Addr { return &net.TCPAddr{} }
 
-func entry(id string, state balance.State, started float64) discovery.Entry {
-	return discovery.Entry{Entry: figures.Entry{Name: id, Backend: balance.Backend{State: state, UpSince: started}}, Addr: id}
+func entry(id string, state balance.EndpointState, started float64) discovery.Entry {
+	return discovery.Entry{Entry: figures.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}}, Addr: id}
 }
 
 // serve starts a proxy before the backends, each named and listening by its id.
-func serve(t *testing.T, plays map[string][]string, set func(*Launch)) *yard {
+func serve(t *testing.T, plays map[string][]string, set func(*BootstrapConfig)) *yard {
 	y := made(t, plays, set)
 	y.begin()
 	return y
 }
 
 // made is such a proxy that does not serve yet.
-func made(t *testing.T, plays map[string][]string, set func(*Launch)) *yard {
-	l := Launch{Name: "n0", Discovery: "agent", Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: 264},
-		Figures: Figures{ConnectFor: 0.075, DrainGrace: 2.5, Deployment: balance.Deployment{IdleFor: 5,
-			Seed: 1, Proxies: 1, MaxLegs: 4, CallOff: true, MaxAdvice: 1, ColdShare: 1, ColdFor: 1, FallMultiple: 3, FallFor: 1,
-			Tariffs: []balance.Tariff{
-				{Name: "look", Due: 0.3, HardStop: 1, Value: 1},
-				{Name: "sign", Kind: balance.Referenced, Scope: balance.ScopePod, Window: 0.3, Due: 0.2, HardStop: 0.5, Value: 5},
-				{Name: "sms", Kind: balance.SingleUse, Due: 0.3, HardStop: 1.2, Value: 2}}}},
+func made(t *testing.T, plays map[string][]string, set func(*BootstrapConfig)) *yard {
+	l := BootstrapConfig{Name: "n0", Discovery: "agent", Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: 264},
+		Settings: Settings{ConnectTimeout: 0.075, DrainGrace: 2.5, Deployment: balance.Deployment{ServerIdleTimeout: 5,
+			Seed: 1, Proxies: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1, SlowStartFraction: 1, SlowStartDuration: 1, CrashFactor: 3, CrashDuration: 1,
+			Classes: []balance.Class{
+				{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1},
+				{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: 0.3, LatencyObjective: 0.2, Deadline: 0.5, PriorityWeight: 5},
+				{Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 0.3, Deadline: 1.2, PriorityWeight: 2}}}},
 		Known: List{Version: 1, Full: true}}
 	for _, id := range []string{"b1", "b2", "b3"} {
 		if plays[id] != nil {
@@ -121,8 +121,8 @@
 		closed float64 // s
 		kept   time.Duration
 	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, idleUntold}} {
-		y := made(t, nil, func(l *Launch) { l.IdleFor = c.closed })
-		assert.Equal(t, c.kept, y.pool.Idle, "closed by the backend after %v s", c.closed)
+		y := made(t, nil, func(l *BootstrapConfig) { l.ServerIdleTimeout = c.closed })
+		assert.Equal(t, c.kept, y.pool.IdleTimeout, "closed by the backend after %v s", c.closed)
 	}
 }
 
@@ -221,7 +221,7 @@
 		y.mu.Unlock()
 	}()
 	r := heads.NewReader(end)
-	r.Any = y.flows
+	r.AnyBodySize = y.flows
 	for {
 		h, err := r.Request()
 		if err != nil {
@@ -245,7 +245,7 @@
 		play := y.next(addr, "")
 		y.mu.Unlock()
 		if y.flows && play != early {
-			var body io.Reader = r.Flow(h.Length, h.Chunked)
+			var body io.Reader = r.StreamBody(h.Length, h.Chunked)
 			if play == cutBody {
 				body = io.LimitReader(body, 100_000)
 			}
@@ -294,7 +294,7 @@
 	for _, f := range h.Fields {
 		copied.Fields = append(copied.Fields, heads.Field{Name: []byte(string(f.Name)), Value: []byte(string(f.Value))})
 	}
-	r.Allow(1 << 20)
+	r.SetMaxBytes(1 << 20)
 	body, err := r.Body(h.Length, h.Chunked)
 	return status, &copied, string(body), err
 }
@@ -386,16 +386,16 @@
 			assert.Equal(t, 200, status)
 		}
 		assert.Equal(t, []string{"b1 GET /look?user=7 t1  0.500 ", "b1 POST /sign t2 k 0.500 abc", "b1 POST /sign t2 k 0.500 abc"}, y.got)
-		largest := strings.Repeat("x", heads.Most)
-		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", heads.Most, largest)}
+		largest := strings.Repeat("x", heads.DefaultMaxBytes)
+		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", heads.DefaultMaxBytes, largest)}
 		status, _, body, err := y.ask(strings.Replace(sms, "Content-Length: 3\r\n\r\nabc",
-			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", heads.Most, largest), 1))
+			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", heads.DefaultMaxBytes, largest), 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, largest, body)
 		assert.Equal(t, "b1 POST /sms t3  0.500 "+largest, y.got[3])
 		assert.Equal(t, []string{"b1"}, y.dials, "one connection serves one after the other")
-		large := strings.Repeat("x", 5*heads.Most)
+		large := strings.Repeat("x", 5*heads.DefaultMaxBytes)
 		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large)}
 		status, _, body, err = y.ask(look)
 		assert.NoError(t, err)
@@ -429,8 +429,8 @@
 	e := entry("b1", balance.Ready, 0)
 	e.Addr = behind.Addr().String()
 	log, _ := test.NewNullLogger()
-	p, err := New(Launch{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{e}},
-		Figures: figures.Figures{Deployment: balance.Deployment{Tariffs: []balance.Tariff{{Name: "look", HardStop: 20}}}}}, log)
+	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{e}},
+		Settings: figures.Settings{Deployment: balance.Deployment{Classes: []balance.Class{{Name: "look", Deadline: 20}}}}}, log)
 	assert.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error)
@@ -441,8 +441,8 @@
 	}{
 		{strings.Replace(look, "0.5", "20", 1), 200},
 		{"POST /look HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: look\r\nX-Expires-In: 20\r\nContent-Length: 65536\r\n\r\n" +
-			strings.Repeat("x", heads.Most), 200},
-		{strings.Replace(look, "t1", strings.Repeat("x", 3*heads.Most/2), 1), 431},
+			strings.Repeat("x", heads.DefaultMaxBytes), 200},
+		{strings.Replace(look, "t1", strings.Repeat("x", 3*heads.DefaultMaxBytes/2), 1), 431},
 	} {
 		conn, err := net.Dial("tcp", front.Addr().String())
 		assert.NoError(t, err)
@@ -460,13 +460,13 @@
 	for _, c := range []struct {
 		name  string
 		plays map[string][]string
-		set   func(*Launch)
+		set   func(*BootstrapConfig)
 	}{
 		{"none listed", nil, nil},
 		{"all refuse", map[string][]string{"b1": {refused}, "b2": {refused}}, nil},
-		{"none cold may be sent to", map[string][]string{"b1": {ok}}, func(l *Launch) {
-			l.ColdFor, l.ColdShare = 1e9, 0
-			l.Known.Entries[0].UpSince = float64(time.Now().Unix())
+		{"none cold may be sent to", map[string][]string{"b1": {ok}}, func(l *BootstrapConfig) {
+			l.SlowStartDuration, l.SlowStartFraction = 1e9, 0
+			l.Known.Entries[0].StartedAt = float64(time.Now().Unix())
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -511,7 +511,7 @@
 		{chunked("-1\r\nabc\r\n0\r\n\r\n"), 400},
 		{"GET /elsewhere HTTP/1.1\r\n\r\n", 404},
 		{strings.Replace(sms, "Content-Length: 3", "Content-Length: 70000000", 1), 413},
-		{strings.Replace(look, "t1", strings.Repeat("x", heads.Most), 1), 431},
+		{strings.Replace(look, "t1", strings.Repeat("x", heads.DefaultMaxBytes), 1), 431},
 		{sms[:len(sms)-1], 408},
 		{look[:30], 408},
 	} {
@@ -536,8 +536,8 @@
 		f.Add([]byte(request))
 	}
 	log, _ := test.NewNullLogger()
-	p, err := New(Launch{Figures: figures.Figures{Deployment: balance.Deployment{
-		Tariffs: []balance.Tariff{{Name: "look", HardStop: 1}}}}}, log)
+	p, err := New(BootstrapConfig{Settings: figures.Settings{Deployment: balance.Deployment{
+		Classes: []balance.Class{{Name: "look", Deadline: 1}}}}}, log)
 	assert.NoError(f, err)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		h, err := heads.NewReader(strings.NewReader(string(in))).Request()
@@ -547,8 +547,8 @@
 		now := time.Now()
 		path, query, _ := strings.Cut(string(h.Target), "?")
 		if a, err := p.arrival(h, []byte(path), []byte(query), now); err == nil {
-			assert.LessOrEqual(t, a.HardStop, p.stamp(now)+longestWait)
-			assert.GreaterOrEqual(t, a.Work, 0.0)
+			assert.LessOrEqual(t, a.Deadline, p.stamp(now)+longestWait)
+			assert.GreaterOrEqual(t, a.ExpectedWork, 0.0)
 		}
 	})
 }
@@ -624,7 +624,7 @@
 func listChanges(t *testing.T, advice bool, lost int) {
 	synctest.Test(t, func(t *testing.T) {
 		plays := map[string][]string{"b1": {ok}, "b1:1": {ok}, "b2:1": {ok}}
-		y := serve(t, plays, func(l *Launch) { l.ColdFor, l.GoneAdvises = 0, advice })
+		y := serve(t, plays, func(l *BootstrapConfig) { l.SlowStartDuration, l.RemovalIsAdvisory = 0, advice })
 		to := func() (string, int) {
 			status, _, _, err := y.ask(look)
 			assert.NoError(t, err)
@@ -669,7 +669,7 @@
 		told := func(addr string) {
 			l := y.launch
 			l.Discovery = addr
-			y.Reload(l)
+			y.ReloadBootstrap(l)
 			synctest.Wait()
 		}
 		waits := y.client()
@@ -709,7 +709,7 @@
 func TestNothingGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plays := map[string][]string{"any": {ok}, "b1": {ok}}
-		y := serve(t, plays, func(l *Launch) { l.ColdFor = 0 })
+		y := serve(t, plays, func(l *BootstrapConfig) { l.SlowStartDuration = 0 })
 		for i := range 100 {
 			id, last := fmt.Sprint("s", i), fmt.Sprint("s", i-1)
 			y.tell(change(2*i+2, id, "active", 0))
@@ -726,7 +726,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		y.post(func() {
-			assert.LessOrEqual(t, y.names.Backends(), 4)
+			assert.LessOrEqual(t, y.names.Size(), 4)
 			assert.LessOrEqual(t, len(y.stopSend), 4)
 			assert.LessOrEqual(t, len(y.slots), 1)
 			assert.Empty(t, y.Proxy.open)
@@ -831,7 +831,7 @@
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, nil)
-		y.door.most, y.door.over, y.pool.Most = 2, 1, 1
+		y.door.most, y.door.over, y.pool.MaxConnections = 2, 1, 1
 		one := y.client()
 		go io.WriteString(one, "GET /up HTTP/1.1\r\n\r\n")
 		answer(one)
@@ -914,7 +914,7 @@
 		status int // 0: closed
 	}{{"", 0}, {look[:20], 408}, {"G", 408}} {
 		synctest.Test(t, func(t *testing.T) {
-			y := serve(t, map[string][]string{"b1": {ok}}, func(l *Launch) { l.Tariffs[0].HardStop = 20 })
+			y := serve(t, map[string][]string{"b1": {ok}}, func(l *BootstrapConfig) { l.Classes[0].Deadline = 20 })
 			came, conn := time.Now(), y.client()
 			go func() {
 				if c.first == "" {
@@ -989,7 +989,7 @@
 		clients, ends = append(clients, c), append(ends, end)
 	}
 	io.WriteString(ends[0], look)
-	for !backends.Pending(clients[0].nc) {
+	for !backends.HasUnreadBytes(clients[0].nc) {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Nil(t, d.idlest(), "one that was served just now is likely to be used again")
@@ -1080,7 +1080,7 @@
 // Danger: bodies of lookups that wait fill the memory, and the proxy is killed with all that it has taken.
 func TestHeldBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := serve(t, map[string][]string{"b1": {silent}}, func(l *Launch) { l.Limits.Memory = 1000 })
+		y := serve(t, map[string][]string{"b1": {silent}}, func(l *BootstrapConfig) { l.Limits.Memory = 1000 })
 		first := y.client()
 		go io.WriteString(first, sms)
 		synctest.Wait()
@@ -1104,7 +1104,7 @@
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	y := &Proxy{log: log, began: time.Now()}
-	l := &lookup{row: &balance.Tariff{}, answer: make(chan reply, 1)}
+	l := &lookup{row: &balance.Class{}, answer: make(chan reply, 1)}
 	forget, panics := func() { y.expired(l) }, func() { y.guard(func() { panic("x") }) }
 	if invariant.Asserted {
 		assert.Panics(t, forget)
@@ -1113,17 +1113,17 @@
 	}
 	before := broken()
 	y.stopSend = []float64{math.Inf(1), 0}
-	y.pool, y.names = backends.New(nil, nil), figures.Figures{}.Register()
+	y.pool, y.names = backends.New(nil, nil), figures.Settings{}.NewRegistry()
 	for _, id := range []string{"b1", "b2"} {
-		y.names.Backend(entry(id, balance.Ready, 0).Entry)
+		y.names.Endpoint(entry(id, balance.Ready, 0).Entry)
 	}
 	for _, c := range []struct { // danger: whatever the decisions order, a rule is not broken
 		l       *lookup
 		backend int
 	}{
-		{&lookup{row: &balance.Tariff{}, answered: true}, 0},
-		{&lookup{row: &balance.Tariff{Kind: balance.SingleUse}, legs: []*leg{{}}}, 0},
-		{&lookup{row: &balance.Tariff{}}, 1},
+		{&lookup{row: &balance.Class{}, answered: true}, 0},
+		{&lookup{row: &balance.Class{Idempotency: balance.NonIdempotent}, legs: []*leg{{}}}, 0},
+		{&lookup{row: &balance.Class{}}, 1},
 	} {
 		y.send(c.l, c.backend, y.now()+1)
 		assert.False(t, c.l.legs[len(c.l.legs)-1].begun)
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -59,7 +59,7 @@
 		return heads.Write(c.nc, head, a.body)
 	}
 	if err := heads.Write(c.nc, head); err != nil {
-		a.flow.CloseWithError(backends.ErrLeft)
+		a.flow.CloseWithError(backends.ErrClientGone)
 		return err
 	}
 	return c.relayFlow(a)
@@ -68,7 +68,7 @@
 // relayFlow hands a body on as it comes, at the client's pace as long as it takes something every so often. An answer that breaks is
 // shown as broken: the connection ends before the body does.
 func (c *client) relayFlow(a reply) error {
-	defer a.flow.CloseWithError(backends.ErrLeft) // nothing, where it was read to its end
+	defer a.flow.CloseWithError(backends.ErrClientGone) // nothing, where it was read to its end
 	var to io.Writer = c.nc
 	var chunks heads.Chunked
 	if a.length < 0 && !a.old {
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -27,12 +27,12 @@
 	now := p.now()
 	may := invariant.Holds(!l.answered, "nothing is sent for an answered lookup") &&
 		invariant.Holds(now <= p.stopSend[backend]+p.launch.DrainGrace, "nothing is sent past the grace of a drain") &&
-		invariant.Holds(l.row.Kind != balance.SingleUse || l.harmless(now), "single-use is sent again only if it never ran") &&
-		(l.upload == nil || !l.upload.Begun()) && !p.narrowed(l)
+		invariant.Holds(l.row.Idempotency != balance.NonIdempotent || l.harmless(now), "single-use is sent again only if it never ran") &&
+		(l.upload == nil || !l.upload.Started()) && !p.narrowed(l)
 	var before time.Time // danger: opening a connection outlasts what is left of a repeat's window
-	if l.row.Kind == balance.Referenced {
+	if l.row.Idempotency == balance.Keyed {
 		for _, g := range l.legs {
-			if end := p.at(g.sent + l.row.Window); !g.neverRan && (before.IsZero() || end.Before(before)) {
+			if end := p.at(g.sent + l.row.DedupWindow); !g.neverRan && (before.IsZero() || end.Before(before)) {
 				before = end
 			}
 		}
@@ -41,18 +41,18 @@
 	l.legs = append(l.legs, g)
 	p.counts.Legs++
 	taken := p.at(l.arrived)
-	g.ex = backends.Exchange{Head: l.head, Body: l.body, Until: p.at(until), Before: before,
-		Gone:  func() bool { return l.abandoned(taken) },
-		Wait:  seconds(l.wait) - bodyEnd,
-		Plain: l.plain, Bare: l.bare, Upload: l.upload,
-		Begun: func(r backends.Result) { p.started(l, g, r) }, Report: func(r backends.Result) { p.book(l, g, r) }}
+	g.ex = backends.Exchange{Head: l.head, Body: l.body, Deadline: p.at(until), SendBy: before,
+		ClientGone:      func() bool { return l.abandoned(taken) },
+		ResponseTimeout: seconds(l.wait) - bodyEnd,
+		Passthrough:     l.plain, HeadOnly: l.bare, Upload: l.upload,
+		OnResponseStarted: func(r backends.Result) { p.started(l, g, r) }, OnDone: func(r backends.Result) { p.book(l, g, r) }}
 	if l.upload != nil { // its first bytes are in the upload
 		g.ex.Body, until = nil, now+l.wait
 	}
 	g.ex.Tail = append(heads.AppendField(nil, "X-Expires-In", heads.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
 	if g.begun = may && p.pool.Send(backend, &g.ex); !g.begun {
 		p.later = append(p.later, func() {
-			p.book(l, g, backends.Result{Outcome: balance.NeverSent, At: time.Now()})
+			p.book(l, g, backends.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
 		})
 	}
 }
--- a/proxy/strained.go
+++ b/proxy/strained.go
@@ -16,7 +16,7 @@
 // strained is how far this proxy's own core is behind, told by all its connections and asked by them.
 type strained struct {
 	mu sync.Mutex
-	*limits.Strain
+	*limits.Overload
 	slack float64 // as the decisions were told last, and the lag in s
 	lag   float64
 	more  chan struct{} // some wait for their turn
@@ -25,28 +25,28 @@
 // begin is called before the proxy serves.
 func (s *strained) begin(p *Proxy) {
 	s.more = make(chan struct{}, 1)
-	s.Strain, s.slack = limits.NewStrain(handsEach*runtime.GOMAXPROCS(0), len(p.launch.Customers)), 1
+	s.Overload, s.slack = limits.NewOverload(handsEach*runtime.GOMAXPROCS(0), len(p.launch.Tenants)), 1
 }
 
 // dueOf is a tariff's due time; where none is set, half of what its client waits.
-func dueOf(t *balance.Tariff) float64 {
-	if t.Due > 0 {
-		return t.Due
+func dueOf(t *balance.Class) float64 {
+	if t.LatencyObjective > 0 {
+		return t.LatencyObjective
 	}
-	return t.HardStop / 2
+	return t.Deadline / 2
 }
 
 // turn waits until it is the turn of the lookup that has come last, and tells whether it is taken on by this core. It is in its hands
 // then, until done.
-func (c *client) turn(row *balance.Tariff, customer, bytes int) bool {
+func (c *client) turn(row *balance.Class, customer, bytes int) bool {
 	s := &c.p.strained
-	worth := max(row.Value, 1e-3) / (1 + float64(max(bytes, 0))/workBytes)
+	worth := max(row.PriorityWeight, 1e-3) / (1 + float64(max(bytes, 0))/workBytes)
 	s.mu.Lock()
-	passes, waits := s.Come(c.p.now(), c.p.stamp(c.came()), dueOf(row), worth, customer, c)
+	passes, waits := s.RequestArrived(c.p.now(), c.p.stamp(c.came()), dueOf(row), worth, customer, c)
 	s.mu.Unlock()
 	if waits != nil {
 		s.kick()
-		passes = <-c.passes && !backends.HungUp(c.nc) // danger: a client may have gone while its lookup waited, with nobody reading
+		passes = <-c.passes && !backends.ClosedByPeer(c.nc) // danger: a client may have gone while its lookup waited, with nobody reading
 	}
 	c.inHand = true
 	return passes
@@ -56,7 +56,7 @@
 func (p *Proxy) done() {
 	s := &p.strained
 	s.mu.Lock()
-	more := s.Done()
+	more := s.RequestDone()
 	s.mu.Unlock()
 	if more {
 		s.kick()
@@ -68,7 +68,7 @@
 	s := &p.strained
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, stands := s.Standing(p.now())
+	_, stands := s.QueueStatus(p.now())
 	return stands
 }
 
@@ -85,7 +85,7 @@
 	s := &p.strained
 	round := idle.NewRound()
 	defer round.Close()
-	tell := func(t *limits.Turn, passes bool) { t.Of.(*client).passes <- passes }
+	tell := func(t *limits.Waiter, passes bool) { t.Owner.(*client).passes <- passes }
 	for {
 		select {
 		case <-s.more:
@@ -95,7 +95,7 @@
 		for more := true; more; {
 			round.Next()
 			s.mu.Lock()
-			more = s.Give(p.now(), tell)
+			more = s.Dispatch(p.now(), tell)
 			s.mu.Unlock()
 		}
 	}
@@ -105,21 +105,21 @@
 func (s *strained) ended(out, away float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Leg(out, away)
+	s.AttemptMeasured(out, away)
 }
 
 // slacken tells the decisions how much longer legs are out than their servers have them, where that has changed.
 func (p *Proxy) slacken() {
 	s := &p.strained
 	s.mu.Lock()
-	slack, lag := s.Slack(), s.Lag()
+	slack, lag := s.DelayFactor(), s.Lag()
 	s.mu.Unlock()
 	if slack < s.slack*slackStep && slack > s.slack/slackStep && math.Abs(lag-s.lag) < lagStep {
 		return
 	}
 	s.slack, s.lag = slack, lag
 	for _, in := range p.branches {
-		in.b.Slack(slack, lag)
+		in.b.SetLocalDelay(slack, lag)
 	}
 }
 
@@ -127,7 +127,7 @@
 func (s *strained) note(now float64, fields logrus.Fields) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	waited, stands := s.Standing(now)
-	fields["queued"], fields["strained"], fields["behind"] = s.Queued, s.Refused, stands
+	waited, stands := s.QueueStatus(now)
+	fields["queued"], fields["strained"], fields["behind"] = s.Queued, s.Rejected, stands
 	fields["waited_ms"], fields["slack"] = math.Round(waited*10000)/10, math.Round(s.slack*10)/10
 }
--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -19,9 +19,9 @@
 // busy takes all hands of the proxy's core; what it returns gives them back.
 func (y *yard) busy(n int) func() {
 	y.strained.mu.Lock()
-	y.strained.Strain = limits.NewStrain(n, 0)
+	y.strained.Overload = limits.NewOverload(n, 0)
 	for range n {
-		y.strained.Come(y.now(), y.now(), 1, 1, -1, nil)
+		y.strained.RequestArrived(y.now(), y.now(), 1, 1, -1, nil)
 	}
 	y.strained.mu.Unlock()
 	return func() {
@@ -55,7 +55,7 @@
 		status, _, _, err = answer(late)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status, "nobody waits any more")
-		assert.Equal(t, 1, y.strained.Refused)
+		assert.Equal(t, 1, y.strained.Rejected)
 		y.end()
 	})
 }
@@ -81,13 +81,13 @@
 
 // heard is a lookup's handle that keeps what it is told of a leg.
 type heard struct {
-	Handle
+	RequestHandle
 	latency float64
 }
 
-func (h *heard) Ended(_ float64, _ int, _ balance.Outcome, latency float64, _ bool) *balance.Orders {
+func (h *heard) Ended(_ float64, _ int, _ balance.Outcome, latency float64, _ bool) *balance.Actions {
 	h.latency = latency
-	return &balance.Orders{}
+	return &balance.Actions{}
 }
 func (h *heard) Done() bool { return false }
 
@@ -108,12 +108,12 @@
 		y := made(t, nil, nil)
 		now := time.Now()
 		h := &heard{}
-		l := &lookup{in: y.main, row: &y.launch.Tariffs[0], handle: h, answer: make(chan reply, 1)}
+		l := &lookup{in: y.main, row: &y.launch.Classes[0], handle: h, answer: make(chan reply, 1)}
 		g := &leg{sent: y.stamp(now.Add(-c.ordered))}
 		l.legs = []*leg{g}
-		y.book(l, g, backends.Result{Outcome: balance.Honoured, Status: 200, Sent: now.Add(-c.sent), At: now.Add(-c.came)})
+		y.book(l, g, backends.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
 		assert.InDelta(t, c.want, h.latency, 1e-6, c.name)
-		assert.Equal(t, c.slack, y.strained.Slack() > 1.5, c.name)
+		assert.Equal(t, c.slack, y.strained.DelayFactor() > 1.5, c.name)
 		assert.Equal(t, 200, (<-l.answer).status)
 	}
 }
@@ -127,16 +127,16 @@
 			ours, end = net.Pipe()
 			return ours, nil
 		}
-		b := y.names.Backend(entry("b1", balance.Ready, 0).Entry)
-		y.pool.Place(b.Index, "b1", 0)
+		b := y.names.Endpoint(entry("b1", balance.Ready, 0).Entry)
+		y.pool.SetEndpoint(b.Index, "b1", 0)
 		y.told(b.Index, balance.Ready, y.now(), 0)
-		l := &lookup{in: y.main, row: &y.launch.Tariffs[0], handle: &heard{}, answer: make(chan reply), hardStop: y.now() + 1}
+		l := &lookup{in: y.main, row: &y.launch.Classes[0], handle: &heard{}, answer: make(chan reply), hardStop: y.now() + 1}
 		y.slots = append(y.slots, l)
 		y.send(l, b.Index, y.now()+1)
 		synctest.Wait()
 		end.Read(make([]byte, 1)) // it is being written: only calling it off stops it
-		go y.decide(y.main, func(float64) *balance.Orders {
-			return &balance.Orders{Steps: []balance.Step{{Answer: balance.Dismissed}, {CallOff: 1}}}
+		go y.decide(y.main, func(float64) *balance.Actions {
+			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
 		})
 		synctest.Wait() // held up at the answer, which nobody takes
 		_, err := end.Read(make([]byte, 1000))
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -83,7 +83,7 @@
 		r := readers.Get().(*reader)
 		r.from.Reset(nc)
 		r.Reset(r.from)
-		r.Any = true
+		r.AnyBodySize = true
 		c := &client{p: p, open: open, nc: nc, reader: r, met: time.Now(), passes: make(chan bool, 1), wake: make(chan struct{}, 1)}
 		c.idle = p.idle.Add(nc, func(ended bool) {
 			c.ended.Store(ended)
@@ -208,7 +208,7 @@
 	}
 	arrived := c.came() // it may have waited for this core; but the time in which a client writes slowly is none of its lookup's
 	closing := h.Close
-	head, old := string(h.Method) == "HEAD", h.Old
+	head, old := string(h.Method) == "HEAD", h.HTTP10
 	l, a, told, err := c.read(h, arrived, first)
 	if err != nil {
 		return c.turnAway(err)
@@ -277,7 +277,7 @@
 		at := time.Now()
 		c.p.post(func() { c.p.whole(l, at) })
 	}
-	stopped := errors.Is(err, backends.ErrStopped)
+	stopped := errors.Is(err, backends.ErrUploadStopped)
 	if !stopped {
 		fed <- err
 	}
@@ -342,7 +342,7 @@
 			}
 			return answer, nil
 		case err := <-fed:
-			stopped := errors.Is(err, backends.ErrStopped) || errors.Is(err, io.ErrClosedPipe) // the client has not gone
+			stopped := errors.Is(err, backends.ErrUploadStopped) || errors.Is(err, io.ErrClosedPipe) // the client has not gone
 			if c.feeding, fed, deaf = nil, nil, stopped; err != nil && !stopped {
 				return reply{}, err
 			}
@@ -359,7 +359,7 @@
 				go func() { watched <- c.Watch() }()
 				break
 			}
-			if backends.HungUp(c.nc) {
+			if backends.ClosedByPeer(c.nc) {
 				return reply{}, errGone
 			}
 			c.slow.Reset(lookEvery)
@@ -379,9 +379,9 @@
 }
 
 // read reads the rest of a request and what it says of its lookup; there is none in a question of readiness.
-func (c *client) read(h *heads.Head, arrived time.Time, first bool) (*lookup, balance.Arrival, *reply, error) {
+func (c *client) read(h *heads.Head, arrived time.Time, first bool) (*lookup, balance.RequestInfo, *reply, error) {
 	var l *lookup
-	var a balance.Arrival
+	var a balance.RequestInfo
 	var told *reply
 	var err error
 	if !c.open {
@@ -393,7 +393,7 @@
 		if l, a, told, err = c.routed(h, arrived); err != nil {
 			return nil, a, nil, err
 		}
-		if l != nil && !body && !c.turn(l.row, a.Customer, 0) {
+		if l != nil && !body && !c.turn(l.row, a.Tenant, 0) {
 			l, told = nil, c.p.tired()
 		}
 	} else if string(path) == "/up" {
@@ -403,13 +403,13 @@
 		if a, err = c.p.arrival(h, path, query, arrived); err != nil {
 			return nil, a, nil, err
 		}
-		row := &c.p.launch.Tariffs[a.Tariff]
-		if !body && !c.turn(row, a.Customer, 0) {
+		row := &c.p.launch.Classes[a.Class]
+		if !body && !c.turn(row, a.Tenant, 0) {
 			told = c.p.tired()
 		} else {
-			l = &lookup{in: c.p.main, row: row, arrived: c.p.stamp(arrived), hardStop: a.HardStop, id: string(h.Get("X-Trace-Id")), answer: make(chan reply, 1)}
+			l = &lookup{in: c.p.main, row: row, arrived: c.p.stamp(arrived), hardStop: a.Deadline, id: string(h.Get("X-Trace-Id")), answer: make(chan reply, 1)}
 			l.head = heads.AppendRequest(make([]byte, 0, headGuess), h.Method, h.Target)
-			l.head = heads.AppendOnward(l.head, h, "X-Expires-In")
+			l.head = heads.AppendForwardedFields(l.head, h, "X-Expires-In")
 		}
 	}
 	get := string(h.Method) == "GET" || string(h.Method) == "HEAD" // reading the body moves the head
@@ -420,7 +420,7 @@
 	if h.Length > bodyMost && !c.open {
 		return nil, a, nil, &heads.Error{Status: 413, Text: "body too large"}
 	}
-	flows := h.Length > heads.Most || h.Chunked && c.open
+	flows := h.Length > heads.DefaultMaxBytes || h.Chunked && c.open
 	if flows && l == nil { // a route's own answer, or a question of readiness: the body is not wanted, and the connection ends
 		h.Close = true
 		return l, a, told, nil
@@ -433,7 +433,7 @@
 		return l, a, told, nil
 	}
 	c.by = time.Time{} // each read of the body sets its own
-	from := &paced{nc: c.nc, r: c.Flow(length, chunked), over: &c.hurried, grace: bodyGrace}
+	from := &paced{nc: c.nc, r: c.StreamBody(length, chunked), over: &c.hurried, grace: bodyGrace}
 	if first {
 		from.grace = min(max(time.Until(c.met.Add(firstBody)), bodyLeast), bodyGrace)
 	}
@@ -443,11 +443,11 @@
 	var came []byte
 	if !flows {
 		var err error
-		came, err = io.ReadAll(io.LimitReader(from, heads.Most+1))
+		came, err = io.ReadAll(io.LimitReader(from, heads.DefaultMaxBytes+1))
 		if err != nil {
 			return l, a, told, err
 		}
-		flows = len(came) > heads.Most // chunks that have not ended: what has come of them goes first
+		flows = len(came) > heads.DefaultMaxBytes // chunks that have not ended: what has come of them goes first
 	}
 	if l == nil {
 		return l, a, told, nil
@@ -455,17 +455,17 @@
 	if flows {
 		l.body = came
 		l.upload, l.from = backends.NewUpload(chunked), from
-		l.wait, a.Flows = a.HardStop-l.arrived, true
-		a.HardStop = l.arrived + bodyFor.Seconds() // until it has come whole
+		l.wait, a.Streaming = a.Deadline-l.arrived, true
+		a.Deadline = l.arrived + bodyFor.Seconds() // until it has come whole
 		if chunked {
 			l.head = heads.AppendField(l.head, "Transfer-Encoding", "chunked")
 		} else {
 			l.head = heads.AppendLength(l.head, length)
 		}
-		l.hardStop = a.HardStop
+		l.hardStop = a.Deadline
 		return l, a, told, nil
 	}
-	if !c.turn(l.row, a.Customer, len(came)) {
+	if !c.turn(l.row, a.Tenant, len(came)) {
 		return nil, a, c.p.tired(), nil
 	}
 	c.kept(l, &a, came, get, arrived)
@@ -474,11 +474,11 @@
 
 // tired is the answer to a lookup that this core does not take on.
 func (p *Proxy) tired() *reply {
-	return &reply{status: 503, advice: p.launch.MaxAdvice, body: []byte("dismissed\n")}
+	return &reply{status: 503, advice: p.launch.MaxRetryAfter, body: []byte("dismissed\n")}
 }
 
 // kept is a lookup whose body came whole, or that has none.
-func (c *client) kept(l *lookup, a *balance.Arrival, body []byte, get bool, arrived time.Time) {
+func (c *client) kept(l *lookup, a *balance.RequestInfo, body []byte, get bool, arrived time.Time) {
 	l.body = body
 	if !get || len(body) > 0 {
 		l.head = heads.AppendLength(l.head, len(body))
@@ -486,9 +486,9 @@
 	if body != nil {
 		late := c.came().Sub(arrived).Seconds() // its time counts from its last byte
 		l.arrived += late
-		a.HardStop += late
+		a.Deadline += late
 	}
-	l.hardStop = a.HardStop
+	l.hardStop = a.Deadline
 }
 
 // origin is a target without scheme and host, which a client may write too.
@@ -512,23 +512,23 @@
 var ownFields = []string{"X-Trace-Id", "X-Qos", "X-Expires-In", "Idempotency-Key"}
 
 // arrival is what a request's head says of its lookup.
-func (p *Proxy) arrival(h *heads.Head, path, query []byte, arrived time.Time) (balance.Arrival, error) {
-	a := balance.Arrival{Customer: -1}
-	refuse := func(status int, text string) (balance.Arrival, error) {
+func (p *Proxy) arrival(h *heads.Head, path, query []byte, arrived time.Time) (balance.RequestInfo, error) {
+	a := balance.RequestInfo{Tenant: -1}
+	refuse := func(status int, text string) (balance.RequestInfo, error) {
 		return a, &heads.Error{Status: status, Text: text}
 	}
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte{'/'}), []byte{'/'})
 	named := h.Get("X-Qos")
-	tariff, known := p.names.Tariff(string(named))
-	if _, there := p.names.Tariff(string(first)); !bytes.HasPrefix(path, []byte{'/'}) || !there && (known || named == nil) {
+	tariff, known := p.names.Class(string(named))
+	if _, there := p.names.Class(string(first)); !bytes.HasPrefix(path, []byte{'/'}) || !there && (known || named == nil) {
 		return refuse(404, "no such path")
 	} else if !known {
 		return refuse(400, "unknown tariff")
 	}
-	get, kind := string(h.Method) == "GET", p.launch.Tariffs[tariff].Kind
+	get, kind := string(h.Method) == "GET", p.launch.Classes[tariff].Idempotency
 	wait, err := strconv.ParseFloat(string(h.Get("X-Expires-In")), 64)
 	for _, name := range ownFields { // danger: a backend may go by another of them than this proxy
-		if h.Twice(name) {
+		if h.HasRepeated(name) {
 			return refuse(400, name+" twice")
 		}
 	}
@@ -541,31 +541,31 @@
 		return refuse(400, "no X-Trace-Id")
 	case !get && string(h.Method) != "POST":
 		return refuse(501, "method not known")
-	case get && kind != balance.Replayable:
+	case get && kind != balance.Idempotent:
 		return refuse(400, "method does not fit the tariff")
-	case kind == balance.Referenced && len(h.Get("Idempotency-Key")) == 0:
+	case kind == balance.Keyed && len(h.Get("Idempotency-Key")) == 0:
 		return refuse(400, "no Idempotency-Key")
 	case err != nil || math.IsNaN(wait) || math.IsInf(wait, 0):
 		return refuse(400, "no X-Expires-In")
 	}
-	a.Tariff = tariff
-	a.HardStop = p.stamp(arrived) + min(wait, longestWait)
+	a.Class = tariff
+	a.Deadline = p.stamp(arrived) + min(wait, longestWait)
 	if last := p.last.Load(); last != nil {
-		a.HardStop = min(a.HardStop, p.stamp(*last))
+		a.Deadline = min(a.Deadline, p.stamp(*last))
 	}
-	a.Again = string(h.Get("X-Second-Try")) == "1"
+	a.ClientRetry = string(h.Get("X-Second-Try")) == "1"
 	if name := h.Get("X-Customer"); name != nil {
-		a.Customer = p.names.Customer(string(name))
+		a.Tenant = p.names.Tenant(string(name))
 	}
 	for part := range bytes.SplitSeq(query, []byte{'&'}) {
 		if key, ok := bytes.CutPrefix(part, []byte("user=")); ok {
-			a.Key = figures.Hash(string(key))
+			a.Key = figures.NameHash(string(key))
 		}
 	}
 	for part := range bytes.SplitSeq(h.Get("X-Props"), []byte{','}) {
 		if hint, ok := bytes.CutPrefix(bytes.TrimSpace(part), []byte("ExpectedMs=")); ok {
 			if ms, err := strconv.ParseFloat(string(hint), 64); err == nil && ms > 0 && !math.IsInf(ms, 0) {
-				a.Work = ms / 1000
+				a.ExpectedWork = ms / 1000
 			}
 		}
 	}
@@ -599,7 +599,7 @@
 
 // up answers whether the proxy takes lookups.
 func (p *Proxy) up() reply {
-	if peek(p.life, (*duty.Life).Up) {
+	if peek(p.life, (*duty.Process).WantsClients) {
 		return reply{status: 200, body: []byte("up\n")}
 	}
 	return reply{status: 503, body: []byte("not up\n")}
--- a/proxy/trace.go
+++ b/proxy/trace.go
@@ -16,10 +16,10 @@
 
 // trace tells what is believed of each backend, beside the connections that are in use there.
 func (p *Proxy) trace() {
-	for _, b := range p.main.b.Beliefs(p.now()) {
-		p.log.WithFields(logrus.Fields{"backend": p.names.Name(b.Backend), "out": b.Out, "in_use": p.pool.Busy(b.Backend),
-			"limit": fmt.Sprintf("%.1f", b.Limit), "payoff": fmt.Sprintf("%.2f", b.Payoff), "paused": b.Paused, "cold": b.Cold,
-			"errors": b.Errors, "results": b.Results, "heard": fmt.Sprintf("%.2f", b.Heard)}).Debug("believed")
+	for _, b := range p.main.b.ServerStatuses(p.now()) {
+		p.log.WithFields(logrus.Fields{"backend": p.names.Name(b.Endpoint), "out": b.InFlight, "in_use": p.pool.InFlight(b.Endpoint),
+			"limit": fmt.Sprintf("%.1f", b.Limit), "payoff": fmt.Sprintf("%.2f", b.Payoff), "paused": b.Paused, "cold": b.WarmingUp,
+			"errors": b.Errors, "results": b.Results, "heard": fmt.Sprintf("%.2f", b.Age)}).Debug("believed")
 	}
 }
 
--- a/routes/path.go
+++ b/routes/path.go
@@ -10,13 +10,13 @@
 
 func (e *PathError) Error() string { return fmt.Sprintf("path %.80q: %s", e.Path, e.Why) }
 
-// Normal is the one form of a path, by which routes match and in which it goes on. What is an unreserved character
+// NormalizePath is the one form of a path, by which routes match and in which it goes on. What is an unreserved character
 // (RFC 3986, 2.3) stands as itself, every other escape with upper-case digits, and a byte above 0x7e as its escape.
 // An escaped slash stays escaped: it is no slash. Several slashes are one. Dot segments are resolved. A path that climbs above
 // its root, has a raw control character, backslash, space, '#' or '?', a malformed escape or one of a null, or a dot
 // segment with parameters ("..;x") or behind an escaped slash is refused. Normal(Normal(p)) is Normal(p). It returns p itself, without
 // allocation, where p is in this form already.
-func Normal(p string) (string, error) {
+func NormalizePath(p string) (string, error) {
 	if p == "" || p[0] != '/' {
 		return "", &PathError{p, "it does not begin with a slash"}
 	}
@@ -136,9 +136,9 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~'
 }
 
-// Target takes a request's target apart: origin form, or absolute form, whose authority then stands for Host. Danger: a
+// ParseTarget takes a request's target apart: origin form, or absolute form, whose authority then stands for Host. Danger: a
 // target that names another host than Host is one request for two readers, so the caller must refuse what differs.
-func Target(target string) (host, path, query string, err error) {
+func ParseTarget(target string) (host, path, query string, err error) {
 	if i := strings.Index(target, "://"); i > 0 && !strings.HasPrefix(target, "/") {
 		scheme := strings.ToLower(target[:i])
 		if scheme != "http" && scheme != "https" {
@@ -160,12 +160,12 @@
 	if strings.ContainsRune(query, '#') {
 		return "", "", "", &PathError{target, "a fragment"}
 	}
-	path, err = Normal(path)
+	path, err = NormalizePath(path)
 	return host, path, query, err
 }
 
-// Host is the one form of a host's name: lower case, without port and without the root's dot.
-func Host(host string) string {
+// NormalizeHost is the one form of a host's name: lower case, without port and without the root's dot.
+func NormalizeHost(host string) string {
 	if strings.HasPrefix(host, "[") { // an address of IPv6
 		if end := strings.IndexByte(host, ']'); end > 0 {
 			return strings.ToLower(host[:end+1])
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -32,23 +32,23 @@
 	splitMost  = 64   // pools of one route
 )
 
-// Kind is how a route's path is meant.
-type Kind uint8
+// MatchKind is how a route's path is meant.
+type MatchKind uint8
 
 const (
-	Prefix Kind = iota // the path begins with it, at any character
-	Under              // it is the path, or the path goes on behind it with a slash
+	Prefix   MatchKind = iota // the path begins with it, at any character
+	Segments                  // it is the path, or the path goes on behind it with a slash
 	Exact
 	Regex
 )
 
-func (k Kind) String() string { return [...]string{"prefix", "under", "exact", "regex"}[k] }
+func (k MatchKind) String() string { return [...]string{"prefix", "under", "exact", "regex"}[k] }
 
 // Route is one route as it is written.
 type Route struct {
 	Name    string
 	Hosts   []string // empty: the default
-	Kind    Kind
+	Kind    MatchKind
 	Path    string
 	Final   bool // of a prefix: no expression is asked after it
 	Methods []string
@@ -60,35 +60,35 @@
 
 // Condition is on a field of the head or of the query.
 type Condition struct {
-	Name  string
-	Value string // empty: it is there at all
-	Regex bool   // Value is an expression
-	Not   bool
+	Name   string
+	Value  string // empty: it is there at all
+	Regex  bool   // Value is an expression
+	Negate bool
 }
 
 // Action is what becomes of a request: one of Pools, Redirect and Fixed.
 type Action struct {
-	Pools    []Share
+	Pools    []WeightedPool
 	Rewrite  string // replaces the matched prefix; of an expression, the whole path, with $1 and ${name}
 	Redirect *Redirect
-	Fixed    *Fixed
+	Response *FixedResponse
 }
 
-// Share is a pool's part of a route's lookups.
-type Share struct {
+// WeightedPool is a pool's part of a route's lookups.
+type WeightedPool struct {
 	Pool   string
 	Weight float64
 }
 
 // Redirect sends the client elsewhere.
 type Redirect struct {
-	Status int
-	To     string // an address; may use the captures of an expression
-	Keep   bool   // path and query are appended
+	Status   int
+	To       string // an address; may use the captures of an expression
+	KeepPath bool   // path and query are appended
 }
 
-// Fixed is an answer given here.
-type Fixed struct {
+// FixedResponse is an answer given here.
+type FixedResponse struct {
 	Status int
 	Type   string
 	Body   string
@@ -185,7 +185,7 @@
 	if len(host) > textMost {
 		return nil, fmt.Errorf("host of %d bytes: %d at most", len(host), textMost)
 	}
-	name := Host(host)
+	name := NormalizeHost(host)
 	behind, lead := strings.CutPrefix(name, "*.")
 	before, trail := strings.CutSuffix(name, ".*")
 	switch {
@@ -222,13 +222,13 @@
 			return wrong("expression: %v", err)
 		}
 	} else {
-		if c.path, err = Normal(r.Path); err != nil {
+		if c.path, err = NormalizePath(r.Path); err != nil {
 			return wrong("%v", err)
 		}
 		if c.path != r.Path { // danger: it could never match, or match what its writer did not mean
 			return wrong("path %q is not in its normal form, %q", r.Path, c.path)
 		}
-		if r.Kind == Under && c.path != "/" {
+		if r.Kind == Segments && c.path != "/" {
 			c.path = strings.TrimSuffix(c.path, "/")
 		}
 	}
@@ -285,9 +285,9 @@
 	return out, nil
 }
 
-func (a *Action) check(kind Kind) error {
+func (a *Action) check(kind MatchKind) error {
 	ways := 0
-	for _, is := range []bool{len(a.Pools) > 0, a.Redirect != nil, a.Fixed != nil} {
+	for _, is := range []bool{len(a.Pools) > 0, a.Redirect != nil, a.Response != nil} {
 		if is {
 			ways++
 		}
@@ -306,7 +306,7 @@
 		return fmt.Errorf("%d pools with weights of %v in all", len(a.Pools), sum)
 	}
 	if a.Rewrite != "" && kind != Regex {
-		if n, err := Normal(a.Rewrite); err != nil || n != a.Rewrite {
+		if n, err := NormalizePath(a.Rewrite); err != nil || n != a.Rewrite {
 			return fmt.Errorf("rewrite %q is not in the normal form of a path", a.Rewrite)
 		}
 	}
@@ -316,7 +316,7 @@
 	if r := a.Redirect; r != nil && (!slices.Contains([]int{301, 302, 303, 307, 308}, r.Status) || r.To == "") {
 		return fmt.Errorf("redirect %d to %q: 301, 302, 303, 307 or 308, and where to", r.Status, r.To)
 	}
-	if f := a.Fixed; f != nil && (f.Status < 200 || f.Status > 599) {
+	if f := a.Response; f != nil && (f.Status < 200 || f.Status > 599) {
 		return fmt.Errorf("fixed answer %d: 200 to 599", f.Status)
 	}
 	return nil
@@ -356,15 +356,15 @@
 // Match finds the route that a request meets; false: none.
 func (t *Table) Match(q *Request) (Match, bool) { return t.match(q, nil) }
 
-// Why is a route that was asked, and what came of it.
-type Why struct {
-	Route *Route
-	What  string
+// Considered is a route that was asked, and what came of it.
+type Considered struct {
+	Route  *Route
+	Reason string
 }
 
 // Explain is Match with all routes that were asked on the way, in order.
-func (t *Table) Explain(q *Request) (m Match, ok bool, asked []Why) {
-	m, ok = t.match(q, func(c *compiled, what string) { asked = append(asked, Why{c.Route, what}) })
+func (t *Table) Explain(q *Request) (m Match, ok bool, asked []Considered) {
+	m, ok = t.match(q, func(c *compiled, what string) { asked = append(asked, Considered{c.Route, what}) })
 	return m, ok, asked
 }
 
@@ -381,7 +381,7 @@
 	var noted *compiled
 	for n := s.tree.longest(q.Path); n != nil && noted == nil; n = n.up {
 		for _, c := range n.routes {
-			if c.Kind == Under && len(q.Path) > len(c.path) && c.path != "/" && q.Path[len(c.path)] != '/' {
+			if c.Kind == Segments && len(q.Path) > len(c.path) && c.path != "/" && q.Path[len(c.path)] != '/' {
 				if note != nil {
 					note(c, "the path goes on without a slash")
 				}
@@ -474,7 +474,7 @@
 	case c.Value != "":
 		ok = there && value == c.Value
 	}
-	return ok != c.Not
+	return ok != c.Negate
 }
 
 // parameter is the first of a name in a query, as it stands.
@@ -489,9 +489,9 @@
 	return "", false
 }
 
-// Pool is the pool that a key's lookups go to, as an index of the route's Pools; -1 where it has none. A key stays where it is
+// SelectPool is the pool that a key's lookups go to, as an index of the route's Pools; -1 where it has none. A key stays where it is
 // when weights move a little: only as much moves as they do. A lookup without a key has one drawn by chance.
-func (m *Match) Pool(key uint64) int {
+func (m *Match) SelectPool(key uint64) int {
 	pools := m.Route.Action.Pools
 	if len(pools) < 2 {
 		return len(pools) - 1
@@ -502,7 +502,7 @@
 			continue
 		}
 		// weighted rendezvous: the greatest of ln(u)/weight, where key and pool settle u
-		if score := math.Log(chance.Of(key, nameHash(p.Pool))) / p.Weight; score > most {
+		if score := math.Log(chance.HashFloat64(key, nameHash(p.Pool))) / p.Weight; score > most {
 			best, most = i, score
 		}
 	}
@@ -517,16 +517,16 @@
 	return h
 }
 
-// Onward is the path that goes on to a pool.
-func (m *Match) Onward() (string, error) {
+// UpstreamPath is the path that goes on to a pool.
+func (m *Match) UpstreamPath() (string, error) {
 	a := &m.Route.Action
 	if a.Rewrite == "" {
 		return m.path, nil
 	}
 	if c := m.found; c.expr != nil {
-		return Normal(m.expand(a.Rewrite))
+		return NormalizePath(m.expand(a.Rewrite))
 	}
-	return Normal(a.Rewrite + m.path[len(m.found.path):])
+	return NormalizePath(a.Rewrite + m.path[len(m.found.path):])
 }
 
 // Location is where a redirect sends the client.
@@ -536,7 +536,7 @@
 	if m.found.expr != nil {
 		to = m.expand(to)
 	}
-	if r.Keep {
+	if r.KeepPath {
 		to = strings.TrimSuffix(to, "/") + m.path
 		if query != "" {
 			to += "?" + query
