--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -20,7 +20,7 @@
 		"": "", "a": "", "*": "", "/..": "", "/a/../..": "", "/%": "", "/%2": "", "/%zz": "", "/%00": "", "/a b": "", "/a\\b": "", "/a\x01": "",
 		"/a/..;x/b": "", "/a/.;/b": "", "/a/..%2f..%2Fetc": "", "/a/%2e%2e%5cb": "", "/a#b": "", "/a?b": "", "/a%2f%2fb": "/a%2F%2Fb",
 	} {
-		got, err := Normal(in)
+		got, err := NormalizePath(in)
 		assert.Equal(t, want, got, in)
 		assert.Equal(t, want == "", err != nil, in)
 	}
@@ -32,7 +32,7 @@
 		"/a://b":              {"", "/a:/b", ""},
 		"ftp://x/a":           {}, "http:///a": {}, "http://u@x/a": {}, "/a#b": {}, "/a?b#c": {}, "x.org:443": {}, "*": {},
 	} {
-		host, path, query, err := Target(in)
+		host, path, query, err := ParseTarget(in)
 		if want[1] == "" {
 			assert.Error(t, err, in)
 			continue
@@ -41,21 +41,21 @@
 		assert.Equal(t, want, [3]string{host, path, query}, in)
 	}
 	for in, want := range map[string]string{"X.org:8080": "x.org", "x.ORG.": "x.org", "[::1]:80": "[::1]", "x": "x", "": ""} {
-		assert.Equal(t, want, Host(in))
+		assert.Equal(t, want, NormalizeHost(in))
 	}
 }
 
-// What is matched is what goes on: a normal path is its own normal form, and no reader of it finds a way up or a second slash.
+// Reason is matched is what goes on: a normal path is its own normal form, and no reader of it finds a way up or a second slash.
 func FuzzNormal(f *testing.F) {
 	for _, seed := range []string{"/a/b", "//a/./%2e%2E/b%2f", "/%61;x/..", "/a/..%5c", "/\xff\x80", "/a%2F..%2fb"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, in string) {
-		out, err := Normal(in)
+		out, err := NormalizePath(in)
 		if err != nil {
 			return
 		}
-		if again, err := Normal(out); err != nil || again != out {
+		if again, err := NormalizePath(out); err != nil || again != out {
 			t.Fatalf("%q: %q, then %q, %v", in, out, again, err)
 		}
 		if out[0] != '/' || strings.Contains(out, "//") || strings.ContainsAny(out, " \\?#\x00") {
@@ -70,7 +70,7 @@
 	})
 }
 
-func to(pool string) Action { return Action{Pools: []Share{{pool, 1}}} }
+func to(pool string) Action { return Action{Pools: []WeightedPool{{pool, 1}}} }
 
 type fields map[string]string
 
@@ -83,21 +83,21 @@
 	table, err := Compile([]Route{
 		{Name: "root", Path: "/", Action: to("p")},
 		{Name: "exact", Kind: Exact, Path: "/sign", Action: to("p")},
-		{Name: "under", Kind: Under, Path: "/api", Action: Action{Pools: []Share{{"p", 1}}, Rewrite: "/v2"}},
+		{Name: "under", Kind: Segments, Path: "/api", Action: Action{Pools: []WeightedPool{{"p", 1}}, Rewrite: "/v2"}},
 		{Name: "final", Path: "/static/", Final: true, Action: to("p")},
 		{Name: "outer", Path: "/site/", Action: to("p"), Nested: []Route{
 			{Name: "inner", Path: "/site/deep/", Action: to("p"), Nested: []Route{{Name: "inner-php", Kind: Regex, Path: `\.php$`, Action: to("p")}}},
 			{Name: "outer-gif", Kind: Regex, Path: `\.gif$`, Action: to("p")}}},
 		{Name: "gif", Kind: Regex, Path: `\.gif$`, Action: to("p")},
-		{Name: "php", Kind: Regex, Path: `^/(?<app>\w+)/(.*)\.php$`, Action: Action{Pools: []Share{{"p", 1}}, Rewrite: "/run/${app}/$2"}},
+		{Name: "php", Kind: Regex, Path: `^/(?<app>\w+)/(.*)\.php$`, Action: Action{Pools: []WeightedPool{{"p", 1}}, Rewrite: "/run/${app}/$2"}},
 		{Name: "post", Kind: Exact, Path: "/both", Methods: []string{"POST"}, Action: to("p")},
 		{Name: "any", Kind: Exact, Path: "/both", Action: to("p")},
-		{Name: "beta", Path: "/app/", Fields: []Condition{{Name: "X-Beta", Value: "1"}}, Query: []Condition{{Name: "old", Not: true}}, Action: to("p")},
+		{Name: "beta", Path: "/app/", Fields: []Condition{{Name: "X-Beta", Value: "1"}}, Query: []Condition{{Name: "old", Negate: true}}, Action: to("p")},
 		{Name: "app", Path: "/app", Action: to("p")},
 		{Name: "named", Hosts: []string{"a.example.org"}, Path: "/", Action: to("p")},
 		{Name: "wild", Hosts: []string{"*.example.org", "example.*"}, Path: "/", Action: to("p")},
 		{Name: "wilder", Hosts: []string{"*.b.example.org"}, Path: "/only", Action: to("p")},
-		{Name: "moved", Path: "/old/", Action: Action{Redirect: &Redirect{Status: 301, To: "https://new.example.org/", Keep: true}}},
+		{Name: "moved", Path: "/old/", Action: Action{Redirect: &Redirect{Status: 301, To: "https://new.example.org/", KeepPath: true}}},
 		{Name: "gone", Kind: Regex, Path: `^/gone/(\d+)`, Action: Action{Redirect: &Redirect{Status: 302, To: "/found?n=$1"}}},
 	})
 	require.NoError(t, err)
@@ -131,9 +131,9 @@
 		{"other", "GET", "/old/a?b=1", "", "moved", "https://new.example.org/old/a?b=1"},
 		{"other", "GET", "/gone/12", "", "gone", "/found?n=12"},
 	} {
-		_, path, query, err := Target(c.target)
+		_, path, query, err := ParseTarget(c.target)
 		require.NoError(t, err)
-		q := Request{Host: Host(c.host), Method: c.method, Path: path, Query: query}
+		q := Request{Host: NormalizeHost(c.host), Method: c.method, Path: path, Query: query}
 		if c.field != "" {
 			q.Fields = fields{"x-beta": c.field}
 		}
@@ -148,14 +148,14 @@
 		onward := ""
 		if m.Route.Action.Redirect != nil {
 			onward = m.Location(query)
-		} else if onward, err = m.Onward(); err != nil {
+		} else if onward, err = m.UpstreamPath(); err != nil {
 			t.Fatal(err)
 		}
 		assert.Equal(t, c.onward, onward)
 	}
 	_, _, asked := table.Explain(&Request{Path: "/app/x", Method: "GET"})
-	assert.Equal(t, "field X-Beta does not hold", asked[0].What)
-	assert.Equal(t, "met: longest prefix", asked[len(asked)-1].What)
+	assert.Equal(t, "field X-Beta does not hold", asked[0].Reason)
+	assert.Equal(t, "met: longest prefix", asked[len(asked)-1].Reason)
 }
 
 func TestCompileRefuses(t *testing.T) {
@@ -166,11 +166,11 @@
 		"field X: expression":       {Path: "/", Fields: []Condition{{Name: "X", Value: "(", Regex: true}}, Action: to("p")},
 		"query without a name":      {Path: "/", Query: []Condition{{}}, Action: to("p")},
 		"one of pools":              {Path: "/"},
-		"weights of 0":              {Path: "/", Action: Action{Pools: []Share{{"p", 0}}}},
-		"weight -1":                 {Path: "/", Action: Action{Pools: []Share{{"p", -1}}}},
+		"weights of 0":              {Path: "/", Action: Action{Pools: []WeightedPool{{"p", 0}}}},
+		"weight -1":                 {Path: "/", Action: Action{Pools: []WeightedPool{{"p", -1}}}},
 		"redirect 200":              {Path: "/", Action: Action{Redirect: &Redirect{Status: 200, To: "/"}}},
-		"fixed answer 99":           {Path: "/", Action: Action{Fixed: &Fixed{Status: 99}}},
-		"rewrite without pools":     {Path: "/", Action: Action{Rewrite: "/x", Fixed: &Fixed{Status: 200}}},
+		"fixed answer 99":           {Path: "/", Action: Action{Response: &FixedResponse{Status: 99}}},
+		"rewrite without pools":     {Path: "/", Action: Action{Rewrite: "/x", Response: &FixedResponse{Status: 200}}},
 		"normal form of a path":     {Path: "/", Action: Action{Rewrite: "x", Pools: to("p").Pools}},
 		"cannot stand within":       {Path: "/a/", Action: to("p"), Nested: []Route{{Name: "n", Path: "/b/", Action: to("p")}}},
 		"hosts of its own":          {Path: "/a/", Action: to("p"), Nested: []Route{{Name: "n", Path: "/a/b/", Hosts: []string{"x"}, Action: to("p")}}},
@@ -198,13 +198,13 @@
 	var noted *Route
 	for _, r := range flat {
 		path := r.Path
-		if r.Kind == Under && path != "/" {
+		if r.Kind == Segments && path != "/" {
 			path = strings.TrimSuffix(path, "/")
 		}
 		fits := r.Kind == Prefix && strings.HasPrefix(q.Path, path) ||
-			r.Kind == Under && (path == "/" || q.Path == path || strings.HasPrefix(q.Path, path+"/"))
+			r.Kind == Segments && (path == "/" || q.Path == path || strings.HasPrefix(q.Path, path+"/"))
 		length := func(r *Route) int {
-			if r.Kind == Under && r.Path != "/" {
+			if r.Kind == Segments && r.Path != "/" {
 				return len(strings.TrimSuffix(r.Path, "/"))
 			}
 			return len(r.Path)
@@ -232,7 +232,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Route
 		for i := range rapid.IntRange(1, 12).Draw(t, "routes") {
-			r := Route{Name: fmt.Sprint("r", i), Kind: Kind(rapid.IntRange(0, 3).Draw(t, "kind")), Path: piece.Draw(t, "path"),
+			r := Route{Name: fmt.Sprint("r", i), Kind: MatchKind(rapid.IntRange(0, 3).Draw(t, "kind")), Path: piece.Draw(t, "path"),
 				Final: rapid.Bool().Draw(t, "final"), Action: to("p")}
 			if r.Kind == Regex {
 				r.Path = rapid.SampledFrom([]string{"^/a", "b", "c$", "/b/", "d|e"}).Draw(t, "expression")
@@ -263,13 +263,13 @@
 // A key stays where it is when weights move a little, and the parts are those of the weights.
 func TestPool(t *testing.T) {
 	match := func(a, b float64) *Match {
-		return &Match{Route: &Route{Action: Action{Pools: []Share{{"blue", a}, {"green", b}, {"off", 0}}}}}
+		return &Match{Route: &Route{Action: Action{Pools: []WeightedPool{{"blue", a}, {"green", b}, {"off", 0}}}}}
 	}
 	before, after := match(.9, .1), match(.85, .15)
 	const keys = 20_000
 	green, moved, back := 0, 0, 0
 	for k := range uint64(keys) {
-		x, y := before.Pool(k+1), after.Pool(k+1)
+		x, y := before.SelectPool(k+1), after.SelectPool(k+1)
 		if x == 1 {
 			green++
 		}
@@ -284,15 +284,15 @@
 	assert.InEpsilon(t, .05, float64(moved)/keys, .1, "as much moves as the weights do")
 	assert.Zero(t, back, "and nothing the other way")
 	one := Match{Route: &Route{Action: to("p")}}
-	assert.Equal(t, 0, one.Pool(5))
-	assert.Equal(t, -1, (&Match{Route: &Route{}}).Pool(5))
+	assert.Equal(t, 0, one.SelectPool(5))
+	assert.Equal(t, -1, (&Match{Route: &Route{}}).SelectPool(5))
 }
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 100_000} {
 		list := []Route{{Name: "root", Path: "/", Action: to("p")}}
 		for i := range n {
-			list = append(list, Route{Name: "r", Kind: Kind(i % 3), Path: fmt.Sprintf("/petitions/%d/region-%d/page", i%977, i), Action: to("p")})
+			list = append(list, Route{Name: "r", Kind: MatchKind(i % 3), Path: fmt.Sprintf("/petitions/%d/region-%d/page", i%977, i), Action: to("p")})
 		}
 		table, err := Compile(list)
 		require.NoError(b, err)
@@ -315,24 +315,24 @@
 func BenchmarkNormal(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		Normal("/petitions/17/region-4/page.html")
+		NormalizePath("/petitions/17/region-4/page.html")
 	}
 }
 
 func TestStandby(t *testing.T) {
-	s := Standby{After: 1, Until: 5}
+	s := Failover{ActivateAfter: 1, RecoverAfter: 5}
 	for _, c := range []struct {
 		at       float64
 		admitted bool
 		serves   bool
 	}{{0, true, false}, {1, false, false}, {1.9, false, false}, {2, false, true}, {2.1, true, true}, {6, true, true}, {6.5, false, true},
 		{7, true, true}, {11.9, true, true}, {12, true, false}, {12.1, false, false}, {12.2, true, false}, {13.2, false, false}, {14.3, false, true}} {
-		assert.Equal(t, c.serves, s.Serves(c.at, c.admitted), "at %v", c.at)
+		assert.Equal(t, c.serves, s.Active(c.at, c.admitted), "at %v", c.at)
 	}
 	flaps, before := 0, false
-	flap := Standby{After: 1, Until: 5}
+	flap := Failover{ActivateAfter: 1, RecoverAfter: 5}
 	for now := 0.0; now < 100; now += .1 { // a pool that comes and goes every half second
-		if serves := flap.Serves(now, int(now*2)%2 == 0); serves != before {
+		if serves := flap.Active(now, int(now*2)%2 == 0); serves != before {
 			flaps, before = flaps+1, serves
 		}
 	}
--- a/routes/standby.go
+++ b/routes/standby.go
@@ -1,9 +1,9 @@
 package routes
 
-// Standby decides whether a pool's backup serves for it: once the pool has had no server admitted for After, until it has had
+// Failover decides whether a pool's backup serves for it: once the pool has had no server admitted for After, until it has had
 // one for Until. Danger: without the second time a pool at the edge would hand its lookups to and fro.
-type Standby struct {
-	After, Until float64 // s
+type Failover struct {
+	ActivateAfter, RecoverAfter float64 // s
 
 	serves  bool
 	changed float64 // since when the pool has been as it is
@@ -11,12 +11,12 @@
 	began   bool
 }
 
-// Serves takes in whether the pool has a server admitted, and tells whether its backup is to serve now.
-func (s *Standby) Serves(now float64, admitted bool) bool {
+// Active takes in whether the pool has a server admitted, and tells whether its backup is to serve now.
+func (s *Failover) Active(now float64, admitted bool) bool {
 	if !s.began || admitted != s.was {
 		s.began, s.was, s.changed = true, admitted, now
 	}
-	if lasted := now - s.changed; !s.serves && !admitted && lasted >= s.After || s.serves && admitted && lasted >= s.Until {
+	if lasted := now - s.changed; !s.serves && !admitted && lasted >= s.ActivateAfter || s.serves && admitted && lasted >= s.RecoverAfter {
 		s.serves = !s.serves
 	}
 	return s.serves
