--- a/Makefile
+++ b/Makefile
@@ -18,22 +18,22 @@
 
 # Half a minute of an ordinary day: two proxies, twelve emulated servers and their clients, all on loopback.
 rehearse: build
-	bin/loomctl rehearse deploy/rehearsals/calm.toml -clock sockets
+	bin/lockloomctl rehearse deploy/rehearsals/calm.toml -clock sockets
 
 # The same with servers banned, a proxy drained and both upgraded meanwhile.
 maintenance: build
-	bin/loomctl rehearse deploy/rehearsals/maintenance-day.toml -clock sockets
+	bin/lockloomctl rehearse deploy/rehearsals/maintenance-day.toml -clock sockets
 
 # Every scenario in virtual time, lockloom against plain baselines.
 experiment: build
-	bin/loomctl experiment deploy/rehearsals/*.toml -html experiment.html
+	bin/lockloomctl experiment deploy/rehearsals/*.toml -html experiment.html
 
 fuzz:
 	go test ./proxy -run '^$$' -fuzz FuzzArrival -fuzztime 1m
-	go test ./internal/operations -run '^$$' -fuzz FuzzRead -fuzztime 1m
-	go test ./internal/handover -run '^$$' -fuzz FuzzFrame -fuzztime 1m
-	go test ./internal/heads -run '^$$' -fuzz FuzzMessages -fuzztime 1m
-	go test ./internal/rehearse -run '^$$' -fuzz FuzzRead -fuzztime 1m
+	go test ./internal/admin -run '^$$' -fuzz FuzzRead -fuzztime 1m
+	go test ./internal/hotrestart -run '^$$' -fuzz FuzzFrame -fuzztime 1m
+	go test ./internal/http1 -run '^$$' -fuzz FuzzMessages -fuzztime 1m
+	go test ./internal/simulation -run '^$$' -fuzz FuzzRead -fuzztime 1m
 
 # What the operators' bench wants beside the deployments of our own in deploy/sites; it stays out of the repository.
 sites:
--- a/assign/assignment.go
+++ b/assignment/assignment.go
@@ -1,8 +1,8 @@
-// Package assign decides what subscribers, which are proxies and clients that lockloom does not run, are told of a pool: its servers,
+// Package assignment decides what subscribers, which are proxies and clients that lockloom does not run, are told of a pool: its servers,
 // their health and weights. It turns what one instance holds of the servers (sights) into assignments that move seldom and by little,
 // but for drains, which it passes on at once. It does no input or output and keeps no clock: times are passed in, in seconds since 1970.
 // The control service calls it; it never picks a server for a lookup. A Pool is not safe for concurrent use.
-package assign
+package assignment
 
 import (
 	"maps"
--- a/assign/assignment_test.go
+++ b/assignment/assignment_test.go
@@ -1,4 +1,4 @@
-package assign
+package assignment
 
 import (
 	"fmt"
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"lockloom/internal/chance"
+	"lockloom/internal/pcg"
 )
 
 // Every constant of the decisions. Shares and payoffs are plain numbers from 0 to 1.
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	d.Proxies, d.MaxAttempts = max(d.Proxies, 1), max(d.MaxAttempts, 1)
-	b := &Balancer{d: d, chance: chance.Rand(d.Seed), now: now, askPause: askFirst,
+	b := &Balancer{d: d, chance: pcg.Rand(d.Seed), now: now, askPause: askFirst,
 		part: 1, slack: 1, fleet: &opinion{lasts: forget}, askAt: math.Inf(1), lastSend: now, lastTake: now}
 	if first, _ := b.bounds(0); first < halfLeg && !d.Gossip { // danger: each of many alone learns too slowly
 		b.gain = firstGain
@@ -492,7 +492,7 @@
 func (b *Balancer) noise(l *Request, s *server) float64 {
 	u := b.chance.Float64()
 	if l.place != 0 {
-		u = chance.HashFloat64(l.place, s.NameHash)
+		u = pcg.HashFloat64(l.place, s.NameHash)
 	}
 	return -math.Log(-math.Log(u))
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -5,14 +5,14 @@
 	"math"
 	"slices"
 
-	"lockloom/internal/chance"
-	"lockloom/internal/measure"
+	"lockloom/internal/histogram"
+	"lockloom/internal/pcg"
 )
 
 // Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
 	d               Deployment
-	chance          chance.Rand
+	chance          pcg.Rand
 	now             float64
 	servers         []*server  // by Backend.Index, nil where there is none
 	rows            []row      // one a tariff
@@ -23,11 +23,11 @@
 	out             int     // legs in flight
 	room            float64 // legs all admitted servers bear, as of the last pick
 	servable        float64 // servers admitted as of the last pick
-	keys            measure.Shares
-	all             measure.Times // what answers took, of all tariffs
-	usual           float64       // priority of lookups, smoothed
-	lookups         float64       // taken
-	gap, lastTake   float64       // s between lookups taken; the last one
+	keys            histogram.Shares
+	all             histogram.Times // what answers took, of all tariffs
+	usual           float64         // priority of lookups, smoothed
+	lookups         float64         // taken
+	gap, lastTake   float64         // s between lookups taken; the last one
 	fleet           *opinion
 	models          []*model
 	failShare       float64 // share of all results that were failures, smoothed
@@ -50,11 +50,11 @@
 // row holds what differs by tariff.
 type row struct {
 	Class
-	times measure.Times
-	alone measure.Times  // the same over the crowd that shared the server
-	work  float64        // mean hint, s
-	base  float64        // the median when little waited, s
-	all   *measure.Times // of all tariffs
+	times histogram.Times
+	alone histogram.Times  // the same over the crowd that shared the server
+	work  float64          // mean hint, s
+	base  float64          // the median when little waited, s
+	all   *histogram.Times // of all tariffs
 }
 
 // median is what an answer of this tariff usually takes; while too little is known, a quarter of its due time. Danger: where that is long,
--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -5,14 +5,14 @@
 	"io"
 
 	"lockloom/balance"
-	"lockloom/internal/benchwire"
-	"lockloom/internal/figures"
-	"lockloom/internal/notes"
+	"lockloom/internal/gossip"
+	"lockloom/internal/settings"
+	"lockloom/internal/simwire"
 )
 
 // host keeps the instances of this process apart; they share nothing but the clock.
 type host struct {
-	w         *benchwire.Writer
+	w         *simwire.Writer
 	now       float64
 	number    string
 	instances map[int]*instance
@@ -23,7 +23,7 @@
 // instance is one balancer with the names the bench knows things by.
 type instance struct {
 	b       *balance.Balancer
-	names   *figures.Registry
+	names   *settings.Registry
 	lookups map[string]int
 	slots   []slot // by Arrival.Ref; a timer's label is one more, that of the balancer's own is 0
 	free    []int
@@ -35,7 +35,7 @@
 }
 
 func newHost(out io.Writer) *host {
-	return &host{w: benchwire.NewWriter(out), instances: map[int]*instance{}, at: -1, written: -1}
+	return &host{w: simwire.NewWriter(out), instances: map[int]*instance{}, at: -1, written: -1}
 }
 
 func (h *host) Batch(now float64, number string) {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-func (h *host) Launched(f figures.Settings) error {
+func (h *host) Launched(f settings.Settings) error {
 	if h.at < 0 {
 		return fmt.Errorf("Proxy: no instance named")
 	}
@@ -67,23 +67,23 @@
 	return err
 }
 
-func (h *host) Listed(kind benchwire.ListKind, entries []figures.Entry) error {
+func (h *host) Listed(kind simwire.ListKind, entries []settings.Entry) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	if kind == benchwire.PollFailed {
+	if kind == simwire.PollFailed {
 		return h.decide(in, in.b.PollFailed)
 	}
 	list := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
 		list[i] = in.names.Endpoint(e)
 	}
-	full, first := kind != benchwire.Changes, kind == benchwire.CachedList
+	full, first := kind != simwire.Changes, kind == simwire.CachedList
 	return h.decide(in, func(now float64) *balance.Actions { return in.b.EndpointsUpdated(now, full, first, list) })
 }
 
-func (h *host) Order(o benchwire.RequestOrder) error {
+func (h *host) Order(o simwire.RequestOrder) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 	if a.Class, ok = in.names.Class(o.ClassName); !ok {
 		return fmt.Errorf("Class: unknown: %q", o.ClassName)
 	}
-	a.Tenant, a.Key = in.names.Tenant(o.TenantName), figures.NameHash(o.KeyName)
+	a.Tenant, a.Key = in.names.Tenant(o.TenantName), settings.NameHash(o.KeyName)
 	if _, ok = in.lookups[o.ID]; ok {
 		return fmt.Errorf("Job: used before: %q", o.ID)
 	}
@@ -116,7 +116,7 @@
 	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ResponseStarted(now, leg) })
 }
 
-func (h *host) Ended(e benchwire.End) error {
+func (h *host) Ended(e simwire.End) error {
 	return h.tell(e.ID, func(l *balance.Request, now float64) *balance.Actions {
 		return l.AttemptEnded(now, e.Leg, e.Outcome, e.Latency, e.Over)
 	})
@@ -206,7 +206,7 @@
 		h.w.Probe(in.names.Name(i))
 	}
 	if o.Gossip != nil {
-		h.w.Tell(o.GossipPeer, notes.ToHex(*o.Gossip))
+		h.w.Tell(o.GossipPeer, gossip.ToHex(*o.Gossip))
 	}
 	for i := range o.Requests {
 		s := &o.Requests[i]
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"lockloom/internal/benchwire"
+	"lockloom/internal/simwire"
 )
 
 const launch = "launch Prng=5 Profiles.count=1 Profiles.0.Name=a Profiles.0.Effect=retryable " +
@@ -16,7 +16,7 @@
 
 func play(in string) (string, error) {
 	var out strings.Builder
-	err := benchwire.Read(strings.NewReader(in), newHost(&out))
+	err := simwire.Read(strings.NewReader(in), newHost(&out))
 	return out.String(), err
 }
 
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"lockloom/internal/benchwire"
+	"lockloom/internal/simwire"
 )
 
 func main() {
-	if err := benchwire.Read(os.Stdin, newHost(os.Stdout)); err != nil {
+	if err := simwire.Read(os.Stdin, newHost(os.Stdout)); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/cmd/lockloom/main.go
+++ b/cmd/lockloom/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"lockloom/internal/command/balancer"
+	"lockloom/internal/cli/proxycmd"
 )
 
-func main() { os.Exit(balancer.Run(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(proxycmd.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/control/drain_bench_test.go
+++ b/controlplane/drain_bench_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"fmt"
--- a/control/keep_test.go
+++ b/controlplane/keep_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"os"
@@ -7,18 +7,18 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 )
 
 // The snapshot in testdata was written by build f83df88, from the same values: the present build restores them, and writes the same, so that
 // the older build restores what this one leaves.
 func TestSnapshotOfF83df88(t *testing.T) {
 	const file = "testdata/f83df88-snapshot.json"
-	want := map[string]assign.Snapshot{
-		"web": {At: 1790000000.25, Servers: []assign.ServerSnapshot{
-			{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a", Health: assign.Healthy, Weight: 1.75, StartedAt: 1789999000.5},
-			{Name: "s-2", Addr: "127.0.0.1:3", Zone: "b", Health: assign.Unhealthy, Weight: .125, PauseRemaining: 3.5, StartedAt: 1789999001},
-			{Name: "s-3", Addr: "127.0.0.1:4", Health: assign.Draining, Weight: 1}}},
+	want := map[string]assignment.Snapshot{
+		"web": {At: 1790000000.25, Servers: []assignment.ServerSnapshot{
+			{Name: "s-1", Addr: "127.0.0.1:2", Zone: "a", Health: assignment.Healthy, Weight: 1.75, StartedAt: 1789999000.5},
+			{Name: "s-2", Addr: "127.0.0.1:3", Zone: "b", Health: assignment.Unhealthy, Weight: .125, PauseRemaining: 3.5, StartedAt: 1789999001},
+			{Name: "s-3", Addr: "127.0.0.1:4", Health: assignment.Draining, Weight: 1}}},
 		"api": {At: 1790000001}}
 	got, err := read(file)
 	assert.NoError(t, err)
--- a/control/resources.go
+++ b/controlplane/resources.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"errors"
@@ -26,8 +26,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"lockloom/assign"
-	"lockloom/internal/operator"
+	"lockloom/assignment"
+	"lockloom/internal/config"
 	"lockloom/limits"
 )
 
@@ -79,7 +79,7 @@
 }
 
 // fixed are the resources that follow from the operator file alone, with what of it subscribers cannot be told, a line each.
-func fixed(s *operator.Config) (out set, left []string, err error) {
+func fixed(s *config.Config) (out set, left []string, err error) {
 	var faults []error
 	note := func(err error) {
 		if err != nil {
@@ -159,7 +159,7 @@
 
 // assigned is a pool's assignment, followed by its backups', as a resource. Each server is a locality of its own, named by its sub-zone:
 // weights of localities are what every subscriber keeps to, and loads are reported by locality, so by server.
-func assigned(pool string, all []assign.Assignment) *endpoint.ClusterLoadAssignment {
+func assigned(pool string, all []assignment.Assignment) *endpoint.ClusterLoadAssignment {
 	out := &endpoint.ClusterLoadAssignment{ClusterName: pool, Policy: &endpoint.ClusterLoadAssignment_Policy{
 		OverprovisioningFactor: wrapperspb.UInt32(overProvide)}}
 	next := uint32(0)
@@ -176,7 +176,7 @@
 			l := &endpoint.LocalityLbEndpoints{Locality: &core.Locality{Zone: s.Zone, SubZone: s.Name}, Priority: next + uint32(s.Priority),
 				LbEndpoints: []*endpoint.LbEndpoint{{HealthStatus: statuses[s.Health], HostIdentifier: &endpoint.LbEndpoint_Endpoint{
 					Endpoint: &endpoint.Endpoint{Address: address(host, uint32(n))}}}}}
-			if s.Health == assign.Healthy { // without a weight nothing goes there
+			if s.Health == assignment.Healthy { // without a weight nothing goes there
 				l.LoadBalancingWeight = wrapperspb.UInt32(uint32(s.Weight))
 			}
 			out.Endpoints = append(out.Endpoints, l)
@@ -190,8 +190,8 @@
 	return out
 }
 
-var statuses = [...]core.HealthStatus{assign.Healthy: core.HealthStatus_HEALTHY, assign.Unhealthy: core.HealthStatus_UNHEALTHY,
-	assign.Draining: core.HealthStatus_DRAINING}
+var statuses = [...]core.HealthStatus{assignment.Healthy: core.HealthStatus_HEALTHY, assignment.Unhealthy: core.HealthStatus_UNHEALTHY,
+	assignment.Draining: core.HealthStatus_DRAINING}
 
 // without is a table less the routes to other pools than these; nil where it cannot be read.
 func without(table *anypb.Any, pools []string) *route.RouteConfiguration {
@@ -213,14 +213,14 @@
 
 // teller writes routes as subscribers understand them: the first that matches wins.
 type teller struct {
-	setup *operator.Config
+	setup *config.Config
 	left  []string // what they are not told
 	fault []error
 }
 
 // hosts are the virtual hosts, in the order in which the file first names them.
 func (t *teller) hosts() ([]*route.VirtualHost, error) {
-	by := map[string][]*operator.Route{}
+	by := map[string][]*config.Route{}
 	var order []string
 	for i := range t.setup.Routes {
 		r := &t.setup.Routes[i]
@@ -248,21 +248,21 @@
 
 // noted is a prefix with what is tried before it.
 type noted struct {
-	*operator.Route
+	*config.Route
 	path   string
-	nested []*operator.Route // expressions
+	nested []*config.Route // expressions
 	parent *noted
 }
 
 // list orders one host's routes so that the first match is the route that package routes chooses: exact paths; then prefixes, the
 // longest first, each with the expressions that go before it, bound to the same prefix; then the expressions alone.
-func (t *teller) list(of []*operator.Route) (out []*route.Route) {
+func (t *teller) list(of []*config.Route) (out []*route.Route) {
 	var prefixes []*noted
-	var own []*operator.Route
-	var gather func(list []*operator.Route, in *noted)
-	gather = func(list []*operator.Route, in *noted) {
+	var own []*config.Route
+	var gather func(list []*config.Route, in *noted)
+	gather = func(list []*config.Route, in *noted) {
 		for _, r := range list {
-			kids := make([]*operator.Route, len(r.Routes))
+			kids := make([]*config.Route, len(r.Routes))
 			for i := range r.Routes {
 				kids[i] = &r.Routes[i]
 			}
@@ -308,7 +308,7 @@
 }
 
 // expressions are routes by expression under further conditions; those nested in one go before it, bound to it.
-func (t *teller) expressions(list []*operator.Route, with *route.RouteMatch) (out []*route.Route) {
+func (t *teller) expressions(list []*config.Route, with *route.RouteMatch) (out []*route.Route) {
 	for _, r := range list {
 		m := &route.RouteMatch{PathSpecifier: &route.RouteMatch_SafeRegex{SafeRegex: &matcher.RegexMatcher{Regex: anywhere(r.Regex)}},
 			Headers: slices.Clone(with.Headers), QueryParameters: slices.Clone(with.QueryParameters)}
@@ -316,7 +316,7 @@
 			bound := &route.RouteMatch{QueryParameters: slices.Clone(with.QueryParameters)}
 			bound.Headers = append(slices.Clone(with.Headers), &route.HeaderMatcher{Name: pathField, HeaderMatchSpecifier: text(whole("[^?]*?(?:" + r.Regex + ")[^?]*"))})
 			bound.Headers = t.conditions(r, bound)
-			out = append(out, t.expressions([]*operator.Route{&r.Routes[i]}, bound)...)
+			out = append(out, t.expressions([]*config.Route{&r.Routes[i]}, bound)...)
 		}
 		out = append(out, t.tell(r, m)...)
 	}
@@ -347,7 +347,7 @@
 }
 
 // conditions are a route's on method and fields; those on the query go into the match.
-func (t *teller) conditions(r *operator.Route, m *route.RouteMatch) []*route.HeaderMatcher {
+func (t *teller) conditions(r *config.Route, m *route.RouteMatch) []*route.HeaderMatcher {
 	out := m.Headers
 	if len(r.Methods) > 0 {
 		var all []string
@@ -378,7 +378,7 @@
 	return out
 }
 
-func value(c operator.Condition) *matcher.StringMatcher {
+func value(c config.Condition) *matcher.StringMatcher {
 	if c.Regex {
 		return &matcher.StringMatcher{MatchPattern: &matcher.StringMatcher_SafeRegex{SafeRegex: &matcher.RegexMatcher{Regex: anywhere(c.Value)}}}
 	}
@@ -386,7 +386,7 @@
 }
 
 // tell is one route with this match.
-func (t *teller) tell(r *operator.Route, m *route.RouteMatch) []*route.Route {
+func (t *teller) tell(r *config.Route, m *route.RouteMatch) []*route.Route {
 	m.Headers = t.conditions(r, m)
 	out := &route.Route{Name: r.Name, Match: m}
 	var err error
@@ -425,7 +425,7 @@
 }
 
 // onward is where a route's lookups go.
-func (t *teller) onward(r *operator.Route) (*route.RouteAction, error) {
+func (t *teller) onward(r *config.Route) (*route.RouteAction, error) {
 	a := &route.RouteAction{}
 	if r.Pool != "" {
 		a.ClusterSpecifier = &route.RouteAction_Cluster{Cluster: r.Pool}
@@ -472,7 +472,7 @@
 }
 
 // redirect is an address in the parts that subscribers put together.
-func redirect(r *operator.Redirect) (*route.RedirectAction, error) {
+func redirect(r *config.Redirect) (*route.RedirectAction, error) {
 	if strings.Contains(r.To, "$") {
 		return nil, fmt.Errorf("redirect to %q: captures cannot be told to subscribers", r.To)
 	}
--- a/control/resources_test.go
+++ b/controlplane/resources_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"lockloom/assign"
-	"lockloom/internal/operator"
+	"lockloom/assignment"
+	"lockloom/internal/config"
 	"lockloom/routes"
 )
 
@@ -103,8 +103,8 @@
 pool = "p"
 `
 
-func setupOf(t testing.TB, text string) *operator.Config {
-	s, faults := operator.Read("test.toml", []byte(text))
+func setupOf(t testing.TB, text string) *config.Config {
+	s, faults := config.Read("test.toml", []byte(text))
 	require.Empty(t, faults)
 	return s
 }
@@ -279,12 +279,12 @@
 }
 
 func TestAssigned(t *testing.T) {
-	server := func(name, zone string, h assign.Health, weight, priority int) assign.Server {
-		return assign.Server{ServerEstimate: assign.ServerEstimate{Name: name, Zone: zone, Addr: "10.0.0.1:80"}, Health: h, Weight: weight, Priority: priority}
+	server := func(name, zone string, h assignment.Health, weight, priority int) assignment.Server {
+		return assignment.Server{ServerEstimate: assignment.ServerEstimate{Name: name, Zone: zone, Addr: "10.0.0.1:80"}, Health: h, Weight: weight, Priority: priority}
 	}
-	out := assigned("p", []assign.Assignment{
-		{Drop: .25, Servers: []assign.Server{server("a", "z", assign.Healthy, 7000, 0), server("b", "y", assign.Draining, 1, 1), server("c", "z", assign.Unhealthy, 1, 0)}},
-		{Servers: []assign.Server{server("d", "z", assign.Healthy, 10000, 0)}}})
+	out := assigned("p", []assignment.Assignment{
+		{Drop: .25, Servers: []assignment.Server{server("a", "z", assignment.Healthy, 7000, 0), server("b", "y", assignment.Draining, 1, 1), server("c", "z", assignment.Unhealthy, 1, 0)}},
+		{Servers: []assignment.Server{server("d", "z", assignment.Healthy, 10000, 0)}}})
 	var got []string
 	for _, l := range out.Endpoints {
 		got = append(got, fmt.Sprint(l.Locality.Zone, "/", l.Locality.SubZone, " ", l.Priority, " ", l.LoadBalancingWeight.GetValue(), " ", l.LbEndpoints[0].HealthStatus))
--- a/control/scripted_test.go
+++ b/controlplane/scripted_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 )
 
 const plain = `
@@ -47,7 +47,7 @@
 	log    *test.Hook
 	addr   string
 	mu     sync.Mutex
-	sights map[string]assign.Observation
+	sights map[string]assignment.Observation
 }
 
 // station opens a service whose pool p has so many servers.
@@ -60,11 +60,11 @@
 // begin opens one that has seen nothing yet.
 func begin(t testing.TB, text string, servers int) *station {
 	log, hook := test.NewNullLogger()
-	s, err := New(setupOf(t, text), assign.Settings{SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3}, log)
+	s, err := New(setupOf(t, text), assignment.Settings{SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3}, log)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := &station{Service: s, t: t, log: hook, addr: ln.Addr().String(), sights: map[string]assign.Observation{"p": sight(servers)}}
+	k := &station{Service: s, t: t, log: hook, addr: ln.Addr().String(), sights: map[string]assignment.Observation{"p": sight(servers)}}
 	go s.Serve(ln)
 	t.Cleanup(k.stop)
 	return k
@@ -90,7 +90,7 @@
 }
 
 // change changes pool p's sight.
-func (k *station) change(call func(s *assign.Observation)) {
+func (k *station) change(call func(s *assignment.Observation)) {
 	k.mu.Lock()
 	s := k.sights["p"]
 	s.Servers = slices.Clone(s.Servers)
@@ -101,12 +101,12 @@
 }
 
 func (k *station) drain(i int) {
-	k.change(func(s *assign.Observation) { s.Servers[i].Draining = true })
+	k.change(func(s *assignment.Observation) { s.Servers[i].Draining = true })
 }
 
-func sight(n int) (s assign.Observation) {
+func sight(n int) (s assignment.Observation) {
 	for i := range n {
-		s.Servers = append(s.Servers, assign.ServerEstimate{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: string("ab"[i%2]), Payoff: .9})
+		s.Servers = append(s.Servers, assignment.ServerEstimate{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i), Zone: string("ab"[i%2]), Payoff: .9})
 	}
 	return s
 }
--- a/control/service.go
+++ b/controlplane/service.go
@@ -1,7 +1,7 @@
-// Package control is a control service over xDS: proxies and clients that lockloom does not run subscribe to what one instance decides
+// Package controlplane is a control service over xDS: proxies and clients that lockloom does not run subscribe to what one instance decides
 // (see assign), by the published protocol over gRPC. It learns from the instance's proxy beside it, which calls Update, and from the load
 // reports of its subscribers, which it hands to Reported. It decides no weight and picks no server.
-package control
+package controlplane
 
 import (
 	"cmp"
@@ -26,8 +26,8 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"lockloom/assign"
-	"lockloom/internal/operator"
+	"lockloom/assignment"
+	"lockloom/internal/config"
 )
 
 const (
@@ -57,10 +57,10 @@
 	inbox inbox
 
 	mu          sync.Mutex
-	setup       *operator.Config
-	terms       assign.Settings
-	pools       map[string]*assign.Pool
-	known       map[string]assign.Snapshot // of pools that were not seen yet since the start
+	setup       *config.Config
+	terms       assignment.Settings
+	pools       map[string]*assignment.Pool
+	known       map[string]assignment.Snapshot // of pools that were not seen yet since the start
 	fixed       set
 	views       map[viewer]*set
 	subscribers map[*subscriber]bool
@@ -75,7 +75,7 @@
 type inbox struct {
 	mu     sync.Mutex
 	now    float64
-	sights map[string]assign.Observation
+	sights map[string]assignment.Observation
 	kick   chan struct{}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // New makes a service of an operator file with a control table. It is at work until Stop.
-func New(s *operator.Config, t assign.Settings, log logrus.FieldLogger) (*Service, error) {
+func New(s *config.Config, t assignment.Settings, log logrus.FieldLogger) (*Service, error) {
 	c := s.ControlPlane
 	if c == nil {
 		return nil, errors.New("the operator file has no control table")
@@ -94,7 +94,7 @@
 	run := make([]byte, 4)
 	rand.Read(run)
 	t.PreferLocalZone = c.PreferLocalZone
-	out := &Service{log: log, run: hex.EncodeToString(run), terms: t, pools: map[string]*assign.Pool{}, views: map[viewer]*set{},
+	out := &Service{log: log, run: hex.EncodeToString(run), terms: t, pools: map[string]*assignment.Pool{}, views: map[viewer]*set{},
 		subscribers: map[*subscriber]bool{}, loads: map[*reporter]bool{}, seen: make(chan struct{}), quit: make(chan struct{}), inbox: inbox{kick: make(chan struct{}, 1)},
 		Reported: func(string, map[string][2]int) {}}
 	options := []grpc.ServerOption{
@@ -122,7 +122,7 @@
 }
 
 // Operate tells by another operator file from now on. Address, keys' places and bounds change with the next start.
-func (s *Service) Operate(setup *operator.Config) error {
+func (s *Service) Operate(setup *config.Config) error {
 	if setup.ControlPlane == nil {
 		return errors.New("the operator file has no control table")
 	}
@@ -141,15 +141,15 @@
 		}
 	}
 	s.setup, s.fixed = setup, f
-	maps.DeleteFunc(s.pools, func(name string, _ *assign.Pool) bool {
-		return !slices.ContainsFunc(setup.Pools, func(p operator.Pool) bool { return p.Name == name })
+	maps.DeleteFunc(s.pools, func(name string, _ *assignment.Pool) bool {
+		return !slices.ContainsFunc(setup.Pools, func(p config.Pool) bool { return p.Name == name })
 	})
 	s.changed(nil, false)
 	return nil
 }
 
 // Update takes in what the instance holds of its pools. It does not wait.
-func (s *Service) Update(now float64, sights map[string]assign.Observation) {
+func (s *Service) Update(now float64, sights map[string]assignment.Observation) {
 	in := &s.inbox
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -204,7 +204,7 @@
 }
 
 // see has the pools settle what is told.
-func (s *Service) see(now float64, sights map[string]assign.Observation) {
+func (s *Service) see(now float64, sights map[string]assignment.Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -217,7 +217,7 @@
 	for _, name := range slices.Sorted(maps.Keys(sights)) {
 		p, sight := s.pools[name], sights[name]
 		if p == nil {
-			p = assign.New(s.terms)
+			p = assignment.New(s.terms)
 			if m, ok := s.known[name]; ok {
 				p.Restore(now, m)
 				delete(s.known, name)
@@ -283,7 +283,7 @@
 		if out[clusters][p.Name] == nil || s.pools[p.Name] == nil {
 			continue
 		}
-		var all []assign.Assignment
+		var all []assignment.Assignment
 		touched := false
 		for seen, next := map[string]bool{}, p; next != nil && !seen[next.Name]; next = s.pool(next.Backup) {
 			seen[next.Name] = true
@@ -301,7 +301,7 @@
 	return &out
 }
 
-func (s *Service) pool(name string) *operator.Pool {
+func (s *Service) pool(name string) *config.Pool {
 	for i := range s.setup.Pools {
 		if p := &s.setup.Pools[i]; p.Name == name {
 			return p
--- a/control/service_test.go
+++ b/controlplane/service_test.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"lockloom/assign"
-	"lockloom/internal/relay"
+	"lockloom/assignment"
+	"lockloom/internal/faultproxy"
 )
 
 func written(more string) string { return fmt.Sprintf(plain, more) }
@@ -27,7 +27,7 @@
 // refuses all, one that never acknowledges, and one whose stream was half open.
 func TestDrainReachesEverybody(t *testing.T) {
 	k := open(t, written(""), 5)
-	way, err := relay.Open(k.addr)
+	way, err := faultproxy.Open(k.addr)
 	require.NoError(t, err)
 	t.Cleanup(way.Close)
 	var all []*scripted
@@ -37,10 +37,10 @@
 			all = append(all, k.subscribe(s))
 		}
 	}
-	thin, err := relay.Open(k.addr)
+	thin, err := faultproxy.Open(k.addr)
 	require.NoError(t, err)
 	t.Cleanup(thin.Close)
-	thin.Set(relay.Fault{Pace: 20_000, Delay: 20 * time.Millisecond})
+	thin.Set(faultproxy.Fault{Pace: 20_000, Delay: 20 * time.Millisecond})
 	all = append(all, k.subscribe(script{id: "trickle", addr: thin.Addr(), delta: true}))
 	refuser := k.subscribe(script{id: "refuser", delta: true, refuses: func(string, *anypb.Any) bool { return true }})
 	half := k.subscribe(script{id: "half open", addr: way.Addr()})
@@ -48,7 +48,7 @@
 		s.until(3*time.Second, "holds endpoints", s.is("s0", core.HealthStatus_HEALTHY))
 	}
 	refuser.until(3*time.Second, "was told", func() bool { return strings.Contains(strings.Join(refuser.came, ";"), "endpoints p") })
-	way.Set(relay.Fault{Silent: true})
+	way.Set(faultproxy.Fault{Silent: true})
 	time.Sleep(300 * time.Millisecond) // so that what is to be seen below is not what was on its way
 	refuser.forget()
 	began := time.Now()
@@ -187,7 +187,7 @@
 	file := filepath.Join(t.TempDir(), "memory.json")
 	with := written(fmt.Sprintf("memory = %q", file))
 	k := open(t, with, 4)
-	k.change(func(s *assign.Observation) { s.Servers[2].Paused = true })
+	k.change(func(s *assignment.Observation) { s.Servers[2].Paused = true })
 	first := k.subscribe(script{id: "x"})
 	first.until(3*time.Second, "is told of the pause", first.is("s2", core.HealthStatus_UNHEALTHY))
 	k.stop()
--- a/control/snapshot.go
+++ b/controlplane/snapshot.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"time"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 )
 
 const (
@@ -30,7 +30,7 @@
 func (s *Service) keep() {
 	s.mu.Lock()
 	file := s.setup.ControlPlane.SnapshotFile
-	all := map[string]assign.Snapshot{}
+	all := map[string]assignment.Snapshot{}
 	for name, m := range s.known { // not seen yet: it stays what it was
 		all[name] = m
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func write(file string, all map[string]assign.Snapshot) error {
+func write(file string, all map[string]assignment.Snapshot) error {
 	pools, err := json.Marshal(all)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 }
 
 // recall reads the snapshot, if there is one that can be believed.
-func (s *Service) recall() map[string]assign.Snapshot {
+func (s *Service) recall() map[string]assignment.Snapshot {
 	file := s.setup.ControlPlane.SnapshotFile
 	if file == "" {
 		return nil
@@ -90,7 +90,7 @@
 	return all
 }
 
-func read(file string) (map[string]assign.Snapshot, error) {
+func read(file string) (map[string]assignment.Snapshot, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	if crc32.ChecksumIEEE(bytes.TrimSpace(k.Pools)) != k.Sum {
 		return nil, fmt.Errorf("%s: its sum does not fit: it was changed or torn", file)
 	}
-	var all map[string]assign.Snapshot
+	var all map[string]assignment.Snapshot
 	if err := json.Unmarshal(k.Pools, &all); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/operations/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package operations is the operators' door: bytes to calls and back, on an address for operators alone. What a call does is its
+// Package admin is the operators' door: bytes to calls and back, on an address for operators alone. What a call does is its
 // owner's; it is never asked twice at the same time by one connection, and must answer at once.
-package operations
+package admin
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 const (
@@ -64,9 +64,9 @@
 }
 
 // Read is the call that a request's head makes, or a *heads.Error that says what is wrong with it.
-func Read(h *heads.Head) (Call, error) {
+func Read(h *http1.Head) (Call, error) {
 	var c Call
-	refuse := func(status int, text string) (Call, error) { return Call{}, &heads.Error{Status: status, Text: text} }
+	refuse := func(status int, text string) (Call, error) { return Call{}, &http1.Error{Status: status, Text: text} }
 	switch path := string(h.Target); path {
 	case "/-/ready":
 		c.Action = Ready
@@ -110,7 +110,7 @@
 	if _, err := fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.Method(), c.Path(), addr); err != nil {
 		return 0, "", err
 	}
-	r := heads.NewReader(conn)
+	r := http1.NewReader(conn)
 	h, err := r.Response()
 	if err != nil {
 		return 0, "", err
@@ -171,14 +171,14 @@
 	defer nc.Close()
 	defer d.leave(nc)
 	nc.SetReadDeadline(time.Now().Add(sayFor))
-	h, err := heads.NewReader(nc).Request()
+	h, err := http1.NewReader(nc).Request()
 	var call Call
 	if err == nil {
 		call, err = Read(h)
 	}
 	d.leave(nc)
 	status, text := 0, ""
-	var wrong *heads.Error
+	var wrong *http1.Error
 	switch {
 	case err == nil:
 		status, text = d.Do(call)
@@ -191,10 +191,10 @@
 		d.Log.WithFields(logrus.Fields{"call": call.Action.String(), "backend": call.ID, "from": nc.RemoteAddr().String(),
 			"status": status, "answer": text}).Info("operators' call")
 	}
-	out := heads.AppendStatus(make([]byte, 0, 256), status)
-	out = heads.AppendField(out, "Content-Type", "text/plain")
-	out = heads.AppendLength(out, len(text)+1)
-	out = heads.AppendField(out, "Connection", "close")
+	out := http1.AppendStatus(make([]byte, 0, 256), status)
+	out = http1.AppendField(out, "Content-Type", "text/plain")
+	out = http1.AppendLength(out, len(text)+1)
+	out = http1.AppendField(out, "Connection", "close")
 	out = append(append(append(out, "\r\n"...), text...), '\n')
 	nc.SetWriteDeadline(time.Now().Add(takeFor))
 	if _, err := nc.Write(out); err != nil {
--- a/internal/operations/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package operations
+package admin
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/assert"
 
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 // opened is a door on loopback, and the calls that it has been made.
@@ -45,7 +45,7 @@
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(5 * time.Second))
 	io.WriteString(nc, text)
-	r := heads.NewReader(nc)
+	r := http1.NewReader(nc)
 	h, err := r.Response()
 	if err != nil {
 		return 0, ""
@@ -84,7 +84,7 @@
 		{"GET /-/ready?x=1", 404, nil, "no such call\n"},
 		{"PUT /-/drain\nContent-Length: 0", 200, &Call{Action: Drain}, "done\n"},
 		{"PUT /-/drain\nContent-Length: 3", 400, nil, "a call has no body\n"},
-		{"PUT /-/drain\nX: " + strings.Repeat("x", heads.DefaultMaxBytes), 431, nil, "head too large\n"},
+		{"PUT /-/drain\nX: " + strings.Repeat("x", http1.DefaultMaxBytes), 431, nil, "head too large\n"},
 		{"nonsense", 400, nil, "malformed request line\n"},
 	} {
 		line, field, _ := strings.Cut(c.line, "\n")
@@ -139,7 +139,7 @@
 		f.Add(line + " HTTP/1.1\r\n\r\n")
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		h, err := heads.NewReader(strings.NewReader(text)).Request()
+		h, err := http1.NewReader(strings.NewReader(text)).Request()
 		if err != nil {
 			return
 		}
@@ -147,7 +147,7 @@
 		if err != nil {
 			return
 		}
-		again, err := heads.NewReader(strings.NewReader(fmt.Sprintf("%s %s HTTP/1.1\r\n\r\n", c.Method(), c.Path()))).Request()
+		again, err := http1.NewReader(strings.NewReader(fmt.Sprintf("%s %s HTTP/1.1\r\n\r\n", c.Method(), c.Path()))).Request()
 		if assert.NoError(t, err) {
 			second, err := Read(again)
 			assert.NoError(t, err)
--- a/internal/launch/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
-// Package launch reads what the platform tells a proxy when it starts.
-package launch
+// Package bootstrap reads what the platform tells a proxy when it starts.
+package bootstrap
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"strings"
 
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 // Config is what a proxy is told.
@@ -23,7 +23,7 @@
 	Discovery     string
 	AdminAddress  string // where operators call; empty: nowhere
 	HotRestartDir string // where a next process of this proxy finds this one; empty: nowhere
-	figures.Settings
+	settings.Settings
 	Known  discovery.List // perhaps old
 	Limits Limits
 	Fleet  Fleet
@@ -133,7 +133,7 @@
 	}
 	values := map[string]string{}
 	flatten(values, "", in.Settings)
-	f, err := figures.Read(values, seed)
+	f, err := settings.Read(values, seed)
 	if err != nil {
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
@@ -147,7 +147,7 @@
 // shape refuses settings that mix two shapes of a deployment, or ask for what this program does not do, by their key. A
 // bank behind a pool (any KindOfService but mesh, or none told) tells and probes nothing; where each client process has a
 // proxy of its own (mesh), proxies may do both.
-func shape(f figures.Settings, values map[string]string, bank Fleet) error {
+func shape(f settings.Settings, values map[string]string, bank Fleet) error {
 	var wrong string
 	_, listens := netip.ParseAddrPort(bank.Listen) // danger: a name passes for an address here and is refused when it is opened
 	switch {
--- a/internal/launch/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -1,4 +1,4 @@
-package launch
+package bootstrap
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"lockloom/balance"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 const file = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"f2094eb940cf389a",
@@ -26,7 +26,7 @@
 	assert.NoError(t, err)
 	assert.Equal(t, Limits{1, 192 << 20, 1024}, l.Limits)
 	assert.Equal(t, int64(7), l.Known.Version)
-	assert.Equal(t, figures.Settings{
+	assert.Equal(t, settings.Settings{
 		StreamsPerConnection: 1, Deployment: balance.Deployment{Seed: 0xf2094eb940cf389a, Proxies: 2, Zone: -1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1.2,
 			WeightByWork: true, ServerIdleTimeout: 5, Classes: []balance.Class{
 				{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1},
@@ -34,10 +34,10 @@
 			Tenants: []balance.Tenant{{Name: "a", Quota: 40}}},
 		Zones: []string{"north", "south"}, ConnectTimeout: 0.075, DrainGrace: 2.5}, l.Settings)
 	r := l.NewRegistry()
-	b := r.Endpoint(figures.Entry{Name: "s-1", ZoneName: "south", ModelName: "m"})
-	assert.Equal(t, balance.Endpoint{Index: 0, NameHash: figures.NameHash("s-1"), Zone: 1, Model: 0}, b)
-	assert.Equal(t, -1, r.Endpoint(figures.Entry{Name: "s-2", ZoneName: "west", ModelName: "m"}).Zone)
-	assert.Equal(t, 0, r.Endpoint(figures.Entry{Name: "s-1"}).Index)
+	b := r.Endpoint(settings.Entry{Name: "s-1", ZoneName: "south", ModelName: "m"})
+	assert.Equal(t, balance.Endpoint{Index: 0, NameHash: settings.NameHash("s-1"), Zone: 1, Model: 0}, b)
+	assert.Equal(t, -1, r.Endpoint(settings.Entry{Name: "s-2", ZoneName: "west", ModelName: "m"}).Zone)
+	assert.Equal(t, 0, r.Endpoint(settings.Entry{Name: "s-1"}).Index)
 	assert.Equal(t, "s-2", r.Name(1))
 	assert.Equal(t, -1, r.Tenant("b"))
 }
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/whole"
+	"lockloom/internal/graphcodec"
 )
 
 // Shows says whether a replay of calls shows something. It is told every call of a fresh replay, and asked at the end.
@@ -47,7 +47,7 @@
 	if err := g.Player.State(text); err != nil {
 		return err
 	}
-	s, err := whole.Read[state](text)
+	s, err := graphcodec.Read[state](text)
 	if err != nil {
 		return err
 	}
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	"lockloom/balance"
-	"lockloom/internal/whole"
+	"lockloom/internal/graphcodec"
 )
 
 // formOfStates is the number of the state blocks' form in build f83df88. Captures written before a change of it can no longer be replayed from a
@@ -32,7 +32,7 @@
 }
 
 func (r *reading) State(text []byte) error {
-	s, err := whole.Read[state](text)
+	s, err := graphcodec.Read[state](text)
 	if err != nil {
 		return err
 	}
--- a/internal/capture/form.go
+++ b/internal/capture/form.go
@@ -1,6 +1,6 @@
 package capture
 
-import "lockloom/internal/whole"
+import "lockloom/internal/graphcodec"
 
 // A file's head tells the form of its state blocks by a number. It was computed from the names of Go types once, so it is kept here with
 // the layout that it stands for: names may change, the layout may not without another number.
@@ -11,7 +11,7 @@
 
 // stateForm is the number of the form in which this build writes state blocks, and the only one that it reads.
 func stateForm() (uint64, error) {
-	layout, err := whole.Layout[state]()
+	layout, err := graphcodec.Layout[state]()
 	if err == nil && layout == publishedLayout {
 		return publishedForm, nil
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 
 	"lockloom/balance"
-	"lockloom/internal/whole"
+	"lockloom/internal/graphcodec"
 )
 
 // What the owner gathers before the writer has it.
@@ -152,7 +152,7 @@
 		if b == nil {
 			continue
 		}
-		text, err := whole.Write(&state{b.pool, b.name, b.Balancer, b.hand, b.next})
+		text, err := graphcodec.Write(&state{b.pool, b.name, b.Balancer, b.hand, b.next})
 		if err != nil { // a type that cannot be written down: a fault of the program
 			r.to.fail(err)
 			return
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -7,7 +7,7 @@
 	"io"
 
 	"lockloom/balance"
-	"lockloom/internal/whole"
+	"lockloom/internal/graphcodec"
 )
 
 // Player has the decisions of a capture again, file after file of one proxy. It is a Visitor.
@@ -75,7 +75,7 @@
 	if p.foreign {
 		return fmt.Errorf("it was made by a program (%s) whose decisions have another form of state: replay it with that one", p.Began.Program)
 	}
-	s, err := whole.Read[state](text)
+	s, err := graphcodec.Read[state](text)
 	if err != nil {
 		return fmt.Errorf("a pool's state: %w", err)
 	}
--- a/internal/command/command.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package command runs a command line of sub-commands: what is printed where, and what a program ends with. The commands
+// Package cli runs a command line of sub-commands: what is printed where, and what a program ends with. The commands
 // themselves are in the packages below this one.
-package command
+package cli
 
 import (
 	"context"
--- a/internal/command/daemon/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplanecmd
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/command"
-	"lockloom/internal/command/tools"
+	"lockloom/internal/cli"
+	"lockloom/internal/cli/ctlcmd"
 )
 
 // A proxy under load is captured from the midst of its life, killed, started anew, and captured again: all that was recorded has its
@@ -51,9 +51,9 @@
 	require.NoError(t, os.WriteFile(file, text, 0o600))
 	y := &yard{t: t, env: map[string]string{}}
 	program := build(t, dir)
-	loomctl := func(words ...string) (int, string) {
+	lockloomctl := func(words ...string) (int, string) {
 		var out bytes.Buffer
-		code := tools.Run(words, &out, &out)
+		code := ctlcmd.Run(words, &out, &out)
 		return code, out.String()
 	}
 	ask := func(n int, id string) {
@@ -70,8 +70,8 @@
 	for run := range 2 {
 		cmd := y.start(program, dir)
 		ask(100, "before-")
-		code, said := loomctl("capture", at, "-for", "1h")
-		require.Equal(t, command.Done, code, said)
+		code, said := lockloomctl("capture", at, "-for", "1h")
+		require.Equal(t, cli.Done, code, said)
 		assert.Contains(t, said, "on true, 0 calls")
 		ask(200, fmt.Sprint("run", run, "-"))
 		time.Sleep(600 * time.Millisecond) // a look of the owner's hands on what was gathered, in the end
@@ -81,24 +81,24 @@
 			cmd.Wait()
 			continue
 		}
-		code, said = loomctl("capture", at, "-look")
-		assert.Equal(t, command.Done, code)
+		code, said = lockloomctl("capture", at, "-look")
+		assert.Equal(t, cli.Done, code)
 		assert.Contains(t, said, " 0 gaps")
 		require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 		assert.NoError(t, cmd.Wait())
 	}
-	code, said := loomctl("replay", folder, "-times", "2")
-	require.Equal(t, command.Done, code, said)
+	code, said := lockloomctl("replay", folder, "-times", "2")
+	require.Equal(t, cli.Done, code, said)
 	assert.Contains(t, said, " 0 differ, 0 passed over")
 	for _, id := range []string{"run0-5", "run1-150"} {
-		code, said = loomctl("why", folder, "-lookup", id)
-		require.Equal(t, command.Done, code, said)
+		code, said = lockloomctl("why", folder, "-lookup", id)
+		require.Equal(t, cli.Done, code, said)
 		assert.Contains(t, said, `pool "try"`)
 		assert.Contains(t, said, "honoured")
 		assert.Contains(t, said, "payoff")
 	}
-	code, said = loomctl("why", folder, "-lookup", "before-5")
-	assert.Equal(t, command.Failed, code, "it was not captured: %s", said)
+	code, said = lockloomctl("why", folder, "-lookup", "before-5")
+	assert.Equal(t, cli.Failed, code, "it was not captured: %s", said)
 }
 
 // lockloom takes neither table: what it cannot do is refused by its key.
@@ -113,5 +113,5 @@
 	run.Env = y.variables(dir)
 	out, err = run.CombinedOutput()
 	assert.Error(t, err)
-	assert.Contains(t, string(out), "control, capture: this program has neither; loomd has")
+	assert.Contains(t, string(out), "control, capture: this program has neither; lockloom-controlplane has")
 }
--- a/internal/command/daemon/daemon.go
+++ b/internal/cli/controlplanecmd/controlplanecmd.go
@@ -1,5 +1,5 @@
-// Package daemon is the command line of loomd, the proxy with every front.
-package daemon
+// Package controlplanecmd is the command line of lockloom-controlplane, the proxy with every front.
+package controlplanecmd
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/sirupsen/logrus"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 	"lockloom/balance"
-	"lockloom/control"
+	"lockloom/controlplane"
 	"lockloom/internal/capture"
-	"lockloom/internal/command"
-	"lockloom/internal/command/balancer"
+	"lockloom/internal/cli"
+	"lockloom/internal/cli/proxycmd"
 	"lockloom/internal/invariant"
 	"lockloom/proxy"
 )
@@ -34,20 +34,20 @@
 func Run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return command.Run(ctx, &ffcli.Command{Name: "loomd", Subcommands: append(balancer.Commands("loomd", begin, out, errs),
+	return cli.Run(ctx, &ffcli.Command{Name: "lockloom-controlplane", Subcommands: append(proxycmd.Commands("lockloom-controlplane", begin, out, errs),
 		trying(out), calling(out))}, args, out, errs)
 }
 
 // fronts are what runs beside a proxy.
 type fronts struct {
 	log     logrus.FieldLogger
-	control *control.Service
+	control *controlplane.Service
 	capture *capture.Recorder
 	quit    chan struct{}
 }
 
 // begin begins those that the operator file has tables for.
-func begin(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig, log logrus.FieldLogger) (balancer.Beside, error) {
+func begin(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig, log logrus.FieldLogger) (proxycmd.Beside, error) {
 	f := &fronts{log: log, quit: make(chan struct{})}
 	if s.Capture != nil {
 		if err := f.record(p, s, l); err != nil {
@@ -101,7 +101,7 @@
 
 // steer is the control service.
 func (f *fronts) steer(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig) error {
-	service, err := control.New(s, assign.Settings{SlowStartFraction: l.SlowStartFraction, SlowStartDuration: l.SlowStartDuration, CrashFactor: l.CrashFactor, CrashDuration: l.CrashDuration}, f.log)
+	service, err := controlplane.New(s, assignment.Settings{SlowStartFraction: l.SlowStartFraction, SlowStartDuration: l.SlowStartDuration, CrashFactor: l.CrashFactor, CrashDuration: l.CrashDuration}, f.log)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 // record captures the decisions of every pool.
 func (f *fronts) record(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig) error {
 	c := s.Capture
-	r, err := capture.Open(capture.Options{Dir: c.Dir, Name: l.Name, Program: command.Version(), Total: int64(c.TotalMB) << 20, Segment: int64(c.SegmentMB) << 20,
+	r, err := capture.Open(capture.Options{Dir: c.Dir, Name: l.Name, Program: cli.Version(), Total: int64(c.TotalMB) << 20, Segment: int64(c.SegmentMB) << 20,
 		Age: time.Duration(c.Age * float64(time.Second)), Ring: int64(c.RingMB) << 20, On: c.On, Dismissed: c.RejectedShare, Log: f.log})
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
--- a/internal/command/daemon/daemon_test.go
+++ b/internal/cli/controlplanecmd/controlplanecmd_test.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplanecmd
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/health/grpc_health_v1"
 
-	"lockloom/internal/command"
-	"lockloom/internal/command/tools"
-	"lockloom/internal/relay"
+	"lockloom/internal/cli"
+	"lockloom/internal/cli/ctlcmd"
+	"lockloom/internal/faultproxy"
 )
 
 // counted is a gRPC server that counts its calls, and fails them all while it is told to.
@@ -43,7 +43,7 @@
 	return f.Check(ctx, r)
 }
 
-// yard is loomd as a program, with gRPC servers.
+// yard is lockloom-controlplane as a program, with gRPC servers.
 type yard struct {
 	t       *testing.T
 	servers []*counted
@@ -73,10 +73,10 @@
 	return y
 }
 
-// build builds loomd into a folder.
+// build builds lockloom-controlplane into a folder.
 func build(t *testing.T, dir string) string {
-	program := filepath.Join(dir, "loomd")
-	out, err := exec.Command("go", "build", "-o", program, "lockloom/cmd/loomd").CombinedOutput()
+	program := filepath.Join(dir, "lockloom-controlplane")
+	out, err := exec.Command("go", "build", "-o", program, "lockloom/cmd/lockloom-controlplane").CombinedOutput()
 	require.NoError(t, err, string(out))
 	return program
 }
@@ -108,7 +108,7 @@
 			y.t.Log(string(text))
 		}
 	})
-	require.Eventually(y.t, func() bool { return y.call("ready") == command.Done }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(y.t, func() bool { return y.call("ready") == cli.Done }, 10*time.Second, 10*time.Millisecond)
 	return run
 }
 
@@ -146,7 +146,7 @@
 // cut off meanwhile goes on as it was told last, and follows as soon as it is back; what is put back gets calls again.
 func TestClientsFollowDrains(t *testing.T) {
 	y := newYard(t, 3)
-	way, err := relay.Open(y.env["LOOMD_CONTROL"])
+	way, err := faultproxy.Open(y.env["LOOMD_CONTROL"])
 	require.NoError(t, err)
 	t.Cleanup(way.Close)
 	y.client("a", y.env["LOOMD_CONTROL"])
@@ -162,21 +162,21 @@
 	}
 	require.Eventually(t, all, 10*time.Second, time.Millisecond)
 	rows := &bytes.Buffer{}
-	assert.Equal(t, command.Done, tools.Run([]string{"subscribers", y.env["LOOMD_STATUS"]}, rows, io.Discard))
+	assert.Equal(t, cli.Done, ctlcmd.Run([]string{"subscribers", y.env["LOOMD_STATUS"]}, rows, io.Discard))
 	assert.Equal(t, 3, strings.Count(rows.String(), "endpoints"), rows)
-	way.Set(relay.Fault{Silent: true})
+	way.Set(faultproxy.Fault{Silent: true})
 	id := "try/" + y.servers[0].name
-	require.Equal(t, command.Done, y.call("disable", id))
+	require.Equal(t, cli.Done, y.call("disable", id))
 	time.Sleep(500 * time.Millisecond)
 	got := y.calls(time.Second)
 	assert.True(t, got[0] > 5 && got[0] < 80, "of one client in three alone: %v", got)
 	assert.Greater(t, got[1]+got[2], int64(150), "%v", got)
-	way.Set(relay.Fault{})
+	way.Set(faultproxy.Fault{})
 	way.Cut()
 	time.Sleep(2500 * time.Millisecond)
 	got = y.calls(time.Second)
 	assert.Zero(t, got[0], "%v", got)
-	require.Equal(t, command.Done, y.call("enable", id))
+	require.Equal(t, cli.Done, y.call("enable", id))
 	require.Eventually(t, all, 10*time.Second, time.Millisecond)
 }
 
@@ -206,8 +206,8 @@
 func TestPlatformProgramIsClean(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "lockloom/cmd/lockloom").Output()
 	require.NoError(t, err)
-	for _, not := range []string{"google.golang.org/grpc", "google.golang.org/protobuf", "envoyproxy", "gonum.org", "lockloom/control", "net/http\n"} {
+	for _, not := range []string{"google.golang.org/grpc", "google.golang.org/protobuf", "envoyproxy", "gonum.org", "lockloom/controlplane", "net/http\n"} {
 		assert.NotContains(t, string(out), not)
 	}
-	assert.Contains(t, string(out), "lockloom/assign", fmt.Sprint("the opinions' form is pure"))
+	assert.Contains(t, string(out), "lockloom/assignment", fmt.Sprint("the opinions' form is pure"))
 }
--- a/internal/command/daemon/try.go
+++ b/internal/cli/controlplanecmd/try.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplanecmd
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/grpc/xds"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 )
 
 const (
@@ -58,10 +58,10 @@
 	dir := set.String("dir", "stand", "write loomd.env, launch.json and operator.toml to this `folder`")
 	n := set.Int("n", 4, "`number` of servers")
 	share := set.Float64("fail", 0, "`share` of its calls that the last one fails")
-	return command.New("servers", "servers [FLAGS]", "run gRPC servers to try the control service with, and write what serve needs, until Ctrl-C", set,
+	return cli.New("servers", "servers [FLAGS]", "run gRPC servers to try the control service with, and write what serve needs, until Ctrl-C", set,
 		func(ctx context.Context, words []string) error {
 			if len(words) > 0 || *n < 1 {
-				return command.Wrong("it takes no further words, and one server at least")
+				return cli.Wrong("it takes no further words, and one server at least")
 			}
 			var addrs []string
 			for i := range *n {
@@ -141,12 +141,12 @@
 	at := set.String("control", os.Getenv("LOOMD_CONTROL"), "the control service's `address`")
 	long := set.Duration("for", 10*time.Second, "`time` to go on for")
 	rate := set.Float64("rate", 200, "calls a `second`")
-	return command.New("call", "call TARGET [FLAGS]", "call gRPC's health service at a target such as pool/try or a host, steered over xDS", set,
+	return cli.New("call", "call TARGET [FLAGS]", "call gRPC's health service at a target such as pool/try or a host, steered over xDS", set,
 		func(ctx context.Context, words []string) error {
 			if len(words) != 1 || *at == "" || !(*rate > 0) {
-				return command.Wrong("it takes a target, -control and a rate above 0")
+				return cli.Wrong("it takes a target, -control and a rate above 0")
 			}
-			builder, err := asksAt(*at, "loomd-call", "")
+			builder, err := asksAt(*at, "lockloom-controlplane-call", "")
 			if err != nil {
 				return err
 			}
--- a/internal/command/tools/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"bufio"
@@ -19,10 +19,10 @@
 
 	"lockloom/balance"
 	"lockloom/internal/capture"
-	"lockloom/internal/command"
-	"lockloom/internal/load"
-	"lockloom/internal/rehearse"
+	"lockloom/internal/cli"
+	"lockloom/internal/loadgen"
 	"lockloom/internal/report"
+	"lockloom/internal/simulation"
 )
 
 // captures are the commands on captures.
@@ -35,7 +35,7 @@
 // filesOf are the captures that a command was given: files, or folders of them.
 func filesOf(words []string) (all []string, err error) {
 	if len(words) == 0 {
-		return nil, command.Wrong("it takes a capture: a file, or a folder of them")
+		return nil, cli.Wrong("it takes a capture: a file, or a folder of them")
 	}
 	for _, w := range words {
 		list, err := capture.Files(w)
@@ -59,7 +59,7 @@
 	times := set.Int("times", 1, "replay it so `often`")
 	loose := set.Bool("loose", false, "go on where orders differ")
 	choices := set.Bool("choices", false, "print each choice, a line each")
-	return command.New("replay", "replay FILE|FOLDER... [FLAGS]", "have a capture's decisions again, and compare each with what was recorded", set,
+	return cli.New("replay", "replay FILE|FOLDER... [FLAGS]", "have a capture's decisions again, and compare each with what was recorded", set,
 		func(_ context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
@@ -111,7 +111,7 @@
 	number := set.Uint64("number", 0, "or its `number` in its pool")
 	first := set.String("first", "", "or the first that is `"+strings.Join(capture.Wanted, ", ")+"`")
 	pool := set.String("pool", "", "the `pool` (default: whichever has it)")
-	return command.New("why", "why FILE|FOLDER... [FLAGS]", "tell the story of one lookup, and what was weighed", set,
+	return cli.New("why", "why FILE|FOLDER... [FLAGS]", "tell the story of one lookup, and what was weighed", set,
 		func(_ context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
@@ -122,7 +122,7 @@
 			case *first != "":
 				made, err := capture.Seen(*first)
 				if err != nil {
-					return command.Wrong("-first: %w", err)
+					return cli.Wrong("-first: %w", err)
 				}
 				shows, p := made(), player(io.Discard)
 				p.After = func(pool *capture.Pool, x *capture.Call, o *balance.Actions) {
@@ -140,7 +140,7 @@
 					return fmt.Errorf("none is %s", *first)
 				}
 			case (*id == "") == (*number == 0):
-				return command.Wrong("it takes one of -lookup, -number and -first")
+				return cli.Wrong("it takes one of -lookup, -number and -first")
 			}
 			p := player(errs)
 			p.After = s.Tell
@@ -158,7 +158,7 @@
 	set := flags("timeline")
 	every := set.Duration("every", time.Second, "`time` between two looks")
 	html := set.String("html", "", "write a page with plots to this `FILE`")
-	return command.New("timeline", "timeline FILE|FOLDER... [FLAGS]", "tell what was believed of each backend over time", set,
+	return cli.New("timeline", "timeline FILE|FOLDER... [FLAGS]", "tell what was believed of each backend over time", set,
 		func(_ context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
@@ -183,16 +183,16 @@
 
 func differing(out, errs io.Writer) *ffcli.Command {
 	set := flags("diff")
-	with := set.String("with", "", "another build's loomctl, a `program`")
+	with := set.String("with", "", "another build's lockloomctl, a `program`")
 	most := set.Int("most", 10, "`how many` differences are printed")
-	return command.New("diff", "diff FILE|FOLDER... -with PROGRAM", "show where another build would have chosen otherwise, told the same", set,
+	return cli.New("diff", "diff FILE|FOLDER... -with PROGRAM", "show where another build would have chosen otherwise, told the same", set,
 		func(ctx context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
 				return err
 			}
 			if *with == "" {
-				return command.Wrong("-with: which program")
+				return cli.Wrong("-with: which program")
 			}
 			own, err := os.Executable()
 			if err != nil {
@@ -237,7 +237,7 @@
 	shows := set.String("shows", "", "what it must still show: `"+strings.Join(capture.Wanted, ", ")+"`, or paused:BACKEND")
 	pool := set.String("pool", "", "the `pool` (default: the platform's)")
 	to := set.String("to", "", "write it to this `FILE`")
-	return command.New("excerpt", "excerpt FILE|FOLDER... -shows WHAT -to FILE", "cut a capture down to little that still shows something", set,
+	return cli.New("excerpt", "excerpt FILE|FOLDER... -shows WHAT -to FILE", "cut a capture down to little that still shows something", set,
 		func(_ context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
@@ -245,16 +245,16 @@
 			}
 			made, err := capture.Seen(*shows)
 			if err != nil {
-				return command.Wrong("-shows: %w", err)
+				return cli.Wrong("-shows: %w", err)
 			}
 			if *to == "" {
-				return command.Wrong("-to: which file")
+				return cli.Wrong("-to: which file")
 			}
 			e, err := capture.Shorten(files, openFile, *pool, made)
 			if err != nil {
 				return err
 			}
-			if err := report.File(*to, func(w io.Writer) error { return e.Write(w, command.Version()) }); err != nil {
+			if err := report.File(*to, func(w io.Writer) error { return e.Write(w, cli.Version()) }); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%d calls that show it, after %d replays\n", len(e.Calls), e.Tries)
@@ -264,30 +264,30 @@
 
 func supposing(out, errs io.Writer) *ffcli.Command {
 	set := flags("whatif")
-	policy := set.String("policy", "lockloom", "`name` of what decides: "+strings.Join(rehearse.PolicyNames(), ", "))
+	policy := set.String("policy", "lockloom", "`name` of what decides: "+strings.Join(simulation.PolicyNames(), ", "))
 	seed := set.Uint64("seed", 1, "`number` that the servers' chance comes from")
 	scenario := set.String("scenario", "", "the `SCENARIO` whose servers, proxies and troubles are taken; its tariffs are the capture's by name")
-	return command.New("whatif", "whatif FILE|FOLDER... -scenario SCENARIO", "play a capture's arrivals against emulated servers: a model, not a record", set,
+	return cli.New("whatif", "whatif FILE|FOLDER... -scenario SCENARIO", "play a capture's arrivals against emulated servers: a model, not a record", set,
 		func(_ context.Context, words []string) error {
 			files, err := filesOf(words)
 			if err != nil {
 				return err
 			}
 			if *scenario == "" {
-				return command.Wrong("-scenario: which")
+				return cli.Wrong("-scenario: which")
 			}
-			s, err := rehearse.Open(*scenario)
+			s, err := simulation.Open(*scenario)
 			if err != nil {
 				return err
 			}
-			if err := rehearse.Fit([]string{*policy}); err != nil {
-				return command.Wrong("-policy: %w", err)
+			if err := simulation.Fit([]string{*policy}); err != nil {
+				return cli.Wrong("-policy: %w", err)
 			}
 			tariffs := map[string]int{}
 			for i, t := range s.Tariffs {
 				tariffs[t.Name] = i
 			}
-			var list []load.Intent
+			var list []loadgen.Intent
 			unknown := map[string]int{}
 			p := player(errs)
 			p.Loose = true
@@ -301,7 +301,7 @@
 					unknown[name]++
 					return
 				}
-				list = append(list, load.Intent{Number: len(list), At: x.Now - p.First, Tariff: tariff, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[tariff].Work)})
+				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Tariff: tariff, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[tariff].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
@@ -309,7 +309,7 @@
 			if len(unknown) > 0 {
 				return fmt.Errorf("the scenario has no tariffs %v", unknown)
 			}
-			r, err := s.VirtualOf(*policy, rehearse.Policies[*policy](), *seed, load.Given(list))
+			r, err := s.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.Given(list))
 			if err != nil {
 				return err
 			}
@@ -324,10 +324,10 @@
 	off := set.Bool("off", false, "turn it off")
 	dump := set.Bool("dump", false, "write what is kept in memory")
 	look := set.Bool("look", false, "change nothing, tell how it stands")
-	return command.New("capture", "capture ADDR [FLAGS]", "turn a running proxy's capture on or off, by its address for that", set,
+	return cli.New("capture", "capture ADDR [FLAGS]", "turn a running proxy's capture on or off, by its address for that", set,
 		func(ctx context.Context, words []string) error {
 			if len(words) != 1 {
-				return command.Wrong("it takes the address")
+				return cli.Wrong("it takes the address")
 			}
 			method, path := http.MethodPost, "/on?for="+long.String()
 			switch {
--- a/internal/command/tools/tools.go
+++ b/internal/cli/ctlcmd/ctlcmd.go
@@ -1,5 +1,5 @@
-// Package tools is the command line of loomctl.
-package tools
+// Package ctlcmd is the command line of lockloomctl.
+package ctlcmd
 
 import (
 	"context"
@@ -13,27 +13,27 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
-	"lockloom/internal/rehearse"
+	"lockloom/internal/cli"
 	"lockloom/internal/report"
+	"lockloom/internal/simulation"
 )
 
 // Run runs one command and returns what the program ends with. Ctrl-C ends a command in order, leaving nothing behind.
 func Run(args []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return command.Run(ctx, &ffcli.Command{Name: "loomctl", Subcommands: append([]*ffcli.Command{rehearsing(out, errs), experimenting(out, errs),
-		loading(out), serving(out), subscribing(out), importing(out, errs), command.Versions("loomctl", out)}, captures(out, errs)...)}, args, out, errs)
+	return cli.Run(ctx, &ffcli.Command{Name: "lockloomctl", Subcommands: append([]*ffcli.Command{rehearsing(out, errs), experimenting(out, errs),
+		loading(out), serving(out), subscribing(out), importing(out, errs), cli.Versions("lockloomctl", out)}, captures(out, errs)...)}, args, out, errs)
 }
 
 func flags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
 // one is a command on one scenario's file.
-func one(words []string) (*rehearse.Scenario, error) {
+func one(words []string) (*simulation.Scenario, error) {
 	if len(words) != 1 {
-		return nil, command.Wrong("it takes one scenario, not %d", len(words))
+		return nil, cli.Wrong("it takes one scenario, not %d", len(words))
 	}
-	return rehearse.Open(words[0])
+	return simulation.Open(words[0])
 }
 
 // program is the proxy's: the one named, or the one beside this program.
--- a/internal/command/tools/tools_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"encoding/json"
@@ -16,18 +16,18 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/command"
-	"lockloom/internal/command/balancer"
-	"lockloom/internal/rehearse"
+	"lockloom/internal/cli"
+	"lockloom/internal/cli/proxycmd"
+	"lockloom/internal/simulation"
 )
 
-// The test's own program stands for both others: rehearsals start it as a proxy, tests as loomctl.
+// The test's own program stands for both others: rehearsals start it as a proxy, tests as lockloomctl.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		if os.Getenv(hangs) != "" {
 			time.Sleep(time.Minute)
 		}
-		os.Exit(balancer.Run(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(proxycmd.Run(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	if len(os.Args) > 1 && os.Args[1] == "rehearse" {
 		os.Exit(Run(os.Args[1:], os.Stdout, os.Stderr))
@@ -83,18 +83,18 @@
 		"-timeline", dir+"/r.txt", "-logs", dir)
 	text, err := os.ReadFile(dir + "/r.json")
 	require.NoError(t, err, errs)
-	var r rehearse.Result
+	var r simulation.Result
 	require.NoError(t, json.Unmarshal(text, &r))
 	assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.Lost+r.WithProxy+r.Gone+r.Mismatched)
 	assert.Greater(t, r.Legs, 300)
 	assert.Zero(t, r.Mismatched+r.Turned)
 	assert.Equal(t, 12, len(scripted(r.Events)), "all that is scripted happened: %v", r.Events)
 	if r.Void != "" { // the machine had no time for it: that must be said, and nothing blamed on the proxy
-		assert.Equal(t, command.Failed, code)
+		assert.Equal(t, cli.Failed, code)
 		assert.Contains(t, out, "void: ")
 		return
 	}
-	assert.Equal(t, command.Done, code, "%s%s", out, errs)
+	assert.Equal(t, cli.Done, code, "%s%s", out, errs)
 	assert.Zero(t, r.Lost)
 	page, err := os.ReadFile(dir + "/r.html")
 	require.NoError(t, err)
@@ -102,7 +102,7 @@
 	assert.NotContains(t, string(page), "http-equiv")
 }
 
-func scripted(all []rehearse.Event) (list []string) {
+func scripted(all []simulation.Event) (list []string) {
 	for _, e := range all {
 		if !strings.HasPrefix(e.What, "!") {
 			list = append(list, e.What)
@@ -128,7 +128,7 @@
 	require.NoError(t, cmd.Process.Signal(syscall.SIGINT))
 	var exit *exec.ExitError
 	require.ErrorAs(t, cmd.Wait(), &exit)
-	assert.Equal(t, command.Failed, exit.ExitCode())
+	assert.Equal(t, cli.Failed, exit.ExitCode())
 	assert.Contains(t, errs.String(), "context canceled")
 	names, err := filepath.Glob(dir + "/*")
 	require.NoError(t, err)
@@ -149,34 +149,34 @@
 		code      int
 		out, errs string // what they must hold
 	}{
-		{"", command.Misuse, "", "usage: loomctl"},
-		{"dance", command.Misuse, "", `unknown command "dance"`},
-		{"help", command.Done, "rehearse", ""},
-		{"version", command.Done, "loomctl ", ""},
-		{"rehearse -h", command.Done, "", "-timeline FILE"},
-		{"rehearse", command.Misuse, "", "it takes one scenario, not 0"},
-		{"rehearse -x " + calm, command.Misuse, "", "flag provided but not defined: -x"},
-		{"rehearse no.toml", command.Failed, "", "no.toml: no such file"},
-		{"rehearse " + bad, command.Failed, "", "bad.toml:2:1: speed: no such field"},
-		{"rehearse -clock slow " + calm, command.Misuse, "", `-clock: "slow"`},
-		{"rehearse -policy best " + calm, command.Misuse, "", `policy "best": it is one of`},
-		{"rehearse " + calm + " -match", command.Misuse, "", "of the clock sockets"},
-		{"rehearse " + calm + " -json no/such/place", command.Failed, "value in time", "no/such"},
-		{"rehearse " + calm + " -clock sockets -proxy /no/such/program", command.Failed, "", "proxy program: "},
-		{"rehearse " + one + " -clock sockets -proxy /bin/false", command.Failed, "", "proxy 1 ended"},
-		{"experiment", command.Misuse, "", "one at least"},
-		{"experiment " + calm + " -seeds 0", command.Misuse, "", "-seeds: 0"},
-		{"experiment " + calm + " -policies a,b", command.Misuse, "", `policy "a"`},
-		{"experiment " + calm + " -against x", command.Misuse, "", "of the clock sockets"},
-		{"load " + calm, command.Misuse, "", "-to: missing"},
-		{"load " + calm + " -to 127.0.0.1:1", command.Failed, "", "proxy at 127.0.0.1:1: "},
-		{"load " + calm + " -to 127.0.0.1:1 -rate 1e12", command.Failed, "", "arrivals: rate"},
+		{"", cli.Misuse, "", "usage: lockloomctl"},
+		{"dance", cli.Misuse, "", `unknown command "dance"`},
+		{"help", cli.Done, "rehearse", ""},
+		{"version", cli.Done, "lockloomctl ", ""},
+		{"rehearse -h", cli.Done, "", "-timeline FILE"},
+		{"rehearse", cli.Misuse, "", "it takes one scenario, not 0"},
+		{"rehearse -x " + calm, cli.Misuse, "", "flag provided but not defined: -x"},
+		{"rehearse no.toml", cli.Failed, "", "no.toml: no such file"},
+		{"rehearse " + bad, cli.Failed, "", "bad.toml:2:1: speed: no such field"},
+		{"rehearse -clock slow " + calm, cli.Misuse, "", `-clock: "slow"`},
+		{"rehearse -policy best " + calm, cli.Misuse, "", `policy "best": it is one of`},
+		{"rehearse " + calm + " -match", cli.Misuse, "", "of the clock sockets"},
+		{"rehearse " + calm + " -json no/such/place", cli.Failed, "value in time", "no/such"},
+		{"rehearse " + calm + " -clock sockets -proxy /no/such/program", cli.Failed, "", "proxy program: "},
+		{"rehearse " + one + " -clock sockets -proxy /bin/false", cli.Failed, "", "proxy 1 ended"},
+		{"experiment", cli.Misuse, "", "one at least"},
+		{"experiment " + calm + " -seeds 0", cli.Misuse, "", "-seeds: 0"},
+		{"experiment " + calm + " -policies a,b", cli.Misuse, "", `policy "a"`},
+		{"experiment " + calm + " -against x", cli.Misuse, "", "of the clock sockets"},
+		{"load " + calm, cli.Misuse, "", "-to: missing"},
+		{"load " + calm + " -to 127.0.0.1:1", cli.Failed, "", "proxy at 127.0.0.1:1: "},
+		{"load " + calm + " -to 127.0.0.1:1 -rate 1e12", cli.Failed, "", "arrivals: rate"},
 	} {
 		code, out, errs := run(strings.Fields(c.args)...)
 		assert.Equal(t, c.code, code, "%s: %s", c.args, errs)
 		assert.Contains(t, out, c.out, c.args)
 		assert.Contains(t, errs, c.errs, c.args)
-		if c.code == command.Failed {
+		if c.code == cli.Failed {
 			assert.Equal(t, 1, strings.Count(errs, "\n"), "one line says what is wrong: %s", c.args)
 		}
 	}
@@ -187,10 +187,10 @@
 	t.Setenv(hangs, "1")
 	own, err := os.Executable()
 	require.NoError(t, err)
-	s, err := rehearse.Open(short(t, "calm", 1, 1))
+	s, err := simulation.Open(short(t, "calm", 1, 1))
 	require.NoError(t, err)
 	began := time.Now()
-	_, err = s.Sockets(t.Context(), rehearse.Sockets{Proxy: own, Ready: 200 * time.Millisecond})
+	_, err = s.Sockets(t.Context(), simulation.Sockets{Proxy: own, Ready: 200 * time.Millisecond})
 	assert.EqualError(t, err, "proxy 1 is not up after 200ms: its log is empty")
 	assert.Less(t, time.Since(began), time.Minute, "it did not wait for the program's own end")
 }
@@ -198,9 +198,9 @@
 func TestExperiment(t *testing.T) {
 	file, dir := short(t, "linger", 20, .25), t.TempDir()
 	code, out, errs := run("experiment", file, "-seeds", "2", "-policies", "lockloom,random", "-json", dir+"/x.json", "-html", dir+"/x.html")
-	assert.Equal(t, command.Done, code, errs)
+	assert.Equal(t, cli.Done, code, errs)
 	assert.Equal(t, 3, strings.Count(out, "\n"), out)
-	var all []rehearse.Result
+	var all []simulation.Result
 	text, err := os.ReadFile(dir + "/x.json")
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(text, &all))
@@ -213,7 +213,7 @@
 
 // A port that is taken is passed over: what begins at the same place comes up on others.
 func TestPortTaken(t *testing.T) {
-	s, err := rehearse.Open(bundled + "calm.toml")
+	s, err := simulation.Open(bundled + "calm.toml")
 	require.NoError(t, err)
 	seen := map[string]bool{}
 	for range 2 {
--- a/internal/command/tools/experiment.go
+++ b/internal/cli/ctlcmd/experiment.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
-	"lockloom/internal/rehearse"
+	"lockloom/internal/cli"
 	"lockloom/internal/report"
+	"lockloom/internal/simulation"
 )
 
 const seedsMost = 1000
@@ -26,48 +26,48 @@
 	against := set.String("against", "", "an earlier build's `program` to compare with, on sockets")
 	var to files
 	to.on(set, false)
-	return command.New("experiment", "experiment SCENARIO... [FLAGS]", "play scenarios over several seeds and policies, and compare", set,
+	return cli.New("experiment", "experiment SCENARIO... [FLAGS]", "play scenarios over several seeds and policies, and compare", set,
 		func(ctx context.Context, words []string) error {
 			if len(words) == 0 {
-				return command.Wrong("it takes scenarios, one at least")
+				return cli.Wrong("it takes scenarios, one at least")
 			}
 			if *seeds < 1 || *seeds > seedsMost {
-				return command.Wrong("-seeds: %d: it is from 1 to %d", *seeds, seedsMost)
+				return cli.Wrong("-seeds: %d: it is from 1 to %d", *seeds, seedsMost)
 			}
-			var scenarios []*rehearse.Scenario
+			var scenarios []*simulation.Scenario
 			for _, word := range words {
-				s, err := rehearse.Open(word)
+				s, err := simulation.Open(word)
 				if err != nil {
 					return err
 				}
 				scenarios = append(scenarios, s)
 			}
 			names := strings.Split(*policies, ",")
-			if err := rehearse.Fit(names); err != nil {
-				return command.Wrong("-policies: %w", err)
+			if err := simulation.Fit(names); err != nil {
+				return cli.Wrong("-policies: %w", err)
 			}
-			list := rehearse.Seeds(*first, *seeds)
+			list := simulation.Seeds(*first, *seeds)
 			page := report.Page{Title: "Experiment", About: "Value in time is the part of the value of all lookups that was honoured within the due time."}
-			var all []*rehearse.Result
+			var all []*simulation.Result
 			for _, s := range scenarios {
-				var results [][]*rehearse.Result
+				var results [][]*simulation.Result
 				var err error
 				switch *clock {
 				case "virtual":
 					if *proxy != "" || *against != "" {
-						return command.Wrong("-proxy and -against are of the clock sockets")
+						return cli.Wrong("-proxy and -against are of the clock sockets")
 					}
 					results, err = s.Experiment(ctx, names, list)
 				case "sockets":
 					results, err = programs(ctx, s, list, *proxy, *against, errs)
 				default:
-					return command.Wrong("-clock: %q: it is virtual or sockets", *clock)
+					return cli.Wrong("-clock: %q: it is virtual or sockets", *clock)
 				}
 				if err != nil {
 					return err
 				}
 				for _, of := range results {
-					page.Rows = append(page.Rows, rehearse.Sum(of))
+					page.Rows = append(page.Rows, simulation.Sum(of))
 					page.Runs = append(page.Runs, of[0])
 					all = append(all, of...)
 				}
@@ -88,7 +88,7 @@
 }
 
 // programs plays a scenario on sockets, a run of each program in turn for each seed, so that both meet the same machine.
-func programs(ctx context.Context, s *rehearse.Scenario, seeds []uint64, proxy, against string, errs io.Writer) ([][]*rehearse.Result, error) {
+func programs(ctx context.Context, s *simulation.Scenario, seeds []uint64, proxy, against string, errs io.Writer) ([][]*simulation.Result, error) {
 	path, err := program(proxy)
 	if err != nil {
 		return nil, err
@@ -104,10 +104,10 @@
 		}
 		paths, names = append(paths, earlier), append(names, "earlier")
 	}
-	results := make([][]*rehearse.Result, len(paths))
+	results := make([][]*simulation.Result, len(paths))
 	for _, seed := range seeds {
 		for i, path := range paths {
-			r, err := s.Sockets(ctx, rehearse.Sockets{Proxy: path, Name: names[i], Seed: seed, Progress: progress(errs, s.Name)})
+			r, err := s.Sockets(ctx, simulation.Sockets{Proxy: path, Name: names[i], Seed: seed, Progress: progress(errs, s.Name)})
 			if err != nil {
 				return nil, err
 			}
--- a/internal/command/tools/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
+	"lockloom/internal/config"
 	"lockloom/internal/nginx"
-	"lockloom/internal/operator"
 	"lockloom/internal/report"
 )
 
@@ -26,10 +26,10 @@
 	told := set.String("report", "", "write the verdict on each directive to this `FILE` (default: to standard error)")
 	asJSON := set.Bool("json", false, "the report in JSON")
 	partial := set.Bool("partial", false, "write the file though directives were refused, which stand in it as comments")
-	return command.New("import", "import nginx FILE [FLAGS]", "make an operator file of another program's configuration", set,
+	return cli.New("import", "import nginx FILE [FLAGS]", "make an operator file of another program's configuration", set,
 		func(_ context.Context, words []string) error {
 			if len(words) != 2 || words[0] != "nginx" {
-				return command.Wrong("it takes the word nginx, and a file")
+				return cli.Wrong("it takes the word nginx, and a file")
 			}
 			if *prefix == "" {
 				*prefix = filepath.Dir(words[1])
@@ -40,7 +40,7 @@
 			}
 			im := nginx.Convert(list, *partial)
 			if im.Text != "" {
-				if _, faults := operator.Read(words[1], []byte(im.Text)); len(faults) > 0 { // what two directives come to together
+				if _, faults := config.Read(words[1], []byte(im.Text)); len(faults) > 0 { // what two directives come to together
 					return fmt.Errorf("what it comes to is no operator file: %w", errors.Join(faults...))
 				}
 			}
--- a/internal/command/tools/import_test.go
+++ b/internal/cli/ctlcmd/import_test.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 	"lockloom/internal/nginx"
 )
 
@@ -44,7 +44,7 @@
 	file, made := filepath.Join(dir, "shop.conf"), filepath.Join(dir, "shop.toml")
 	require.NoError(t, os.WriteFile(file, []byte(site), 0o600))
 	code, _, said := run("import", "nginx", file, "-out", made)
-	require.Equal(t, command.Done, code, said)
+	require.Equal(t, cli.Done, code, said)
 	assert.Contains(t, said, " 0 refused")
 	launch := filepath.Join(dir, "launch.json")
 	require.NoError(t, os.WriteFile(launch, []byte(`{"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":512},"known":{"version":0,"full":true,"servers":[]},
@@ -112,12 +112,12 @@
 	}
 	file := write("server { listen 80; root /x; location / { proxy_pass http://10.0.0.1; } }")
 	code, out, said := run("import", "nginx", file)
-	assert.Equal(t, command.Failed, code)
+	assert.Equal(t, cli.Failed, code)
 	assert.Empty(t, out)
 	assert.Contains(t, said, "x.conf:1:21  refused  root")
 	assert.Contains(t, said, "not all was carried")
 	code, out, _ = run("import", "nginx", file, "-partial", "-json", "-report", filepath.Join(dir, "report.json"))
-	assert.Equal(t, command.Failed, code)
+	assert.Equal(t, cli.Failed, code)
 	assert.Contains(t, out, "# refused: "+file+":1:21: root")
 	assert.Contains(t, out, "[[route]]")
 	text, err := os.ReadFile(filepath.Join(dir, "report.json"))
@@ -126,8 +126,8 @@
 	require.NoError(t, json.Unmarshal(text, &list))
 	assert.True(t, slices.ContainsFunc(list, func(v nginx.Verdict) bool { return v.Name == "root" && v.Grade == "refused" }))
 	code, _, said = run("import", "nginx", write("a {"))
-	assert.Equal(t, command.Failed, code)
+	assert.Equal(t, cli.Failed, code)
 	assert.Contains(t, said, "it ends within a block")
 	code, _, _ = run("import", "apache", file)
-	assert.Equal(t, command.Misuse, code)
+	assert.Equal(t, cli.Misuse, code)
 }
--- a/internal/command/tools/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 	"lockloom/internal/report"
 )
 
@@ -19,7 +19,7 @@
 	lasts := set.Float64("for", 0, "`seconds` (default: the scenario's)")
 	seed := set.Uint64("seed", 1, "`number` that chance comes from")
 	file := set.String("json", "", "write the results to this `FILE` for machines")
-	return command.New("load", "load SCENARIO -to ADDR[,ADDR...] [FLAGS]",
+	return cli.New("load", "load SCENARIO -to ADDR[,ADDR...] [FLAGS]",
 		"ask proxies that run already what a scenario's clients ask, in an open loop", set,
 		func(ctx context.Context, words []string) error {
 			s, err := one(words)
@@ -27,7 +27,7 @@
 				return err
 			}
 			if *to == "" {
-				return command.Wrong("-to: missing")
+				return cli.Wrong("-to: missing")
 			}
 			if err := s.Ask(*rate, *lasts); err != nil {
 				return err
--- a/internal/command/tools/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"lockloom/balance"
 	"lockloom/internal/capture"
-	"lockloom/internal/command"
-	"lockloom/internal/rehearse"
+	"lockloom/internal/cli"
 	"lockloom/internal/report"
+	"lockloom/internal/simulation"
 )
 
 // errNotHeld ends a run in which a rule was broken; the table has said which.
@@ -24,47 +24,47 @@
 	set := flags("rehearse")
 	clock := set.String("clock", "virtual", "`virtual`: the decisions alone, in virtual time; sockets: whole programs, in real time")
 	seed := set.Uint64("seed", 1, "`number` that chance comes from")
-	policy := set.String("policy", "lockloom", "`name` of what decides, in virtual time: "+strings.Join(rehearse.PolicyNames(), ", "))
+	policy := set.String("policy", "lockloom", "`name` of what decides, in virtual time: "+strings.Join(simulation.PolicyNames(), ", "))
 	proxy := set.String("proxy", "", "the proxy's `program`, on sockets (default: lockloom beside this program)")
 	logs := set.String("logs", "", "put the proxies' logs in this `folder`")
 	folder := set.String("capture", "", "in virtual time: capture each proxy's calls on the decisions into this `folder`")
 	match := set.Bool("match", false, "on sockets: play it in virtual time too, and compare")
 	var to files
 	to.on(set, true)
-	return command.New("rehearse", "rehearse SCENARIO [FLAGS]", "play a scenario and check the rules", set,
+	return cli.New("rehearse", "rehearse SCENARIO [FLAGS]", "play a scenario and check the rules", set,
 		func(ctx context.Context, words []string) error {
 			s, err := one(words)
 			if err != nil {
 				return err
 			}
-			if err := rehearse.Fit([]string{*policy}); err != nil {
-				return command.Wrong("-policy: %w", err)
+			if err := simulation.Fit([]string{*policy}); err != nil {
+				return cli.Wrong("-policy: %w", err)
 			}
-			var r *rehearse.Result
+			var r *simulation.Result
 			switch {
 			case *folder != "" && *clock == "sockets":
-				return command.Wrong("-capture: of the clock virtual; on sockets the operator file's capture table does it")
+				return cli.Wrong("-capture: of the clock virtual; on sockets the operator file's capture table does it")
 			case *clock == "sockets" && *policy != "lockloom":
-				return command.Wrong("-policy: on sockets -proxy names what decides")
+				return cli.Wrong("-policy: on sockets -proxy names what decides")
 			case *clock == "sockets":
 				path, err := program(*proxy)
 				if err != nil {
 					return err
 				}
-				r, err = s.Sockets(ctx, rehearse.Sockets{Proxy: path, Name: *policy, Seed: *seed, Logs: *logs, Progress: progress(errs, s.Name)})
+				r, err = s.Sockets(ctx, simulation.Sockets{Proxy: path, Name: *policy, Seed: *seed, Logs: *logs, Progress: progress(errs, s.Name)})
 				if err != nil {
 					return err
 				}
 			case *clock != "virtual":
-				return command.Wrong("-clock: %q: it is virtual or sockets", *clock)
+				return cli.Wrong("-clock: %q: it is virtual or sockets", *clock)
 			case *match || *proxy != "" || *logs != "":
-				return command.Wrong("-match, -proxy and -logs are of the clock sockets")
+				return cli.Wrong("-match, -proxy and -logs are of the clock sockets")
 			default:
-				played := rehearse.Policies[*policy]()
+				played := simulation.Policies[*policy]()
 				shut := func() error { return nil }
 				if *folder != "" {
 					if *policy != "lockloom" {
-						return command.Wrong("-capture: of the policy lockloom")
+						return cli.Wrong("-capture: of the policy lockloom")
 					}
 					played, shut = captured(*folder)
 				}
@@ -78,7 +78,7 @@
 			}
 			differs := false
 			if *match {
-				v, err := s.Virtual(*policy, rehearse.Policies[*policy](), *seed)
+				v, err := s.Virtual(*policy, simulation.Policies[*policy](), *seed)
 				if err != nil {
 					return err
 				}
@@ -89,7 +89,7 @@
 					fmt.Fprintln(out, " ", line)
 				}
 			}
-			if err := to.write(r, report.Page{Title: s.Name, About: s.About, Runs: []*rehearse.Result{r}}); err != nil {
+			if err := to.write(r, report.Page{Title: s.Name, About: s.About, Runs: []*simulation.Result{r}}); err != nil {
 				return err
 			}
 			if !r.Kept() || r.Void != "" || differs {
@@ -100,12 +100,12 @@
 }
 
 // captured is the policy lockloom with each proxy's calls captured, and what ends it.
-func captured(folder string) (rehearse.Policy, func() error) {
+func captured(folder string) (simulation.Policy, func() error) {
 	all := map[uint64]*capture.Recorder{}
-	policy := func(d balance.Deployment, now float64) (rehearse.Decider, error) {
+	policy := func(d balance.Deployment, now float64) (simulation.Decider, error) {
 		number := d.Seed >> 32 // see rehearse's start
 		if all[number] == nil {
-			r, err := capture.Open(capture.Options{Dir: folder, Name: fmt.Sprint("n", number), Program: command.Version(), On: true, Wait: true, Segment: 1 << 30, Age: time.Hour})
+			r, err := capture.Open(capture.Options{Dir: folder, Name: fmt.Sprint("n", number), Program: cli.Version(), On: true, Wait: true, Segment: 1 << 30, Age: time.Hour})
 			if err != nil {
 				return nil, err
 			}
@@ -128,6 +128,6 @@
 // recorded is a captured Balancer as what decides in a rehearsal.
 type recorded struct{ *capture.Balancer }
 
-func (r recorded) RequestArrived(now float64, a balance.RequestInfo) (rehearse.RequestHandle, *balance.Actions) {
+func (r recorded) RequestArrived(now float64, a balance.RequestInfo) (simulation.RequestHandle, *balance.Actions) {
 	return r.Balancer.RequestArrived(now, a, "")
 }
--- a/internal/command/tools/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 )
 
 func serving(out io.Writer) *ffcli.Command {
@@ -17,7 +17,7 @@
 	dir := set.String("dir", "", "write the launch files to this `folder` (default: a new one)")
 	seed := set.Uint64("seed", 1, "`number` that chance comes from")
 	play := set.Bool("play", false, "play the scenario's troubles too, from the start on")
-	return command.New("servers", "servers SCENARIO [FLAGS]",
+	return cli.New("servers", "servers SCENARIO [FLAGS]",
 		"run a scenario's servers and list agents alone, write launch files, print what serve needs, until Ctrl-C", set,
 		func(ctx context.Context, words []string) error {
 			s, err := one(words)
@@ -26,7 +26,7 @@
 			}
 			folder := *dir
 			if folder == "" {
-				if folder, err = os.MkdirTemp("", "loomctl"); err != nil {
+				if folder, err = os.MkdirTemp("", "lockloomctl"); err != nil {
 					return err
 				}
 				defer os.RemoveAll(folder)
--- a/internal/command/tools/subscribers.go
+++ b/internal/cli/ctlcmd/subscribers.go
@@ -1,4 +1,4 @@
-package tools
+package ctlcmd
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/control"
-	"lockloom/internal/command"
+	"lockloom/controlplane"
+	"lockloom/internal/cli"
 )
 
 const (
@@ -23,10 +23,10 @@
 
 // subscribing tells who holds what.
 func subscribing(out io.Writer) *ffcli.Command {
-	return command.New("subscribers", "subscribers ADDR", "tell what a control service's subscribers hold, by its status address", flags("subscribers"),
+	return cli.New("subscribers", "subscribers ADDR", "tell what a control service's subscribers hold, by its status address", flags("subscribers"),
 		func(ctx context.Context, words []string) error {
 			if len(words) != 1 {
-				return command.Wrong("it takes the status address")
+				return cli.Wrong("it takes the status address")
 			}
 			ctx, stop := context.WithTimeout(ctx, askFor)
 			defer stop()
@@ -42,7 +42,7 @@
 			if answer.StatusCode != http.StatusOK {
 				return fmt.Errorf("%s: %s", words[0], answer.Status)
 			}
-			var rows []control.Row
+			var rows []controlplane.Row
 			if err := json.NewDecoder(io.LimitReader(answer.Body, rowsMost)).Decode(&rows); err != nil {
 				return fmt.Errorf("%s: %w", words[0], err)
 			}
@@ -50,7 +50,7 @@
 		})
 }
 
-func table(out io.Writer, rows []control.Row) error {
+func table(out io.Writer, rows []controlplane.Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SUBSCRIBER\tZONE\tWAY\tSINCE\tTYPE\tNAMES\tVERSION\tSTATE")
 	for _, r := range rows {
--- a/internal/command/balancer/call.go
+++ b/internal/cli/proxycmd/call.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
-	"lockloom/internal/operations"
+	"lockloom/internal/admin"
+	"lockloom/internal/cli"
 )
 
 const callFor = 2 * time.Second // for the operators' door to answer
@@ -18,20 +18,20 @@
 // calling are the commands for staff, one for each call of the operators' door.
 func calling(out io.Writer) (all []*ffcli.Command) {
 	for _, c := range []struct {
-		act  operations.Action
+		act  admin.Action
 		help string
 	}{
-		{operations.Ready, "ask whether the proxy's process takes clients"},
-		{operations.Drain, "empty the proxy: it says at /up that it is not up, and sends its clients away"},
-		{operations.Resume, "end a drain"},
-		{operations.Disable, "send nothing more to the backend ID, until it is enabled"},
-		{operations.Enable, "send to the backend ID again"},
+		{admin.Ready, "ask whether the proxy's process takes clients"},
+		{admin.Drain, "empty the proxy: it says at /up that it is not up, and sends its clients away"},
+		{admin.Resume, "end a drain"},
+		{admin.Disable, "send nothing more to the backend ID, until it is enabled"},
+		{admin.Enable, "send to the backend ID again"},
 	} {
 		usage, words := c.act.String()+" [ADDR]", 0
-		if c.act == operations.Disable || c.act == operations.Enable {
+		if c.act == admin.Disable || c.act == admin.Enable {
 			usage, words = c.act.String()+" ID [ADDR]", 1
 		}
-		all = append(all, command.New(c.act.String(), usage, c.help, flags(c.act.String()),
+		all = append(all, cli.New(c.act.String(), usage, c.help, flags(c.act.String()),
 			func(_ context.Context, args []string) error {
 				addr := os.Getenv("ROUTER_OPERATOR")
 				if len(args) == words+1 {
@@ -39,13 +39,13 @@
 				}
 				switch {
 				case len(args) < words:
-					return command.Wrong("the backend's id is missing")
+					return cli.Wrong("the backend's id is missing")
 				case len(args) > words+1:
-					return command.Wrong("it takes no further words")
+					return cli.Wrong("it takes no further words")
 				case addr == "":
-					return command.Wrong("the address of the operators' door is missing, and ROUTER_OPERATOR is not set")
+					return cli.Wrong("the address of the operators' door is missing, and ROUTER_OPERATOR is not set")
 				}
-				call := operations.Call{Action: c.act}
+				call := admin.Call{Action: c.act}
 				if words > 0 {
 					call.ID = args[0]
 				}
@@ -56,8 +56,8 @@
 }
 
 // ring makes a call at a door; no is an error.
-func ring(addr string, call operations.Call, out io.Writer) error {
-	status, text, err := operations.Send(addr, call, callFor)
+func ring(addr string, call admin.Call, out io.Writer) error {
+	status, text, err := admin.Send(addr, call, callFor)
 	if err != nil {
 		return err
 	}
--- a/internal/command/balancer/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/sirupsen/logrus"
 
-	"lockloom/internal/operator"
+	"lockloom/internal/config"
 	"lockloom/proxy"
 )
 
@@ -36,8 +36,8 @@
 }
 
 // setup reads an operator file and prints all that is wrong with it, a line each.
-func setup(file string, errs io.Writer) (*operator.Config, error) {
-	s, faults := operator.Open(file)
+func setup(file string, errs io.Writer) (*config.Config, error) {
+	s, faults := config.Open(file)
 	if len(faults) == 0 {
 		return s, nil
 	}
--- a/internal/command/balancer/cost_test.go
+++ b/internal/cli/proxycmd/cost_test.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"fmt"
--- a/internal/command/balancer/balancer.go
+++ b/internal/cli/proxycmd/proxycmd.go
@@ -1,5 +1,5 @@
-// Package balancer is the command line of lockloom, the platform's proxy.
-package balancer
+// Package proxycmd is the command line of lockloom, the platform's proxy.
+package proxycmd
 
 import (
 	"context"
@@ -8,25 +8,25 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 )
 
 // Run runs one command and returns what the program ends with.
 func Run(args []string, out, errs io.Writer) int {
-	return command.Run(context.Background(), &ffcli.Command{Name: "lockloom", Subcommands: Commands("lockloom", nil, out, errs)}, args, out, errs)
+	return cli.Run(context.Background(), &ffcli.Command{Name: "lockloom", Subcommands: Commands("lockloom", nil, out, errs)}, args, out, errs)
 }
 
 // Commands are those of a program that is a proxy, with a front or none.
 func Commands(name string, front Front, out, errs io.Writer) []*ffcli.Command {
-	return append([]*ffcli.Command{serving(errs, front), asking(out), checking(out, errs), explaining(out, errs), command.Versions(name, out)},
+	return append([]*ffcli.Command{serving(errs, front), asking(out), checking(out, errs), explaining(out, errs), cli.Versions(name, out)},
 		calling(out)...)
 }
 
 // bare is a command without words.
 func bare(name, help string, flags *flag.FlagSet, run func() error) *ffcli.Command {
-	return command.New(name, name+" [FLAGS]", help, flags, func(_ context.Context, words []string) error {
+	return cli.New(name, name+" [FLAGS]", help, flags, func(_ context.Context, words []string) error {
 		if len(words) > 0 {
-			return command.Wrong("it takes no further words")
+			return cli.Wrong("it takes no further words")
 		}
 		return run()
 	})
--- a/internal/command/balancer/balancer_test.go
+++ b/internal/cli/proxycmd/proxycmd_test.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"io"
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"lockloom/internal/command"
+	"lockloom/internal/cli"
 )
 
 // lines tells each line that is logged.
@@ -75,7 +75,7 @@
 	write(addr(1))
 	hangUp()
 	watched(1)
-	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != command.Done { // it serves on
+	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != cli.Done { // it serves on
 		time.Sleep(10 * time.Millisecond)
 	}
 	own := make(chan os.Signal, 1)
@@ -89,7 +89,7 @@
 		}
 	}()
 	served.Wait()
-	assert.Equal(t, command.Done, code)
+	assert.Equal(t, cli.Done, code)
 }
 
 const sample = "../../../deploy/operator/sample.toml"
@@ -103,30 +103,30 @@
 		code      int
 		out, errs string // what they must hold; both are empty otherwise
 	}{
-		{"", command.Misuse, "", "usage: lockloom"},
-		{"dance", command.Misuse, "", `unknown command "dance"`},
-		{"serve -x", command.Misuse, "", "flag provided but not defined"},
-		{"serve more", command.Misuse, "", "takes no further words"},
-		{"up", command.Misuse, "", "the proxy's address is missing"},
-		{"help", command.Done, "usage: lockloom", ""},
-		{"serve -h", command.Done, "", "-log"},
-		{"version", command.Done, "lockloom ", ""},
-		{"serve -log loud", command.Failed, "", "lockloom: -log: "},
-		{"serve", command.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
-		{"check", command.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
-		{"check -operator " + sample, command.Done, "3 pools, 4 routes", ""},
-		{"check -operator no.toml", command.Failed, "", "no.toml: no such file"},
-		{"explain GET /", command.Misuse, "", "-operator: missing"},
-		{"explain -operator " + sample + " GET", command.Misuse, "", "a method, a URL"},
-		{"explain -operator " + sample + " GET / x", command.Misuse, "", `"x": a field is NAME:VALUE`},
-		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", command.Done, "tariff sign: referenced", ""},
-		{"up 127.0.0.1:1", command.Failed, "", "lockloom: dial"},
+		{"", cli.Misuse, "", "usage: lockloom"},
+		{"dance", cli.Misuse, "", `unknown command "dance"`},
+		{"serve -x", cli.Misuse, "", "flag provided but not defined"},
+		{"serve more", cli.Misuse, "", "takes no further words"},
+		{"up", cli.Misuse, "", "the proxy's address is missing"},
+		{"help", cli.Done, "usage: lockloom", ""},
+		{"serve -h", cli.Done, "", "-log"},
+		{"version", cli.Done, "lockloom ", ""},
+		{"serve -log loud", cli.Failed, "", "lockloom: -log: "},
+		{"serve", cli.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
+		{"check", cli.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
+		{"check -operator " + sample, cli.Done, "3 pools, 4 routes", ""},
+		{"check -operator no.toml", cli.Failed, "", "no.toml: no such file"},
+		{"explain GET /", cli.Misuse, "", "-operator: missing"},
+		{"explain -operator " + sample + " GET", cli.Misuse, "", "a method, a URL"},
+		{"explain -operator " + sample + " GET / x", cli.Misuse, "", `"x": a field is NAME:VALUE`},
+		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", cli.Done, "tariff sign: referenced", ""},
+		{"up 127.0.0.1:1", cli.Failed, "", "lockloom: dial"},
 	} {
 		var out, errs strings.Builder
 		assert.Equal(t, c.code, Run(strings.Fields(c.args), &out, &errs), c.args)
 		assert.Contains(t, out.String(), c.out, c.args)
 		assert.Contains(t, errs.String(), c.errs, c.args)
-		if c.code == command.Failed {
+		if c.code == cli.Failed {
 			assert.Equal(t, 1, strings.Count(errs.String(), "\n"), "one line says what is wrong: %s", c.args)
 		}
 		if c.out == "" {
--- a/internal/command/balancer/serve.go
+++ b/internal/cli/proxycmd/serve.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/sirupsen/logrus"
 
-	"lockloom/internal/operations"
+	"lockloom/internal/admin"
 	"lockloom/proxy"
 )
 
@@ -67,7 +67,7 @@
 			return fmt.Errorf("operators' door: %w", err)
 		}
 		defer ln.Close()
-		go (&operations.Server{Do: p.Administer, Log: log}).Serve(ln)
+		go (&admin.Server{Do: p.Administer, Log: log}).Serve(ln)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Limits.Cores))))
 	debug.SetGCPercent(gcPercent)
@@ -91,7 +91,7 @@
 		switch {
 		case s.ControlPlane == nil && s.Capture == nil:
 		case front == nil:
-			return fmt.Errorf("%s: control, capture: this program has neither; loomd has", file)
+			return fmt.Errorf("%s: control, capture: this program has neither; lockloom-controlplane has", file)
 		default:
 			if beside, err = front(p, s, &l, log); err != nil {
 				return fmt.Errorf("%s: %w", file, err)
--- a/internal/command/balancer/up.go
+++ b/internal/cli/proxycmd/up.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"context"
@@ -9,20 +9,20 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"lockloom/internal/command"
-	"lockloom/internal/heads"
+	"lockloom/internal/cli"
+	"lockloom/internal/http1"
 )
 
 const askFor = 2 * time.Second // for a proxy to tell whether it is up
 
 func asking(out io.Writer) *ffcli.Command {
-	return command.New("up", "up ADDR", "ask the proxy that listens at ADDR whether it takes lookups", flags("up"),
+	return cli.New("up", "up ADDR", "ask the proxy that listens at ADDR whether it takes lookups", flags("up"),
 		func(_ context.Context, words []string) error {
 			switch {
 			case len(words) == 0:
-				return command.Wrong("the proxy's address is missing")
+				return cli.Wrong("the proxy's address is missing")
 			case len(words) > 1:
-				return command.Wrong("it takes no further words")
+				return cli.Wrong("it takes no further words")
 			}
 			return up(words[0], out)
 		})
@@ -39,7 +39,7 @@
 	if _, err := fmt.Fprintf(conn, "GET /up HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", addr); err != nil {
 		return err
 	}
-	h, err := heads.NewReader(conn).Response()
+	h, err := http1.NewReader(conn).Response()
 	if err != nil {
 		return err
 	}
--- a/internal/command/balancer/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -1,4 +1,4 @@
-package balancer
+package proxycmd
 
 import (
 	"fmt"
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/command"
-	"lockloom/internal/heads"
+	"lockloom/internal/cli"
+	"lockloom/internal/http1"
 )
 
 // built is the program, built once.
@@ -130,7 +130,7 @@
 // start starts a process and waits until it says yes.
 func (s *site) start() *running {
 	r := s.begin()
-	require.Eventually(s.t, func() bool { return r.call("ready") == command.Done }, 20*time.Second, 5*time.Millisecond, r.log())
+	require.Eventually(s.t, func() bool { return r.call("ready") == cli.Done }, 20*time.Second, 5*time.Millisecond, r.log())
 	return r
 }
 
@@ -225,7 +225,7 @@
 func ask(nc net.Conn, id string) (status int, body string, closes bool, err error) {
 	nc.SetDeadline(time.Now().Add(2 * time.Second))
 	fmt.Fprintf(nc, "GET /look HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: %s\r\nX-Expires-In: 1\r\n\r\n", id)
-	r := heads.NewReader(nc)
+	r := http1.NewReader(nc)
 	h, err := r.Response()
 	if err != nil {
 		return 0, "", true, err
@@ -272,17 +272,17 @@
 		assert.Equal(t, want, slices.Sorted(maps.Keys(s.served)))
 	}
 	only("b1", "b2")
-	assert.Equal(t, command.Failed, old.call("disable", "b9"), "never listed")
-	assert.Equal(t, command.Done, old.call("disable", "b1"))
+	assert.Equal(t, cli.Failed, old.call("disable", "b9"), "never listed")
+	assert.Equal(t, cli.Done, old.call("disable", "b1"))
 	next := s.start()
 	only("b2")
-	assert.Equal(t, command.Done, next.call("enable", "b1"))
+	assert.Equal(t, cli.Done, next.call("enable", "b1"))
 	only("b1", "b2")
-	assert.Equal(t, command.Done, next.call("disable", "b2"))
-	assert.Equal(t, command.Done, next.call("disable", "b2"), "it may be repeated")
+	assert.Equal(t, cli.Done, next.call("disable", "b2"))
+	assert.Equal(t, cli.Done, next.call("disable", "b2"), "it may be repeated")
 	old.stop()
 	only("b1")
-	assert.Equal(t, command.Done, next.call("enable", "b2"), "one call back ends it")
+	assert.Equal(t, cli.Done, next.call("enable", "b2"), "one call back ends it")
 	only("b1", "b2")
 	c.end()
 	assert.Equal(t, []int{0, 0, c.asked}, []int{c.refused, c.unread, c.served + c.dismissed}, "refused, ended without an answer, answered")
@@ -361,8 +361,8 @@
 				return
 			}
 			defer nc.Close()
-			r := heads.NewReader(nc)
-			var h *heads.Head
+			r := http1.NewReader(nc)
+			var h *http1.Head
 			for n := range 50 { // on a machine that is busy some are dismissed, and come again
 				fmt.Fprintf(nc, "GET /look?large HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: %d-%d\r\nX-Expires-In: 1\r\n\r\n", i, n)
 				if h, err = r.Response(); !assert.NoError(t, err) {
@@ -403,17 +403,17 @@
 	up := func() int { return Run([]string{"up", s.addr}, io.Discard, io.Discard) }
 	busy, err := net.Dial("tcp", s.addr)
 	require.NoError(t, err)
-	assert.Equal(t, command.Done, old.call("drain"))
-	assert.Equal(t, []int{command.Failed, command.Done}, []int{up(), old.call("ready")}, "the process takes clients, though it wants none")
+	assert.Equal(t, cli.Done, old.call("drain"))
+	assert.Equal(t, []int{cli.Failed, cli.Done}, []int{up(), old.call("ready")}, "the process takes clients, though it wants none")
 	time.Sleep(700 * time.Millisecond)
 	status, _, closes, err := ask(busy, "2")
 	assert.NoError(t, err)
 	assert.True(t, status == 200 && closes, "served, and sent away")
 	next := s.start()
 	old.stop()
-	assert.Equal(t, command.Failed, up(), "drained still")
-	assert.Equal(t, command.Done, next.call("resume"))
-	assert.Equal(t, command.Done, up())
+	assert.Equal(t, cli.Failed, up(), "drained still")
+	assert.Equal(t, cli.Done, next.call("resume"))
+	assert.Equal(t, cli.Done, up())
 }
 
 // BenchmarkUpgrade upgrades under 2,000 clients that come one after the other, 500 a second, each on a connection of its own.
--- a/internal/command/version.go
+++ b/internal/cli/version.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"context"
--- a/internal/operator/capture.go
+++ b/internal/config/capture.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 // Capture is where a proxy's calls on its decisions are recorded; see package capture.
 type Capture struct {
--- a/internal/operator/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package operator reads the operator file: listeners, tariffs, pools, routes, limits and retry rules of an installation, as
+// Package config reads the operator file: listeners, tariffs, pools, routes, limits and retry rules of an installation, as
 // opposed to what the platform tells a proxy when it starts. Every fault is told at once, with its place. It decides nothing:
 // routes and limits do.
-package operator
+package config
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"lockloom/internal/source"
+	"lockloom/internal/tomlfile"
 	"lockloom/limits"
 	"lockloom/routes"
 )
@@ -149,7 +149,7 @@
 
 // Open reads a file; the errors are all its faults, a line each.
 func Open(name string) (*Config, []error) {
-	text, err := source.Load(name, fileMost)
+	text, err := tomlfile.Load(name, fileMost)
 	if err != nil {
 		return nil, []error{err}
 	}
@@ -159,7 +159,7 @@
 // reader gathers faults while a file is read.
 type reader struct {
 	*Config
-	file   *source.File
+	file   *tomlfile.File
 	faults []error
 	nested map[string]int // tables met so far, by name
 }
@@ -167,7 +167,7 @@
 // Read reads a file's text.
 func Read(name string, text []byte) (*Config, []error) {
 	r := &reader{Config: &Config{terms: map[*routes.Route]*Route{}}, nested: map[string]int{}}
-	file, faults := source.Decode(name, text, &r.File)
+	file, faults := tomlfile.Decode(name, text, &r.File)
 	if len(faults) > 0 {
 		return nil, faults
 	}
@@ -237,7 +237,7 @@
 	if name == "" || slices.Contains(among, name) {
 		return
 	}
-	if near := source.Nearest(name, among); near != "" {
+	if near := tomlfile.Nearest(name, among); near != "" {
 		r.fault(table, n, field, "no %s %q: %s?", what, name, near)
 		return
 	}
--- a/internal/operator/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package operator
+package config
 
 import (
 	"os"
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 // List is a list of backends, or the changes of one.
@@ -21,7 +21,7 @@
 
 // Entry is a backend and where it listens.
 type Entry struct {
-	figures.Entry
+	settings.Entry
 	Addr string
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"lockloom/internal/heads"
-	"lockloom/internal/stamped"
+	"lockloom/internal/http1"
+	"lockloom/internal/recvtime"
 )
 
 const (
@@ -175,8 +175,8 @@
 	if _, err := conn.Write(head); err != nil {
 		return Refused, err
 	}
-	in := stamped.NewReader(conn)
-	r := heads.NewReader(in)
+	in := recvtime.NewReader(conn)
+	r := http1.NewReader(in)
 	h, err := r.Response()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/standin/agent.go
+++ b/internal/fakeserver/agent.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 
 	"lockloom/balance"
 	"lockloom/internal/discovery"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 const (
@@ -158,7 +158,7 @@
 		a.mu.Unlock()
 		nc.Close()
 	}()
-	r := heads.NewReader(nc)
+	r := http1.NewReader(nc)
 	h, err := r.Request()
 	if err != nil {
 		return
--- a/internal/standin/conn.go
+++ b/internal/fakeserver/conn.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/figures"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
+	"lockloom/internal/settings"
 )
 
 const answerFor = 5 * time.Second // for an answer to be taken
@@ -93,7 +93,7 @@
 		close(c.ends)
 		c.nc.Close()
 	}()
-	r := heads.NewReader(c.nc)
+	r := http1.NewReader(c.nc)
 	for {
 		if r.Wait() != nil {
 			return
@@ -125,7 +125,7 @@
 	status int // not 0: it cannot be served
 }
 
-func (y *Yard) ask(h *heads.Head) asked {
+func (y *Yard) ask(h *http1.Head) asked {
 	path, query, _ := strings.Cut(string(h.Target), "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	a := asked{id: string(h.Get("X-Trace-Id"))}
@@ -140,10 +140,10 @@
 	}
 	for part := range strings.SplitSeq(query, "&") {
 		if key, ok := strings.CutPrefix(part, "user="); ok {
-			a.key = figures.NameHash(key)
+			a.key = settings.NameHash(key)
 		}
 	}
-	a.mark = figures.NameHash(string(h.Get("Idempotency-Key")))
+	a.mark = settings.NameHash(string(h.Get("Idempotency-Key")))
 	return a
 }
 
--- a/internal/standin/yard.go
+++ b/internal/fakeserver/yard.go
@@ -1,7 +1,7 @@
-// Package standin puts emulated servers and the list of them on loopback sockets: each server speaks the platform's
+// Package fakeserver puts emulated servers and the list of them on loopback sockets: each server speaks the platform's
 // HTTP/1.1, and an agent for each proxy tells the list in discovery's form. The servers' behaviour is the emulator's; this
 // package only brings bytes to its calls and back.
-package standin
+package fakeserver
 
 import (
 	"fmt"
--- a/internal/standin/yard_test.go
+++ b/internal/fakeserver/yard_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"bufio"
@@ -23,7 +23,7 @@
 	"lockloom/balance"
 	"lockloom/internal/discovery"
 	"lockloom/internal/emulator"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 // notes is a Sight that keeps what it sees, in words.
@@ -70,7 +70,7 @@
 // peer is a proxy's connection to a server.
 type peer struct {
 	net.Conn
-	r *heads.Reader
+	r *http1.Reader
 }
 
 func dial(t *testing.T, y *Yard, proxy, slot int) *peer {
@@ -78,7 +78,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
-	return &peer{nc, heads.NewReader(nc)}
+	return &peer{nc, http1.NewReader(nc)}
 }
 
 func (y *Yard) addr(proxy, slot int) string {
@@ -265,7 +265,7 @@
 	require.NoError(t, err)
 	defer nc.Close()
 	fmt.Fprint(nc, "GET /discovery/hosts HTTP/1.1\r\nHost: x\r\n\r\n")
-	h, err := heads.NewReader(nc).Response()
+	h, err := http1.NewReader(nc).Response()
 	require.NoError(t, err)
 	assert.Equal(t, 200, h.Status)
 	var whole discovery.List
--- a/internal/relay/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package relay is a TCP relay on loopback that plants faults between two programs: bytes that are late or come at a trickle,
+// Package faultproxy is a TCP relay on loopback that plants faults between two programs: bytes that are late or come at a trickle,
 // connections that are cut or half open, and an address that refuses. Tests and rigs use it; it never enters a proxy's program.
-package relay
+package faultproxy
 
 import (
 	"net"
--- a/internal/notes/codec.go
+++ b/internal/gossip/codec.go
@@ -1,10 +1,4 @@
-// Package notes is the form in which proxies tell one another what they saw: bytes to balance.Note and back, in the
-// simulator as in the program. It decides nothing; what it cannot read is an error, and changes nothing.
-//
-// A note is a byte of version, two of the sender's lookups a second in sixteenths, and seven for each sight: four of the
-// backend's mark, one of the tariff (255: a report of load), one of the age in 20 ms, one of the value: a payoff in
-// hundredths, or the load as whole lookups. All numbers have their highest byte first.
-package notes
+package gossip
 
 import (
 	"encoding/binary"
--- a/internal/notes/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -1,4 +1,4 @@
-package notes
+package gossip
 
 import (
 	"strings"
--- a/internal/peers/peers.go
+++ b/internal/gossip/link.go
@@ -1,9 +1,4 @@
-// Package peers carries notes between the proxies of a bank: each note is one datagram, which may be lost. It decides
-// nothing. Whoever embeds it says to which peer a note goes and takes in what came.
-//
-// A datagram is two bytes of the sender's number, highest first, and the note in the form of package notes. One from an
-// address that is not that number's, and one that cannot be read, is counted and dropped.
-package peers
+package gossip
 
 import (
 	"encoding/binary"
@@ -14,7 +9,6 @@
 	"sync/atomic"
 
 	"lockloom/balance"
-	"lockloom/internal/notes"
 )
 
 const numberBytes = 2
@@ -59,7 +53,7 @@
 	if !ok {
 		return
 	}
-	data := append(binary.BigEndian.AppendUint16(nil, uint16(l.self)), notes.Encode(n)...)
+	data := append(binary.BigEndian.AppendUint16(nil, uint16(l.self)), Encode(n)...)
 	if _, err := l.conn.WriteToUDPAddrPort(data, at); err == nil { // else a full buffer, or a peer that is gone: as if lost on its way
 		l.Sent.Add(1)
 	}
@@ -73,7 +67,7 @@
 
 func (l *Link) hear(heard func(int, balance.GossipMessage)) {
 	defer close(l.ended)
-	buf := make([]byte, numberBytes+notes.MaxBytes+1) // one more, so that a longer one is seen to be too long
+	buf := make([]byte, numberBytes+MaxBytes+1) // one more, so that a longer one is seen to be too long
 	for {
 		size, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -100,6 +94,6 @@
 	if at, ok := l.bank[number]; !ok || at.Port() != from.Port() || at.Addr().Unmap() != from.Addr().Unmap() {
 		return 0, balance.GossipMessage{}, fmt.Errorf("no peer %d at %s", number, from)
 	}
-	n, err := notes.Decode(data[numberBytes:])
+	n, err := Decode(data[numberBytes:])
 	return number, n, err
 }
--- a/internal/peers/peers_test.go
+++ b/internal/gossip/link_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"net"
@@ -10,7 +10,6 @@
 	"github.com/stretchr/testify/require"
 
 	"lockloom/balance"
-	"lockloom/internal/notes"
 )
 
 // pair is two proxies' links, of which the first tells, and what the second hears.
@@ -35,7 +34,7 @@
 	require.NoError(t, err)
 	defer stranger.Close()
 	peer := func(data []byte) (int, error) { return one.conn.WriteToUDPAddrPort(data, one.bank[1]) }
-	note := notes.Encode(balance.GossipMessage{Rate: 1})
+	note := Encode(balance.GossipMessage{Rate: 1})
 	for i, c := range []struct {
 		name string
 		from func([]byte) (int, error)
--- a/internal/whole/graphcodec.go
+++ b/internal/graphcodec/graphcodec.go
@@ -1,7 +1,7 @@
-// Package whole writes down a value with all that hangs from it, unexported fields and pointers into the midst of other values
+// Package graphcodec writes down a value with all that hangs from it, unexported fields and pointers into the midst of other values
 // included, and builds the same again: for captures, which begin in the middle of a life. It knows nothing of what the values mean. A
 // program reads only what one with types of the same layout wrote; Layout tells them apart. It is not for values that others use meanwhile.
-package whole
+package graphcodec
 
 import (
 	"encoding/binary"
--- a/internal/whole/graphcodec_test.go
+++ b/internal/graphcodec/graphcodec_test.go
@@ -1,4 +1,4 @@
-package whole
+package graphcodec
 
 import (
 	"testing"
--- a/internal/measure/shares.go
+++ b/internal/histogram/shares.go
@@ -1,4 +1,4 @@
-package measure
+package histogram
 
 const (
 	shareBins = 1024 // many more than there are marks that matter
--- a/internal/measure/times.go
+++ b/internal/histogram/times.go
@@ -1,5 +1,5 @@
-// Package measure keeps what was measured in a few coarse bins.
-package measure
+// Package histogram keeps what was measured in a few coarse bins.
+package histogram
 
 import "math"
 
--- a/internal/handover/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"lockloom/balance"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 // handed is a state with all that may be in one.
@@ -20,7 +20,7 @@
 	s.AdminState.Enable("s-2", 1790000014.25)
 	s.AdminState.SetDraining(true, 1790000015)
 	for i, state := range []balance.EndpointState{balance.Ready, balance.Draining, balance.Removed} {
-		s.List.Entries = append(s.List.Entries, discovery.Entry{Addr: "127.0.0.1:2", Entry: figures.Entry{Name: []string{"s-1", "s-2", "s-3"}[i], ZoneName: "a",
+		s.List.Entries = append(s.List.Entries, discovery.Entry{Addr: "127.0.0.1:2", Entry: settings.Entry{Name: []string{"s-1", "s-2", "s-3"}[i], ZoneName: "a",
 			ModelName: "m", Endpoint: balance.Endpoint{State: state, Pod: 3 + i, Cores: 2, StartedAt: 1790000000.125}}})
 	}
 	s.List.Version, s.List.Full = 41, true
--- a/internal/handover/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,10 +1,10 @@
-// Package handover carries what passes between two processes of one proxy: the one that serves offers, on a Unix socket, its
+// Package hotrestart carries what passes between two processes of one proxy: the one that serves offers, on a Unix socket, its
 // listening sockets and what it knows; the next one asks for them before it listens. After that both tell each other, over the
 // same connection, what operators order and whether the new one serves. It decides nothing.
 //
 // The form: a line of Greeting, with the listening sockets (SCM_RIGHTS) beside its first byte on the way back; then frames, each
 // a length of four bytes (big endian) and JSON.
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 	"golang.org/x/sys/unix"
 
 	"lockloom/balance"
-	"lockloom/duty"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
+	"lockloom/lifecycle"
 )
 
 const (
@@ -47,18 +47,18 @@
 // State is what the process that serves hands over.
 type State struct {
 	Identity
-	Listeners  []string         `json:"Listeners"` // the addresses of the sockets that come with it, in their order
-	AdminState duty.AdminState  `json:"Orders"`
-	IDs        []uint64         `json:"IDs"`
-	List       discovery.List   `json:"List"`
-	Listed     bool             `json:"Listed"` // List is told
-	Snapshot   balance.Snapshot `json:"Learned"`
+	Listeners  []string             `json:"Listeners"` // the addresses of the sockets that come with it, in their order
+	AdminState lifecycle.AdminState `json:"Orders"`
+	IDs        []uint64             `json:"IDs"`
+	List       discovery.List       `json:"List"`
+	Listed     bool                 `json:"Listed"` // List is told
+	Snapshot   balance.Snapshot     `json:"Learned"`
 }
 
 // Update is what one tells the other later; what is absent was not said.
 type Update struct {
-	Serving    bool             `json:"Serving"` // the new one takes clients
-	AdminState *duty.AdminState `json:"Orders"`
+	Serving    bool                  `json:"Serving"` // the new one takes clients
+	AdminState *lifecycle.AdminState `json:"Orders"`
 }
 
 // Link is the connection between two processes of one proxy.
@@ -121,7 +121,7 @@
 
 // Path is where a proxy's processes meet in a folder.
 func Path(dir string, h Identity) string {
-	return filepath.Join(dir, fmt.Sprintf("lockloom-%016x", figures.NameHash(h.Name+" "+h.Listen)))
+	return filepath.Join(dir, fmt.Sprintf("lockloom-%016x", settings.NameHash(h.Name+" "+h.Listen)))
 }
 
 // short is the same place under a name that a Unix socket may have, and what closes it again.
--- a/internal/handover/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"lockloom/balance"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 var hello = Identity{Format: Format, Name: "n0", Listen: "127.0.0.1:1"}
@@ -25,7 +25,7 @@
 	s.AdminState.Disable("s-1", 12.5)
 	s.AdminState.SetDraining(true, 13)
 	for i, st := range []balance.EndpointState{balance.Ready, balance.Draining} {
-		s.List.Entries = append(s.List.Entries, discovery.Entry{Addr: "127.0.0.1:2", Entry: figures.Entry{Name: []string{"s-1", "s-2"}[i], ZoneName: "a",
+		s.List.Entries = append(s.List.Entries, discovery.Entry{Addr: "127.0.0.1:2", Entry: settings.Entry{Name: []string{"s-1", "s-2"}[i], ZoneName: "a",
 			ModelName: "m", Endpoint: balance.Endpoint{State: st, Pod: 3, Cores: 2, StartedAt: 1790000000.125}}})
 	}
 	s.List.Version, s.List.Full = 41, true
--- a/internal/handover/listen.go
+++ b/internal/hotrestart/listen.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
--- a/internal/heads/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package heads reads and writes HTTP/1.1 messages over net/textproto. A head is parsed in place: its fields
+// Package http1 reads and writes HTTP/1.1 messages over net/textproto. A head is parsed in place: its fields
 // are slices of the connection's buffer, good until the next read. Chunk sizes and trailers are textproto's.
-package heads
+package http1
 
 import (
 	"bufio"
--- a/internal/heads/write.go
+++ b/internal/http1/write.go
@@ -1,4 +1,4 @@
-package heads
+package http1
 
 import (
 	"net"
--- a/internal/load/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,6 +1,6 @@
-// Package load is the clients' side: what they ask and when, whether they try again, and an open loop that does so on
+// Package loadgen is the clients' side: what they ask and when, whether they try again, and an open loop that does so on
 // sockets at the times intended, however late the answers are.
-package load
+package loadgen
 
 import (
 	"math"
--- a/internal/load/sockets.go
+++ b/internal/loadgen/sockets.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 const (
@@ -62,7 +62,7 @@
 
 type connection struct {
 	nc net.Conn
-	r  *heads.Reader
+	r  *http1.Reader
 }
 
 // Front deals lookups out to proxies that are up, in turn.
@@ -108,7 +108,7 @@
 	if _, err := fmt.Fprintf(nc, "GET /up HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", addr); err != nil {
 		return err
 	}
-	h, err := heads.NewReader(nc).Response()
+	h, err := http1.NewReader(nc).Response()
 	if err == nil && h.Status != 200 {
 		err = fmt.Errorf("%s: status %d", addr, h.Status)
 	}
@@ -286,7 +286,7 @@
 			}
 			dialer := net.Dialer{Timeout: min(dialFor, time.Until(until))}
 			if nc, err := dialer.DialContext(ctx, "tcp", t.Addr); err == nil {
-				return t, &connection{nc, heads.NewReader(nc)}, false
+				return t, &connection{nc, http1.NewReader(nc)}, false
 			}
 		}
 		select {
@@ -332,7 +332,7 @@
 }
 
 // ask writes a request and reads its answer. A head without an error means that an answer had begun.
-func (c *connection) ask(d *Driver, row *balance.Class, in *Intent, id int, again bool, wait float64) (*heads.Head, []byte, error) {
+func (c *connection) ask(d *Driver, row *balance.Class, in *Intent, id int, again bool, wait float64) (*http1.Head, []byte, error) {
 	method := "POST"
 	if row.Idempotency == balance.Idempotent {
 		method = "GET"
@@ -347,7 +347,7 @@
 	b = strconv.AppendInt(b, int64(id), 10)
 	if !d.Ordinary {
 		b = append(b, "\r\nX-Qos: "+row.Name+"\r\nX-Expires-In: "...)
-		b = heads.AppendSeconds(b, wait)
+		b = http1.AppendSeconds(b, wait)
 	}
 	b = append(b, "\r\nX-Work: "...)
 	b = strconv.AppendFloat(b, in.Work, 'g', 8, 64)
@@ -373,12 +373,12 @@
 	}
 	h, err := c.r.Response()
 	if err != nil {
-		return &heads.Head{}, nil, err
+		return &http1.Head{}, nil, err
 	}
 	head := *h
 	head.Fields = nil
 	if advice := h.Get("Retry-After"); advice != nil { // reading the body moves the head
-		head.Fields = []heads.Field{{Name: []byte("Retry-After"), Value: bytes.Clone(advice)}}
+		head.Fields = []http1.Field{{Name: []byte("Retry-After"), Value: bytes.Clone(advice)}}
 	}
 	body, err := c.r.Body(h.Length, h.Chunked)
 	return &head, body, err
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -1250,7 +1250,7 @@
 	var b strings.Builder
 	b.Grow(len(m.routes) * routeGuess)
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("# Made by loomctl import nginx. Each table names the line that it is of.")
+	line("# Made by lockloomctl import nginx. Each table names the line that it is of.")
 	for _, v := range im.Verdicts {
 		if v.Grade == Refused.String() {
 			line("# refused: %s: %s: %s", v.At, v.Name, strings.Map(func(r rune) rune {
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/operator"
+	"lockloom/internal/config"
 	"lockloom/routes"
 )
 
@@ -69,7 +69,7 @@
 				slots <- true
 				defer func() { <-slots }()
 				im := Convert(parsed(t, s.text), false)
-				setup, faults := operator.Read("x", []byte(im.Text))
+				setup, faults := config.Read("x", []byte(im.Text))
 				require.Empty(t, faults)
 				door := free()
 				text := server.ReplaceAllStringFunc(im.Text, at)
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"lockloom/internal/operator"
+	"lockloom/internal/config"
 	"lockloom/routes"
 )
 
@@ -69,9 +69,9 @@
 	return list
 }
 
-func imported(t testing.TB, text string) (*Import, *operator.Config) {
+func imported(t testing.TB, text string) (*Import, *config.Config) {
 	im := Convert(parsed(t, text), true)
-	s, faults := operator.Read("site.toml", []byte(im.Text))
+	s, faults := config.Read("site.toml", []byte(im.Text))
 	require.Empty(t, faults, im.Text)
 	return im, s
 }
@@ -120,7 +120,7 @@
 }
 
 // lockloom's outcome by the imported file.
-func ours(s *operator.Config, q *request) outcome {
+func ours(s *config.Config, q *request) outcome {
 	m, ok := s.RouteTable.Match(&routes.Request{Host: q.host, Method: q.method, Path: q.path, Query: q.query, Fields: q})
 	if !ok {
 		return outcome{status: 404}
@@ -364,11 +364,11 @@
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			var check time.Duration
-			var last *operator.Config
+			var last *config.Config
 			for b.Loop() {
 				im := Convert(parsed(b, text.String()), false)
 				began := time.Now()
-				s, faults := operator.Read("x", []byte(im.Text))
+				s, faults := config.Read("x", []byte(im.Text))
 				if len(faults) > 0 {
 					b.Fatal(faults[0])
 				}
--- a/internal/chance/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,6 +1,6 @@
-// Package chance is a small permuted congruential generator and the hash that stands in for it where all
+// Package pcg is a small permuted congruential generator and the hash that stands in for it where all
 // proxies must draw alike.
-package chance
+package pcg
 
 // Rand is the generator; its value is its seed.
 type Rand uint64
--- a/internal/idle/poller.go
+++ b/internal/poller/poller.go
@@ -1,8 +1,8 @@
-// Package idle waits for bytes on many connections at once, a few at a time. Connections that wait in the runtime's own poller are
+// Package poller waits for bytes on many connections at once, a few at a time. Connections that wait in the runtime's own poller are
 // all made ready together, before what the program has begun is brought to an end; a program that is behind then reads more and more
 // and finishes less and less. Here they wait in a set of their own, and a goroutine takes some from it whenever the others have had
 // their turn.
-package idle
+package poller
 
 import (
 	"net"
--- a/internal/idle/poller_test.go
+++ b/internal/poller/poller_test.go
@@ -1,4 +1,4 @@
-package idle
+package poller
 
 import (
 	"io"
--- a/internal/stamped/recvtime.go
+++ b/internal/recvtime/recvtime.go
@@ -1,6 +1,6 @@
-// Package stamped reads connections and tells when the system received what was read, which may be long before a busy program comes
+// Package recvtime reads connections and tells when the system received what was read, which may be long before a busy program comes
 // to read it. It only reads; whoever owns the connection writes, sets deadlines and closes.
-package stamped
+package recvtime
 
 import (
 	"errors"
--- a/internal/stamped/recvtime_test.go
+++ b/internal/recvtime/recvtime_test.go
@@ -1,4 +1,4 @@
-package stamped
+package recvtime
 
 import (
 	"io"
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -21,7 +21,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"lockloom/internal/rehearse"
+	"lockloom/internal/simulation"
 )
 
 const (
@@ -74,7 +74,7 @@
 }
 
 // Table writes a row for each policy of an experiment.
-func Table(w io.Writer, rows []rehearse.Row) error {
+func Table(w io.Writer, rows []simulation.Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "scenario\tpolicy\tseeds\tvalue in time\tworst\tbest\tspread\tin time\tlate\tunserved\tdismissed\tforfeited\tlost\tlegs\twaste\tp50 ms\tp99 ms\trules broken")
 	for _, r := range rows {
@@ -85,7 +85,7 @@
 	return t.Flush()
 }
 
-func seeds(r rehearse.Row) string {
+func seeds(r simulation.Row) string {
 	if r.Void > 0 {
 		return fmt.Sprintf("%d (%d void)", r.Seeds, r.Void)
 	}
@@ -93,7 +93,7 @@
 }
 
 // One writes one run's table, tariff by tariff.
-func One(w io.Writer, r *rehearse.Result) error {
+func One(w io.Writer, r *simulation.Result) error {
 	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.Took)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "tariff\tlookups\tin time\tvalue in time\tp50 ms\tp99 ms")
@@ -122,7 +122,7 @@
 }
 
 // void ends a run's table: the first breaches in words, and why the figures count for nothing, if they do.
-func void(w io.Writer, r *rehearse.Result) (err error) {
+func void(w io.Writer, r *simulation.Result) (err error) {
 	for _, line := range r.First {
 		_, err = fmt.Fprintln(w, " ", line)
 	}
@@ -136,7 +136,7 @@
 type line struct {
 	name  string
 	shade color.Color
-	value func(s rehearse.Second) float64
+	value func(s simulation.Second) float64
 }
 
 var (
@@ -155,34 +155,34 @@
 	lines       []line
 }{
 	{"Lookups a second, by what became of them", "a second", []line{
-		{"asked", black, func(s rehearse.Second) float64 { return float64(s.Asked) }},
-		{"in time", green, func(s rehearse.Second) float64 { return float64(s.InTime) }},
-		{"late", yellow, func(s rehearse.Second) float64 { return float64(s.Late) }},
-		{"dismissed", blue, func(s rehearse.Second) float64 { return float64(s.Dismissed) }},
-		{"forfeited", purple, func(s rehearse.Second) float64 { return float64(s.Forfeited) }},
-		{"lost", red, func(s rehearse.Second) float64 { return float64(s.Lost) }},
-		{"legs", grey, func(s rehearse.Second) float64 { return float64(s.Legs) }}}},
+		{"asked", black, func(s simulation.Second) float64 { return float64(s.Asked) }},
+		{"in time", green, func(s simulation.Second) float64 { return float64(s.InTime) }},
+		{"late", yellow, func(s simulation.Second) float64 { return float64(s.Late) }},
+		{"dismissed", blue, func(s simulation.Second) float64 { return float64(s.Dismissed) }},
+		{"forfeited", purple, func(s simulation.Second) float64 { return float64(s.Forfeited) }},
+		{"lost", red, func(s simulation.Second) float64 { return float64(s.Lost) }},
+		{"legs", grey, func(s simulation.Second) float64 { return float64(s.Legs) }}}},
 	{"Time of honoured tries, from when they were meant to be sent", "ms", []line{
-		{"median", green, func(s rehearse.Second) float64 { return 1000 * s.P50 }},
-		{"99th percentile", red, func(s rehearse.Second) float64 { return 1000 * s.P99 }}}},
+		{"median", green, func(s simulation.Second) float64 { return 1000 * s.P50 }},
+		{"99th percentile", red, func(s simulation.Second) float64 { return 1000 * s.P99 }}}},
 	{"Servers by state", "servers", []line{
-		{"ready", green, func(s rehearse.Second) float64 { return float64(s.Ready) }},
-		{"cold", blue, func(s rehearse.Second) float64 { return float64(s.Cold) }},
-		{"choked", yellow, func(s rehearse.Second) float64 { return float64(s.Choked) }},
-		{"draining", grey, func(s rehearse.Second) float64 { return float64(s.Draining) }},
-		{"standing still", purple, func(s rehearse.Second) float64 { return float64(s.Still) }},
-		{"silent", black, func(s rehearse.Second) float64 { return float64(s.Silent) }},
-		{"down", red, func(s rehearse.Second) float64 { return float64(s.Down) }}}},
+		{"ready", green, func(s simulation.Second) float64 { return float64(s.Ready) }},
+		{"cold", blue, func(s simulation.Second) float64 { return float64(s.Cold) }},
+		{"choked", yellow, func(s simulation.Second) float64 { return float64(s.Choked) }},
+		{"draining", grey, func(s simulation.Second) float64 { return float64(s.Draining) }},
+		{"standing still", purple, func(s simulation.Second) float64 { return float64(s.Still) }},
+		{"silent", black, func(s simulation.Second) float64 { return float64(s.Silent) }},
+		{"down", red, func(s simulation.Second) float64 { return float64(s.Down) }}}},
 	{"Lookups waiting at servers", "lookups", []line{
-		{"waiting", blue, func(s rehearse.Second) float64 { return float64(s.Waiting) }}}},
+		{"waiting", blue, func(s simulation.Second) float64 { return float64(s.Waiting) }}}},
 }
 
 // Page is a report of one run or several.
 type Page struct {
 	Title string
 	About string
-	Rows  []rehearse.Row
-	Runs  []*rehearse.Result
+	Rows  []simulation.Row
+	Runs  []*simulation.Result
 }
 
 //go:embed page.html
@@ -199,7 +199,7 @@
 // HTML writes the page.
 func HTML(w io.Writer, p Page) error {
 	type run struct {
-		*rehearse.Result
+		*simulation.Result
 		Plots []template.HTML
 	}
 	in := struct {
@@ -221,7 +221,7 @@
 }
 
 // chart draws one plot of a run.
-func chart(i int, r *rehearse.Result) (string, error) {
+func chart(i int, r *simulation.Result) (string, error) {
 	c := &charts[i]
 	p := framed(c.title, c.unit)
 	for _, l := range c.lines {
--- a/internal/figures/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package figures reads what a deployment says of itself, and gives its names the small numbers and marks
+// Package settings reads what a deployment says of itself, and gives its names the small numbers and marks
 // that the decisions know them by. The bench's wire and the proxy share it, so that both are told alike.
-package figures
+package settings
 
 import (
 	"fmt"
--- a/internal/figures/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package figures
+package settings
 
 import (
 	"testing"
--- a/internal/rehearse/alone.go
+++ b/internal/simulation/alone.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"time"
 
 	"lockloom/internal/emulator"
-	"lockloom/internal/load"
-	"lockloom/internal/standin"
+	"lockloom/internal/fakeserver"
+	"lockloom/internal/loadgen"
 )
 
 // PolicyNames are those of Policies, in order.
@@ -41,10 +41,10 @@
 	sc := &score{now: now, start: now() + settleFor.Seconds(), tally: newTally(s, f.Classes, seed, "as it runs", "sockets"), slow: &lateness{},
 		audit: NewAudit(f.Classes, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
 	sc.audit.Clients = true
-	front := load.NewFront(addrs)
+	front := loadgen.NewFront(addrs)
 	defer front.Close()
 	for _, t := range front.Targets {
-		if err := load.Ready(t.Addr, readyFor/10); err != nil {
+		if err := loadgen.Ready(t.Addr, readyFor/10); err != nil {
 			return nil, fmt.Errorf("proxy at %s: %w", t.Addr, err)
 		}
 		t.Found()
@@ -53,7 +53,7 @@
 	ended := make(chan struct{})
 	go func() { front.Watch(watching); close(ended) }()
 	defer func() { stop(); <-ended }()
-	d := &load.Driver{Plan: load.NewPlan(s.Mix(), seed), Tariffs: f.Classes, Clients: load.Clients(s.Clients), Front: front, Seen: sc, Seed: seed}
+	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), seed), Tariffs: f.Classes, Clients: loadgen.Clients(s.Clients), Front: front, Seen: sc, Seed: seed}
 	for _, c := range s.Customers {
 		d.Customers = append(d.Customers, c.Name)
 	}
@@ -75,7 +75,7 @@
 	Variables [][]string // for each proxy, what it needs in its environment
 
 	s    *Scenario
-	yard *standin.Yard
+	yard *fakeserver.Yard
 }
 
 // nobody takes note of nothing.
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	clock := time.Now()
-	yard, err := standin.Open(s.Fleet(seed, float64(clock.UnixMicro())/1e6), s.Bank.Proxies, s.Lookups(), nobody{})
+	yard, err := fakeserver.Open(s.Fleet(seed, float64(clock.UnixMicro())/1e6), s.Bank.Proxies, s.Lookups(), nobody{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearse/operators.go
+++ b/internal/simulation/operators.go
@@ -1,13 +1,13 @@
-package rehearse
+package simulation
 
 import (
 	"fmt"
 	"syscall"
 	"time"
 
+	"lockloom/internal/admin"
 	"lockloom/internal/emulator"
-	"lockloom/internal/load"
-	"lockloom/internal/operations"
+	"lockloom/internal/loadgen"
 )
 
 // What operators are owed, as they see it from outside.
@@ -34,12 +34,12 @@
 }
 
 // call makes a call at a proxy's door; anything but yes in time is an error.
-func (st *stage) call(i int, c operations.Call) error {
+func (st *stage) call(i int, c admin.Call) error {
 	p := st.proxy(i)
 	p.mu.Lock()
 	door := p.door
 	p.mu.Unlock()
-	status, text, err := operations.Send(door, c, answerFor)
+	status, text, err := admin.Send(door, c, answerFor)
 	if err != nil {
 		return fmt.Errorf("proxy %d: %s: %w", i+1, c.Path(), err)
 	}
@@ -59,7 +59,7 @@
 		return err
 	}
 	for end := time.Now().Add(upgradeFor); ; time.Sleep(readyEach) {
-		err := st.call(i, operations.Call{Action: operations.Ready})
+		err := st.call(i, admin.Call{Action: admin.Ready})
 		if err == nil {
 			break
 		}
@@ -79,7 +79,7 @@
 func (st *stage) drain(i int, lasts time.Duration) error {
 	up := func(want bool, within time.Duration) error {
 		for end := time.Now().Add(within); ; time.Sleep(readyEach) {
-			if (load.Ready(st.addrs[i], readyEach*5) == nil) == want {
+			if (loadgen.Ready(st.addrs[i], readyEach*5) == nil) == want {
 				return nil
 			}
 			if time.Now().After(end) || st.ctx.Err() != nil {
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	if err := st.call(i, operations.Call{Action: operations.Drain}); err != nil {
+	if err := st.call(i, admin.Call{Action: admin.Drain}); err != nil {
 		return err
 	}
 	if err := up(false, noticeFor); err != nil {
@@ -105,7 +105,7 @@
 	case <-st.ctx.Done():
 		return nil
 	}
-	if err := st.call(i, operations.Call{Action: operations.Resume}); err != nil {
+	if err := st.call(i, admin.Call{Action: admin.Resume}); err != nil {
 		return err
 	}
 	return up(true, resumeFor)
@@ -116,7 +116,7 @@
 	var id string
 	var member int
 	st.yard.Look(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
-	if err := st.call(i, operations.Call{Action: operations.Disable, ID: id}); err != nil {
+	if err := st.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
 	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, true) })
@@ -126,5 +126,5 @@
 		return nil
 	}
 	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, false) })
-	return st.call(i, operations.Call{Action: operations.Enable, ID: id})
+	return st.call(i, admin.Call{Action: admin.Enable, ID: id})
 }
--- a/internal/rehearse/policy.go
+++ b/internal/simulation/policy.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"math"
--- a/internal/rehearse/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,6 +1,6 @@
-// Package rehearse plays scenarios: a fleet of emulated servers, clients and troubles round proxies, in virtual time round
+// Package simulation plays scenarios: a fleet of emulated servers, clients and troubles round proxies, in virtual time round
 // the decisions alone or on loopback sockets round whole programs.
-package rehearse
+package simulation
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/figures"
-	"lockloom/internal/load"
-	"lockloom/internal/source"
+	"lockloom/internal/loadgen"
+	"lockloom/internal/settings"
+	"lockloom/internal/tomlfile"
 )
 
 // What a scenario may ask for at the most: past it a run outgrows the machine, or a slip of the pen is likelier.
@@ -47,7 +47,7 @@
 	Troubles   []Trouble  `toml:"trouble"`
 	Match      Match      `toml:"match"`
 
-	file *source.File
+	file *tomlfile.File
 }
 
 // Bank is the proxies and what each of their machines has.
@@ -172,7 +172,7 @@
 
 // Open reads a scenario's file.
 func Open(name string) (*Scenario, error) {
-	text, err := source.Load(name, fileMost)
+	text, err := tomlfile.Load(name, fileMost)
 	if err != nil {
 		return nil, err
 	}
@@ -182,7 +182,7 @@
 // Read reads a scenario strictly: what it does not know it refuses. The error is one line that names the place.
 func Read(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
-	file, faults := source.Decode(name, text, s)
+	file, faults := tomlfile.Decode(name, text, s)
 	if len(faults) > 0 {
 		return nil, faults[0]
 	}
@@ -260,7 +260,7 @@
 var (
 	kinds  = map[string]balance.Idempotency{"replayable": balance.Idempotent, "referenced": balance.Keyed, "single-use": balance.NonIdempotent}
 	scopes = map[string]balance.DedupScope{"": 0, "all": balance.DedupAll, "zone": balance.DedupZone, "pod": balance.DedupPod}
-	shapes = map[string]load.Shape{"steady": load.Steady, "ramp": load.Ramp, "bursts": load.Bursts, "deadline": load.Deadline}
+	shapes = map[string]loadgen.Shape{"steady": loadgen.Steady, "ramp": loadgen.Ramp, "bursts": loadgen.Bursts, "deadline": loadgen.Deadline}
 )
 
 // bounds is a field with what it may be.
@@ -380,7 +380,7 @@
 		switch n := i + 1; {
 		case !known:
 			return s.file.At("arrivals.phase", n, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
-		case shape == load.Bursts && !(p.Lasts > 0 && p.Lasts < p.Every):
+		case shape == loadgen.Bursts && !(p.Lasts > 0 && p.Lasts < p.Every):
 			return s.file.At("arrivals.phase", n, "lasts", "%v: each burst lasts less than from one to the next, %v", p.Lasts, p.Every)
 		}
 		if err := s.within("arrivals.phase", i+1, bounds{"at", p.At, 0, s.Seconds}, bounds{"for", p.For, tiny, secondsMost},
@@ -534,13 +534,13 @@
 }
 
 // Mix is what its clients ask.
-func (s *Scenario) Mix() load.Mix {
-	m := load.Mix{Rate: s.Arrivals.Rate, For: s.Seconds, Keys: s.Keys.Count, Skew: s.Keys.Skew}
+func (s *Scenario) Mix() loadgen.Mix {
+	m := loadgen.Mix{Rate: s.Arrivals.Rate, For: s.Seconds, Keys: s.Keys.Count, Skew: s.Keys.Skew}
 	for _, p := range s.Arrivals.Phases {
-		m.Phases = append(m.Phases, load.Phase{At: p.At, For: p.For, Shape: shapes[p.Shape], Times: p.Times, Every: p.Every, Lasts: p.Lasts})
+		m.Phases = append(m.Phases, loadgen.Phase{At: p.At, For: p.For, Shape: shapes[p.Shape], Times: p.Times, Every: p.Every, Lasts: p.Lasts})
 	}
 	for _, t := range s.Tariffs {
-		m.Tariffs = append(m.Tariffs, load.Asked{Share: t.Share, Work: t.Work, Spread: t.Spread, Keyed: t.Keyed})
+		m.Tariffs = append(m.Tariffs, loadgen.Asked{Share: t.Share, Work: t.Work, Spread: t.Spread, Keyed: t.Keyed})
 	}
 	for _, c := range s.Customers {
 		m.Customers = append(m.Customers, c.Share)
@@ -549,9 +549,9 @@
 }
 
 // Figures is what each proxy is told.
-func (s *Scenario) Figures(seed uint64) figures.Settings {
+func (s *Scenario) Figures(seed uint64) settings.Settings {
 	d := &s.Deployment
-	f := figures.Settings{ConnectTimeout: d.ConnectFor, DrainGrace: d.Grace, Zones: s.zones()}
+	f := settings.Settings{ConnectTimeout: d.ConnectFor, DrainGrace: d.Grace, Zones: s.zones()}
 	f.Deployment = balance.Deployment{Seed: seed, Proxies: s.Bank.Proxies, MaxAttempts: d.MaxLegs, CancelAllowed: d.CallOff, HedgingAllowed: d.Beside,
 		MaxRetryAfter: d.MaxAdvice, SlowStartFraction: d.ColdShare, SlowStartDuration: d.ColdFor, CrashFactor: d.FallMultiple, CrashDuration: d.FallFor,
 		NotificationDeadline: d.CountsAfter, ServerIdleTimeout: d.IdleFor}
--- a/internal/rehearse/score.go
+++ b/internal/simulation/score.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"strconv"
@@ -7,7 +7,7 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/load"
+	"lockloom/internal/loadgen"
 )
 
 // score keeps tally and audit of a run on sockets, from what clients (load.Seen) and servers (standin.Sight) see.
@@ -47,11 +47,11 @@
 	call(now, now-s.start)
 }
 
-func (s *score) Asked(in *load.Intent) {
+func (s *score) Asked(in *loadgen.Intent) {
 	s.locked(func(_, _ float64) { s.tally.asked(in.At, in) })
 }
 
-func (s *score) Sent(in *load.Intent, late float64) (try int) {
+func (s *score) Sent(in *loadgen.Intent, late float64) (try int) {
 	s.locked(func(now, _ float64) {
 		s.tally.Tries++
 		s.tally.late.RecordValue(max(int64(late*1e6), 0))
@@ -60,7 +60,7 @@
 	return try
 }
 
-func (s *score) Honoured(try int, in *load.Intent, took, whole float64) {
+func (s *score) Honoured(try int, in *loadgen.Intent, took, whole float64) {
 	s.locked(func(now, at float64) {
 		s.audit.Answered(now, try, balance.NoReply)
 		s.tally.honoured(at, in, took, whole)
--- a/internal/rehearse/sockets.go
+++ b/internal/simulation/sockets.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/load"
-	"lockloom/internal/standin"
+	"lockloom/internal/fakeserver"
+	"lockloom/internal/loadgen"
 )
 
 // Every constant of a run on sockets.
@@ -47,8 +47,8 @@
 type stage struct {
 	s       *Scenario
 	o       *Sockets
-	yard    *standin.Yard
-	front   *load.Front
+	yard    *fakeserver.Yard
+	front   *loadgen.Front
 	score   *score
 	dir     string
 	addrs   []string
@@ -99,7 +99,7 @@
 	clock := time.Now()
 	st.score.now = func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
 	fleet := s.Fleet(o.Seed, st.score.now())
-	yard, err := standin.Open(fleet, s.Bank.Proxies, s.Lookups(), st.score)
+	yard, err := fakeserver.Open(fleet, s.Bank.Proxies, s.Lookups(), st.score)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		}
 		st.doorsOf = append(st.doorsOf, doors)
 	}
-	st.front = load.NewFront(st.doors)
+	st.front = loadgen.NewFront(st.doors)
 	for i, t := range st.front.Targets {
 		t.Probe = st.addrs[i]
 	}
@@ -160,14 +160,14 @@
 }
 
 // Lookups is what servers need to know of each tariff's.
-func (s *Scenario) Lookups() map[string]standin.Lookup {
+func (s *Scenario) Lookups() map[string]fakeserver.Lookup {
 	zones := map[string]int{}
 	for i, z := range s.zones() {
 		zones[z] = i
 	}
-	all := map[string]standin.Lookup{}
+	all := map[string]fakeserver.Lookup{}
 	for i, t := range s.Figures(0).Classes {
-		all[t.Name] = standin.Lookup{Number: i, Work: s.Tariffs[i].Work, Window: t.DedupWindow,
+		all[t.Name] = fakeserver.Lookup{Number: i, Work: s.Tariffs[i].Work, Window: t.DedupWindow,
 			Marks: func(m *emulator.Member) int { return marks(t, i, m, zones[m.Zone]) }}
 	}
 	return all
@@ -197,7 +197,7 @@
 	}
 	end := time.Now().Add(wait)
 	for i, p := range st.proxies {
-		for load.Ready(st.addrs[i], readyEach*5) != nil {
+		for loadgen.Ready(st.addrs[i], readyEach*5) != nil {
 			select {
 			case <-p.ended:
 				return fmt.Errorf("proxy %d ended before it was up: %s", i+1, p.tail())
@@ -250,7 +250,7 @@
 			}
 		}
 	})
-	d := &load.Driver{Plan: load.NewPlan(s.Mix(), st.o.Seed), Tariffs: st.score.tally.tariffs, Clients: load.Clients(s.Clients),
+	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), st.o.Seed), Tariffs: st.score.tally.tariffs, Clients: loadgen.Clients(s.Clients),
 		Front: st.front, Seen: st.score, Seed: st.o.Seed, Ordinary: s.Ordinary()}
 	for _, c := range s.Customers {
 		d.Customers = append(d.Customers, c.Name)
@@ -299,7 +299,7 @@
 }
 
 // listed carries out what happens to a proxy's list, if it is that.
-func (h Happening) listed(a *standin.Agent) {
+func (h Happening) listed(a *fakeserver.Agent) {
 	switch h.Proxy {
 	case ListLate:
 		a.Delay(seconds(h.Late), seconds(h.Value))
--- a/internal/rehearse/steered.go
+++ b/internal/simulation/steered.go
@@ -1,9 +1,9 @@
-package rehearse
+package simulation
 
 import (
 	"strconv"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 	"lockloom/balance"
 )
 
@@ -16,11 +16,11 @@
 // assignment made of its opinions.
 type steward struct {
 	b                *balance.Balancer
-	pool             *assign.Pool
+	pool             *assignment.Pool
 	all              map[uint64]*plain          // by number
 	list             []balance.Endpoint         // by index, the newest that any of them was told
 	results          []balance.ReportedOutcomes // since the last report, by index
-	told             []assign.Server            // by index; Weight 0: nothing is to be sent there
+	told             []assignment.Server        // by index; Weight 0: nothing is to be sent there
 	drop, rate       float64
 	reportAt, lookAt float64
 }
@@ -39,7 +39,7 @@
 			}
 			s = &steward{b: b, all: map[uint64]*plain{}}
 			pools[pool] = s
-			s.pool = assign.New(assign.Settings{SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration, CrashFactor: d.CrashFactor, CrashDuration: d.CrashDuration})
+			s.pool = assignment.New(assignment.Settings{SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration, CrashFactor: d.CrashFactor, CrashDuration: d.CrashDuration})
 		}
 		made, _ := plainly(s.choose)(d, now)
 		p := made.(*plain)
@@ -55,7 +55,7 @@
 		for len(s.list) <= b.Index {
 			s.list = append(s.list, balance.Endpoint{State: balance.Removed, StartedAt: -1})
 			s.results = append(s.results, balance.ReportedOutcomes{Endpoint: len(s.results)})
-			s.told = append(s.told, assign.Server{})
+			s.told = append(s.told, assignment.Server{})
 		}
 		if was := s.list[b.Index]; b.StartedAt > was.StartedAt || b.StartedAt == was.StartedAt && b.State > was.State {
 			s.list[b.Index] = b
@@ -92,7 +92,7 @@
 		return
 	}
 	s.lookAt = now + stewardLooks
-	sight := assign.Observation{Rate: s.rate}
+	sight := assignment.Observation{Rate: s.rate}
 	for _, p := range s.all { // whole numbers: their order does not matter
 		for _, n := range p.out {
 			sight.Load += float64(n)
@@ -100,7 +100,7 @@
 	}
 	for _, x := range s.b.ServerStatuses(now) {
 		b := s.list[x.Endpoint]
-		sight.Servers = append(sight.Servers, assign.ServerEstimate{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
+		sight.Servers = append(sight.Servers, assignment.ServerEstimate{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
 			Trial: x.Trial, Payoff: x.Payoff, Cores: b.Cores, StartedAt: b.StartedAt})
 	}
 	for _, b := range s.list {
@@ -113,7 +113,7 @@
 	s.drop = view.Drop
 	clear(s.told)
 	for _, x := range view.Servers {
-		if i, _ := strconv.Atoi(x.Name); x.Health == assign.Healthy {
+		if i, _ := strconv.Atoi(x.Name); x.Health == assignment.Healthy {
 			s.told[i] = x
 		}
 	}
--- a/internal/rehearse/tally.go
+++ b/internal/simulation/tally.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/load"
+	"lockloom/internal/loadgen"
 )
 
 // Result is what a run came to. Times are in seconds.
@@ -139,7 +139,7 @@
 
 func (t *tally) event(at float64, what string) { t.Events = append(t.Events, Event{at, what}) }
 
-func (t *tally) asked(at float64, in *load.Intent) {
+func (t *tally) asked(at float64, in *loadgen.Intent) {
 	t.Lookups++
 	t.Tariffs[in.Tariff].Lookups++
 	t.worth[in.Tariff] += t.tariffs[in.Tariff].PriorityWeight
@@ -147,7 +147,7 @@
 }
 
 // honoured counts a served try: took since the try was meant to be sent, whole since the lookup was wanted.
-func (t *tally) honoured(at float64, in *load.Intent, took, whole float64) {
+func (t *tally) honoured(at float64, in *loadgen.Intent, took, whole float64) {
 	t.Honoured++
 	us := int64(took * 1e6)
 	t.times.RecordValue(us)
--- a/internal/rehearse/virtual.go
+++ b/internal/simulation/virtual.go
@@ -1,4 +1,4 @@
-package rehearse
+package simulation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"lockloom/balance"
 	"lockloom/internal/emulator"
-	"lockloom/internal/figures"
-	"lockloom/internal/load"
+	"lockloom/internal/loadgen"
+	"lockloom/internal/settings"
 )
 
 // Every constant of the virtual world.
@@ -94,7 +94,7 @@
 
 // try is one of a client's tries of a lookup.
 type try struct {
-	in       load.Intent
+	in       loadgen.Intent
 	n        int // from 1
 	id       int // the audit's
 	gen      uint32
@@ -142,14 +142,14 @@
 // virtual is a run in virtual time.
 type virtual struct {
 	s       *Scenario
-	figures figures.Settings
+	figures settings.Settings
 	policy  Policy
 	seed    uint64
 	now     float64
 	agenda  agenda
-	plan    load.Source
-	want    load.Intent
-	clients load.Clients
+	plan    loadgen.Source
+	want    loadgen.Intent
+	clients loadgen.Clients
 	chance  *rand.Rand
 	fleet   *emulator.Fleet
 	nextAt  []float64 // by member: when an evServe is due
@@ -171,15 +171,15 @@
 
 // Virtual plays a scenario in virtual time with one of the policies. The same seed gives the same run.
 func (s *Scenario) Virtual(name string, policy Policy, seed uint64) (*Result, error) {
-	return s.VirtualOf(name, policy, seed, load.NewPlan(s.Mix(), seed))
+	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Mix(), seed))
 }
 
 // VirtualOf plays it with other lookups than its own.
-func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, lookups load.Source) (*Result, error) {
+func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, lookups loadgen.Source) (*Result, error) {
 	began := time.Now()
 	f := s.Figures(seed)
 	v := &virtual{s: s, figures: f, policy: policy, seed: seed, now: epoch, plan: lookups,
-		clients: load.Clients(s.Clients), chance: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
+		clients: loadgen.Clients(s.Clients), chance: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
 		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wire+1e-6, s.Deployment.Grace, s.Deployment.CountsAfter),
 		tally: newTally(s, f.Classes, seed, name, "virtual")}
 	for i, z := range f.Zones {
@@ -295,7 +295,7 @@
 }
 
 // try begins a client's n-th try.
-func (v *virtual) try(in load.Intent, n int) {
+func (v *virtual) try(in loadgen.Intent, n int) {
 	i := slot(&v.tries, &v.freeTry)
 	t := &v.tries[i]
 	row := &v.figures.Classes[in.Tariff]
@@ -330,7 +330,7 @@
 	v.agenda.add(event{at: t.leaves, what: evStop, a: i, gen: t.gen})
 	a := balance.RequestInfo{Ref: int(i), Class: t.in.Tariff, Tenant: t.in.Customer, Deadline: t.hardStop, ClientRetry: t.n > 1 && v.clients.Marked}
 	if t.in.Key > 0 {
-		a.Key = figures.NameHash(strconv.FormatUint(t.in.Key, 10))
+		a.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
 	}
 	t.pool = v.pool(t.in.Tariff)
 	handle, orders := p.pools[t.pool].RequestArrived(v.now, a)
@@ -708,7 +708,7 @@
 		model = len(v.models)
 		v.models[m.Model] = model
 	}
-	return balance.Endpoint{Index: i, NameHash: figures.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.Since()}
+	return balance.Endpoint{Index: i, NameHash: settings.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.Since()}
 }
 
 func (v *virtual) told(proxy, member int) {
--- a/internal/benchwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,6 +1,6 @@
-// Package benchwire is the text codec of the bench's wire. The wire's names end here: Read turns its lines
+// Package simwire is the text codec of the bench's wire. The wire's names end here: Read turns its lines
 // into calls on a Receiver, Writer turns calls into its lines.
-package benchwire
+package simwire
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"strings"
 
 	"lockloom/balance"
-	"lockloom/internal/figures"
-	"lockloom/internal/notes"
+	"lockloom/internal/gossip"
+	"lockloom/internal/settings"
 )
 
 // Receiver is told what the wire says. Times are in seconds.
@@ -20,9 +20,9 @@
 	Batch(now float64, number string) // a batch begins
 	Finish() error                    // and ends: its reply is due
 	Instance(n int) error             // the calls below are for this one
-	Launched(figures.Settings) error
+	Launched(settings.Settings) error
 	Stopped() error
-	Listed(kind ListKind, entries []figures.Entry) error
+	Listed(kind ListKind, entries []settings.Entry) error
 	Order(RequestOrder) error
 	Started(id string, leg int) error
 	Ended(End) error
@@ -136,7 +136,7 @@
 // report reads a load report, where there is one.
 func (l *line) report() balance.LoadReport {
 	text, _ := l.text("Pressure")
-	return figures.ParseLoadReport(text)
+	return settings.ParseLoadReport(text)
 }
 
 func word[T any](l *line, field string, words map[string]T) T {
@@ -151,7 +151,7 @@
 // Read hands on all messages of in until its end, which is no error.
 func Read(in io.Reader, to Receiver) error {
 	src := bufio.NewReaderSize(in, 1<<20)
-	pages := map[int][]figures.Entry{}
+	pages := map[int][]settings.Entry{}
 	page, left, inBatch := 0, 0, false
 	for n := 1; ; n++ {
 		raw, err := src.ReadString('\n')
@@ -197,7 +197,7 @@
 			pages[page] = nil
 		case "entry":
 			left--
-			e := figures.Entry{Name: l.must("Backend")}
+			e := settings.Entry{Name: l.must("Backend")}
 			e.ZoneName, _ = l.text("Az")
 			e.ModelName, _ = l.text("Flavor")
 			e.State = word(l, "StageState", states)
@@ -207,7 +207,7 @@
 			pages[page] = append(pages[page], e)
 		case "view":
 			kind := word(l, "How", lists)
-			var entries []figures.Entry
+			var entries []settings.Entry
 			if kind != PollFailed {
 				i := l.whole("List")
 				var ok bool
@@ -243,7 +243,7 @@
 		case "peer_data":
 			from, data := l.whole("Who"), l.must("Data")
 			call = func() error {
-				n, err := notes.FromHex(data)
+				n, err := gossip.FromHex(data)
 				if err != nil { // danger: a peer of another build or a broken wire; its word changes nothing
 					return nil
 				}
--- a/internal/benchwire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,15 +1,15 @@
-package benchwire
+package simwire
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
 )
 
 // launch reads what a new instance is told.
-func launch(l *line) figures.Settings {
+func launch(l *line) settings.Settings {
 	seed, err := strconv.ParseUint(l.must("Prng"), 10, 64)
 	if err != nil {
 		l.fail("Prng", "not a whole number")
@@ -20,7 +20,7 @@
 			values[path] = value
 		}
 	}
-	f, err := figures.Read(values, seed)
+	f, err := settings.Read(values, seed)
 	if err != nil && l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: %w", l.number, l.name, err)
 	}
--- a/internal/source/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,6 +1,6 @@
-// Package source reads TOML files strictly and tells what is wrong with them by file, line and column. Operators' files and
+// Package tomlfile reads TOML files strictly and tells what is wrong with them by file, line and column. Operators' files and
 // scenarios are read with it.
-package source
+package tomlfile
 
 import (
 	"bytes"
--- a/internal/backends/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package backends
+package upstream
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 
 	"lockloom/balance"
-	"lockloom/internal/heads"
-	"lockloom/internal/stamped"
+	"lockloom/internal/http1"
+	"lockloom/internal/recvtime"
 )
 
 const (
@@ -200,7 +200,7 @@
 		c.nc.SetWriteDeadline(ex.Deadline)
 		ex.sent = ex.writing.Add(-ex.opening)
 		var n int64
-		n, err = heads.WriteCounted(c.nc, ex.Head, ex.Tail, ex.Body)
+		n, err = http1.WriteCounted(c.nc, ex.Head, ex.Tail, ex.Body)
 		if ex.some = n > 0; err == nil && ex.Upload != nil {
 			if err = ex.Upload.to(c.nc); err == nil && ex.ResponseTimeout > 0 {
 				c.due(ex, time.Now().Add(ex.ResponseTimeout))
@@ -296,7 +296,7 @@
 
 // wait blocks until a byte of an answer has come, or the time for it is over. Danger: the read deadline is an exchange's, and is not
 // taken back when that is over; it may pass while the connection is idle, or just as the next exchange begins.
-func (c *conn) wait(r *heads.Reader) error {
+func (c *conn) wait(r *http1.Reader) error {
 	for {
 		err := r.Wait()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -316,8 +316,8 @@
 
 // read reads answers, and notices while none is due that the backend closes.
 func (c *conn) read() {
-	in := stamped.NewReader(c.nc)
-	r := heads.NewReader(in)
+	in := recvtime.NewReader(c.nc)
+	r := http1.NewReader(in)
 	for {
 		err := c.wait(r)
 		if c.pool.came != nil {
@@ -371,8 +371,8 @@
 }
 
 // answer reads the answer to an exchange, and tells whether the connection may be used again.
-func (c *conn) answer(r *heads.Reader, ex *Exchange, err error) (Result, bool) {
-	var h *heads.Head
+func (c *conn) answer(r *http1.Reader, ex *Exchange, err error) (Result, bool) {
+	var h *http1.Head
 	var res Result
 	if err == nil {
 		h, err = r.Response()
@@ -385,13 +385,13 @@
 		}
 		never = string(h.Get("X-Never-Ran")) == "1"
 		if h.Status == 200 || ex.Passthrough { // copied, since reading the body moves the head
-			res.Fields = heads.AppendForwardedFields(nil, h, "Endpoint-Load-Metrics", "X-Never-Ran")
+			res.Fields = http1.AppendForwardedFields(nil, h, "Endpoint-Load-Metrics", "X-Never-Ran")
 		}
-		if flows := h.Length < 0 || h.Length > heads.DefaultMaxBytes; flows && (h.Status == 200 || ex.Passthrough && h.Status < 500) && ex.OnResponseStarted != nil &&
+		if flows := h.Length < 0 || h.Length > http1.DefaultMaxBytes; flows && (h.Status == 200 || ex.Passthrough && h.Status < 500) && ex.OnResponseStarted != nil &&
 			(h.Length <= flowMost || ex.Passthrough) {
 			return c.flow(r, ex, h, res)
 		}
-		if want := h.Length; want < 0 || want > heads.DefaultMaxBytes {
+		if want := h.Length; want < 0 || want > http1.DefaultMaxBytes {
 			if want < 0 {
 				want = largeMost
 			}
@@ -437,10 +437,10 @@
 
 // flow hands a large answer on as it comes. The client's pace is the server's: what is not taken is not read. Until it begins it is
 // kept: if it ends or breaks by then it is a small answer, or one that another leg may still give.
-func (c *conn) flow(r *heads.Reader, ex *Exchange, h *heads.Head, res Result) (Result, bool) {
+func (c *conn) flow(r *http1.Reader, ex *Exchange, h *http1.Head, res Result) (Result, bool) {
 	length, chunked, closes := h.Length, h.Chunked, h.Close // reading on moves the head
-	enough := heads.DefaultMaxBytes + 1
-	if length > heads.DefaultMaxBytes {
+	enough := http1.DefaultMaxBytes + 1
+	if length > http1.DefaultMaxBytes {
 		enough = flowBegin
 	}
 	var mu sync.Mutex
@@ -546,7 +546,7 @@
 	u.begun.Store(true)
 	var to io.Writer = nc
 	if u.Chunked {
-		to = heads.Chunked{Conn: nc}
+		to = http1.Chunked{Conn: nc}
 	}
 	for buf := make([]byte, flowBytes); ; {
 		n, err := u.out.Read(buf)
@@ -558,7 +558,7 @@
 		}
 		switch {
 		case err == io.EOF && u.Chunked:
-			return heads.Chunked{Conn: nc}.Close()
+			return http1.Chunked{Conn: nc}.Close()
 		case err == io.EOF:
 			return nil
 		case err != nil:
--- a/internal/backends/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package backends keeps the connections to backends. A Pool belongs to one goroutine, its owner; what its
+// Package upstream keeps the connections to backends. A Pool belongs to one goroutine, its owner; what its
 // connections have to tell comes back to that goroutine.
 //
 // Nothing is ever sent again from here: each exchange is written once at most, and its result says what that
 // proves.
-package backends
+package upstream
 
 import (
 	"context"
--- a/internal/backends/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,4 +1,4 @@
-package backends
+package upstream
 
 import (
 	"context"
--- a/duty/idset.go
+++ b/lifecycle/idset.go
@@ -1,4 +1,4 @@
-package duty
+package lifecycle
 
 // IDSet remembers the marks of the ids that were ever listed, so that a call for one that never was is told so. Of more than its
 // bound the first are forgotten: a call for such a one is told that it was never listed.
--- a/duty/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,8 +1,8 @@
-// Package duty holds what operators have ordered of one proxy, and says what follows from it: whether the proxy is up, what it
+// Package lifecycle holds what operators have ordered of one proxy, and says what follows from it: whether the proxy is up, what it
 // takes in, when its clients' connections close and which backends are banned. Up to two processes, or more where starts follow
 // one another, are one proxy for a while; each keeps Orders, and merging them settles what holds. It keeps no clock: times are
 // passed in, in seconds since 1970, alike at all processes of a machine. A Life is not safe for concurrent use.
-package duty
+package lifecycle
 
 import "maps"
 
--- a/duty/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package duty
+package lifecycle
 
 import (
 	"testing"
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
 	"lockloom/internal/invariant"
+	"lockloom/internal/upstream"
 	"lockloom/limits"
 )
 
@@ -28,7 +28,7 @@
 	curtailed  bool    // its hard stop is the process's end, which the decisions do not know
 	released   bool
 	plain      bool              // by the ordinary door: a server's answer goes on as it is
-	upload     *backends.Upload  // of a body that is not kept; nil: body is all
+	upload     *upstream.Upload  // of a body that is not kept; nil: body is all
 	from       *paced            // where it comes from
 	wait       float64           // s that its client waits from its last byte on
 	wholeAt    float64           // when that came; 0: not yet
@@ -47,7 +47,7 @@
 // abandoned tells whether its client has gone. Danger: it is asked just before a byte goes out, by any goroutine, and what the
 // client's own goroutine saw may not have come to the owner, nor may that goroutine have been able to see anything.
 func (l *lookup) abandoned(taken time.Time) bool {
-	return l.client != nil && (l.client.left.Load() || time.Since(taken) > lookEvery && backends.ClosedByPeer(l.client.nc))
+	return l.client != nil && (l.client.left.Load() || time.Since(taken) > lookEvery && upstream.ClosedByPeer(l.client.nc))
 }
 
 // admit hands a lookup to the decisions. One over a bound of this machine, of connections or of memory, is
@@ -160,7 +160,7 @@
 		case a := <-l.answer: // nobody takes it any more
 			p.held.Add(-a.held)
 			if a.flow != nil {
-				a.flow.CloseWithError(backends.ErrClientGone)
+				a.flow.CloseWithError(upstream.ErrClientGone)
 			}
 		default:
 		}
--- a/proxy/bank_test.go
+++ b/proxy/bank_test.go
@@ -15,14 +15,14 @@
 	"github.com/stretchr/testify/require"
 
 	"lockloom/balance"
-	"lockloom/internal/launch"
-	"lockloom/internal/operator"
+	"lockloom/internal/bootstrap"
+	"lockloom/internal/config"
 )
 
 // member makes a proxy of a bank of two, each client process having one of its own; notes go by loopback sockets.
 func member(t *testing.T, number int, own, other string, plays map[string][]string) *yard {
 	return made(t, plays, func(l *BootstrapConfig) {
-		l.Fleet = launch.Fleet{Listen: own, Peers: map[int]string{1 - number: other}}
+		l.Fleet = bootstrap.Fleet{Listen: own, Peers: map[int]string{1 - number: other}}
 		l.Proxies, l.Self, l.Sidecar, l.Gossip, l.HealthChecks = 2, number, true, true, true
 		l.GossipCost, l.HealthCheckCost, l.MaxAttempts = 0.001, 0.001, 1
 	})
@@ -90,7 +90,7 @@
 // Danger: a note numbers the platform's tariffs; one of an operator's pool would be taken for those.
 func TestPoolsTellNoNotes(t *testing.T) {
 	y := member(t, 0, "", "", nil)
-	s, faults := operator.Read("f.toml", []byte(operated))
+	s, faults := config.Read("f.toml", []byte(operated))
 	require.Empty(t, faults)
 	o, err := y.build(s, nil)
 	require.NoError(t, err)
--- a/proxy/bodies_test.go
+++ b/proxy/bodies_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"lockloom/internal/backends"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
+	"lockloom/internal/upstream"
 )
 
 // chunked is a lookup whose body comes in these chunks.
@@ -177,7 +177,7 @@
 			y.begin()
 			conn, came := y.client(), time.Now()
 			go io.WriteString(conn, look)
-			r := heads.NewReader(conn)
+			r := http1.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
 			assert.Equal(t, 200, h.Status)
@@ -214,7 +214,7 @@
 			y.begin()
 			conn := y.client()
 			go io.WriteString(conn, look)
-			r := heads.NewReader(conn)
+			r := http1.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
 			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
@@ -249,7 +249,7 @@
 
 // The time in which a client sends is none of its server's, whenever the answer comes.
 func TestTookFromTheLastByte(t *testing.T) {
-	flows := &backends.Upload{}
+	flows := &upstream.Upload{}
 	for _, c := range []struct {
 		l    lookup
 		want float64
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -4,8 +4,8 @@
 	"github.com/sirupsen/logrus"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
 	"lockloom/internal/invariant"
+	"lockloom/internal/upstream"
 )
 
 // counts are what the owner has seen since the start.
@@ -15,7 +15,7 @@
 }
 
 // book tells the decisions how a leg ended. The first honoured one answers its lookup.
-func (p *Proxy) book(l *lookup, g *leg, r backends.Result) {
+func (p *Proxy) book(l *lookup, g *leg, r upstream.Result) {
 	invariant.Holds(!g.ended, "a leg ends once")
 	g.ended = true
 	g.outcome, g.err, g.neverRan = r.Outcome, r.Err, r.Outcome.NeverRan()
@@ -61,9 +61,9 @@
 
 // started tells the decisions that a large answer has begun to flow: the lookup belongs to that leg, and its client has its answer
 // as it comes.
-func (p *Proxy) started(l *lookup, g *leg, r backends.Result) {
+func (p *Proxy) started(l *lookup, g *leg, r upstream.Result) {
 	if l.answered || g.ended {
-		r.Stream.CloseWithError(backends.ErrClientGone)
+		r.Stream.CloseWithError(upstream.ErrClientGone)
 		return
 	}
 	l.answered = true
--- a/proxy/door.go
+++ b/proxy/door.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"lockloom/duty"
-	"lockloom/internal/backends"
+	"lockloom/internal/upstream"
+	"lockloom/lifecycle"
 )
 
 // door knows the clients' connections, and which wait for a request.
@@ -97,7 +97,7 @@
 			if c.fresh && time.Since(c.since) < freshFor {
 				break
 			}
-			if !backends.HasUnreadBytes(c.nc) {
+			if !upstream.HasUnreadBytes(c.nc) {
 				return c
 			}
 			looks--
@@ -230,7 +230,7 @@
 	looks := looksMost
 	for c := d.stale.first; c != nil && d.stale.n >= d.keep && looks > 0 && time.Since(c.since) >= keptIdle; looks-- {
 		next := c.after
-		if !backends.HasUnreadBytes(c.nc) {
+		if !upstream.HasUnreadBytes(c.nc) {
 			c.end()
 			d.unrest(c)
 		}
@@ -246,7 +246,7 @@
 	for _, l := range []*line{&d.stale, &d.kept, &d.quiet} {
 		for c := l.first; c != nil && (l == &d.quiet || !c.goes.After(now)); {
 			next := c.after
-			if !c.begun && !c.goes.After(now) && !backends.HasUnreadBytes(c.nc) {
+			if !c.begun && !c.goes.After(now) && !upstream.HasUnreadBytes(c.nc) {
 				c.end()
 				d.unrest(c)
 			}
@@ -274,7 +274,7 @@
 	for _, l := range []*line{&d.stale, &d.kept, &d.quiet} {
 		for c := l.first; c != nil && n > 0; {
 			next := c.after
-			if !c.begun && !backends.HasUnreadBytes(c.nc) && !(c.fresh && (!fresh || time.Since(c.since) < seconds(duty.NewConnectionCloseSpread))) {
+			if !c.begun && !upstream.HasUnreadBytes(c.nc) && !(c.fresh && (!fresh || time.Since(c.since) < seconds(lifecycle.NewConnectionCloseSpread))) {
 				c.end()
 				d.unrest(c)
 				n--
--- a/proxy/doors_bench_test.go
+++ b/proxy/doors_bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/heads"
-	"lockloom/internal/launch"
-	"lockloom/internal/operator"
+	"lockloom/internal/bootstrap"
+	"lockloom/internal/config"
+	"lockloom/internal/http1"
 )
 
 // BenchmarkDoors tells the processor time of a lookup on kept connections by both doors, and of a request through a plain reverse
@@ -27,12 +27,12 @@
 func BenchmarkDoors(b *testing.B) {
 	server := benchServer(b)
 	tariff := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
-	setup, faults := operator.Read("bench", []byte(tariff+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
+	setup, faults := config.Read("bench", []byte(tariff+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
 	require.Empty(b, faults)
 	text := `{"seed":"1","limits":{"cores":1,"memory_mb":256,"sockets":4096},"known":{"version":1,"full":true,"servers":[
 		{"id":"s","addr":"` + server + `","zone":"a","kind":"k","cell":0,"state":"active","started_ms":0}]},
 		"settings":{"Ceilings":{"MaxLegs":3},"Profiles":[{"Name":"page","Effect":"retryable","HardStopMs":5000}]}}`
-	l, err := launch.Parse([]byte(text))
+	l, err := bootstrap.Parse([]byte(text))
 	require.NoError(b, err)
 	l.Discovery = "127.0.0.1:1" // nobody: the list is as it is known
 	log := logrus.New()
@@ -71,7 +71,7 @@
 						return
 					}
 					defer nc.Close()
-					r := heads.NewReader(nc)
+					r := http1.NewReader(nc)
 					for i := range each {
 						own := ""
 						if way.fields != "" {
@@ -118,7 +118,7 @@
 			}
 			go func() {
 				defer nc.Close()
-				r := heads.NewReader(nc)
+				r := http1.NewReader(nc)
 				for {
 					h, err := r.Request()
 					if err != nil {
--- a/proxy/endings_test.go
+++ b/proxy/endings_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"lockloom/balance"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 )
 
 // street is a proxy on real sockets between its clients and two backends, at which a test may hold things up.
@@ -90,7 +90,7 @@
 
 func (s *street) backend(end net.Conn) {
 	defer end.Close()
-	for r := heads.NewReader(end); ; {
+	for r := http1.NewReader(end); ; {
 		h, err := r.Request()
 		if err != nil {
 			return
@@ -242,7 +242,7 @@
 		all.WriteString(strings.Replace(longLook, "t1", strings.Repeat("t", 200), 1))
 	}
 	go io.WriteString(c, all.String())
-	r := heads.NewReader(c)
+	r := http1.NewReader(c)
 	for range n / 10 {
 		h, err := r.Response()
 		require.NoError(t, err)
@@ -266,7 +266,7 @@
 		{"turned away in a body that flows", "POST /sms HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: sms\r\nX-Expires-In: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"20000\r\n" + strings.Repeat("z", 0x20000) + "\r\nno chunk\r\n", 400},
 		{"turned away", strings.Replace(longLook, "X-Qos: look", "X-Qos: none", 1), 400},
-		{"too large", strings.Replace(longLook, "t1", strings.Repeat("x", 3*heads.DefaultMaxBytes/2), 1), 431},
+		{"too large", strings.Replace(longLook, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			on := make(chan bool)
@@ -288,7 +288,7 @@
 			time.Sleep(lookEvery)
 			all, err := io.ReadAll(conn)
 			assert.NoError(t, err, "it ends in order")
-			r := heads.NewReader(bytes.NewReader(all))
+			r := http1.NewReader(bytes.NewReader(all))
 			h, err := r.Response()
 			require.NoError(t, err)
 			assert.Equal(t, c.status, h.Status)
--- a/proxy/life.go
+++ b/proxy/life.go
@@ -11,11 +11,11 @@
 	"github.com/sirupsen/logrus"
 
 	"lockloom/balance"
-	"lockloom/duty"
+	"lockloom/internal/admin"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
-	"lockloom/internal/handover"
-	"lockloom/internal/operations"
+	"lockloom/internal/hotrestart"
+	"lockloom/internal/settings"
+	"lockloom/lifecycle"
 )
 
 const (
@@ -30,25 +30,25 @@
 // takes the lock for a moment; the owner then obeys it, see obey.
 type life struct {
 	mu     sync.Mutex
-	duty   duty.Process
-	ids    *duty.IDSet
-	before *handover.Link          // to the process that served before
-	heirs  map[*handover.Link]bool // to those that asked, and whether they serve
-	lns    map[string]net.Listener // handed over, by address, until they are asked for
-	all    []*net.TCPListener      // to hand over
-	addrs  []string                // as they were asked for, which is what the next process will ask for
-	state  *handover.State         // what was handed over
-	news   chan struct{}           // orders that the owner has not obeyed
-	asked  bool                    // before was looked for
-	offer  *handover.Server
+	duty   lifecycle.Process
+	ids    *lifecycle.IDSet
+	before *hotrestart.Link          // to the process that served before
+	heirs  map[*hotrestart.Link]bool // to those that asked, and whether they serve
+	lns    map[string]net.Listener   // handed over, by address, until they are asked for
+	all    []*net.TCPListener        // to hand over
+	addrs  []string                  // as they were asked for, which is what the next process will ask for
+	state  *hotrestart.State         // what was handed over
+	news   chan struct{}             // orders that the owner has not obeyed
+	asked  bool                      // before was looked for
+	offer  *hotrestart.Server
 }
 
 func newLife() *life {
-	return &life{ids: duty.NewIDSet(idsKept), heirs: map[*handover.Link]bool{}, news: make(chan struct{}, 1)}
+	return &life{ids: lifecycle.NewIDSet(idsKept), heirs: map[*hotrestart.Link]bool{}, news: make(chan struct{}, 1)}
 }
 
 // peek reads something of a life.
-func peek[T any](l *life, f func(*duty.Process) T) T {
+func peek[T any](l *life, f func(*lifecycle.Process) T) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return f(&l.duty)
@@ -56,39 +56,39 @@
 
 // stopping says whether this process was told to end.
 func (p *Proxy) stopping() bool {
-	return peek(p.life, func(d *duty.Process) bool { return d.StoppedAt > 0 })
+	return peek(p.life, func(d *lifecycle.Process) bool { return d.StoppedAt > 0 })
 }
 
 // Administer carries out an operators' call. It is in force when this returns: what the owner has still to do, it does within the grace
 // that a drain has.
-func (p *Proxy) Administer(c operations.Call) (status int, text string) {
+func (p *Proxy) Administer(c admin.Call) (status int, text string) {
 	l, now := p.life, p.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch c.Action {
-	case operations.Ready:
+	case admin.Ready:
 		if !l.duty.Ready() {
 			return 503, "not ready"
 		}
 		return 200, "ready"
-	case operations.Disable, operations.Enable:
-		if !l.ids.Has(figures.NameHash(c.ID)) {
+	case admin.Disable, admin.Enable:
+		if !l.ids.Has(settings.NameHash(c.ID)) {
 			return 404, "no backend of that id was ever listed"
 		}
-		if c.Action == operations.Disable {
+		if c.Action == admin.Disable {
 			l.duty.Disable(c.ID, now)
 		} else {
 			l.duty.Enable(c.ID, now)
 		}
-	case operations.Drain, operations.Resume:
-		l.duty.SetDraining(c.Action == operations.Drain, now)
+	case admin.Drain, admin.Resume:
+		l.duty.SetDraining(c.Action == admin.Drain, now)
 	}
 	l.ordered(nil)
 	return 200, "done"
 }
 
 // ordered passes orders on to the owner, and to the other processes but the one that said them.
-func (l *life) ordered(but *handover.Link) {
+func (l *life) ordered(but *hotrestart.Link) {
 	select {
 	case l.news <- struct{}{}:
 	default:
@@ -105,13 +105,13 @@
 }
 
 // word is all orders, to be said; the caller holds the lock.
-func (l *life) word() handover.Update {
+func (l *life) word() hotrestart.Update {
 	orders := l.duty.AdminState.Clone()
-	return handover.Update{AdminState: &orders}
+	return hotrestart.Update{AdminState: &orders}
 }
 
 // heard takes in what another process says.
-func (l *life) heard(from *handover.Link, w handover.Update) {
+func (l *life) heard(from *hotrestart.Link, w hotrestart.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.AdminState != nil && l.duty.Merge(*w.AdminState) {
@@ -137,7 +137,7 @@
 
 // obey has the decisions hear of the bans that are new or over. It is the owner's.
 func (p *Proxy) obey() {
-	orders := peek(p.life, func(d *duty.Process) duty.AdminState { return d.AdminState.Clone() })
+	orders := peek(p.life, func(d *lifecycle.Process) lifecycle.AdminState { return d.AdminState.Clone() })
 	old := p.orders
 	p.orders = orders
 	var changed List
@@ -206,7 +206,7 @@
 	l.mu.Unlock()
 	if ln == nil {
 		var err error
-		if ln, err = handover.Listen(addr, inUseFor); err != nil {
+		if ln, err = hotrestart.Listen(addr, inUseFor); err != nil {
 			return nil, err
 		}
 	}
@@ -218,8 +218,8 @@
 	return ln, nil
 }
 
-func (p *Proxy) hello() handover.Identity {
-	return handover.Identity{Format: handover.Format, Name: p.launch.Name, Listen: p.launch.Listen}
+func (p *Proxy) hello() hotrestart.Identity {
+	return hotrestart.Identity{Format: hotrestart.Format, Name: p.launch.Name, Listen: p.launch.Listen}
 }
 
 // succeed takes over from a process of this proxy, if there is one that offers to.
@@ -229,9 +229,9 @@
 		return
 	}
 	l.asked = true
-	s, lns, link, err := handover.TakeOver(handover.Path(p.launch.HotRestartDir, p.hello()), p.hello())
+	s, lns, link, err := hotrestart.TakeOver(hotrestart.Path(p.launch.HotRestartDir, p.hello()), p.hello())
 	if err != nil {
-		if !errors.Is(err, handover.ErrNoPredecessor) {
+		if !errors.Is(err, hotrestart.ErrNoPredecessor) {
 			p.log.WithError(err).Warn("nothing was handed over: starting as after a plain start")
 		}
 		return
@@ -254,7 +254,7 @@
 	}
 	p.log.WithFields(logrus.Fields{"sockets": len(lns), "version": s.List.Version, "orders": len(s.AdminState.Servers)}).Info("handed over")
 	go func() {
-		err := link.Receive(func(w handover.Update) { l.heard(link, w) })
+		err := link.Receive(func(w hotrestart.Update) { l.heard(link, w) })
 		p.log.WithError(err).Info("the process before has left")
 		l.mu.Lock()
 		l.before, l.duty.PredecessorServing = nil, false
@@ -267,19 +267,19 @@
 func (l *life) listed(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ids.Add(figures.NameHash(id))
+	l.ids.Add(settings.NameHash(id))
 }
 
 // closes says whether connections close with their answers.
 func (p *Proxy) closes() bool {
 	now := p.now()
-	return peek(p.life, func(d *duty.Process) bool { return d.ClosesAfterResponse(now) })
+	return peek(p.life, func(d *lifecycle.Process) bool { return d.ClosesAfterResponse(now) })
 }
 
 // takes says whether what has come whole is a lookup.
 func (p *Proxy) takes() bool {
 	now := p.now()
-	return peek(p.life, func(d *duty.Process) bool { return d.AdmitsRequests(now) })
+	return peek(p.life, func(d *lifecycle.Process) bool { return d.AdmitsRequests(now) })
 }
 
 // stop notes the order to end, and tells whether another process serves already. Its idle connections are closed by last.
@@ -326,7 +326,7 @@
 	}
 	l.lns = nil
 	if l.before != nil {
-		go l.before.Send(handover.Update{Serving: true})
+		go l.before.Send(hotrestart.Update{Serving: true})
 	}
 	p.offers()
 }
@@ -339,14 +339,14 @@
 	}
 	l.offer.Close()
 	var err error
-	l.offer, err = handover.Serve(handover.Path(p.launch.HotRestartDir, p.hello()), p.hello(), p.give, p.met)
+	l.offer, err = hotrestart.Serve(hotrestart.Path(p.launch.HotRestartDir, p.hello()), p.hello(), p.give, p.met)
 	if err != nil {
 		p.log.WithError(err).Warn("cannot hand over to a next process")
 	}
 }
 
 // give is what the next process gets.
-func (p *Proxy) give() (handover.State, []*net.TCPListener) {
+func (p *Proxy) give() (hotrestart.State, []*net.TCPListener) {
 	type known struct {
 		list    List
 		learned balance.Snapshot
@@ -359,7 +359,7 @@
 		}
 		told <- known{list, p.main.b.Snapshot(p.now())}
 	})
-	s := handover.State{}
+	s := hotrestart.State{}
 	select {
 	case k := <-told:
 		s.List, s.Snapshot, s.Listed = k.list, k.learned, true
@@ -374,7 +374,7 @@
 }
 
 // met takes in a process that has what this one gave, until it ends.
-func (p *Proxy) met(link *handover.Link, err error) {
+func (p *Proxy) met(link *hotrestart.Link, err error) {
 	if err != nil {
 		p.log.WithError(err).Warn("not handed over")
 		return
@@ -387,7 +387,7 @@
 	l.mu.Unlock()
 	p.shares()
 	go link.Send(w)
-	err = link.Receive(func(w handover.Update) { l.heard(link, w) })
+	err = link.Receive(func(w hotrestart.Update) { l.heard(link, w) })
 	link.Close()
 	l.mu.Lock()
 	served := l.heirs[link]
--- a/proxy/life_test.go
+++ b/proxy/life_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/assert"
 
 	"lockloom/balance"
+	"lockloom/internal/admin"
 	"lockloom/internal/discovery"
-	"lockloom/internal/operations"
 )
 
-func (y *yard) call(act operations.Action, id string) int {
-	status, _ := y.Administer(operations.Call{Action: act, ID: id})
+func (y *yard) call(act admin.Action, id string) int {
+	status, _ := y.Administer(admin.Call{Action: act, ID: id})
 	synctest.Wait()
 	return status
 }
@@ -46,16 +46,16 @@
 		y := serve(t, map[string][]string{"b1": {ok}, "b2": {ok}, "any": {ok}}, nil)
 		y.asks(20)
 		assert.Greater(t, y.where()["b1"], 0)
-		assert.Equal(t, 404, y.call(operations.Disable, "b3"), "never listed")
-		assert.Equal(t, 200, y.call(operations.Disable, "b1"))
-		assert.Equal(t, 200, y.call(operations.Disable, "b1"))
+		assert.Equal(t, 404, y.call(admin.Disable, "b3"), "never listed")
+		assert.Equal(t, 200, y.call(admin.Disable, "b1"))
+		assert.Equal(t, 200, y.call(admin.Disable, "b1"))
 		for _, told := range []string{change(2, "b1", "active", 0), change(3, "b1", "leaving", 0), change(4, "b1", "left", 0),
 			change(5, "b1", "active", 1790000000000), `{"version":6,"full":true,"servers":[{"id":"b1","addr":"b1:1","state":"active"},{"id":"b2","addr":"b2:1","state":"active"}]}`} {
 			y.tell(told)
 			y.asks(20)
 			assert.Equal(t, map[string]int{"b2": 20}, y.where(), told)
 		}
-		assert.Equal(t, 200, y.call(operations.Enable, "b1"))
+		assert.Equal(t, 200, y.call(admin.Enable, "b1"))
 		assert.InDelta(t, y.now(), y.beliefOf("b1"), 0.001, "the list tells no start: it counts as started just now")
 		time.Sleep(2 * time.Second) // it is warm
 		y.asks(40)
@@ -74,7 +74,7 @@
 // Danger: a leg ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
 // counted as told before this proxy came to hear it.
 func TestToldWhileConnecting(t *testing.T) {
-	ban := func(y *yard) { assert.Equal(y.t, 200, y.call(operations.Disable, "b1")) }
+	ban := func(y *yard) { assert.Equal(y.t, 200, y.call(admin.Disable, "b1")) }
 	listed := func(text string) func(y *yard) { return func(y *yard) { y.tell(text) } }
 	late := func(by time.Duration) func(y *yard) {
 		return func(y *yard) {
@@ -156,10 +156,10 @@
 		kept := y.client()
 		go io.WriteString(kept, look)
 		answer(kept)
-		assert.Equal(t, 200, y.call(operations.Drain, ""))
+		assert.Equal(t, 200, y.call(admin.Drain, ""))
 		drained := time.Now()
 		assert.Equal(t, 503, up())
-		assert.Equal(t, 200, y.call(operations.Ready, ""))
+		assert.Equal(t, 200, y.call(admin.Ready, ""))
 		for _, c := range []struct {
 			after  time.Duration
 			status int
@@ -183,21 +183,21 @@
 		assert.Error(t, err, "one that comes and says nothing goes too")
 		count, _ := y.door.counted()
 		assert.Zero(t, count)
-		assert.Equal(t, 200, y.call(operations.Resume, ""))
+		assert.Equal(t, 200, y.call(admin.Resume, ""))
 		assert.Equal(t, 200, up())
 		conn := y.client()
 		go io.WriteString(conn, look)
 		status, h, _, _ := answer(conn)
 		assert.True(t, status == 200 && !h.Close)
-		y.call(operations.Drain, "")
-		y.call(operations.Resume, "")
+		y.call(admin.Drain, "")
+		y.call(admin.Resume, "")
 		time.Sleep(5 * time.Second)
 		go io.WriteString(conn, look)
 		status, _, _, err = answer(conn)
 		assert.NoError(t, err, "drained and resumed quickly: nothing was closed")
 		assert.Equal(t, 200, status)
 		conn.Close()
-		y.call(operations.Drain, "")
+		y.call(admin.Drain, "")
 		y.end() // SIGTERM in a drain
 	})
 }
@@ -211,8 +211,8 @@
 	}
 	answered := make(chan int, 4)
 	go func() {
-		for _, act := range []operations.Action{operations.Disable, operations.Drain, operations.Enable, operations.Resume} {
-			status, _ := y.Administer(operations.Call{Action: act, ID: "b1"})
+		for _, act := range []admin.Action{admin.Disable, admin.Drain, admin.Enable, admin.Resume} {
+			status, _ := y.Administer(admin.Call{Action: act, ID: "b1"})
 			answered <- status
 		}
 	}()
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -12,18 +12,18 @@
 	"github.com/sirupsen/logrus"
 
 	"lockloom/balance"
+	"lockloom/internal/config"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
-	"lockloom/internal/operator"
+	"lockloom/internal/settings"
 	"lockloom/limits"
 	"lockloom/routes"
 )
 
 // Config is an operator file ready for use; see internal/operator.
-type Config = operator.Config
+type Config = config.Config
 
 // ReadConfig reads an operator file; the errors are all its faults, a line each.
-func ReadConfig(name string) (*Config, []error) { return operator.Open(name) }
+func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
 
 // kindsOf is the order of a tariff's rows in an operator's pool: one for each way in which a lookup may be sent again.
 var kindsOf = [...]balance.Idempotency{limits.RetryNever: balance.NonIdempotent, limits.RetryKeyed: balance.Keyed, limits.RetryAlways: balance.Idempotent}
@@ -152,12 +152,12 @@
 	for i := range s.Pools {
 		w := &s.Pools[i]
 		if old != nil && reflect.DeepEqual(old.setup.Classes, s.Classes) {
-			if k := slices.IndexFunc(old.setup.Pools, func(x operator.Pool) bool { return x.Name == w.Name }); k >= 0 && w.Same(&old.setup.Pools[k]) {
+			if k := slices.IndexFunc(old.setup.Pools, func(x config.Pool) bool { return x.Name == w.Name }); k >= 0 && w.Same(&old.setup.Pools[k]) {
 				o.pools[w.Name] = old.pools[w.Name]
 				continue
 			}
 		}
-		d.Seed = p.launch.Seed ^ figures.NameHash(w.Name)
+		d.Seed = p.launch.Seed ^ settings.NameHash(w.Name)
 		b, err := balance.New(d, p.now())
 		if err != nil {
 			return nil, fmt.Errorf("pool %q: %w", w.Name, err)
@@ -190,10 +190,10 @@
 }
 
 // share numbers the routes that go to a pool.
-func (o *ordinary) share(shares map[string]int, pool string, list []operator.Route) {
+func (o *ordinary) share(shares map[string]int, pool string, list []config.Route) {
 	for i := range list {
 		r := &list[i]
-		if r.Pool == pool || slices.ContainsFunc(r.Split, func(s operator.WeightedPool) bool { return s.Pool == pool }) {
+		if r.Pool == pool || slices.ContainsFunc(r.Split, func(s config.WeightedPool) bool { return s.Pool == pool }) {
 			shares[r.Name] = len(shares)
 		}
 		o.share(shares, pool, r.Routes)
@@ -204,7 +204,7 @@
 func (p *Proxy) writeOut(in *branch, addrs []string) {
 	var list []balance.Endpoint
 	for i, addr := range addrs {
-		b := p.names.Endpoint(figures.Entry{Name: in.name + "/" + addr, ModelName: in.name, Endpoint: balance.Endpoint{Pod: i}})
+		b := p.names.Endpoint(settings.Entry{Name: in.name + "/" + addr, ModelName: in.name, Endpoint: balance.Endpoint{Pod: i}})
 		p.pool.SetEndpoint(b.Index, addr, 0)
 		p.told(b.Index, balance.Ready, p.now(), 0)
 		p.written[b.Index] = true
@@ -288,7 +288,7 @@
 }
 
 // asks are the limits of a route, with the keys that a request counts under.
-func (o *ordinary) asks(r *routes.Route, w *operator.Route, customer, address string, field func(name string) string) []limits.LimitKey {
+func (o *ordinary) asks(r *routes.Route, w *config.Route, customer, address string, field func(name string) string) []limits.LimitKey {
 	var list []limits.LimitKey
 	for _, name := range w.Limits {
 		i := o.limits[name]
@@ -296,13 +296,13 @@
 		switch by := o.setup.File.Limits[i].By; by {
 		case "all":
 		case "route":
-			a.Key = figures.NameHash(r.Name)
+			a.Key = settings.NameHash(r.Name)
 		case "customer":
-			a.Key = figures.NameHash(customer)
+			a.Key = settings.NameHash(customer)
 		case "address":
-			a.Key = figures.NameHash(address)
+			a.Key = settings.NameHash(address)
 		default:
-			a.Key = figures.NameHash(field(by[len("field:"):]))
+			a.Key = settings.NameHash(field(by[len("field:"):]))
 		}
 		list = append(list, a)
 	}
--- a/proxy/opine.go
+++ b/proxy/opine.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 	"lockloom/balance"
 	"lockloom/internal/discovery"
 )
@@ -16,7 +16,7 @@
 
 // OnEstimates has a control service beside the proxy hear what the proxy holds of each operator's pool: every so often, and at once when the
 // list or an order changes something. The call is the owner's: it must not wait. Set it before Serve.
-func (p *Proxy) OnEstimates(call func(now float64, pools map[string]assign.Observation)) {
+func (p *Proxy) OnEstimates(call func(now float64, pools map[string]assignment.Observation)) {
 	p.opined = call
 }
 
@@ -44,7 +44,7 @@
 	if p.opined == nil || o == nil || !p.listed {
 		return
 	}
-	all := map[string]assign.Observation{}
+	all := map[string]assignment.Observation{}
 	for name, in := range o.pools {
 		all[name] = p.sight(in)
 	}
@@ -54,13 +54,13 @@
 
 // sight is what is held of one pool. Danger: the opinion of a server is the Balancer's, whether it may be sent to the list's and the
 // operators'.
-func (p *Proxy) sight(in *branch) assign.Observation {
+func (p *Proxy) sight(in *branch) assignment.Observation {
 	proxies := float64(max(p.launch.Proxies, 1)) // the others are taken to be alike
 	if passed := p.now() - in.opinedAt; passed >= opineEvery.Seconds()/2 {
 		in.rate = float64(in.admitted-in.opined) / passed
 		in.opined, in.opinedAt = in.admitted, p.now()
 	}
-	s := assign.Observation{Removed: p.gone, Rate: in.rate * proxies}
+	s := assignment.Observation{Removed: p.gone, Rate: in.rate * proxies}
 	beliefs := map[int]balance.ServerStatus{}
 	for _, b := range in.b.ServerStatuses(p.now()) {
 		beliefs[b.Endpoint] = b
@@ -68,7 +68,7 @@
 	}
 	add := func(e discovery.Entry, index int) {
 		b := beliefs[index]
-		s.Servers = append(s.Servers, assign.ServerEstimate{Name: e.Name, Addr: e.Addr, Zone: e.ZoneName, Draining: e.State != balance.Ready,
+		s.Servers = append(s.Servers, assignment.ServerEstimate{Name: e.Name, Addr: e.Addr, Zone: e.ZoneName, Draining: e.State != balance.Ready,
 			Paused: b.Paused, Trial: b.Trial, Payoff: b.Payoff, Cores: e.Cores, StartedAt: e.StartedAt})
 	}
 	if in.written {
