--- a/proxy/opine_test.go
+++ b/proxy/opine_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/assign"
-	"lockloom/internal/operations"
-	"lockloom/internal/operator"
+	"lockloom/assignment"
+	"lockloom/internal/admin"
+	"lockloom/internal/config"
 )
 
 // What the proxy holds of its pools is told as it changes: drains, bans and what is gone at once, pauses by own lookups and by what others
@@ -22,28 +22,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		y := made(t, map[string][]string{"b1": {ok}, "b2": {ok}, "w1:80": {ok}}, nil)
 		y.ends2 = make(chan net.Conn, 100)
-		s, faults := operator.Read("f.toml", []byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
+		s, faults := config.Read("f.toml", []byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
 			"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
 		require.Empty(t, faults)
 		require.NoError(t, y.Configure(s, second{y}))
 		var mu sync.Mutex
-		var last map[string]assign.Observation
+		var last map[string]assignment.Observation
 		var gone []string
-		y.OnEstimates(func(_ float64, pools map[string]assign.Observation) {
+		y.OnEstimates(func(_ float64, pools map[string]assignment.Observation) {
 			mu.Lock()
 			defer mu.Unlock()
 			last, gone = pools, append(gone, pools["all"].Removed...)
 		})
 		y.begin()
-		now := func(pool string) (assign.Observation, []string) {
+		now := func(pool string) (assignment.Observation, []string) {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
 			return last[pool], gone
 		}
-		of := func(pool, id string) *assign.ServerEstimate {
+		of := func(pool, id string) *assignment.ServerEstimate {
 			s, _ := now(pool)
-			i := slices.IndexFunc(s.Servers, func(o assign.ServerEstimate) bool { return o.Name == id })
+			i := slices.IndexFunc(s.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
 			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, s)
 			return &s.Servers[i]
 		}
@@ -69,7 +69,7 @@
 		sight, told := now("all")
 		assert.Equal(t, []string{"b1"}, told)
 		assert.Len(t, sight.Servers, 1)
-		assert.Equal(t, 200, y.call(operations.Disable, "own/w1:80"))
+		assert.Equal(t, 200, y.call(admin.Disable, "own/w1:80"))
 		assert.True(t, of("own", "own/w1:80").Draining, "at once")
 		time.Sleep(opineEvery)
 		_, told = now("all")
--- a/proxy/ordinary.go
+++ b/proxy/ordinary.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/figures"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
+	"lockloom/internal/settings"
 	"lockloom/limits"
 	"lockloom/routes"
 )
@@ -24,7 +24,7 @@
 var replaced = []string{"X-Expires-In", "Forwarded", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Via", "X-Never-Ran"}
 
 // fieldsOf are a head's, for conditions of routes.
-type fieldsOf struct{ *heads.Head }
+type fieldsOf struct{ *http1.Head }
 
 func (f fieldsOf) Get(name string) (string, bool) {
 	v := f.Head.Get(name)
@@ -32,10 +32,10 @@
 }
 
 // routed is what a request's head says of its lookup, or the answer where the route itself is one.
-func (c *client) routed(h *heads.Head, arrived time.Time) (*lookup, balance.RequestInfo, *reply, error) {
+func (c *client) routed(h *http1.Head, arrived time.Time) (*lookup, balance.RequestInfo, *reply, error) {
 	o, a := c.p.ordinary.Load(), balance.RequestInfo{Tenant: -1}
 	refuse := func(status int, text string) (*lookup, balance.RequestInfo, *reply, error) {
-		return nil, a, nil, &heads.Error{Status: status, Text: text}
+		return nil, a, nil, &http1.Error{Status: status, Text: text}
 	}
 	method := string(h.Method)
 	if method == "CONNECT" || method == "TRACE" {
@@ -69,12 +69,12 @@
 	}
 	act, w := &m.Route.Action, o.setup.RouteConfig(m.Route)
 	if act.Redirect != nil {
-		return nil, a, &reply{status: act.Redirect.Status, fields: heads.AppendField(nil, "Location", m.Location(query))}, nil
+		return nil, a, &reply{status: act.Redirect.Status, fields: http1.AppendField(nil, "Location", m.Location(query))}, nil
 	}
 	if act.Response != nil {
 		answer := &reply{status: act.Response.Status, body: []byte(act.Response.Body)}
 		if act.Response.Type != "" {
-			answer.fields = heads.AppendField(nil, "Content-Type", act.Response.Type)
+			answer.fields = http1.AppendField(nil, "Content-Type", act.Response.Type)
 		}
 		return nil, a, answer, nil
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		address = c.nc.RemoteAddr().String()
 	}
-	key := figures.NameHash(address)
+	key := settings.NameHash(address)
 	if len(act.Pools) > 1 && address == "" {
 		key = rand.Uint64()
 	}
@@ -116,34 +116,34 @@
 		answer: make(chan reply, 1), rule: rule, limits: o.setup.Limits, plain: true, bare: method == "HEAD"}
 	l.route = m.Route.Name
 	l.asks = o.asks(m.Route, w, string(h.Get("X-Customer")), address, func(name string) string { return string(h.Get(name)) })
-	l.head = heads.AppendRequest(make([]byte, 0, headGuess), h.Method, []byte(onward))
-	l.head = heads.AppendForwardedFields(l.head, h, replaced...)
+	l.head = http1.AppendRequest(make([]byte, 0, headGuess), h.Method, []byte(onward))
+	l.head = http1.AppendForwardedFields(l.head, h, replaced...)
 	if named == "" && host != "" {
-		l.head = heads.AppendField(l.head, "Host", host)
+		l.head = http1.AppendField(l.head, "Host", host)
 	}
 	l.trace = string(h.Get("X-Trace-Id"))
 	if h.Get("X-Trace-Id") == nil {
-		l.head = heads.AppendField(l.head, "X-Trace-Id", l.id)
+		l.head = http1.AppendField(l.head, "X-Trace-Id", l.id)
 	}
 	forwarded := []byte(address)
 	if before := h.Get("X-Forwarded-For"); len(before) > 0 {
 		forwarded = bytes.Join([][]byte{before, forwarded}, []byte(", "))
 	}
-	l.head = heads.AppendField(l.head, "X-Forwarded-For", forwarded)
-	l.head = heads.AppendField(l.head, "X-Forwarded-Proto", "http")
+	l.head = http1.AppendField(l.head, "X-Forwarded-For", forwarded)
+	l.head = http1.AppendField(l.head, "X-Forwarded-Proto", "http")
 	if host != "" {
-		l.head = heads.AppendField(l.head, "X-Forwarded-Host", host)
+		l.head = http1.AppendField(l.head, "X-Forwarded-Host", host)
 	}
 	element := forwardedElement(address, host)
 	if before := h.Get("Forwarded"); len(before) > 0 {
 		element = bytes.Join([][]byte{before, element}, []byte(", "))
 	}
-	l.head = heads.AppendField(l.head, "Forwarded", element)
+	l.head = http1.AppendField(l.head, "Forwarded", element)
 	via := []byte("1.1 lockloom")
 	if before := h.Get("Via"); len(before) > 0 {
 		via = bytes.Join([][]byte{before, via}, []byte(", "))
 	}
-	l.head = heads.AppendField(l.head, "Via", via)
+	l.head = http1.AppendField(l.head, "Via", via)
 	return l, a, nil, nil
 }
 
--- a/proxy/ordinary_test.go
+++ b/proxy/ordinary_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"lockloom/internal/heads"
-	"lockloom/internal/operator"
+	"lockloom/internal/config"
+	"lockloom/internal/http1"
 )
 
 const operated = `
@@ -120,7 +120,7 @@
 // opened is a proxy behind an ordinary door, with servers that play alike.
 func opened(t *testing.T, plays map[string][]string) *yard {
 	y := made(t, plays, nil)
-	s, faults := operator.Read("f.toml", []byte(operated))
+	s, faults := config.Read("f.toml", []byte(operated))
 	require.Empty(t, faults)
 	y.ends2 = make(chan net.Conn, 100)
 	require.NoError(t, y.Configure(s, second{y}))
@@ -443,7 +443,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		y := opened(t, map[string][]string{"b1:80": {silent}, "b2:80": {silent}, "b3:80": {silent}, "c1:80": {ok}, "f1:80": {fault}, "n1:80": {ok}})
 		again := func(change ...string) error {
-			s, faults := operator.Read("f.toml", []byte(strings.NewReplacer(change...).Replace(operated)))
+			s, faults := config.Read("f.toml", []byte(strings.NewReplacer(change...).Replace(operated)))
 			require.Empty(t, faults)
 			return y.ReloadConfig(s)
 		}
@@ -494,7 +494,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
-		s, _ := operator.Read("f.toml", []byte(operated))
+		s, _ := config.Read("f.toml", []byte(operated))
 		assert.ErrorContains(t, y.ReloadConfig(s), "started without an operator file")
 		y.end()
 		assert.ErrorContains(t, y.ReloadConfig(s), "has ended")
@@ -511,7 +511,7 @@
 		})
 		y.ends2 = make(chan net.Conn, 100)
 		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
-		s, faults := operator.Read("f.toml", []byte(text))
+		s, faults := config.Read("f.toml", []byte(text))
 		require.Empty(t, faults)
 		require.NoError(t, y.Configure(s, second{y}))
 		y.begin()
@@ -526,7 +526,7 @@
 		for range 5 {
 			assert.Equal(t, "200 b1", at())
 		}
-		s, faults = operator.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
+		s, faults = config.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
 		require.Empty(t, faults)
 		require.NoError(t, y.ReloadConfig(s))
 		for range 5 {
@@ -591,7 +591,7 @@
 			io.WriteString(ours, strings.Replace(plain("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
 			time.Sleep(3 * time.Second) // a client that does not read; the hard stop is long past
 			assert.Less(t, written.Load(), int64(200_000), "%s: what is not taken is not read", name)
-			r := heads.NewReader(ours)
+			r := http1.NewReader(ours)
 			h, err := r.Response()
 			require.NoError(t, err, name)
 			assert.Equal(t, c.chunked && c.version == "1.1", h.Chunked, name)
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
-	"lockloom/internal/figures"
+	"lockloom/internal/settings"
+	"lockloom/internal/upstream"
 )
 
 const (
@@ -21,8 +21,8 @@
 		return
 	}
 	to := p.names.Name(index)
-	ex := &backends.Exchange{Head: []byte(probeHead), Passthrough: true, Deadline: time.Now().Add(probeFor)}
-	ex.OnDone = func(r backends.Result) {
+	ex := &upstream.Exchange{Head: []byte(probeHead), Passthrough: true, Deadline: time.Now().Add(probeFor)}
+	ex.OnDone = func(r upstream.Result) {
 		p.held.Add(-r.ReservedBytes)
 		if p.names.Name(index) != to { // danger: the number may be another backend's by now
 			return
@@ -40,8 +40,8 @@
 func reported(fields []byte) balance.LoadReport {
 	for line := range strings.Lines(string(fields)) {
 		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, reportField) {
-			return figures.ParseLoadReport(value)
+			return settings.ParseLoadReport(value)
 		}
 	}
-	return figures.ParseLoadReport("")
+	return settings.ParseLoadReport("")
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -17,28 +17,28 @@
 
 	"github.com/sirupsen/logrus"
 
-	"lockloom/assign"
+	"lockloom/assignment"
 	"lockloom/balance"
-	"lockloom/duty"
-	"lockloom/internal/backends"
+	"lockloom/internal/bootstrap"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
-	"lockloom/internal/idle"
+	"lockloom/internal/gossip"
 	"lockloom/internal/invariant"
-	"lockloom/internal/launch"
-	"lockloom/internal/peers"
+	"lockloom/internal/poller"
+	"lockloom/internal/settings"
+	"lockloom/internal/upstream"
+	"lockloom/lifecycle"
 )
 
 // What a proxy is told when it starts.
 type (
-	BootstrapConfig = launch.Config
-	Limits          = launch.Limits
-	Settings        = figures.Settings
+	BootstrapConfig = bootstrap.Config
+	Limits          = bootstrap.Limits
+	Settings        = settings.Settings
 	List            = discovery.List
 )
 
 // ReadBootstrap reads it from the environment's variables, by get, and the file that they name.
-func ReadBootstrap(get func(string) string) (BootstrapConfig, error) { return launch.Read(get) }
+func ReadBootstrap(get func(string) string) (BootstrapConfig, error) { return bootstrap.Read(get) }
 
 // Every constant of the network code but those of a package's own wire.
 const (
@@ -117,10 +117,10 @@
 	listeners []net.Listener // of the ordinary door
 
 	// The owner's.
-	main     *branch           // the platform's: all that is listed
-	branches []*branch         // it, and the operator's pools
-	names    *figures.Registry // of tariffs and customers, which never change, clients' goroutines read too
-	pool     *backends.Pool
+	main     *branch            // the platform's: all that is listed
+	branches []*branch          // it, and the operator's pools
+	names    *settings.Registry // of tariffs and customers, which never change, clients' goroutines read too
+	pool     *upstream.Pool
 	poolMost int // connections to backends, where no other process of this proxy has a part
 	timers   timers
 	slots    []*lookup // by Arrival.Ref
@@ -131,10 +131,10 @@
 	listed   bool                                             // a list was taken in
 	gone     []string                                         // listed as gone, since opinions were told last
 	through  func(pool string, b *balance.Balancer) Decisions // nil: nobody captures
-	opined   func(now float64, pools map[string]assign.Observation)
-	orders   duty.AdminState // those that were obeyed
-	written  map[int]bool    // backends that an operator wrote out: no list takes them away
-	later    []func()        // what came up while orders were carried out
+	opined   func(now float64, pools map[string]assignment.Observation)
+	orders   lifecycle.AdminState // those that were obeyed
+	written  map[int]bool         // backends that an operator wrote out: no list takes them away
+	later    []func()             // what came up while orders were carried out
 	stopSend []float64
 	counts   counts
 	version  int64 // of the list
@@ -152,10 +152,10 @@
 	door    door
 	work    sync.WaitGroup // client connections
 
-	link *peers.Link // to the bank's other proxies; nil: they are told nothing
+	link *gossip.Link // to the bank's other proxies; nil: they are told nothing
 
 	strained strained
-	idle     idle.Set // clients' connections without a request
+	idle     poller.Set // clients' connections without a request
 
 	held      atomic.Int64 // bytes kept: to be sent to backends, and of large answers
 	heldMost  atomic.Int64
@@ -185,7 +185,7 @@
 	p.door.over = max(int(overPart*float64(clients)), 1)
 	p.door.most = clients - p.door.over
 	p.door.keep = max(int(keptPart*float64(p.door.most)), 1)
-	p.pool = backends.New(func(ctx context.Context, addr string) (net.Conn, error) { return p.Dial(ctx, addr) }, p.post)
+	p.pool = upstream.New(func(ctx context.Context, addr string) (net.Conn, error) { return p.Dial(ctx, addr) }, p.post)
 	p.poolMost = most - clients
 	p.pool.MaxConnections, p.pool.ReserveMemory = p.poolMost, p.hold
 	p.pool.ConnectTimeout, p.pool.IdleTimeout = connectFor, idleUntold
@@ -215,7 +215,7 @@
 // still comes for a short time, and returns.
 func (p *Proxy) Serve(ctx context.Context, ln net.Listener) error {
 	if p.launch.Gossip {
-		link, err := peers.Open(p.launch.Fleet.Listen, p.launch.Self, p.launch.Fleet.Peers, p.heardOf)
+		link, err := gossip.Open(p.launch.Fleet.Listen, p.launch.Self, p.launch.Fleet.Peers, p.heardOf)
 		if err != nil {
 			ln.Close()
 			return err
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -17,11 +17,11 @@
 	"github.com/stretchr/testify/assert"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
 	"lockloom/internal/discovery"
-	"lockloom/internal/figures"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 	"lockloom/internal/invariant"
+	"lockloom/internal/settings"
+	"lockloom/internal/upstream"
 )
 
 const (
@@ -79,7 +79,7 @@
 func (y *yard) Addr() net.Addr { return &net.TCPAddr{} }
 
 func entry(id string, state balance.EndpointState, started float64) discovery.Entry {
-	return discovery.Entry{Entry: figures.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}}, Addr: id}
+	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}}, Addr: id}
 }
 
 // serve starts a proxy before the backends, each named and listening by its id.
@@ -171,7 +171,7 @@
 
 // agent is discovery: a watch that tells the changes.
 func (y *yard) agent(addr string, end net.Conn, changes chan string) {
-	r := heads.NewReader(end)
+	r := http1.NewReader(end)
 	h, _ := r.Request()
 	_, from, _ := strings.Cut(string(h.Target), "index=")
 	y.mu.Lock()
@@ -220,7 +220,7 @@
 		y.gone++
 		y.mu.Unlock()
 	}()
-	r := heads.NewReader(end)
+	r := http1.NewReader(end)
 	r.AnyBodySize = y.flows
 	for {
 		h, err := r.Request()
@@ -283,8 +283,8 @@
 }
 
 // answer reads an answer: status, whole head and body.
-func answer(c net.Conn) (int, *heads.Head, string, error) {
-	r := heads.NewReader(c)
+func answer(c net.Conn) (int, *http1.Head, string, error) {
+	r := http1.NewReader(c)
 	h, err := r.Response()
 	if err != nil {
 		return 0, nil, "", err
@@ -292,7 +292,7 @@
 	status, copied := h.Status, *h
 	copied.Fields = nil
 	for _, f := range h.Fields {
-		copied.Fields = append(copied.Fields, heads.Field{Name: []byte(string(f.Name)), Value: []byte(string(f.Value))})
+		copied.Fields = append(copied.Fields, http1.Field{Name: []byte(string(f.Name)), Value: []byte(string(f.Value))})
 	}
 	r.SetMaxBytes(1 << 20)
 	body, err := r.Body(h.Length, h.Chunked)
@@ -300,7 +300,7 @@
 }
 
 // ask sends a request on a connection of its own and reads the answer.
-func (y *yard) ask(request string) (int, *heads.Head, string, error) {
+func (y *yard) ask(request string) (int, *http1.Head, string, error) {
 	c := y.client()
 	go io.WriteString(c, request)
 	status, h, body, err := answer(c)
@@ -386,16 +386,16 @@
 			assert.Equal(t, 200, status)
 		}
 		assert.Equal(t, []string{"b1 GET /look?user=7 t1  0.500 ", "b1 POST /sign t2 k 0.500 abc", "b1 POST /sign t2 k 0.500 abc"}, y.got)
-		largest := strings.Repeat("x", heads.DefaultMaxBytes)
-		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", heads.DefaultMaxBytes, largest)}
+		largest := strings.Repeat("x", http1.DefaultMaxBytes)
+		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes, largest)}
 		status, _, body, err := y.ask(strings.Replace(sms, "Content-Length: 3\r\n\r\nabc",
-			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", heads.DefaultMaxBytes, largest), 1))
+			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes, largest), 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, largest, body)
 		assert.Equal(t, "b1 POST /sms t3  0.500 "+largest, y.got[3])
 		assert.Equal(t, []string{"b1"}, y.dials, "one connection serves one after the other")
-		large := strings.Repeat("x", 5*heads.DefaultMaxBytes)
+		large := strings.Repeat("x", 5*http1.DefaultMaxBytes)
 		y.plays["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large)}
 		status, _, body, err = y.ask(look)
 		assert.NoError(t, err)
@@ -430,7 +430,7 @@
 	e.Addr = behind.Addr().String()
 	log, _ := test.NewNullLogger()
 	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{e}},
-		Settings: figures.Settings{Deployment: balance.Deployment{Classes: []balance.Class{{Name: "look", Deadline: 20}}}}}, log)
+		Settings: settings.Settings{Deployment: balance.Deployment{Classes: []balance.Class{{Name: "look", Deadline: 20}}}}}, log)
 	assert.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error)
@@ -441,8 +441,8 @@
 	}{
 		{strings.Replace(look, "0.5", "20", 1), 200},
 		{"POST /look HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: look\r\nX-Expires-In: 20\r\nContent-Length: 65536\r\n\r\n" +
-			strings.Repeat("x", heads.DefaultMaxBytes), 200},
-		{strings.Replace(look, "t1", strings.Repeat("x", 3*heads.DefaultMaxBytes/2), 1), 431},
+			strings.Repeat("x", http1.DefaultMaxBytes), 200},
+		{strings.Replace(look, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
 		conn, err := net.Dial("tcp", front.Addr().String())
 		assert.NoError(t, err)
@@ -511,7 +511,7 @@
 		{chunked("-1\r\nabc\r\n0\r\n\r\n"), 400},
 		{"GET /elsewhere HTTP/1.1\r\n\r\n", 404},
 		{strings.Replace(sms, "Content-Length: 3", "Content-Length: 70000000", 1), 413},
-		{strings.Replace(look, "t1", strings.Repeat("x", heads.DefaultMaxBytes), 1), 431},
+		{strings.Replace(look, "t1", strings.Repeat("x", http1.DefaultMaxBytes), 1), 431},
 		{sms[:len(sms)-1], 408},
 		{look[:30], 408},
 	} {
@@ -536,11 +536,11 @@
 		f.Add([]byte(request))
 	}
 	log, _ := test.NewNullLogger()
-	p, err := New(BootstrapConfig{Settings: figures.Settings{Deployment: balance.Deployment{
+	p, err := New(BootstrapConfig{Settings: settings.Settings{Deployment: balance.Deployment{
 		Classes: []balance.Class{{Name: "look", Deadline: 1}}}}}, log)
 	assert.NoError(f, err)
 	f.Fuzz(func(t *testing.T, in []byte) {
-		h, err := heads.NewReader(strings.NewReader(string(in))).Request()
+		h, err := http1.NewReader(strings.NewReader(string(in))).Request()
 		if err != nil {
 			return
 		}
@@ -951,7 +951,7 @@
 		go io.WriteString(kept, long[:30])
 		synctest.Wait()
 		go io.WriteString(told, "nonsense\r\n\r\n")
-		heads.NewReader(told).Response() // and does not close
+		http1.NewReader(told).Response() // and does not close
 		for range 10 {
 			y.client()
 		}
@@ -989,7 +989,7 @@
 		clients, ends = append(clients, c), append(ends, end)
 	}
 	io.WriteString(ends[0], look)
-	for !backends.HasUnreadBytes(clients[0].nc) {
+	for !upstream.HasUnreadBytes(clients[0].nc) {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Nil(t, d.idlest(), "one that was served just now is likely to be used again")
@@ -1113,7 +1113,7 @@
 	}
 	before := broken()
 	y.stopSend = []float64{math.Inf(1), 0}
-	y.pool, y.names = backends.New(nil, nil), figures.Settings{}.NewRegistry()
+	y.pool, y.names = upstream.New(nil, nil), settings.Settings{}.NewRegistry()
 	for _, id := range []string{"b1", "b2"} {
 		y.names.Endpoint(entry(id, balance.Ready, 0).Entry)
 	}
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"lockloom/internal/backends"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
+	"lockloom/internal/upstream"
 )
 
 // reply is what a client is answered.
@@ -24,31 +24,31 @@
 
 // relay writes an answer to its client, who may be slow to take it but not for ever.
 func (c *client) relay(a reply, closing bool) error {
-	head := heads.AppendStatus(c.out[:0], a.status)
+	head := http1.AppendStatus(c.out[:0], a.status)
 	head = append(head, a.fields...)
 	switch {
 	case a.status == 204 || a.status == 304: // they have no body, and a length would be taken for one
 		a.body = nil
 	case a.flow != nil && a.length >= 0:
-		head = heads.AppendLength(head, a.length)
+		head = http1.AppendLength(head, a.length)
 	case a.flow != nil && !a.old:
-		head = heads.AppendField(head, "Transfer-Encoding", "chunked")
+		head = http1.AppendField(head, "Transfer-Encoding", "chunked")
 	case a.flow != nil: // up to the connection's end
 	case a.bare:
 		if len(a.body) > 0 { // an answer given here
 			a.length = len(a.body)
 		}
 		if a.body = nil; a.length >= 0 {
-			head = heads.AppendLength(head, a.length)
+			head = http1.AppendLength(head, a.length)
 		}
 	default:
-		head = heads.AppendLength(head, len(a.body))
+		head = http1.AppendLength(head, len(a.body))
 	}
 	if a.advice > 0 {
-		head = heads.AppendField(head, "Retry-After", heads.AppendSeconds(nil, a.advice))
+		head = http1.AppendField(head, "Retry-After", http1.AppendSeconds(nil, a.advice))
 	}
 	if closing {
-		head = heads.AppendField(head, "Connection", "close")
+		head = http1.AppendField(head, "Connection", "close")
 	}
 	head = append(head, "\r\n"...)
 	if c.out = head; cap(head) > outMost {
@@ -56,10 +56,10 @@
 	}
 	c.nc.SetWriteDeadline(time.Now().Add(clientSlow))
 	if a.flow == nil {
-		return heads.Write(c.nc, head, a.body)
+		return http1.Write(c.nc, head, a.body)
 	}
-	if err := heads.Write(c.nc, head); err != nil {
-		a.flow.CloseWithError(backends.ErrClientGone)
+	if err := http1.Write(c.nc, head); err != nil {
+		a.flow.CloseWithError(upstream.ErrClientGone)
 		return err
 	}
 	return c.relayFlow(a)
@@ -68,11 +68,11 @@
 // relayFlow hands a body on as it comes, at the client's pace as long as it takes something every so often. An answer that breaks is
 // shown as broken: the connection ends before the body does.
 func (c *client) relayFlow(a reply) error {
-	defer a.flow.CloseWithError(backends.ErrClientGone) // nothing, where it was read to its end
+	defer a.flow.CloseWithError(upstream.ErrClientGone) // nothing, where it was read to its end
 	var to io.Writer = c.nc
-	var chunks heads.Chunked
+	var chunks http1.Chunked
 	if a.length < 0 && !a.old {
-		chunks = heads.Chunked{Conn: c.nc}
+		chunks = http1.Chunked{Conn: c.nc}
 		to = chunks
 	}
 	piece := func(b []byte) error {
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
-	"lockloom/internal/heads"
+	"lockloom/internal/http1"
 	"lockloom/internal/invariant"
+	"lockloom/internal/upstream"
 )
 
 // leg is one leg of a lookup.
@@ -14,7 +14,7 @@
 	number   int
 	to       string
 	outcome  balance.Outcome // once it ended
-	ex       backends.Exchange
+	ex       upstream.Exchange
 	sent     float64
 	begun    bool // on a connection, or on one that is being opened
 	ended    bool
@@ -41,18 +41,18 @@
 	l.legs = append(l.legs, g)
 	p.counts.Legs++
 	taken := p.at(l.arrived)
-	g.ex = backends.Exchange{Head: l.head, Body: l.body, Deadline: p.at(until), SendBy: before,
+	g.ex = upstream.Exchange{Head: l.head, Body: l.body, Deadline: p.at(until), SendBy: before,
 		ClientGone:      func() bool { return l.abandoned(taken) },
 		ResponseTimeout: seconds(l.wait) - bodyEnd,
 		Passthrough:     l.plain, HeadOnly: l.bare, Upload: l.upload,
-		OnResponseStarted: func(r backends.Result) { p.started(l, g, r) }, OnDone: func(r backends.Result) { p.book(l, g, r) }}
+		OnResponseStarted: func(r upstream.Result) { p.started(l, g, r) }, OnDone: func(r upstream.Result) { p.book(l, g, r) }}
 	if l.upload != nil { // its first bytes are in the upload
 		g.ex.Body, until = nil, now+l.wait
 	}
-	g.ex.Tail = append(heads.AppendField(nil, "X-Expires-In", heads.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
+	g.ex.Tail = append(http1.AppendField(nil, "X-Expires-In", http1.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
 	if g.begun = may && p.pool.Send(backend, &g.ex); !g.begun {
 		p.later = append(p.later, func() {
-			p.book(l, g, backends.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
+			p.book(l, g, upstream.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
 		})
 	}
 }
--- a/proxy/strained.go
+++ b/proxy/strained.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
-	"lockloom/internal/idle"
+	"lockloom/internal/poller"
+	"lockloom/internal/upstream"
 	"lockloom/limits"
 )
 
@@ -46,7 +46,7 @@
 	s.mu.Unlock()
 	if waits != nil {
 		s.kick()
-		passes = <-c.passes && !backends.ClosedByPeer(c.nc) // danger: a client may have gone while its lookup waited, with nobody reading
+		passes = <-c.passes && !upstream.ClosedByPeer(c.nc) // danger: a client may have gone while its lookup waited, with nobody reading
 	}
 	c.inHand = true
 	return passes
@@ -83,7 +83,7 @@
 // turns gives lookups their turns, some in each round, until the proxy ends.
 func (p *Proxy) turns() {
 	s := &p.strained
-	round := idle.NewRound()
+	round := poller.NewRound()
 	defer round.Close()
 	tell := func(t *limits.Waiter, passes bool) { t.Owner.(*client).passes <- passes }
 	for {
--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"lockloom/balance"
-	"lockloom/internal/backends"
+	"lockloom/internal/upstream"
 	"lockloom/limits"
 )
 
@@ -111,7 +111,7 @@
 		l := &lookup{in: y.main, row: &y.launch.Classes[0], handle: h, answer: make(chan reply, 1)}
 		g := &leg{sent: y.stamp(now.Add(-c.ordered))}
 		l.legs = []*leg{g}
-		y.book(l, g, backends.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
+		y.book(l, g, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
 		assert.InDelta(t, c.want, h.latency, 1e-6, c.name)
 		assert.Equal(t, c.slack, y.strained.DelayFactor() > 1.5, c.name)
 		assert.Equal(t, 200, (<-l.answer).status)
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -14,12 +14,12 @@
 	"time"
 
 	"lockloom/balance"
-	"lockloom/duty"
-	"lockloom/internal/backends"
-	"lockloom/internal/figures"
-	"lockloom/internal/heads"
-	"lockloom/internal/idle"
-	"lockloom/internal/stamped"
+	"lockloom/internal/http1"
+	"lockloom/internal/poller"
+	"lockloom/internal/recvtime"
+	"lockloom/internal/settings"
+	"lockloom/internal/upstream"
+	"lockloom/lifecycle"
 )
 
 // client is a client's connection.
@@ -40,7 +40,7 @@
 	ahead   bool        // its present request was sent before the answer to the last
 	over    bool        // taken over the bound
 
-	idle  *idle.Wait    // nil: reading waits
+	idle  *poller.Wait  // nil: reading waits
 	left  atomic.Bool   // its lookup is not waited for any more; the connection ends then
 	ended atomic.Bool   // its client sends nothing more than has come
 	wake  chan struct{} // its next request has come, or it is to go
@@ -97,12 +97,12 @@
 
 // reader reads a connection, for as long as that lasts.
 type reader struct {
-	*heads.Reader
-	from *stamped.Reader
+	*http1.Reader
+	from *recvtime.Reader
 }
 
 // readers are of connections that have ended.
-var readers = sync.Pool{New: func() any { return &reader{heads.NewReader(nil), stamped.NewReader(nil)} }}
+var readers = sync.Pool{New: func() any { return &reader{http1.NewReader(nil), recvtime.NewReader(nil)} }}
 
 // until sets when reading ends without a byte.
 func (c *client) until(t time.Time) {
@@ -277,7 +277,7 @@
 		at := time.Now()
 		c.p.post(func() { c.p.whole(l, at) })
 	}
-	stopped := errors.Is(err, backends.ErrUploadStopped)
+	stopped := errors.Is(err, upstream.ErrUploadStopped)
 	if !stopped {
 		fed <- err
 	}
@@ -317,7 +317,7 @@
 		err = fmt.Errorf("%d bytes of the body in %v of waiting: %w", b.got+n, b.waited, err)
 	}
 	if b.got += n; b.most > 0 && b.got > b.most {
-		return n, &heads.Error{Status: 413, Text: "body too large"}
+		return n, &http1.Error{Status: 413, Text: "body too large"}
 	}
 	return n, err
 }
@@ -342,7 +342,7 @@
 			}
 			return answer, nil
 		case err := <-fed:
-			stopped := errors.Is(err, backends.ErrUploadStopped) || errors.Is(err, io.ErrClosedPipe) // the client has not gone
+			stopped := errors.Is(err, upstream.ErrUploadStopped) || errors.Is(err, io.ErrClosedPipe) // the client has not gone
 			if c.feeding, fed, deaf = nil, nil, stopped; err != nil && !stopped {
 				return reply{}, err
 			}
@@ -359,7 +359,7 @@
 				go func() { watched <- c.Watch() }()
 				break
 			}
-			if backends.ClosedByPeer(c.nc) {
+			if upstream.ClosedByPeer(c.nc) {
 				return reply{}, errGone
 			}
 			c.slow.Reset(lookEvery)
@@ -379,7 +379,7 @@
 }
 
 // read reads the rest of a request and what it says of its lookup; there is none in a question of readiness.
-func (c *client) read(h *heads.Head, arrived time.Time, first bool) (*lookup, balance.RequestInfo, *reply, error) {
+func (c *client) read(h *http1.Head, arrived time.Time, first bool) (*lookup, balance.RequestInfo, *reply, error) {
 	var l *lookup
 	var a balance.RequestInfo
 	var told *reply
@@ -408,19 +408,19 @@
 			told = c.p.tired()
 		} else {
 			l = &lookup{in: c.p.main, row: row, arrived: c.p.stamp(arrived), hardStop: a.Deadline, id: string(h.Get("X-Trace-Id")), answer: make(chan reply, 1)}
-			l.head = heads.AppendRequest(make([]byte, 0, headGuess), h.Method, h.Target)
-			l.head = heads.AppendForwardedFields(l.head, h, "X-Expires-In")
+			l.head = http1.AppendRequest(make([]byte, 0, headGuess), h.Method, h.Target)
+			l.head = http1.AppendForwardedFields(l.head, h, "X-Expires-In")
 		}
 	}
 	get := string(h.Method) == "GET" || string(h.Method) == "HEAD" // reading the body moves the head
 	if h.Continue && !c.Buffered() {
 		c.nc.SetWriteDeadline(time.Now().Add(clientSlow))
-		c.nc.Write(append(heads.AppendStatus(nil, 100), "\r\n"...))
+		c.nc.Write(append(http1.AppendStatus(nil, 100), "\r\n"...))
 	}
 	if h.Length > bodyMost && !c.open {
-		return nil, a, nil, &heads.Error{Status: 413, Text: "body too large"}
+		return nil, a, nil, &http1.Error{Status: 413, Text: "body too large"}
 	}
-	flows := h.Length > heads.DefaultMaxBytes || h.Chunked && c.open
+	flows := h.Length > http1.DefaultMaxBytes || h.Chunked && c.open
 	if flows && l == nil { // a route's own answer, or a question of readiness: the body is not wanted, and the connection ends
 		h.Close = true
 		return l, a, told, nil
@@ -443,24 +443,24 @@
 	var came []byte
 	if !flows {
 		var err error
-		came, err = io.ReadAll(io.LimitReader(from, heads.DefaultMaxBytes+1))
+		came, err = io.ReadAll(io.LimitReader(from, http1.DefaultMaxBytes+1))
 		if err != nil {
 			return l, a, told, err
 		}
-		flows = len(came) > heads.DefaultMaxBytes // chunks that have not ended: what has come of them goes first
+		flows = len(came) > http1.DefaultMaxBytes // chunks that have not ended: what has come of them goes first
 	}
 	if l == nil {
 		return l, a, told, nil
 	}
 	if flows {
 		l.body = came
-		l.upload, l.from = backends.NewUpload(chunked), from
+		l.upload, l.from = upstream.NewUpload(chunked), from
 		l.wait, a.Streaming = a.Deadline-l.arrived, true
 		a.Deadline = l.arrived + bodyFor.Seconds() // until it has come whole
 		if chunked {
-			l.head = heads.AppendField(l.head, "Transfer-Encoding", "chunked")
+			l.head = http1.AppendField(l.head, "Transfer-Encoding", "chunked")
 		} else {
-			l.head = heads.AppendLength(l.head, length)
+			l.head = http1.AppendLength(l.head, length)
 		}
 		l.hardStop = a.Deadline
 		return l, a, told, nil
@@ -481,7 +481,7 @@
 func (c *client) kept(l *lookup, a *balance.RequestInfo, body []byte, get bool, arrived time.Time) {
 	l.body = body
 	if !get || len(body) > 0 {
-		l.head = heads.AppendLength(l.head, len(body))
+		l.head = http1.AppendLength(l.head, len(body))
 	}
 	if body != nil {
 		late := c.came().Sub(arrived).Seconds() // its time counts from its last byte
@@ -512,10 +512,10 @@
 var ownFields = []string{"X-Trace-Id", "X-Qos", "X-Expires-In", "Idempotency-Key"}
 
 // arrival is what a request's head says of its lookup.
-func (p *Proxy) arrival(h *heads.Head, path, query []byte, arrived time.Time) (balance.RequestInfo, error) {
+func (p *Proxy) arrival(h *http1.Head, path, query []byte, arrived time.Time) (balance.RequestInfo, error) {
 	a := balance.RequestInfo{Tenant: -1}
 	refuse := func(status int, text string) (balance.RequestInfo, error) {
-		return a, &heads.Error{Status: status, Text: text}
+		return a, &http1.Error{Status: status, Text: text}
 	}
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte{'/'}), []byte{'/'})
 	named := h.Get("X-Qos")
@@ -559,7 +559,7 @@
 	}
 	for part := range bytes.SplitSeq(query, []byte{'&'}) {
 		if key, ok := bytes.CutPrefix(part, []byte("user=")); ok {
-			a.Key = figures.NameHash(string(key))
+			a.Key = settings.NameHash(string(key))
 		}
 	}
 	for part := range bytes.SplitSeq(h.Get("X-Props"), []byte{','}) {
@@ -578,7 +578,7 @@
 		return false
 	}
 	status, text := 0, err.Error()
-	var wrong *heads.Error
+	var wrong *http1.Error
 	switch {
 	case errors.As(err, &wrong):
 		status = wrong.Status
@@ -599,7 +599,7 @@
 
 // up answers whether the proxy takes lookups.
 func (p *Proxy) up() reply {
-	if peek(p.life, (*duty.Process).WantsClients) {
+	if peek(p.life, (*lifecycle.Process).WantsClients) {
 		return reply{status: 200, body: []byte("up\n")}
 	}
 	return reply{status: 503, body: []byte("not up\n")}
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -21,7 +21,7 @@
 	"slices"
 	"strings"
 
-	"lockloom/internal/chance"
+	"lockloom/internal/pcg"
 )
 
 // Bounds of a table: past them a slip of the pen is likelier than a need.
@@ -502,7 +502,7 @@
 			continue
 		}
 		// weighted rendezvous: the greatest of ln(u)/weight, where key and pool settle u
-		if score := math.Log(chance.HashFloat64(key, nameHash(p.Pool))) / p.Weight; score > most {
+		if score := math.Log(pcg.HashFloat64(key, nameHash(p.Pool))) / p.Weight; score > most {
 			best, most = i, score
 		}
 	}
