--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -1,7 +1,7 @@
 // Package assignment decides what subscribers, which are proxies and clients that lockloom does not run, are told of a pool: its servers,
 // their health and weights. It turns what one instance holds of the servers (sights) into assignments that move seldom and by little,
 // but for drains, which it passes on at once. It does no input or output and keeps no clock: times are passed in, in seconds since 1970.
-// The control service calls it; it never picks a server for a lookup. A Pool is not safe for concurrent use.
+// The control service calls it; it never picks a server for a request. A Pool is not safe for concurrent use.
 package assignment
 
 import (
@@ -18,16 +18,16 @@
 	moveLeast   = 0.2     // of a weight: a smaller difference is not worth a new version at every subscriber
 	moveMost    = 2.0     // factor by which a weight moves at once
 	moveEvery   = 2.0     // s between moves of a pool's weights
-	restLeast   = 1.0     // s told as paused at least: a success may be that of a leg from before
+	restLeast   = 1.0     // s told as paused at least: a success may be that of an attempt from before
 	restMost    = 40.0    // s told as paused beyond what the decisions say, however often it was paused lately
 	flapFor     = 60.0    // s after which a pause no longer counts as lately
 	coldMargin  = 0.4     // of what makes a cold server fall, at least; the decisions' own, as are the next two
 	coldMost    = 0.55    // and at most: the load may have grown since it was reported
-	coldSpread  = 3.5     // deviations of what chance sends, to fit above the flow; fewer lookups, wider ones
+	coldSpread  = 3.5     // deviations of what chance sends, to fit above the flow; fewer requests, wider ones
 	coldSlack   = 0.05    // of a cold server's bound: a fall of less waits for the next move
 	loadFalls   = 10.0    // s; the load that is reckoned with falls so slowly, and rises at once
-	baseRises   = 60.0    // s; the time of a lookup that does not wait, as it is taken, rises so slowly, and falls at once
-	timeOver    = 2.0     // s over which a lookup's time is the mean
+	baseRises   = 60.0    // s; the time of a request that does not wait, as it is taken, rises so slowly, and falls at once
+	timeOver    = 2.0     // s over which a request's time is the mean
 	lostShare   = 0.5     // of the servers missing from a list at once: it is doubted
 	holdFor     = 30.0    // s that a doubted list is held back
 	oldest      = 600.0   // s; a memory as old as this says nothing
@@ -69,7 +69,7 @@
 type Observation struct {
 	Servers []ServerEstimate
 	Removed []string // listed as gone since the last sight, as opposed to missing from a list
-	Load    float64  // lookups in work for all subscribers together; 0: not known
+	Load    float64  // requests in work for all subscribers together; 0: not known
 	Rate    float64  // of them begun a second; with it the load is reckoned without what waits
 }
 
@@ -84,7 +84,7 @@
 // Assignment is what a subscriber is told of a pool, by name of server.
 type Assignment struct {
 	Servers []Server
-	Drop    float64 // share of lookups not to be sent anywhere: all servers are cold and bear no more
+	Drop    float64 // share of requests not to be sent anywhere: all servers are cold and bear no more
 }
 
 // told is what holds for a server.
@@ -92,7 +92,7 @@
 	ServerEstimate
 	health  Health
 	weight  float64
-	cap     float64 // share of all lookups that it is given at most; +Inf: no bound
+	cap     float64 // share of all requests that it is given at most; +Inf: no bound
 	since   float64 // when its health was told
 	rest    float64 // s that it is told as paused at least
 	lostAt  float64 // when the list lost it; 0: it is listed
@@ -107,7 +107,7 @@
 	movedAt  float64 // when weights moved last
 	raisedAt float64 // when the bounds of cold servers rose last
 	load     float64 // of all that is sent, in servers wholly in use; 0: never told
-	holds    float64 // lookups in work, smoothed
+	holds    float64 // requests in work, smoothed
 	rate     float64 // begun a second, smoothed
 	base     float64 // s that one takes where little waits; 0: not known
 	loadAt   float64
@@ -156,7 +156,7 @@
 }
 
 // loads takes in how much is sent. Danger: reckoned by what is in work, a crowd that waits at the warm servers would shut the cold
-// ones, which makes the crowd; so it is the rate times what a lookup takes where little waits.
+// ones, which makes the crowd; so it is the rate times what a request takes where little waits.
 func (p *Pool) loads(now float64, s Observation) {
 	passed := now - p.loadAt
 	p.loadAt = now
@@ -365,7 +365,7 @@
 	if fits == 1 || p.load == 0 {
 		return 0
 	}
-	return max(1-fits*p.reckoned/p.load, 0) // of what is known to come: nobody is turned away on a guess
+	return max(1-fits*p.reckoned/p.load, 0) // of what is known to come: nobody is rejected on a guess
 }
 
 // fill gives shares in proportion to weights, none above its cap, that come to one in all; fits is how much of it the caps
--- a/assignment/assignment_test.go
+++ b/assignment/assignment_test.go
@@ -173,7 +173,7 @@
 	assert.InDelta(t, 1/(mostUneven*mostUneven), ratio(0, 1), .01)
 }
 
-// Whatever is seen: nobody gone or draining is given lookups, cold servers get no more than they bear, weights stay within their bounds and
+// Whatever is seen: nobody gone or draining is given requests, cold servers get no more than they bear, weights stay within their bounds and
 // move no faster than they may, and drains wait for nothing.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance decides where a proxy sends its lookups. It does no input or output and keeps no clock.
-// RequestArrived gives back a handle of a lookup; what happens to it later is a call on that handle. Every call takes
+// Package balance decides where a proxy sends its requests. It does no input or output and keeps no clock.
+// RequestArrived gives back a handle of a request; what happens to it later is a call on that handle. Every call takes
 // the present time and returns Orders. The interface is in types.go, the reasons are in docs/design.md.
 package balance
 
@@ -14,73 +14,73 @@
 // Every constant of the decisions. Shares and payoffs are plain numbers from 0 to 1.
 const (
 	roundInterval   = 15.0  // s; the source's: counts older than this say little of now
-	tariffRound     = 5.0   // s; the same for one tariff at one server: a hang costs each lookup its hard stop
-	recoverInterval = 5.0   // s; the source's: long enough that a dead backend costs few lookups
+	tariffRound     = 5.0   // s; the same for one class at one server: a hang costs each request its deadline
+	recoverInterval = 5.0   // s; the source's: long enough that a dead server costs few requests
 	recoverSpread   = 0.5   // of recoverInterval, by chance, so that shared pauses do not lapse together
 	minCheck        = 5     // results; the source's: fewer are chance
-	cbkErrRate      = 0.5   // share; the source's: a backend failing more than it serves
-	temperature     = 0.1   // payoff; a backend 0.2 worse is drawn an eighth as often
-	keyTemperature  = 0.25  // payoff, for lookups with a key: a passing dip of a payoff must not move keys
+	cbkErrRate      = 0.5   // share; the source's: a server failing more than it serves
+	temperature     = 0.1   // payoff; a server 0.2 worse is drawn an eighth as often
+	keyTemperature  = 0.25  // payoff, for requests with a key: a passing dip of a payoff must not move keys
 	smoothing       = 0.1   // of a server's pace replaced a result: about ten results are remembered
 	oneResult       = 1.0   // chance in one payoff, over the usual square of what one server differs by
 	forget          = 10.0  // s; unheard this long, a payoff has gone most of the way back to the mean
-	forgetModel     = 60.0  // s; what a model can do stays, but another tariff mix may ask other things of it
-	haste           = 0.4   // payoff an answer loses by using its whole due time up
+	forgetModel     = 60.0  // s; what a model can do stays, but another class mix may ask other things of it
+	haste           = 0.4   // payoff an answer loses by using its whole latency objective up
 	farther         = 0.12  // payoff lost on the way to another location, where proxies tell
 	latePayoff      = 0.3   // payoff of a late answer: better than none, worse than any in time
-	fullPayoff      = 0.5   // of a leg with a warm key turned away, where peers tell; of others none
+	fullPayoff      = 0.5   // of an attempt with a warm key rejected, where peers tell; of others none
 	busyShare       = 0.9   // of the room there is: with less in flight the limits do not bind
-	spareShare      = 0.5   // of the room: with less in flight a leg beside another keeps nobody out
-	homes           = 2     // backends a key is kept to at first; one alone is crowded by a popular key
-	keyShares       = 1.0   // of a server's even share of all lookups: a key with more counts as several keys
+	spareShare      = 0.5   // of the room: with less in flight an attempt beside another keeps nobody out
+	homes           = 2     // servers a key is kept to at first; one alone is crowded by a popular key
+	keyShares       = 1.0   // of a server's even share of all requests: a key with more counts as several keys
 	ownServers      = 4.0   // times its even part of the servers: a proxy of many keeps to so many
 	mostUneven      = 20.0  // times the even part of the traffic, or the even part over it
 	hearsay         = 10.0  // times the chance in a payoff, where a peer tells it
 	wayCost         = 3.0   // in the draw, of another location, where there is room
 	openCost        = 15.0  // the same of opening a connection, times its price
 	openMargin      = 0.5   // s before an idle connection is closed
-	idleFor         = 2.0   // s; a connection unused for longer costs a backend more than opening it anew
+	idleFor         = 2.0   // s; a connection unused for longer costs a server more than opening it anew
 	sightFor        = 3.0   // s; what was seen, or told of loads, longer ago is left out
-	goneFor         = 1.0   // s after its last answer, that a backend which the list has lost is still sent to
+	goneFor         = 1.0   // s after its last answer, that a server which the list has lost is still sent to
 	hop             = 0.02  // s that a note is taken to be on its way
-	homeTime        = 0.2   // of the due time; a longer wait costs more than a warm backend saves
+	homeTime        = 0.2   // of the latency objective; a longer wait costs more than a warm server saves
 	crowdMultiple   = 2.0   // of the mean in flight, the design's redraw bound
-	firstLimit      = 2.0   // legs of all proxies together at a backend not yet heard: one at work, one waiting
+	firstLimit      = 2.0   // attempts of all proxies together at a server not yet heard: one at work, one waiting
 	firstTold       = 3.0   // the same, and the least, for each core the list tells, where peers tell results
-	leastLimit      = 1.0   // legs of all proxies together: a backend is never wholly shut by its limit
-	limitGain       = 1.2   // legs a second at a server, over the proxies and one; more chokes, less starves
+	leastLimit      = 1.0   // attempts of all proxies together: a server is never wholly shut by its limit
+	limitGain       = 1.2   // attempts a second at a server, over the proxies and one; more chokes, less starves
 	firstGain       = 4.8   // the same at first in a fleet, until a few cuts: nothing tells what a server bears
 	limitCut        = 0.9   // factor on a slow answer
-	halfLeg         = 0.5   // legs; a limit below binds by the sum of all only
+	halfLeg         = 0.5   // attempts; a limit below binds by the sum of all only
 	limitFull       = 0.7   // factor on no room, a plain sign
 	toldFull        = 0.95  // the same where peers tell of it, so that many count what one saw
-	slowShare       = 0.35  // of the due time: an answer slower than this was kept waiting
-	slowMedians     = 2.5   // of the tariff's median when little waited: later, it waited or was unlucky
-	slowLeast       = 2.2   // of it too: a leg under that did not wait, whatever its part of the due time
+	slowShare       = 0.35  // of the latency objective: an answer slower than this was kept waiting
+	slowMedians     = 2.5   // of the class's median when little waited: later, it waited or was unlucky
+	slowLeast       = 2.2   // of it too: an attempt under that did not wait, whatever its part of the latency objective
 	baseRise        = 0.002 // smoothing of that median upwards: it follows a slower fleet, not a crowd
-	mostLost        = 2     // legs of a lookup that failed where they ran: the lookup may be at fault
-	patienceFactor  = 1.5   // of the tariff's high quantile: a leg older than this is overdue
-	againPart       = 0.2   // of the priority, for a client's further try: most of its due time is gone
-	holdPart        = 0.4   // of the time to the hard stop to wait for a first leg: past half it costs more
-	answerEarly     = 0.01  // s before the hard stop, more than two of any proxy's ticks
-	windowMargin    = 0.01  // s before a dedup window closes, for the way to the backend
+	mostLost        = 2     // attempts of a request that failed where they ran: the request may be at fault
+	patienceFactor  = 1.5   // of the class's high quantile: an attempt older than this is overdue
+	againPart       = 0.2   // of the priority, for a client's further try: most of its latency objective is gone
+	holdPart        = 0.4   // of the time to the deadline to wait for a first attempt: past half it costs more
+	answerEarly     = 0.01  // s before the deadline, more than two of any proxy's ticks
+	windowMargin    = 0.01  // s before a dedup window closes, for the way to the server
 	coldMargin      = 0.4   // of the fall budget, as it flows at least
 	coldMost        = 0.55  // and at most
-	coldSpread      = 3.5   // deviations of what chance sends, to fit above the flow; fewer lookups, wider ones
+	coldSpread      = 3.5   // deviations of what chance sends, to fit above the flow; fewer requests, wider ones
 	coldDepth       = 0.5   // of a window's flow may come at once: in all 0.6 to 0.83 of the budget in any
 	mostVain        = 8     // draws that came to nothing, of those that wait, at one look at them
-	pumpEvery       = 0.02  // s between looks at held lookups when nothing else happens
+	pumpEvery       = 0.02  // s between looks at held requests when nothing else happens
 	askFirst        = 0.25  // s; first pause before asking the list again
 	askMost         = 4.0   // s; longest such pause
 	paceSmoothing   = 0.05  // of a gap between sends: about twenty gaps
-	spareLegs       = 10.0  // usual legs past a small room, saved up: a part of all arrivals comes in clumps
-	spareRoom       = 4.0   // legs; a room of so many smooths half of that by itself
+	spareLegs       = 10.0  // usual attempts past a small room, saved up: a part of all arrivals comes in clumps
+	spareRoom       = 4.0   // attempts; a room of so many smooths half of that by itself
 	freshFor        = 0.08  // s; a told load this old says little more than the mean
 	crowdCost       = 8.0   // in the draw, of a full server over an empty one; more than its payoff tells
-	seenShare       = 0.55  // of the due time that a usual lookup may take at a full server whose load is seen
-	seenReserve     = 0.3   // of the room whose load is seen, for lookups of more than the usual priority
+	seenShare       = 0.55  // of the latency objective that a usual request may take at a full server whose load is seen
+	seenReserve     = 0.3   // of the room whose load is seen, for requests of more than the usual priority
 	spend           = 0.004 // of the service, to pay for probes, and as much for notes
-	mostAsked       = 2.0   // probes a lookup, however cheap
+	mostAsked       = 2.0   // probes a request, however cheap
 	guessMost       = 1.0   // s; of an answer unheard so far a longer guess is none: others' tell more
 	meanPart        = 0.02  // smoothing of fleet-wide means: about fifty results
 )
@@ -97,13 +97,13 @@
 		b.gain = firstGain
 	}
 	for _, t := range d.Classes {
-		t.LatencyObjective = cmp.Or(t.LatencyObjective, t.Deadline/2) // no due time set: half of what the client waits
+		t.LatencyObjective = cmp.Or(t.LatencyObjective, t.Deadline/2) // no latency objective set: half of what the client waits
 		b.rows = append(b.rows, row{Class: t, base: t.LatencyObjective / 4, all: &b.all})
 	}
 	return b, nil
 }
 
-// RequestArrived accepts a lookup; it will get exactly one answer.
+// RequestArrived accepts a request; it will get exactly one answer.
 func (b *Balancer) RequestArrived(now float64, a RequestInfo) (*Request, *Actions) {
 	b.begin(now)
 	r := &b.rows[a.Class]
@@ -116,7 +116,7 @@
 	b.lookups++
 	b.gap += max(meanPart, 1/b.lookups) * (now - b.lastTake - b.gap)
 	b.lastTake = now
-	if b.warm(l) { // danger: one key of many lookups crowds its homes; it counts as several keys
+	if b.warm(l) { // danger: one key of many requests crowds its homes; it counts as several keys
 		l.place = l.Key + uint64(b.chance.Float64()*math.Ceil(b.keys.Add(l.Key)*b.servable/keyShares))
 	} else if n := ownServers * b.servable / float64(b.d.Proxies) * b.uneven(); n < b.servable {
 		l.place = b.d.Seed + uint64(b.chance.Float64()*n) // danger: who sees little of all can tell none apart
@@ -130,7 +130,7 @@
 	return l, b.pump()
 }
 
-// ResponseStarted tells that a streamed answer began: the lookup now belongs to that leg.
+// ResponseStarted tells that a streamed answer began: the request now belongs to that attempt.
 func (l *Request) ResponseStarted(now float64, i int) *Actions {
 	b := l.b.begin(now)
 	if !l.over && i < len(l.legs) {
@@ -151,7 +151,7 @@
 	return &b.orders
 }
 
-// AttemptEnded tells how a leg ended, and whether the lookup is over by it or was before.
+// AttemptEnded tells how an attempt ended, and whether the request is over by it or was before.
 func (l *Request) AttemptEnded(now float64, i int, o Outcome, latency float64, over bool) *Actions {
 	b := l.b.begin(now)
 	if i >= len(l.legs) || !l.legs[i].out {
@@ -169,8 +169,8 @@
 	case l.over:
 	case over:
 		b.close(l, -1)
-	case l.out > 0: // a leg sent beside it may still answer
-	case o == InvalidRequest: // danger: asked of one backend after the other it would set each back
+	case l.out > 0: // an attempt sent beside it may still answer
+	case o == InvalidRequest: // danger: asked of one server after the other it would set each back
 		b.step(RequestAction{Ref: l.Ref, Reply: Failed})
 		b.close(l, -1)
 	case l.lost() >= mostLost: // danger: one that brings down what takes it would be handed on and on
@@ -181,14 +181,14 @@
 	return b.pump()
 }
 
-// WakeAt is the lookup's own timer: for an overdue leg, and for the answer before the hard stop.
+// WakeAt is the request's own timer: for an overdue attempt, and for the answer before the deadline.
 func (l *Request) TimerFired(now float64) *Actions {
 	b := l.b.begin(now)
 	if l.over {
 		return &b.orders
 	}
 	if now >= l.Deadline-answerEarly {
-		b.giveUp(l) // danger: a leg's own end may come after the hard stop
+		b.giveUp(l) // danger: an attempt's own end may come after the deadline
 		return &b.orders
 	}
 	for i := range l.legs {
@@ -196,11 +196,11 @@
 		if !g.out || g.counted || now < g.sent+b.patience(l)-1e-6 {
 			continue
 		}
-		g.counted = true                  // danger: a hanging backend would be known only a hard stop later
-		b.unload(g, g.s.limit >= halfLeg) // danger: a tariff that hangs there leaves the others no room
+		g.counted = true                  // danger: a hanging server would be known only a deadline later
+		b.unload(g, g.s.limit >= halfLeg) // danger: a class that hangs there leaves the others no room
 		b.results(l.Class, g.s, false)
 		g.s.payoff(b, l.Class, 0, b.now, oneResult)
-		// danger: a leg that was lost on its way is never answered, at whatever server
+		// danger: an attempt that was lost on its way is never answered, at whatever server
 		if s, _ := b.pick(l); s != nil && b.d.HedgingAllowed && float64(max(b.out, 1)) < spareShare*b.room {
 			b.send(l, s)
 		}
@@ -236,7 +236,7 @@
 	b.wake(b.tidyAt)
 }
 
-// EndpointsUpdated takes in the list of backends or, unless full, the changed entries. The first one also subscribes.
+// EndpointsUpdated takes in the list of servers or, unless full, the changed entries. The first one also subscribes.
 func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []Endpoint) *Actions {
 	b.begin(now)
 	b.place(full, list)
@@ -270,12 +270,12 @@
 		b.pace += paceSmoothing * (b.now - b.lastSend - b.pace)
 	}
 	b.lastSend = b.now
-	b.unload(&l.legs[len(l.legs)-1], l.Streaming) // danger: slow clients would fill a limit with legs at rest
+	b.unload(&l.legs[len(l.legs)-1], l.Streaming) // danger: slow clients would fill a limit with attempts at rest
 	b.step(RequestAction{Ref: l.Ref, Send: true, Endpoint: s.Index, Deadline: l.Deadline,
 		WakeAt: min(b.now+b.patience(l), l.Deadline-answerEarly)})
 }
 
-// may says whether another leg of l at s is harmless and goes somewhere new.
+// may says whether another attempt of l at s is harmless and goes somewhere new.
 func (b *Balancer) may(l *Request, s *server) bool {
 	for i := range l.legs {
 		g := &l.legs[i]
@@ -293,7 +293,7 @@
 	return true
 }
 
-// giveUp answers a lookup at once: dismissed where trying again is harmless, else forfeited.
+// giveUp answers a request at once: rejected where trying again is harmless, else failed.
 func (b *Balancer) giveUp(l *Request) {
 	ans, advice := Rejected, min(l.row.LatencyObjective, b.d.MaxRetryAfter)
 	for i := range l.legs {
@@ -306,7 +306,7 @@
 	b.close(l, -1)
 }
 
-// close ends a lookup, calling off every leg but the kept one.
+// close ends a request, calling off every attempt but the kept one.
 func (b *Balancer) close(l *Request, kept int) {
 	l.over = true
 	if l.isHeld {
@@ -319,19 +319,19 @@
 	}
 }
 
-// patience is the age at which a leg of this lookup is overdue.
+// patience is the age at which an attempt of this request is overdue.
 func (b *Balancer) patience(l *Request) float64 {
 	return patienceFactor*l.row.times.Quantile(0.9, l.row.LatencyObjective/2)*max(l.heavy, 1) + b.lag
 }
 
-// worthHolding says whether a lookup with n held before it can still be answered in time.
+// worthHolding says whether a request with n held before it can still be answered in time.
 func (b *Balancer) worthHolding(l *Request, n int) bool {
-	sent := b.now + float64(n+1)*b.pace // danger: turned away with nothing sent, its client has waited in vain
+	sent := b.now + float64(n+1)*b.pace // danger: rejected with nothing sent, its client has waited in vain
 	return sent+b.typical(l) <= min(l.taken+l.row.LatencyObjective, l.Deadline-answerEarly) &&
 		(len(l.legs) > 0 || sent <= l.taken+holdPart*(l.Deadline-l.taken))
 }
 
-// priority is the value of answering this lookup in time, for its work.
+// priority is the value of answering this request in time, for its work.
 func (b *Balancer) priority(l *Request) float64 {
 	p := l.row.PriorityWeight
 	if !b.d.WeightByWork {
@@ -343,7 +343,7 @@
 	return p
 }
 
-// next holds a lookup with nothing out, by priority, then by age; pump sends it at once where there is room.
+// next holds a request with nothing out, by priority, then by age; pump sends it at once where there is room.
 func (b *Balancer) next(l *Request) {
 	i := len(b.held)
 	if i == 0 {
@@ -355,7 +355,7 @@
 	b.held, l.isHeld = slices.Insert(b.held, i, l), true
 }
 
-// pump sends held lookups where there is room and answers those that can no longer be in time.
+// pump sends held requests where there is room and answers those that can no longer be in time.
 func (b *Balancer) pump() *Actions {
 	stuck, vain := false, 0
 	for i := 0; i < len(b.held); {
@@ -387,7 +387,7 @@
 	return &b.orders
 }
 
-// pick draws a server for a leg by the softmax of payoffs, in Gumbel form: greatest payoff/temperature plus
+// pick draws a server for an attempt by the softmax of payoffs, in Gumbel form: greatest payoff/temperature plus
 // noise. A crowded one is redrawn, without putting it back; the last choice is the least crowded drawn.
 // It also tells whether some server would do if it had room.
 func (b *Balancer) pick(l *Request) (*server, bool) {
@@ -416,7 +416,7 @@
 		out = float64(b.out)
 		bound = crowdMultiple * out / float64(max(admitted, 1))
 	}
-	if out >= b.space(l.priority) { // danger: a room below one leg binds over time, not at once
+	if out >= b.space(l.priority) { // danger: a room below one attempt binds over time, not at once
 		return nil, full // danger: payoffs reckoned for each that waits took most of a second's processor time
 	}
 	spare := max(1-b.fill/spareShare, 0) // danger: where room is short, a cost keeps servers idle
@@ -471,12 +471,12 @@
 	return last.s, full
 }
 
-// open says whether a connection to a server is idle, as far as its legs tell.
+// open says whether a connection to a server is idle, as far as its attempts tell.
 func (b *Balancer) open(s *server) bool {
 	return s.used > 0 && b.now < s.used+b.d.ServerIdleTimeout-openMargin
 }
 
-// lingers says whether a backend that the list has lost may be sent to: as long as it goes on answering.
+// lingers says whether a server that the list has lost may be sent to: as long as it goes on answering.
 // Danger: one that is up again is cold, and the list would not tell.
 func (b *Balancer) lingers(s *server) bool {
 	return b.d.RemovalIsAdvisory && s.State == Removed && !s.drained && b.now < s.served+goneFor
@@ -487,7 +487,7 @@
 	return !r.paused || b.now >= r.accessLast+r.cooldown && r.inFlight == 0
 }
 
-// noise is Gumbel noise: by chance or, where a lookup has a place, by that and the server. A key's place is
+// noise is Gumbel noise: by chance or, where a request has a place, by that and the server. A key's place is
 // alike at every proxy, a proxy of many has a few of its own. Over all places the draw is the same.
 func (b *Balancer) noise(l *Request, s *server) float64 {
 	u := b.chance.Float64()
@@ -497,17 +497,17 @@
 	return -math.Log(-math.Log(u))
 }
 
-// learn takes in how a leg ended.
+// learn takes in how an attempt ended.
 func (b *Balancer) learn(l *Request, g *leg, o Outcome, latency float64) {
 	s, due := g.s, l.row.LatencyObjective*max(l.heavy, 1)
 	switch o {
-	case Canceled: // danger: were only answers to count, the slowest tariff would look as quick as its luckiest
+	case Canceled: // danger: were only answers to count, the slowest class would look as quick as its luckiest
 		if g.counted {
 			l.row.times.Add((b.now - g.sent) / max(l.heavy, 0.5))
 		}
 	case NotSent, InvalidRequest: // these count neither way
-	case ServerRejected: // a busy backend is not a broken one: its row stays
-		b.credit -= max(l.row.median()-(b.now-g.sent), 0) // danger: turned away at once, legs would use up no room
+	case ServerRejected: // a busy server is not a broken one: its row stays
+		b.credit -= max(l.row.median()-(b.now-g.sent), 0) // danger: rejected at once, attempts would use up no room
 		cut, worth := limitFull, 0.0
 		if b.d.Gossip {
 			cut = toldFull
@@ -536,7 +536,7 @@
 		} else {
 			s.payoff(b, l.Class, latePayoff, b.now, oneResult)
 		}
-		if b.loads() || float64(b.out+1) < busyShare*b.space(b.usual) { // with the leg that just ended
+		if b.loads() || float64(b.out+1) < busyShare*b.space(b.usual) { // with the attempt that just ended
 			return // danger: a limit that moves while it does not bind is wrong when it does
 		}
 		grow, usual := 1+max(b.gain, limitGain)*latency/float64(1+b.d.Proxies)/s.limit, l.row.base*max(l.heavy, 1)
@@ -556,7 +556,7 @@
 }
 
 // bounds are a server's first limit and the least. Where peers tell and the list its size, they are one: what
-// it bears without waiting. Danger: its own refusals would leave idle one that turns away before it is slow.
+// it bears without waiting. Danger: its own refusals would leave idle one that rejects before it is slow.
 func (b *Balancer) bounds(size float64) (first, least float64) {
 	first, least = firstLimit, leastLimit
 	if b.d.Gossip && !b.d.HealthChecks && size > 0 {
@@ -567,7 +567,7 @@
 }
 
 // move changes a server's limit, and the others' too as far as too little is heard from it to learn it alone.
-// One too small to hold back a leg moves with the others only: it binds by their sum.
+// One too small to hold back an attempt moves with the others only: it binds by their sum.
 func (b *Balancer) move(s *server, factor, others float64) {
 	alone := 1 - math.Pow(1-s.opinions[2].sure, 2)
 	own, shared := alone*min(s.limit/halfLeg, 1), math.Pow(others, 1-alone)
@@ -586,10 +586,10 @@
 	}
 }
 
-// clumps is how many legs past the room may be saved up: what comes to a small room comes in clumps.
+// clumps is how many attempts past the room may be saved up: what comes to a small room comes in clumps.
 func (b *Balancer) clumps() float64 { return spareLegs / (1 + b.room/spareRoom) }
 
-// space is what may be out: the room and what was saved up below it, spent in a usual time. A lookup of less
+// space is what may be out: the room and what was saved up below it, spent in a usual time. A request of less
 // than the usual priority leaves some, one of more may run into debt: few are ever held to choose from.
 func (b *Balancer) space(priority float64) float64 {
 	reserve := (b.usual - priority) / max(b.usual+priority, 1e-9)
@@ -599,15 +599,15 @@
 	return b.room + b.credit/b.rows[0].median() - b.clumps()*reserve
 }
 
-// results keeps the rows of a server. Danger: one that fails a single tariff serves the others well, so its
-// own row never pauses it; the tariff's row there pauses it for that tariff.
-func (b *Balancer) results(tariff int, s *server, ok bool) {
+// results keeps the rows of a server. Danger: one that fails a single class serves the others well, so its
+// own row never pauses it; the class's row there pauses it for that class.
+func (b *Balancer) results(class int, s *server, ok bool) {
 	b.failShare -= meanPart * b.failShare
 	if !ok {
 		b.failShare += meanPart
 	}
 	b.result(&s.breaker, ok, roundInterval, b.failShare)
-	b.result(&s.tariffs[tariff], ok, tariffRound, b.shared(tariff, ok))
+	b.result(&s.tariffs[class], ok, tariffRound, b.shared(class, ok))
 }
 
 // result keeps a row; shared is the share of failures that servers have in common.
@@ -633,9 +633,9 @@
 	}
 }
 
-// shared is the share of failures in a tariff's rows that three servers in four exceed: what only some fail,
+// shared is the share of failures in a class's rows that three servers in four exceed: what only some fail,
 // up to that many, is not shared. A result that is ok is held to no bar and needs none.
-func (b *Balancer) shared(tariff int, ok bool) float64 {
+func (b *Balancer) shared(class int, ok bool) float64 {
 	if ok {
 		return 0
 	}
@@ -644,7 +644,7 @@
 		if s == nil || s.State != Ready {
 			continue
 		}
-		share, r := 0.0, &s.tariffs[tariff]
+		share, r := 0.0, &s.tariffs[class]
 		if r.totalCount > 0 && b.now-r.accessLast < roundInterval {
 			share = float64(r.errCount) / float64(r.totalCount)
 		}
@@ -657,26 +657,26 @@
 	return b.shares[len(b.shares)/4]
 }
 
-// payoff tells what a leg at a server was worth at a time; chance is that in it. What surprises goes to the
+// payoff tells what an attempt at a server was worth at a time; chance is that in it. What surprises goes to the
 // server, its model and the fleet by how little is known of each: a proxy of many hears too seldom from one
-// server, often enough of its like; in a bank that tells, to the tariff there too.
-func (s *server) payoff(b *Balancer, tariff int, p, at, chance float64) {
-	s.sights[tariff] = sight{Observation{Class: tariff, Value: p}, at}
-	miss, total := p-b.payNow(s, tariff), chance
-	for _, o := range s.views[tariff] {
+// server, often enough of its like; in a fleet that tells, to the class there too.
+func (s *server) payoff(b *Balancer, class int, p, at, chance float64) {
+	s.sights[class] = sight{Observation{Class: class, Value: p}, at}
+	miss, total := p-b.payNow(s, class), chance
+	for _, o := range s.views[class] {
 		o.pay, o.sure, o.heard = o.at(b.now), o.sure*o.fade(b.now), b.now
 		total += 1 - o.sure
 	}
-	for _, o := range s.views[tariff] {
+	for _, o := range s.views[class] {
 		part := (1 - o.sure) / total
 		o.pay += part * miss
 		o.sure += part * (1 - o.sure)
 	}
 }
 
-// coldRoom takes a lookup's work from a bucket: this proxy's part of what pushes a cold server over, at the
+// coldRoom takes a request's work from a bucket: this proxy's part of what pushes a cold server over, at the
 // least capacity it can have by now. A time with little wait stands for the work; one core is taken for
-// granted. It holds what flows until a server's turn; what it holds short of a lookup is staked by chance.
+// granted. It holds what flows until a server's turn; what it holds short of a request is staked by chance.
 func (b *Balancer) coldRoom(l *Request, s *server) bool {
 	part := b.d.SlowStartFraction + (1-b.d.SlowStartFraction)*max(b.now-s.StartedAt, 0)/max(b.d.SlowStartDuration, 1e-9)
 	work := b.work(l) // danger: counted with its wait, a crowd at the warm ones would shut the cold ones too
@@ -688,21 +688,21 @@
 	s.bucket, s.flowed = min(s.bucket+(b.now-s.flowed)*rate, rate*turn), b.now
 	stake := min(s.bucket, work)
 	s.bucket -= stake
-	return b.chance.Float64()*work < stake // danger: one lookup each from hundreds of proxies is a flood
+	return b.chance.Float64()*work < stake // danger: one request each from hundreds of proxies is a flood
 }
 
-// HealthChecked tells what asking a backend for its load found. A probe that fails is no failed lookup.
-func (b *Balancer) HealthChecked(now float64, backend int, ok bool, r LoadReport) *Actions {
+// HealthChecked tells what asking a server for its load found. A probe that fails is no failed request.
+func (b *Balancer) HealthChecked(now float64, server int, ok bool, r LoadReport) *Actions {
 	b.begin(now)
-	if backend < len(b.servers) && b.servers[backend] != nil && ok && r.InFlight >= 0 {
-		s := b.servers[backend]
+	if server < len(b.servers) && b.servers[server] != nil && ok && r.InFlight >= 0 {
+		s := b.servers[server]
 		s.told, s.toldAt, s.since, b.seenAt = r.InFlight, now, 0, now
 		s.like.report(r)
 	}
 	return b.pump()
 }
 
-// uneven is this proxy's part of the bank's traffic over the even one, as far as peers tell theirs.
+// uneven is this proxy's part of the fleet's traffic over the even one, as far as peers tell theirs.
 func (b *Balancer) uneven() float64 {
 	if !b.d.Sidecar || b.peerRate == 0 {
 		return 1
@@ -710,7 +710,7 @@
 	return min(max(1/max(b.gap, 1e-9)/b.peerRate, 1/mostUneven), mostUneven)
 }
 
-// ask orders probes, as many for a lookup as the price allows.
+// ask orders probes, as many for a request as the price allows.
 func (b *Balancer) ask() {
 	b.asks = min(b.asks+spend/max(b.d.HealthCheckCost, 1e-9), mostAsked) // danger: saved up without a list, a flood
 	for ; b.d.HealthChecks && b.asks >= 1 && len(b.servers) > 0; b.asks-- {
@@ -720,10 +720,10 @@
 	}
 }
 
-// loads says whether backends tell theirs.
+// loads says whether servers tell theirs.
 func (b *Balancer) loads() bool { return b.seenAt > 0 && b.now < b.seenAt+sightFor }
 
-// load is how many legs a server holds: as it told, or by this proxy's own alone.
+// load is how many attempts a server holds: as it told, or by this proxy's own alone.
 func (b *Balancer) load(s *server) float64 {
 	if !b.loads() {
 		return float64(s.inFlight)
@@ -732,8 +732,8 @@
 	return trust*s.told + (1-trust)*b.fill*b.bears(s) + float64(s.since)
 }
 
-// bears is how many legs a server is given: where loads are told, as many as leave a usual lookup seenShare
-// of its due time, else this proxy's limit there.
+// bears is how many attempts a server is given: where loads are told, as many as leave a usual request seenShare
+// of its latency objective, else this proxy's limit there.
 func (b *Balancer) bears(s *server) float64 {
 	if !b.loads() {
 		return s.limit * b.uneven() * b.slack // danger: what waits for our own core is no load of its server
@@ -741,7 +741,7 @@
 	return s.like.cores() * max(seenShare*b.ease/s.pace, 1)
 }
 
-// GossipReceived takes in what a peer tells: hearsay, which ages, weighs less than what was seen, and counts once. It
+// GossipReceived takes in what a peer tells: gossip, which ages, weighs less than what was seen, and counts once. It
 // bears on payoffs, loads and, where there is no room, limits; no rule and no pause rests on it.
 func (b *Balancer) GossipReceived(now float64, from int, n GossipMessage) *Actions {
 	b.begin(now)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -41,9 +41,9 @@
 
 func TestOneTariffFailsAtOneServer(t *testing.T) {
 	k := open(t, deployment(Class{Name: "good"}, Class{Name: "bad"}), 2)
-	to := func(tariff int) (used [2]int) {
+	to := func(class int) (used [2]int) {
 		for range 100 {
-			s, _ := k.draw(tariff)
+			s, _ := k.draw(class)
 			used[s.Index]++
 		}
 		return used
@@ -63,7 +63,7 @@
 	assert.Zero(t, to(1)[0], "one at a time")
 }
 
-// Danger: where most servers fail one tariff, the fleet's own share of failures would keep each from being paused.
+// Danger: where most servers fail one class, the fleet's own share of failures would keep each from being paused.
 func TestOneTariffFailsAtMostServers(t *testing.T) {
 	for _, c := range []struct{ bad, paused int }{{7, 7}, {10, 0}} {
 		k := open(t, deployment(), 10)
@@ -90,7 +90,7 @@
 	}
 }
 
-// Danger: lookups of one tariff that hang at a server take up its limit, and all others wait.
+// Danger: requests of one class that hang at a server take up its limit, and all others wait.
 func TestOverdueLegIsNoLoad(t *testing.T) {
 	for _, c := range []struct {
 		limit float64
@@ -109,13 +109,13 @@
 	}
 }
 
-// Danger: a lookup whose first two servers are both down goes to and fro between them until it has no leg left, and one that
-// brings down what takes it would bring down as many servers as it may have legs.
+// Danger: a request whose first two servers are both down goes to and fro between them until it has no attempt left, and one that
+// brings down what takes it would bring down as many servers as it may have attempts.
 func TestHowFarALookupIsHandedOn(t *testing.T) {
 	for _, c := range []struct {
 		kind    Idempotency
 		servers int
-		ends    []Outcome // of its legs, each as soon as it is sent
+		ends    []Outcome // of its attempts, each as soon as it is sent
 		legs    int
 		want    []Reply
 	}{{Idempotent, 2, []Outcome{ConnectFailed, ConnectFailed}, 2, []Reply{Rejected}}, {Idempotent, 2, []Outcome{ServerRejected, ServerRejected}, 3, nil},
@@ -134,14 +134,14 @@
 	}
 }
 
-// Danger: a leg that was lost on its way is never answered, whatever is known of its server.
+// Danger: an attempt that was lost on its way is never answered, whatever is known of its server.
 func TestLegBesideAnOverdueOne(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kind   Idempotency
 		beside bool
-		out    int // other legs
-		want   int // legs after the wake
+		out    int // other attempts
+		want   int // attempts after the wake
 	}{
 		{"replayable", Idempotent, true, 0, 2},
 		{"referenced, in its pod and window", Keyed, true, 0, 2},
@@ -304,7 +304,7 @@
 	}
 }
 
-// TestNoEffectTwice has a cell for each kind of tariff and each thing an earlier leg may have done.
+// TestNoEffectTwice has a cell for each kind of class and each thing an earlier attempt may have done.
 func TestNoEffectTwice(t *testing.T) {
 	all := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 0.2}
 	long := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 9}
@@ -318,7 +318,7 @@
 		after   float64
 		servers int // 1: nowhere else to go; 6: two pods of three, two zones
 		same    func(a, b Endpoint) bool
-		want    []Reply // nil: another leg
+		want    []Reply // nil: another attempt
 	}{
 		{"replayable, fault", Class{}, ServerError, 0.1, 6, nil, nil},
 		{"replayable, fault, nowhere", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
@@ -430,10 +430,10 @@
 	assert.Nil(t, k.servers[1])
 }
 
-// Where only a drain binds, a list that loses a backend takes none that goes on answering.
+// Where only a drain binds, a list that loses a server takes none that goes on answering.
 func TestWhatTheListHasLost(t *testing.T) {
 	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining} // r: gone, and up since
-	for told, want := range map[string][2]bool{                                 // h and f are legs' ends, b is back, o left out, w a wait; want: sent to, kept
+	for told, want := range map[string][2]bool{                                 // h and f are attempts' ends, b is back, o left out, w a wait; want: sent to, kept
 		"hg": {true, true}, "ho": {true, true}, "hgbg": {true, true}, "hdg": {}, "hdo": {}, "hd": {false, true}, "g": {},
 		"hffffffg": {false, true}, "hgw": {}, "hgrw": {}} {
 		for _, advice := range []bool{true, false} {
@@ -611,7 +611,7 @@
 	k := open(t, d, 20)
 	first, _ := k.take(RequestInfo{Key: 9})
 	for _, s := range k.servers {
-		s.inFlight = 99 // none takes a leg, though there is room in all
+		s.inFlight = 99 // none takes an attempt, though there is room in all
 	}
 	for range 40 {
 		k.take(RequestInfo{Key: 9})
@@ -627,12 +627,12 @@
 	assert.Equal(t, before, k.chance, "without room none is scored")
 }
 
-// Danger: a client that waited more than half of its time and is turned away with nothing sent waited in vain.
+// Danger: a client that waited more than half of its time and is rejected with nothing sent waited in vain.
 func TestNobodyWaitsInVain(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		hardStop float64
-		sent     bool // a leg that never ran
+		sent     bool // an attempt that never ran
 		until    float64
 	}{
 		{"a short hard stop binds", 0.2, false, 0.2 * holdPart},
@@ -667,7 +667,7 @@
 	s := k.servers[0]
 	k.hear(s, "nnnnnnnn")
 	assert.InDelta(t, leastLimit/2, s.limit, 1e-9, "never shut by its limit alone")
-	// danger: gone at once and using up no room, hundreds a second would pass a room of less than one leg
+	// danger: gone at once and using up no room, hundreds a second would pass a room of less than one attempt
 	assert.InDelta(t, -8*k.rows[0].median(), k.credit, 1e-9, "a leg turned away uses up room as one that was served")
 	k.hear(s, "hhhhhhhhhh")
 	grown := s.limit
@@ -743,7 +743,7 @@
 	}
 }
 
-// Danger: a client that sends slowly would fill the limits of all with legs at rest, and its server would look slow.
+// Danger: a client that sends slowly would fill the limits of all with attempts at rest, and its server would look slow.
 func TestFlowingBody(t *testing.T) {
 	k := open(t, deployment(), 2)
 	var flowing []*Request
@@ -769,7 +769,7 @@
 	assert.Equal(t, 1, k.out, "what took no room gives none back")
 }
 
-// Danger: two processes of one proxy, each with the proxy's whole part of a cold budget, push a cold backend over together.
+// Danger: two processes of one proxy, each with the proxy's whole part of a slow-start budget, push a cold server over together.
 func TestPartOfTheColdBudget(t *testing.T) {
 	sent := func(part float64) (n int) {
 		d := deployment()
@@ -794,7 +794,7 @@
 	assert.InDelta(t, 0.5, float64(half)/float64(whole), 0.12, "%d of %d", half, whole)
 }
 
-// What one process of a proxy learned is the next one's, but for backends that have started anew or are not listed any more.
+// What one process of a proxy learned is the next one's, but for servers that have started anew or are not listed any more.
 func TestRememberedByTheNext(t *testing.T) {
 	k := open(t, deployment(), 4)
 	k.clock = 20
@@ -837,10 +837,10 @@
 	assert.Greater(t, later.servers[0].limit, 0.0, "what cannot be is not taken in")
 }
 
-// What others tell of their legs pauses and readmits as own results would, by the share that failed and not by their order.
+// What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by their order.
 func TestReported(t *testing.T) {
 	for _, c := range []struct {
-		honoured, failed, after int // after: honoured, told in a second report
+		honoured, failed, after int // after: successful, told in a second report
 		paused                  bool
 	}{{100, 0, 0, false}, {0, 5, 0, false}, {0, 8, 0, true}, {70, 30, 0, false}, {400, 1600, 0, true}, {10, 90, 1, false}} {
 		k := open(t, deployment(), 9)
@@ -861,7 +861,7 @@
 	}
 }
 
-// Danger: of a tariff unheard so far a quarter of a long due time is a bad guess: its first lookup waited for most of it beside idle servers.
+// Danger: of a class unheard so far a quarter of a long latency objective is a bad guess: its first request waited for most of it beside idle servers.
 func TestFirstOfATariffWithALongDueTime(t *testing.T) {
 	d := deployment(Class{Name: "post", Idempotency: NonIdempotent}, Class{Name: "get"})
 	for i := range d.Classes {
--- a/balance/bank_test.go
+++ b/balance/bank_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// apart is a bank of four in which each client process has a proxy of its own, which tell one another.
+// apart is a fleet of four in which each client process has a proxy of its own, which tell one another.
 func apart() Deployment {
 	d := deployment()
 	d.Proxies, d.Self, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
 	return d
 }
 
-// probing is one proxy whose backends tell their load.
+// probing is one proxy whose servers tell their load.
 func probing() Deployment {
 	d := deployment()
 	d.Proxies, d.Sidecar, d.HealthChecks, d.HealthCheckCost = 1, true, true, 0.002
 	return d
 }
 
-// crowd has so many legs out at each server.
+// crowd has so many attempts out at each server.
 func (k *bank) crowd(out int) {
 	for _, s := range k.servers {
 		s.inFlight = out
@@ -33,7 +33,7 @@
 
 func note(sights ...Observation) GossipMessage { return GossipMessage{Rate: 1, Observations: sights} }
 
-// serve has the proxy take a lookup, hands its orders to look, and has its leg, if any, honoured.
+// serve has the proxy take a request, hands its orders to look, and has its attempt, if any, successful.
 func (k *bank) serve(look func(*Request, *Actions)) {
 	k.clock += 0.1
 	l, o := k.RequestArrived(k.clock, RequestInfo{Deadline: k.clock + 1})
@@ -97,7 +97,7 @@
 	}
 }
 
-// A peer that tells wrong things of every backend, all the time, costs less than the draw tells apart: own results win.
+// A peer that tells wrong things of every server, all the time, costs less than the draw tells apart: own results win.
 func TestAPeerThatLies(t *testing.T) {
 	k := open(t, apart(), 3)
 	for range 200 {
@@ -111,7 +111,7 @@
 	assert.True(t, k.servers[1].paused, "nor readmits one")
 }
 
-// Danger: rule 4 rests on nobody's word. Absurd rates bend a proxy's part within bounds, and its cold budgets not at all.
+// Danger: rule 4 rests on nobody's word. Absurd rates bend a proxy's part within bounds, and its slow-start budgets not at all.
 func TestPartsAreBounded(t *testing.T) {
 	cold := map[int]bool{}
 	for _, rate := range []float64{0, 1e-9, 10, 4095} {
@@ -155,16 +155,16 @@
 	k.serve(func(_ *Request, o *Actions) { assert.Nil(t, o.Gossip, "alone in its bank") })
 }
 
-// A server not heard starts with legs by its size where peers tell what they see there; a full answer then moves what a proxy
+// A server not heard starts with attempts by its size where peers tell what they see there; a full answer then moves what a proxy
 // of many may have out in all, not the one limit that holds nothing back.
 func TestLimitsWherePeersTell(t *testing.T) {
 	d := apart()
 	d.Proxies = 40
 	k := open(t, d, 0)
-	for size, legs := range map[float64]float64{2: 2 * firstTold, 6: 6 * firstTold, 0: firstLimit} {
-		assert.InDelta(t, legs/40, k.unheard(0, size).limit, 1e-9)
+	for size, attempts := range map[float64]float64{2: 2 * firstTold, 6: 6 * firstTold, 0: firstLimit} {
+		assert.InDelta(t, attempts/40, k.unheard(0, size).limit, 1e-9)
 	}
-	// danger: a server that turns away early, or is slow by its own nature, would be left idle by what its legs tell
+	// danger: a server that rejects early, or is slow by its own nature, would be left idle by what its attempts tell
 	k = open(t, d, 0)
 	k.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, Cores: 2}, {Index: 1, NameHash: 2}})
 	k.servable = 2
@@ -228,7 +228,7 @@
 	const paid = farther / temperature
 	for _, c := range []struct {
 		apart, peers bool
-		zone, out    int     // zone -1: not told; out: legs at each server, of two that it bears
+		zone, out    int     // zone -1: not told; out: attempts at each server, of two that it bears
 		cost         float64 // in the draw; danger: with little room left, servers elsewhere would stand idle
 	}{{true, true, 1, 0, paid + wayCost}, {false, true, 1, 0, paid + wayCost}, {false, true, 1, 1, paid}, {false, true, -1, 0, 0},
 		{false, false, 1, 0, 0}} {
@@ -338,7 +338,7 @@
 	k.EndpointsUpdated(k.clock, false, false, []Endpoint{{Index: 1, NameHash: 2, State: Removed}})
 	k.HealthChecked(k.clock, 0, false, LoadReport{InFlight: 5, Utilization: 1}) // it failed
 	k.HealthChecked(k.clock, 0, true, LoadReport{InFlight: -1, Utilization: -1})
-	k.HealthChecked(k.clock, 1, true, LoadReport{InFlight: 5})  // the backend has gone
+	k.HealthChecked(k.clock, 1, true, LoadReport{InFlight: 5})  // the server has gone
 	k.HealthChecked(k.clock, 50, true, LoadReport{InFlight: 5}) // nobody's number
 	assert.False(t, k.loads())
 	assert.False(t, k.servers[0].paused)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// Danger: at one proxy of hundreds the first limits, two legs of all at a server, grew by a few parts in a hundred with each answer, and
-// until servers of many cores were found to bear more, a third of the lookups were turned away. A few cuts later they grow as usual.
+// Danger: at one proxy of hundreds the first limits, two attempts of all at a server, grew by a few parts in a hundred with each answer, and
+// until servers of many cores were found to bear more, a third of the requests were rejected. A few cuts later they grow as usual.
 func TestFirstLimitsOfAFleetGrowFast(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bank is one proxy under test with a clock of its own.
+// fleet is one proxy under test with a clock of its own.
 type bank struct {
 	*Balancer
 	t     *testing.T
@@ -15,19 +15,19 @@
 }
 
 // deployment is two proxies' worth of plain figures for a test to bend.
-func deployment(tariffs ...Class) Deployment {
-	if len(tariffs) == 0 {
-		tariffs = []Class{{Name: "plain"}}
+func deployment(classes ...Class) Deployment {
+	if len(classes) == 0 {
+		classes = []Class{{Name: "plain"}}
 	}
-	for i := range tariffs {
-		t := &tariffs[i]
+	for i := range classes {
+		t := &classes[i]
 		t.LatencyObjective, t.Deadline, t.PriorityWeight = 0.3, 1, max(t.PriorityWeight, 1)
 	}
-	return Deployment{Seed: 7, Proxies: 2, Classes: tariffs, MaxAttempts: 3, CancelAllowed: true,
+	return Deployment{Seed: 7, Proxies: 2, Classes: classes, MaxAttempts: 3, CancelAllowed: true,
 		SlowStartFraction: 0.2, SlowStartDuration: 20, CrashFactor: 3, CrashDuration: 2, NotificationDeadline: 10}
 }
 
-// open starts a proxy with n warm backends, three to a pod, two zones in turn.
+// open starts a proxy with n warm servers, three to a pod, two zones in turn.
 func open(t *testing.T, d Deployment, n int) *bank {
 	b, err := New(d, 0)
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	return list
 }
 
-// take hands in a lookup and returns it with the steps ordered.
+// take hands in a request and returns it with the steps ordered.
 func (k *bank) take(a RequestInfo) (*Request, []RequestAction) {
 	k.refs++
 	a.Ref = k.refs
@@ -55,12 +55,12 @@
 	return l, append([]RequestAction(nil), o.Requests...)
 }
 
-// draw is where a tariff's lookup would go now, and whether it would go somewhere if there were room.
-func (k *bank) draw(tariff int) (*server, bool) {
-	return k.pick(&Request{b: k.Balancer, row: &k.rows[tariff], heavy: 1, RequestInfo: RequestInfo{Deadline: 99, Class: tariff}})
+// draw is where a class's request would go now, and whether it would go somewhere if there were room.
+func (k *bank) draw(class int) (*server, bool) {
+	return k.pick(&Request{b: k.Balancer, row: &k.rows[class], heavy: 1, RequestInfo: RequestInfo{Deadline: 99, Class: class}})
 }
 
-// hear lets a server's legs end in these ways, a letter each: h honoured, l late, f fault, n no room, c called off.
+// hear lets a server's attempts end in these ways, a letter each: h successful, l late, f fault, n no room, c canceled.
 func (k *bank) hear(s *server, letters string) {
 	for _, c := range letters {
 		o := map[rune]Outcome{'h': Succeeded, 'l': Succeeded, 'f': ServerError, 'n': ServerRejected, 'c': Canceled}[c]
@@ -70,7 +70,7 @@
 	}
 }
 
-// sends counts the legs among the steps; answers lists the answers.
+// sends counts the attempts among the steps; answers lists the answers.
 func sends(steps []RequestAction) (n int) {
 	for _, s := range steps {
 		if s.Send {
--- a/balance/state.go
+++ b/balance/state.go
@@ -14,51 +14,51 @@
 	d               Deployment
 	chance          pcg.Rand
 	now             float64
-	servers         []*server  // by Backend.Index, nil where there is none
-	rows            []row      // one a tariff
+	servers         []*server  // by Server.Index, nil where there is none
+	rows            []row      // one a class
 	held            []*Request // waiting with nothing out, by value, then by age
 	cands           []cand     // scratch
 	shares          []float64  // scratch
 	orders          Actions
-	out             int     // legs in flight
-	room            float64 // legs all admitted servers bear, as of the last pick
+	out             int     // attempts in flight
+	room            float64 // attempts all admitted servers bear, as of the last pick
 	servable        float64 // servers admitted as of the last pick
 	keys            histogram.Shares
-	all             histogram.Times // what answers took, of all tariffs
-	usual           float64         // priority of lookups, smoothed
+	all             histogram.Times // what answers took, of all classes
+	usual           float64         // priority of requests, smoothed
 	lookups         float64         // taken
-	gap, lastTake   float64         // s between lookups taken; the last one
+	gap, lastTake   float64         // s between requests taken; the last one
 	fleet           *opinion
 	models          []*model
 	failShare       float64 // share of all results that were failures, smoothed
-	pace, lastSend  float64 // s between sends while lookups are held; the last one
-	credit          float64 // legs times seconds below the room, saved up
+	pace, lastSend  float64 // s between sends while requests are held; the last one
+	credit          float64 // attempts times seconds below the room, saved up
 	askPause        float64
 	askAt           float64 // when to ask the list again; +Inf: no need
 	pumpAt          float64
-	seenAt          float64       // when a backend last told its load; 0: never
-	fill, ease      float64       // of the room in use; due time over the usual time of a lookup alone, the least of the tariffs
+	seenAt          float64       // when a server last told its load; 0: never
+	fill, ease      float64       // of the room in use; latency objective over the usual time of a request alone, the least of the classes
 	asks, tells     float64       // probes and notes saved up
-	peerRate, notes float64       // lookups a second of peers, smoothed; notes heard
+	peerRate, notes float64       // requests a second of peers, smoothed; notes heard
 	note            GossipMessage // scratch
 	tidyAt          float64       // when to look for connections to close next
 	part            float64       // of the proxy's own, while two of its processes decide
 	slack, lag      float64       // see Slack
-	gain            float64       // of limits, legs a second, while over the usual: less with each cut
+	gain            float64       // of limits, attempts a second, while over the usual: less with each cut
 }
 
-// row holds what differs by tariff.
+// row holds what differs by class.
 type row struct {
 	Class
 	times histogram.Times
 	alone histogram.Times  // the same over the crowd that shared the server
 	work  float64          // mean hint, s
 	base  float64          // the median when little waited, s
-	all   *histogram.Times // of all tariffs
+	all   *histogram.Times // of all classes
 }
 
-// median is what an answer of this tariff usually takes; while too little is known, a quarter of its due time. Danger: where that is long,
-// the first lookup of a tariff would count as slow beyond all others, and wait for as long.
+// median is what an answer of this class usually takes; while too little is known, a quarter of its latency objective. Danger: where that is long,
+// the first request of a class would count as slow beyond all others, and wait for as long.
 func (r *row) median() float64 {
 	guess := r.LatencyObjective / 4
 	if guess > guessMost {
@@ -67,41 +67,41 @@
 	return r.times.Quantile(0.5, guess)
 }
 
-// typical is what an answer of this lookup usually takes.
+// typical is what an answer of this request usually takes.
 func (b *Balancer) typical(l *Request) float64 {
 	return l.row.median() * max(l.heavy, 0.5)
 }
 
-// work is what an answer of this lookup usually takes where little waits; the base follows a fall of the median slowly.
+// work is what an answer of this request usually takes where little waits; the base follows a fall of the median slowly.
 func (b *Balancer) work(l *Request) float64 {
 	return min(l.row.base, l.row.median()) * max(l.heavy, 0.5)
 }
 
-// warm says whether backends may be warm for this lookup.
+// warm says whether servers may be warm for this request.
 func (b *Balancer) warm(l *Request) bool { return b.d.CacheAffinity && l.Key != 0 }
 
 func (b *Balancer) cold(s *server) bool {
 	return s.StartedAt > 0 && b.now < s.StartedAt+b.d.SlowStartDuration
 }
 
-// server is one backend as this proxy knows it.
+// server is one server as this proxy knows it.
 type server struct {
 	Endpoint
-	breaker                     // for lookups of all tariffs
+	breaker                     // for requests of all classes
 	tariffs        []breaker    // for those of one
 	like           *model       // its machine's
 	opinions       []*opinion   // of the fleet, its model and itself
-	views          [][]*opinion // by tariff, the last of no room: these and, in a bank that tells, that of the tariff there
+	views          [][]*opinion // by class, the last of no room: these and, in a fleet that tells, that of the class there
 	pace           float64      // smoothed time of its answers over the usual for their work
-	served         float64      // when a leg was honoured last
+	served         float64      // when an attempt was successful last
 	drained        bool         // the list told so since it started
-	used           float64      // when a leg ended last; 0: nothing is open
-	sights         []sight      // the last of each tariff, and of no room
-	told, toldAt   float64      // legs of all proxies there, as it told last, and when
-	since          int          // own legs sent there since
+	used           float64      // when an attempt ended last; 0: nothing is open
+	sights         []sight      // the last of each class, and of no room
+	told, toldAt   float64      // attempts of all proxies there, as it told last, and when
+	since          int          // own attempts sent there since
 	least          float64      // the limit's lower bound
-	limit          float64      // legs it bears from this proxy; below one, only some of the time
-	bucket, flowed float64      // cold budget saved up, s of work; when it last flowed
+	limit          float64      // attempts it bears from this proxy; below one, only some of the time
+	bucket, flowed float64      // slow-start budget saved up, s of work; when it last flowed
 }
 
 // breaker is one row of the source's.
@@ -139,7 +139,7 @@
 	return &b.note
 }
 
-// marked is the server with this mark, if it was up at that time already. Danger: what was seen of a backend before it
+// marked is the server with this mark, if it was up at that time already. Danger: what was seen of a server before it
 // restarted under its name says nothing of it now.
 func (b *Balancer) marked(mark uint32, at float64) *server {
 	for _, s := range b.servers {
@@ -156,7 +156,7 @@
 // model is what servers on machines alike have in common: an opinion, and what their reports tell.
 type model struct {
 	opinion
-	held, busy, told float64 // legs a server, share of its cores in use, both smoothed; reports
+	held, busy, told float64 // attempts a server, share of its cores in use, both smoothed; reports
 	least            float64 // of the first over the second, which is how many cores there are, where least waits; 0: not told
 }
 
@@ -174,7 +174,7 @@
 // cores are a server's, as far as reports tell; else one is taken for granted.
 func (m *model) cores() float64 { return max(m.least, 1) }
 
-// legs are those out at a server, overdue ones too.
+// attempts are those out at a server, overdue ones too.
 func (s *server) legs() (n int) {
 	for i := range s.tariffs {
 		n += s.tariffs[i].inFlight
@@ -189,9 +189,9 @@
 func (o *opinion) at(now float64) float64 { return o.pay * o.fade(now) }
 
 // payNow is a server's payoff; what was long unheard is forgotten, so it goes back to that of its like.
-func (b *Balancer) payNow(s *server, tariff int) float64 {
+func (b *Balancer) payNow(s *server, class int) float64 {
 	p := 1.0
-	for _, o := range s.views[tariff] {
+	for _, o := range s.views[class] {
 		p += o.at(b.now)
 	}
 	return p
@@ -211,7 +211,7 @@
 	unloaded, noRoute               bool
 }
 
-// Request is the handle of one lookup.
+// Request is the handle of one request.
 type Request struct {
 	RequestInfo
 	b               *Balancer
@@ -224,7 +224,7 @@
 	place           uint64 // settles the noise of its draw; 0: chance does
 }
 
-// lost is how many legs failed where they may have run.
+// lost is how many attempts failed where they may have run.
 func (l *Request) lost() (n int) {
 	for i := range l.legs {
 		if g := &l.legs[i]; !g.out && !g.neverRan {
@@ -234,7 +234,7 @@
 	return n
 }
 
-// Done says that nothing more will happen to the lookup or its legs.
+// Done says that nothing more will happen to the request or its attempts.
 func (l *Request) Done() bool { return l.over && l.out == 0 }
 
 // wake asks for a call at this time, if not for an earlier one.
@@ -268,21 +268,21 @@
 }
 
 // took and gave keep what is out at a server, beside what unload does.
-func (s *server) took(tariff int) {
+func (s *server) took(class int) {
 	s.inFlight++
 	s.since++
-	s.tariffs[tariff].inFlight++
+	s.tariffs[class].inFlight++
 }
 
-func (s *server) gave(tariff int, sent, now float64) {
-	s.tariffs[tariff].inFlight--
+func (s *server) gave(class int, sent, now float64) {
+	s.tariffs[class].inFlight--
 	if sent > s.toldAt {
 		s.since--
 	}
 	s.used = now
 }
 
-// BodyCompleted tells that a request whose body flows to its leg has come to its end: the leg counts from now, and in the room. Danger: a backend begins
+// BodyCompleted tells that a request whose body flows to its attempt has come to its end: the attempt counts from now, and in the room. Danger: a server begins
 // with the last byte, and a client that sends slowly is no fault of its.
 func (l *Request) BodyCompleted(now float64) *Actions {
 	b := l.b.begin(now)
@@ -300,8 +300,8 @@
 	return &b.orders
 }
 
-// unload takes a leg from what is in flight, once: when it ends, or from when it is overdue. Danger: where a server's
-// limit is too small to hold back a leg, only the sum of what is out does, and overdue ones must count in it.
+// unload takes an attempt from what is in flight, once: when it ends, or from when it is overdue. Danger: where a server's
+// limit is too small to hold back an attempt, only the sum of what is out does, and overdue ones must count in it.
 func (b *Balancer) unload(g *leg, when bool) {
 	if when && !g.unloaded {
 		g.unloaded = true
@@ -324,7 +324,7 @@
 			b.servers = append(b.servers, nil)
 		}
 		s := b.servers[e.Index]
-		if s == nil || s.StartedAt != e.StartedAt && e.State == Ready { // danger: a restart is a cold backend
+		if s == nil || s.StartedAt != e.StartedAt && e.State == Ready { // danger: a restart is a cold server
 			s = b.unheard(e.Model, e.Cores)
 			b.servers[e.Index] = s
 		}
@@ -333,26 +333,26 @@
 	}
 	for i, s := range b.servers {
 		if s != nil && s.State == Removed && !b.lingers(s) {
-			b.servers[i] = nil // legs still out keep their own hold on it
+			b.servers[i] = nil // attempts still out keep their own hold on it
 		}
 	}
 }
 
-// SetBudgetShare sets this balancer's part, from 0 to 1, of what its proxy may send to cold backends. Danger: two processes of one proxy
+// SetBudgetShare sets this balancer's part, from 0 to 1, of what its proxy may send to cold servers. Danger: two processes of one proxy
 // with a whole budget each would push them over together.
 func (b *Balancer) SetBudgetShare(part float64) { b.part = part }
 
-// SetLocalDelay sets how many times longer legs are out than their servers have them, and by how many seconds at the most in all likelihood:
+// SetLocalDelay sets how many times longer attempts are out than their servers have them, and by how many seconds at the most in all likelihood:
 // where this proxy's own core is behind, answers wait here. No server is taken to be overdue, or full, for that.
 func (b *Balancer) SetLocalDelay(times, lag float64) { b.slack, b.lag = max(times, 1), max(lag, 0) }
 
 // Snapshot is what a balancer learned, for the one of the same proxy that comes after it.
 type Snapshot struct {
-	BaseLatencies []float64        `json:"Bases"` // by tariff: what an answer takes when little waited, s
+	BaseLatencies []float64        `json:"Bases"` // by class: what an answer takes when little waited, s
 	Servers       []ServerSnapshot `json:"Servers"`
 }
 
-// ServerSnapshot is what was learned of one backend since its start.
+// ServerSnapshot is what was learned of one server since its start.
 type ServerSnapshot struct {
 	NameHash        uint64  `json:"Mark"`
 	StartedAt       float64 `json:"UpSince"`
@@ -384,7 +384,7 @@
 	return m
 }
 
-// Restore takes in what another balancer of this proxy learned. Danger: what it knew of a backend before a restart is not true of
+// Restore takes in what another balancer of this proxy learned. Danger: what it knew of a server before a restart is not true of
 // it now, so that only one with the same start takes it over; it ages like anything heard, and no rule rests on it.
 func (b *Balancer) Restore(now float64, m Snapshot) {
 	b.begin(now)
@@ -409,13 +409,13 @@
 	}
 }
 
-// ReportedOutcomes are legs of a tariff that others sent to a backend, by how they ended.
+// ReportedOutcomes are attempts of a class that others sent to a server, by how they ended.
 type ReportedOutcomes struct{ Endpoint, Class, Succeeded, Failed int }
 
-// mostReported results of one backend count of a report: more tell no more, and would take long.
+// mostReported results of one server count of a report: more tell no more, and would take long.
 const mostReported = 50
 
-// OutcomesReported takes in what others tell of their legs since they told last. Danger: the failures of one backend in a row, or all of its
+// OutcomesReported takes in what others tell of their attempts since they told last. Danger: the failures of one server in a row, or all of its
 // results before another's, would pause one that mostly serves or raise the bar for all; so what each tells is spread evenly over
 // the report, a failure last, and what holds after it is what the shares say.
 func (b *Balancer) OutcomesReported(now float64, all []ReportedOutcomes) {
@@ -440,7 +440,7 @@
 	}
 }
 
-// HasEndpoint says whether a backend is still known: as listed, or as one that lingers. One that is not is never named again.
+// HasEndpoint says whether a server is still known: as listed, or as one that lingers. One that is not is never named again.
 func (b *Balancer) HasEndpoint(index int) bool {
 	return index < len(b.servers) && b.servers[index] != nil
 }
@@ -477,24 +477,24 @@
 	return any, trial
 }
 
-// ScoreBreakdown is what speaks for and against a backend for one lookup now, for those who ask why.
+// ScoreBreakdown is what speaks for and against a server for one request now, for those who ask why.
 type ScoreBreakdown struct {
 	Endpoint        int
 	State           EndpointState
 	Paused, Trial   bool // by its own row; and cooled down
 	Errors, Results int  // of that row
-	ClassPaused     bool // by the lookup's tariff's row there
+	ClassPaused     bool // by the request's class's row there
 	ClassErrors     int  // and its counts
 	ClassResults    int
-	RetrySafe       bool // another leg there is
+	RetrySafe       bool // another attempt there is
 	WarmingUp       bool
-	Load, Capacity  float64 // legs; as many as the limit lets
+	Load, Capacity  float64 // attempts; as many as the limit lets
 	Payoff          float64
 	Score           float64 // of the last draw, if it was in it; greatest wins where there is room
 	Considered      bool
 }
 
-// ScoreBreakdown are those of all listed backends. It changes nothing. Scores are those of the draw that came last.
+// ScoreBreakdown are those of all listed servers. It changes nothing. Scores are those of the draw that came last.
 func (l *Request) ScoreBreakdown() (list []ScoreBreakdown) {
 	b := l.b
 	for _, s := range b.servers {
@@ -514,23 +514,23 @@
 	return list
 }
 
-// Capacity is what is out and what all bear, as of the last draw, how many lookups wait, and the places that a lookup of this priority may fill.
+// Capacity is what is out and what all bear, as of the last draw, how many requests wait, and the places that a request of this priority may fill.
 func (l *Request) Capacity() (out int, space float64, held int) {
 	return l.b.out, l.b.space(l.priority), len(l.b.held)
 }
 
-// ServerStatus is what the decisions hold of one backend, for those who ask why.
+// ServerStatus is what the decisions hold of one server, for those who ask why.
 type ServerStatus struct {
 	Endpoint          int
-	InFlight          int     // legs
-	Limit, Payoff     float64 // legs it bears, and what one is worth there
+	InFlight          int     // attempts
+	Limit, Payoff     float64 // attempts it bears, and what one is worth there
 	Paused, WarmingUp bool
-	Trial             bool    // paused, and cooled down: one leg may go there
+	Trial             bool    // paused, and cooled down: one attempt may go there
 	Errors, Results   int     // of the present window
-	Age               float64 // s since a leg's end told of it
+	Age               float64 // s since an attempt's end told of it
 }
 
-// ServerStatuses are those of all listed backends.
+// ServerStatuses are those of all listed servers.
 func (b *Balancer) ServerStatuses(now float64) []ServerStatus { return b.begin(now).CurrentStatuses() }
 
 // Deployment is what it was made of.
--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -112,8 +112,8 @@
 	})
 }
 
-func (h *host) Started(id string, leg int) error {
-	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ResponseStarted(now, leg) })
+func (h *host) Started(id string, attempt int) error {
+	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ResponseStarted(now, attempt) })
 }
 
 func (h *host) Ended(e simwire.End) error {
@@ -137,18 +137,18 @@
 	if label < 0 || label > len(in.slots) {
 		return fmt.Errorf("Label: never set: %d", label)
 	}
-	if l := in.slots[label-1].lookup; l != nil { // a slot's later lookup may hear its earlier one's timer
+	if l := in.slots[label-1].lookup; l != nil { // a slot's later request may hear its earlier one's timer
 		return h.decide(in, l.TimerFired)
 	}
 	return nil
 }
 
-func (h *host) Probed(backend string, ok bool, r balance.LoadReport) error {
+func (h *host) Probed(server string, ok bool, r balance.LoadReport) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	index, known := in.names.Find(backend)
+	index, known := in.names.Find(server)
 	if !known {
 		return nil
 	}
@@ -171,7 +171,7 @@
 	return in, nil
 }
 
-// tell calls a lookup that is still kept; of one that has wholly ended there is nothing to say.
+// tell calls a request that is still kept; of one that has wholly ended there is nothing to say.
 func (h *host) tell(id string, call func(*balance.Request, float64) *balance.Actions) error {
 	in, err := h.instance()
 	if err != nil {
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// A bank that tells and probes: what goes out is asked for on the wire, what comes in reaches the decisions, and what is
+// A fleet that tells and probes: what goes out is asked for on the wire, what comes in reaches the decisions, and what is
 // malformed changes nothing.
 func TestNotesAndProbes(t *testing.T) {
 	settings := strings.Replace(launch, "ReplicasOfMe=1", "ReplicasOfMe=2 SlotNo=1 KindOfService=mesh Ceilings.PeerMessages=true "+
--- a/cmd/lockloom/main.go
+++ b/cmd/lockloom/main.go
@@ -1,4 +1,4 @@
-// Command lockloom is one proxy of the bank.
+// Command lockloom is one proxy of the fleet.
 package main
 
 import (
--- a/controlplane/reports.go
+++ b/controlplane/reports.go
@@ -12,7 +12,7 @@
 const (
 	reportEvery = time.Second // of a subscriber's load reports
 	reportsMost = 3           // of them missing, and its load counts no more
-	countMost   = 1 << 30     // legs in one report: more cannot be
+	countMost   = 1 << 30     // attempts in one report: more cannot be
 )
 
 // reports is the published service of load reports.
@@ -25,9 +25,9 @@
 type reporter struct{ sends map[string]sent } // by pool, as of the last report
 
 // sent is what a subscriber sends to a pool.
-type sent struct{ holds, rate float64 } // lookups in work; begun a second
+type sent struct{ holds, rate float64 } // requests in work; begun a second
 
-// StreamLoadStats takes in what a subscriber tells of the legs that it sent. A server is told as a locality of its own, so what is
+// StreamLoadStats takes in what a subscriber tells of the attempts that it sent. A server is told as a locality of its own, so what is
 // reported of a locality is a server's. Danger: a subscriber that reports what it may not see could have others' servers paused.
 func (r reports) StreamLoadStats(st load.LoadReportingService_StreamLoadStatsServer) error {
 	pools, err := r.s.allowed(st.Context())
@@ -55,21 +55,21 @@
 			if !among(pools, c.ClusterName) {
 				continue
 			}
-			legs := map[string][2]int{}
+			attempts := map[string][2]int{}
 			sum, begun := sends[c.ClusterName], uint64(0)
 			for _, l := range c.UpstreamLocalityStats {
 				sum.holds += float64(min(l.TotalRequestsInProgress, countMost))
 				begun += min(l.TotalIssuedRequests, countMost)
-				n := legs[l.Locality.GetSubZone()]
+				n := attempts[l.Locality.GetSubZone()]
 				n[0] += int(min(l.TotalSuccessfulRequests, countMost))
 				n[1] += int(min(l.TotalErrorRequests, countMost))
-				legs[l.Locality.GetSubZone()] = n
+				attempts[l.Locality.GetSubZone()] = n
 			}
 			if passed := c.LoadReportInterval.AsDuration(); passed > 0 {
 				sum.rate += float64(begun) / passed.Seconds()
 			}
 			sends[c.ClusterName] = sum
-			r.s.Reported(c.ClusterName, legs)
+			r.s.Reported(c.ClusterName, attempts)
 		}
 		r.s.sends(own, sends)
 	}
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -50,7 +50,7 @@
 const (
 	allRoutes    = "routes"        // the table with every host
 	poolPrefix   = "pool/"         // listener and table of one pool alone
-	dropCategory = "cold"          // of lookups that no server bears
+	dropCategory = "cold"          // of requests that no server bears
 	millionth    = 1_000_000       // in which shares to drop are told
 	overProvide  = 140             // percent; Envoy's own: a priority with less than 100/140 of its servers well spills over
 	routesMost   = 10_000          // told of one host: expressions are told once for each prefix they go before
@@ -424,7 +424,7 @@
 	return []*route.Route{out}
 }
 
-// onward is where a route's lookups go.
+// onward is where a route's requests go.
 func (t *teller) onward(r *config.Route) (*route.RouteAction, error) {
 	a := &route.RouteAction{}
 	if r.Pool != "" {
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -46,8 +46,8 @@
 
 // Service is a control service. Its exported methods may be called by anyone.
 type Service struct {
-	// Reported hears how legs ended that subscribers sent to a pool: by server honoured and failed. Set it before Serve.
-	Reported func(pool string, legs map[string][2]int)
+	// Reported hears how attempts ended that subscribers sent to a pool: by server successful and failed. Set it before Serve.
+	Reported func(pool string, attempts map[string][2]int)
 
 	log  logrus.FieldLogger
 	run  string // tells two runs apart in versions and nonces
@@ -310,7 +310,7 @@
 	return nil
 }
 
-// load is what the subscribers send to a pool, as they reported last: lookups in work, and begun a second.
+// load is what the subscribers send to a pool, as they reported last: requests in work, and begun a second.
 func (s *Service) load(pool string) (holds, rate float64) {
 	for r := range s.loads {
 		holds, rate = holds+r.sends[pool].holds, rate+r.sends[pool].rate
--- a/controlplane/service_test.go
+++ b/controlplane/service_test.go
@@ -23,7 +23,7 @@
 
 const soon = 2500 * time.Millisecond // a drain is everywhere within this
 
-// Danger: lookups go on to a server that staff are about to stop. A drain is at every subscriber in time: one that is slow, one that
+// Danger: requests go on to a server that staff are about to stop. A drain is at every subscriber in time: one that is slow, one that
 // refuses all, one that never acknowledges, and one whose stream was half open.
 func TestDrainReachesEverybody(t *testing.T) {
 	k := open(t, written(""), 5)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -44,7 +44,7 @@
 // Call is one call.
 type Call struct {
 	Action Action
-	ID     string // of a backend
+	ID     string // of a server
 }
 
 // Method is the one that the call is made with.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -133,7 +133,7 @@
 	assert.GreaterOrEqual(t, ended, 200-MaxConnections)
 }
 
-// Danger: a panic over what a caller sends costs the lookups of all; a call that is read otherwise than it was made does harm.
+// Danger: a panic over what a caller sends costs the requests of all; a call that is read otherwise than it was made does harm.
 func FuzzRead(f *testing.F) {
 	for _, line := range []string{"GET /-/ready", "PUT /-/backends/a/disable", "PUT /-/backends/%2f/enable", "PUT /-/drain"} {
 		f.Add(line + " HTTP/1.1\r\n\r\n")
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -29,7 +29,7 @@
 	Fleet  Fleet
 }
 
-// Fleet is where this proxy hears its peers and where they hear it, in a bank that tells one another.
+// Fleet is where this proxy hears its peers and where they hear it, in a fleet that tells one another.
 type Fleet struct {
 	Listen string         `json:"Listen"`
 	Peers  map[int]string `json:"Peers"` // by number
@@ -145,7 +145,7 @@
 }
 
 // shape refuses settings that mix two shapes of a deployment, or ask for what this program does not do, by their key. A
-// bank behind a pool (any KindOfService but mesh, or none told) tells and probes nothing; where each client process has a
+// fleet behind a pool (any KindOfService but mesh, or none told) tells and probes nothing; where each client process has a
 // proxy of its own (mesh), proxies may do both.
 func shape(f settings.Settings, values map[string]string, bank Fleet) error {
 	var wrong string
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// moved is the file of a bank in which each client process has a proxy of its own.
+// moved is the file of a fleet in which each client process has a proxy of its own.
 const moved = `{"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":264},
  "known":{"version":7,"full":true,"servers":[]},
  "peers":{"listen":"127.0.0.1:7100","peers":{"0":"127.0.0.1:7101"}},
--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -69,7 +69,7 @@
 	Memory  balance.Snapshot
 }
 
-// IDOf is the hash under which a lookup's id is recorded.
+// IDOf is the hash under which a request's id is recorded.
 func IDOf(id string) uint32 {
 	h := fnv.New32a()
 	io.WriteString(h, id)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -310,7 +310,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) { Read(bytes.NewReader(text), &Player{Loose: true}) })
 }
 
-// BenchmarkRecord tells what a call costs with and without a capture, and how many bytes a lookup takes.
+// BenchmarkRecord tells what a call costs with and without a capture, and how many bytes a request takes.
 func BenchmarkRecord(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("on=", on), func(b *testing.B) {
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -80,8 +80,8 @@
 	})
 }
 
-// Shorten cuts a capture down: first to the call that shows it, then, by leaving out more and more lookups (delta debugging), and other calls,
-// as long as what is left shows it too. What an ending was told of a leg that is not sent any more is passed over.
+// Shorten cuts a capture down: first to the call that shows it, then, by leaving out more and more requests (delta debugging), and other calls,
+// as long as what is left shows it too. What an ending was told of an attempt that is not sent any more is passed over.
 func Shorten(files []string, open func(string) (io.ReadCloser, error), pool string, shows func() Shows) (*Excerpt, error) {
 	g := &gatherer{pool: pool}
 	for _, name := range files {
@@ -139,7 +139,7 @@
 	return e, nil
 }
 
-// grouped are calls by what they belong to: a lookup's together, all others alone; but the first list, which stays.
+// grouped are calls by what they belong to: a request's together, all others alone; but the first list, which stays.
 func grouped(list []Call) (groups [][]int) {
 	by := map[uint64]int{}
 	for i := range list {
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -66,7 +66,7 @@
 	Age     time.Duration // of a segment
 	Ring    int64         // bytes kept in memory until Dump; 0: all goes to files at once
 	On      bool          // from the start
-	// Dismissed is the share of a second's lookups whose dismissal has what is kept in memory written; 0: none has.
+	// Rejected is the share of a second's requests whose dismissal has what is kept in memory written; 0: none has.
 	Dismissed float64
 	// Wait has the one who calls wait for a slow disk, where that hurts nobody: in virtual time.
 	Wait bool
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -21,7 +21,7 @@
 	Player
 	module  uint64
 	hand    []int    // requests in hand, by state block
-	results []int    // results that backends are known by, by state block
+	results []int    // results that servers are known by, by state block
 	born    [][]byte // JSON, as it stands in the file
 	kinds   [16]int  // calls, by kind
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -37,10 +37,10 @@
 
 const (
 	shareOver = 1.0 // s over which dismissals are counted
-	shareOf   = 50  // lookups in it; fewer are chance
+	shareOf   = 50  // requests in it; fewer are chance
 )
 
-// share triggers where more than a share of a second's lookups were dismissed.
+// share triggers where more than a share of a second's requests were rejected.
 func (r *Recorder) share(x *Call, o *balance.Actions) {
 	if r.to.Dismissed == 0 {
 		return
@@ -207,7 +207,7 @@
 	return o
 }
 
-// The calls of a Balancer, as it has them; Take is told the lookup's id besides.
+// The calls of a Balancer, as it has them; Take is told the request's id besides.
 
 func (b *Balancer) RequestArrived(now float64, a balance.RequestInfo, id string) (*Request, *balance.Actions) {
 	b.rec.ready(now)
@@ -218,9 +218,9 @@
 	return h, h.did(Call{Kind: Take, Now: now, Arrival: a, ID: IDOf(id)}, o)
 }
 
-func (l *Request) AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions {
+func (l *Request) AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Ended, Now: now, Leg: leg, Outcome: o, Latency: latency, Over: over}, l.Request.AttemptEnded(now, leg, o, latency, over))
+	return l.did(Call{Kind: Ended, Now: now, Leg: attempt, Outcome: o, Latency: latency, Over: over}, l.Request.AttemptEnded(now, attempt, o, latency, over))
 }
 
 func (l *Request) ClientDisconnected(now float64) *balance.Actions {
@@ -228,9 +228,9 @@
 	return l.did(Call{Kind: Left, Now: now}, l.Request.ClientDisconnected(now))
 }
 
-func (l *Request) ResponseStarted(now float64, leg int) *balance.Actions {
+func (l *Request) ResponseStarted(now float64, attempt int) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Started, Now: now, Leg: leg}, l.Request.ResponseStarted(now, leg))
+	return l.did(Call{Kind: Started, Now: now, Leg: attempt}, l.Request.ResponseStarted(now, attempt))
 }
 
 func (l *Request) BodyCompleted(now float64) *balance.Actions {
@@ -258,9 +258,9 @@
 	return b.did(Call{Kind: ListFailed, Now: now}, b.Balancer.PollFailed(now))
 }
 
-func (b *Balancer) HealthChecked(now float64, backend int, ok bool, r balance.LoadReport) *balance.Actions {
+func (b *Balancer) HealthChecked(now float64, server int, ok bool, r balance.LoadReport) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Probed, Now: now, Backend: backend, OK: ok, Report: r}, b.Balancer.HealthChecked(now, backend, ok, r))
+	return b.did(Call{Kind: Probed, Now: now, Backend: server, OK: ok, Report: r}, b.Balancer.HealthChecked(now, server, ok, r))
 }
 
 func (b *Balancer) GossipReceived(now float64, from int, n balance.GossipMessage) *balance.Actions {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -22,7 +22,7 @@
 
 	Pools    map[int]*Pool
 	Played   uint64 // calls
-	Skipped  uint64 // that stand before a state, or are of a lookup that is not known
+	Skipped  uint64 // that stand before a state, or are of a request that is not known
 	Differ   uint64 // orders, where it is loose
 	Lookups  uint64
 	First    float64 // the time of the first call
@@ -196,7 +196,7 @@
 	return text
 }
 
-// apply makes a call. It is false for one of a lookup that is not known.
+// apply makes a call. It is false for one of a request that is not known.
 func (p *Pool) apply(x *Call) (*balance.Actions, bool) {
 	b := p.B
 	p.Last = nil
--- a/internal/capture/story.go
+++ b/internal/capture/story.go
@@ -13,7 +13,7 @@
 // What an excerpt or a story may be asked for by.
 var Wanted = []string{"dismissed", "forfeited", "retried", "paused"}
 
-// seen shows one of Wanted, or the pause of one backend ("paused:3").
+// seen shows one of Wanted, or the pause of one server ("paused:3").
 type seen struct {
 	what    string
 	backend int
@@ -25,18 +25,18 @@
 // Seen makes what shows one of Wanted.
 func Seen(what string) (func() Shows, error) {
 	name, number, one := strings.Cut(what, ":")
-	backend := -1
+	server := -1
 	if one {
 		n, err := strconv.Atoi(number)
 		if err != nil || name != "paused" {
 			return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(Wanted, ", "))
 		}
-		backend = n
+		server = n
 	}
 	if !slices.Contains(Wanted, name) {
 		return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(Wanted, ", "))
 	}
-	return func() Shows { return &seen{what: name, backend: backend, number: map[int]uint64{}} }, nil
+	return func() Shows { return &seen{what: name, backend: server, number: map[int]uint64{}} }, nil
 }
 
 func (s *seen) Shown() bool { return s.shown }
@@ -81,11 +81,11 @@
 	}
 }
 
-// Story tells all that became of one lookup, as it is replayed. Give Tell to a Player as After.
+// Story tells all that became of one request, as it is replayed. Give Tell to a Player as After.
 type Story struct {
 	W      io.Writer
 	Pool   string
-	Number uint64 // of the lookup in its pool; 0: by ID
+	Number uint64 // of the request in its pool; 0: by ID
 	ID     uint32
 	Found  bool
 
@@ -167,7 +167,7 @@
 	s.done = s.l.Done()
 }
 
-// reasons tells what spoke for and against each backend just then.
+// reasons tells what spoke for and against each server just then.
 func (s *Story) reasons() {
 	out, space, held := s.l.Capacity()
 	fmt.Fprintf(s.W, "             %d legs out, %.1f places for its value, %d held\n", out, space, held)
@@ -206,12 +206,12 @@
 	}
 }
 
-// Moment is what is believed of one backend at one time.
+// Moment is what is believed of one server at one time.
 type Moment struct {
 	Pool string
 	At   float64 // s since the first call
 	balance.ServerStatus
-	Honoured, Failed, Turned int // legs that ended there since the moment before
+	Honoured, Failed, Turned int // attempts that ended there since the moment before
 }
 
 // Line gathers moments as calls are replayed, every so often. Give Tell to a Player as After.
--- a/internal/capture/story_test.go
+++ b/internal/capture/story_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A lookup's story has its legs and how they ended, and what was weighed; asking changes nothing of the replay.
+// A request's story has its attempts and how they ended, and what was weighed; asking changes nothing of the replay.
 func TestStory(t *testing.T) {
 	rec, _, dir := record(t, 3000, Options{Wait: true})
 	require.NoError(t, rec.Close())
--- a/internal/cli/controlplanecmd/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -23,7 +23,7 @@
 )
 
 // A proxy under load is captured from the midst of its life, killed, started anew, and captured again: all that was recorded has its
-// decisions again, and tells why a lookup went where it went.
+// decisions again, and tells why a request went where it went.
 func TestCaptureOverAKill(t *testing.T) {
 	dir := t.TempDir()
 	var servers []string
--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -283,9 +283,9 @@
 			if err := simulation.Fit([]string{*policy}); err != nil {
 				return cli.Wrong("-policy: %w", err)
 			}
-			tariffs := map[string]int{}
+			classes := map[string]int{}
 			for i, t := range s.Tariffs {
-				tariffs[t.Name] = i
+				classes[t.Name] = i
 			}
 			var list []loadgen.Intent
 			unknown := map[string]int{}
@@ -296,12 +296,12 @@
 					return
 				}
 				name := pool.B.Deployment().Classes[x.Arrival.Class].Name
-				tariff, ok := tariffs[name]
+				class, ok := classes[name]
 				if !ok {
 					unknown[name]++
 					return
 				}
-				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Tariff: tariff, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[tariff].Work)})
+				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Tariff: class, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -74,7 +74,7 @@
 	return code, out.String(), errs.String()
 }
 
-// A part of the deadline night with whole programs: every lookup has one answer, and no rule is broken.
+// A part of the deadline night with whole programs: every request has one answer, and no rule is broken.
 func TestDeadlineNight(t *testing.T) {
 	file, dir := short(t, "deadline-night", 9, .1), t.TempDir()
 	own, err := os.Executable()
--- a/internal/cli/proxycmd/cost_test.go
+++ b/internal/cli/proxycmd/cost_test.go
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// BenchmarkCost tells the processor time that a program on one core takes for a lookup, beside that of a plain reverse proxy of the
+// BenchmarkCost tells the processor time that a program on one core takes for a request, beside that of a plain reverse proxy of the
 // standard library: on kept connections, and on a connection each.
 func BenchmarkCost(b *testing.B) {
 	s := newSite(b, 128)
--- a/internal/cli/proxycmd/proxycmd_test.go
+++ b/internal/cli/proxycmd/proxycmd_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Danger: what nobody handles ends the program, with all lookups that it has taken.
+// Danger: what nobody handles ends the program, with all requests that it has taken.
 func TestSignals(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file.json")
 	write := func(discovery string) {
--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -48,7 +48,7 @@
 	addrs  []string // of the servers
 	mu     sync.Mutex
 	served map[string]int // by server's id
-	ids    map[string]int // by lookup's
+	ids    map[string]int // by request's
 }
 
 const largeAnswer = 32 << 20 // bytes
@@ -152,7 +152,7 @@
 	select {
 	case <-r.over:
 		assert.NoError(r.t, r.err, r.log())
-	case <-time.After(2500 * time.Millisecond): // it may be killed after its longest hard stop and 0.7 s
+	case <-time.After(2500 * time.Millisecond): // it may be killed after its longest deadline and 0.7 s
 		assert.Fail(r.t, "it has not ended", r.log())
 	}
 }
@@ -164,7 +164,7 @@
 	mu                             sync.Mutex
 	asked, served, refused, unread int
 	crossed                        int      // sent as a connection closed between requests, and once more on a new one, as clients do
-	dismissed                      int      // told to come again, which is no loss: a busy machine makes some lookups late
+	dismissed                      int      // told to come again, which is no loss: a busy machine makes some requests late
 	seen                           []string // what went wrong, at first
 }
 
@@ -363,7 +363,7 @@
 			defer nc.Close()
 			r := http1.NewReader(nc)
 			var h *http1.Head
-			for n := range 50 { // on a machine that is busy some are dismissed, and come again
+			for n := range 50 { // on a machine that is busy some are rejected, and come again
 				fmt.Fprintf(nc, "GET /look?large HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: %d-%d\r\nX-Expires-In: 1\r\n\r\n", i, n)
 				if h, err = r.Response(); !assert.NoError(t, err) {
 					return
@@ -379,7 +379,7 @@
 			}
 			body := r.StreamBody(h.Length, h.Chunked)
 			got := int64(0)
-			for range 30 { // past its hard stop
+			for range 30 { // past its deadline
 				n, err := io.CopyN(io.Discard, body, 10_000)
 				assert.NoError(t, err)
 				got += n
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -9,7 +9,7 @@
 	SegmentMB     int     `toml:"segment_mb"` // of calls, before they are compressed; 0: 8
 	Age           float64 `toml:"age"`        // s, of a segment; 0: 60
 	RingMB        int     `toml:"ring_mb"`    // kept in memory until it is asked for or a trigger fires; 0: all goes to files at once
-	RejectedShare float64 `toml:"dismissed"`  // share of a second's lookups whose dismissal is a trigger; 0: none is
+	RejectedShare float64 `toml:"dismissed"`  // share of a second's requests whose dismissal is a trigger; 0: none is
 }
 
 func (r *reader) capture() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the operator file: listeners, tariffs, pools, routes, limits and retry rules of an installation, as
+// Package config reads the operator file: listeners, classes, pools, routes, limits and retry rules of an installation, as
 // opposed to what the platform tells a proxy when it starts. Every fault is told at once, with its place. It decides nothing:
 // routes and limits do.
 package config
@@ -37,7 +37,7 @@
 	Address string `toml:"address"`
 }
 
-// Class is a class of lookups.
+// Class is a class of requests.
 type Class struct {
 	Name             string  `toml:"name"`
 	LatencyObjective float64 `toml:"due"`
@@ -47,7 +47,7 @@
 	DedupWindow      float64 `toml:"window"` // for how long they know them
 }
 
-// Pool is servers that lookups go to: some of the list's, or those written out.
+// Pool is servers that requests go to: some of the list's, or those written out.
 type Pool struct {
 	Name        string   `toml:"name"`
 	Servers     []string `toml:"servers"`
@@ -56,7 +56,7 @@
 	Backup      string   `toml:"backup"`       // the pool that takes over while this one has no server admitted
 	BackupAfter float64  `toml:"backup_after"` // for so long
 	BackupUntil float64  `toml:"backup_until"` // and gives back once it has had one for so long
-	Capacity    int      `toml:"room"`         // lookups in hand that its routes share; 0: no bound
+	Capacity    int      `toml:"room"`         // requests in hand that its routes share; 0: no bound
 }
 
 // Same tells whether a pool has the same servers as another; who backs it up, and its room, do not matter.
@@ -67,7 +67,7 @@
 // Limit is a bound on what may come.
 type Limit struct {
 	Name        string  `toml:"name"`
-	By          string  `toml:"by"` // all, route, customer, address, or field:NAME
+	By          string  `toml:"by"` // all, route, tenant, address, or field:NAME
 	Rate        float64 `toml:"rate"`
 	Burst       float64 `toml:"burst"`
 	Concurrency int     `toml:"in_hand"`
@@ -144,7 +144,7 @@
 	terms map[*routes.Route]*Route // what else a route says
 }
 
-// RouteConfig are what a matched route says of its lookups.
+// RouteConfig are what a matched route says of its requests.
 func (s *Config) RouteConfig(r *routes.Route) *Route { return s.terms[r] }
 
 // Open reads a file; the errors are all its faults, a line each.
@@ -466,7 +466,7 @@
 	}
 }
 
-// shareUsual is the share of recent first legs that may be sent again where a rule does not say: enough for single failures, too
+// shareUsual is the share of recent first attempts that may be sent again where a rule does not say: enough for single failures, too
 // little to double the load on a pool that fails.
 const shareUsual = 0.2
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -175,7 +175,7 @@
 	})
 }
 
-// overbooked is a discovery that shares its pace among all calls that wait, turns away those that it has no place for, and
+// overbooked is a discovery that shares its pace among all calls that wait, rejects those that it has no place for, and
 // those that waited too long: the work done for them is lost.
 type overbooked struct {
 	pace   float64 // calls a second
@@ -246,12 +246,12 @@
 	}
 }
 
-// A bank that has lost discovery all at once gets it back, though discovery answers few at a time.
+// A fleet that has lost discovery all at once gets it back, though discovery answers few at a time.
 func TestBankLosesDiscovery(t *testing.T) {
 	for _, bank := range []int{1, 8, 80, 350, 1024} {
 		t.Run(fmt.Sprint(bank), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const seed = 3 // danger: by free chance one of 200 was turned away too often in one run of five
+				const seed = 3 // danger: by free chance one of 200 was rejected too often in one run of five
 				o := &overbooked{pace: 16, places: 40, waits: 2 * time.Second}
 				log, _ := test.NewNullLogger()
 				ctx, stop := context.WithCancel(t.Context())
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-// Package discovery follows the list of backends: lists in discovery's form, and a watch on its changes.
+// Package discovery follows the list of servers: lists in discovery's form, and a watch on its changes.
 package discovery
 
 import (
@@ -11,7 +11,7 @@
 	"lockloom/internal/settings"
 )
 
-// List is a list of backends, or the changes of one.
+// List is a list of servers, or the changes of one.
 type List struct {
 	Version    int64
 	Full       bool      // what is missing is gone
@@ -19,7 +19,7 @@
 	Entries    []Entry
 }
 
-// Entry is a backend and where it listens.
+// Entry is a server and where it listens.
 type Entry struct {
 	settings.Entry
 	Addr string
--- a/internal/discovery/notification.go
+++ b/internal/discovery/notification.go
@@ -13,10 +13,10 @@
 	pauseMost   = 0.5  // the same after several that failed
 	besidePart  = 0.8  // of a drain's grace: the longest between two calls, so that one is made within it
 	pausePart   = 0.25 // of it: the longest mean pause, spread by half
-	turnedPace  = 0.05 // a proxy of the bank: the mean pause of those turned away, so that all ask 20 times a second together
-	turnedMost  = 4.0  // the mean of that pause, however large the bank: spread by half it is what countsFor leaves
-	waitedFor   = 0.5  // a call that was turned away after so long took room there; one that was not cost discovery nothing
-	waitedPart  = 2.0  // times the bank's pace, after such a call, where turnedMost would bind
+	turnedPace  = 0.05 // a proxy of the fleet: the mean pause of those rejected, so that all ask 20 times a second together
+	turnedMost  = 4.0  // the mean of that pause, however large the fleet: spread by half it is what countsFor leaves
+	waitedFor   = 0.5  // a call that was rejected after so long took room there; one that was not cost discovery nothing
+	waitedPart  = 2.0  // times the fleet's pace, after such a call, where turnedMost would bind
 	countsFor   = 6.0  // from a watch's last word to when all that it missed counts as told
 )
 
@@ -34,20 +34,20 @@
 // NotificationClock is the clock of what counts as told to a proxy: when a watch was last alive, from when on what it misses counts as told,
 // and when the next call for the list is due. It is pure: all times are passed in, in seconds on one clock. What ended the last
 // call decides when the next is made. An agent of this machine's own costs nothing and is asked again at once; one that
-// turns callers away is asked within countsFor, but by a large bank, once it had let a call wait, at a pace that the bank shares. Danger:
-// a bank that asks such a one all at once, again and again, keeps it overbooked, so that nobody hears anything.
+// turns callers away is asked within countsFor, but by a large fleet, once it had let a call wait, at a pace that the fleet shares. Danger:
+// a fleet that asks such a one all at once, again and again, keeps it overbooked, so that nobody hears anything.
 type NotificationClock struct {
-	bank   float64 // mean pause at the bank's pace
+	bank   float64 // mean pause at the fleet's pace
 	beside float64 // from a call without a word to the next: most of a drain's grace
 	most   float64 // mean pause after several that failed: well within a grace
 	alive  float64 // a watch's last word; at first: when this proxy began
 	next   float64 // when a call is due; +Inf: none is
 	begun  float64 // the last call's beginning
 	pause  float64 // mean, after the next failure
-	turned float64 // the same after the last turning away; 0: none was
+	turned float64 // the same after the last rejecting; 0: none was
 }
 
-// NewNotificationClock is that of a proxy that begins now, in a bank of so many, where a drain has a grace of so many seconds (0: not told). Its
+// NewNotificationClock is that of a proxy that begins now, in a fleet of so many, where a drain has a grace of so many seconds (0: not told). Its
 // first call is due at once.
 func NewNotificationClock(now float64, bank int, grace float64) *NotificationClock {
 	if grace <= 0 {
@@ -96,7 +96,7 @@
 	switch {
 	case how == Rejected:
 		h.turned = min(h.bank, turnedMost)
-		if now-h.begun >= waitedFor && h.bank > turnedMost { // danger: a bank that large would take all room there for calls that come to nothing
+		if now-h.begun >= waitedFor && h.bank > turnedMost { // danger: a fleet that large would take all room there for calls that come to nothing
 			h.turned = waitedPart * h.bank
 		}
 		pause = h.turned
--- a/internal/discovery/notification_test.go
+++ b/internal/discovery/notification_test.go
@@ -91,7 +91,7 @@
 }
 
 // What an agent has counts as told from its return on, and a drain's grace may be as short as 2.5 s. Danger: the pause of a whole
-// bank, before a call to an agent that only this proxy asks, is longer than that.
+// fleet, before a call to an agent that only this proxy asks, is longer than that.
 func TestAgentComesBack(t *testing.T) {
 	for _, how := range []string{"holds", "refuses", "hangs", "resets", "silent for good", "silent after its head", "silent after half a list", "says junk"} {
 		worst := 0.0 // of a grace
@@ -127,7 +127,7 @@
 	}
 }
 
-// Whatever else is allowed after a call that was turned away, a change counts 6 s after discovery has it and can be reached.
+// Whatever else is allowed after a call that was rejected, a change counts 6 s after discovery has it and can be reached.
 func TestAgentNoLongerTurnsAway(t *testing.T) {
 	for _, bank := range []int{1, 8, 80, 350, 1024} {
 		const grace = 0.5
@@ -194,7 +194,7 @@
 	}
 }
 
-// However calls end, the next is due in time, unless discovery itself turns callers away: then at the bank's pace.
+// However calls end, the next is due in time, unless discovery itself turns callers away: then at the fleet's pace.
 func TestHearingNeverWaitsLong(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bank := rapid.IntRange(1, 1024).Draw(t, "bank")
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -24,7 +24,7 @@
 const (
 	dialFor   = time.Second // to reach an agent on this machine
 	callsMost = 5           // calls out at once; of more, the oldest keeps its place and the next one gives way
-	valueMost = 4 << 20     // bytes of a list: some ten thousand backends
+	valueMost = 4 << 20     // bytes of a list: some ten thousand servers
 )
 
 // Watch follows a list from a version on. While it runs, Version is the list's last and nobody else changes a field.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -34,8 +34,8 @@
 const (
 	SetSlow    Deed = iota // Value: the factor on its speed
 	SetPause               // Value: for so long
-	SetFail                // Value: the share; Tariff
-	SetHang                // Value: 0 or 1; Tariff
+	SetFail                // Value: the share; Class
+	SetHang                // Value: 0 or 1; Class
 	SetCut                 // Value: 0 or 1
 	SetCrash               // Value: is back so much later; 0: never
 	SetDrain               // Value: is gone so much later
--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -4,7 +4,7 @@
 
 const marksKept = 60.0 // s past its window that a mark is remembered, so that a late repeat is told from a new one
 
-// Marks is what a group of servers remembers of referenced lookups, to drop repeats.
+// Marks is what a group of servers remembers of referenced requests, to drop repeats.
 type Marks struct {
 	Late  int // repeats that came after their window, and ran again
 	first map[uint64]float64
@@ -17,7 +17,7 @@
 	until float64
 }
 
-// repeat tells whether a mark's first lookup came less than its window ago, and takes it for the first if not.
+// repeat tells whether a mark's first request came less than its window ago, and takes it for the first if not.
 func (m *Marks) repeat(now float64, mark uint64, window float64) bool {
 	for m.head < len(m.order) && m.order[m.head].until < now {
 		if x := m.order[m.head]; m.first[x.mark] <= now-window { // not begun anew since
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -1,4 +1,4 @@
-// Package emulator is a model of the servers that proxies send lookups to: queues, cold starts, slowdowns, pauses and
+// Package emulator is a model of the servers that proxies send requests to: queues, cold starts, slowdowns, pauses and
 // failures. It does no input or output and keeps no clock: every call takes the present time in seconds and returns what
 // ended since, so that one model serves a rehearsal on sockets and one in virtual time.
 package emulator
@@ -21,21 +21,21 @@
 type Build struct {
 	Cores        int
 	Speed        float64 // work that a core does in a second
-	Room         int     // lookups that may wait; a further one is turned away unseen
+	Room         int     // requests that may wait; a further one is rejected unseen
 	ColdShare    float64 // of its speed, just after its start
 	ColdFor      float64 // until it has all of it
 	FallMultiple float64 // cold, and sent more than this many times what it can do ...
 	FallFor      float64 // ... over this long, it falls over; 0: never
 	DownFor      float64 // and is back, cold, so much later
-	ChokeAt      int     // lookups waiting from which it slows down; 0: never
+	ChokeAt      int     // requests waiting from which it slows down; 0: never
 	ChokeTo      float64 // of its speed that is left then
 	ChokeIn      float64 // time constant of slowing down
 	Linger       float64 // and of getting over it once fewer wait
 	WarmKeys     int     // keys that it remembers
-	WarmWork     float64 // of its work that a lookup with such a key takes
+	WarmWork     float64 // of its work that a request with such a key takes
 }
 
-// Job is a lookup as it reaches a server.
+// Job is a request as it reaches a server.
 type Job struct {
 	Ref    int // the caller's, handed back in its End
 	Tariff int
@@ -46,7 +46,7 @@
 	Marks  *Marks // of the server's group
 }
 
-// End is how a job ended here: honoured, a fault, no room (it never ran) or cut (the server crashed).
+// End is how a job ended here: successful, a fault, no room (it never ran) or cut (the server crashed).
 type End struct {
 	Ref     int
 	Outcome balance.Outcome
@@ -91,7 +91,7 @@
 	slow    float64 // factor on its speed
 	choke   float64 // 0 to 1
 	faults  []float64
-	hangs   []bool // both by tariff, and for all at 0
+	hangs   []bool // both by class, and for all at 0
 	pushed  window
 	keys    recent
 	util    float64
@@ -128,7 +128,7 @@
 	return s.ends
 }
 
-// Take hands it a lookup whose last byte has come. Its end comes from this call or a later one.
+// Take hands it a request whose last byte has come. Its end comes from this call or a later one.
 func (s *Server) Take(now float64, j Job) []End {
 	s.begin(now)
 	switch {
@@ -176,17 +176,17 @@
 	return s.ends
 }
 
-// Fail sets the share of a tariff's lookups, of all tariffs' at -1, that it answers at once with a fault.
-func (s *Server) Fail(now float64, tariff int, share float64) []End {
+// Fail sets the share of a class's requests, of all classes' at -1, that it answers at once with a fault.
+func (s *Server) Fail(now float64, class int, share float64) []End {
 	s.begin(now)
-	s.faults = set(s.faults, tariff+1, share)
+	s.faults = set(s.faults, class+1, share)
 	return s.ends
 }
 
-// Hang sets whether it takes a tariff's lookups, all tariffs' at -1, and never answers.
-func (s *Server) Hang(now float64, tariff int, hangs bool) []End {
+// Hang sets whether it takes a class's requests, all classes' at -1, and never answers.
+func (s *Server) Hang(now float64, class int, hangs bool) []End {
 	s.begin(now)
-	s.hangs = set(s.hangs, tariff+1, hangs)
+	s.hangs = set(s.hangs, class+1, hangs)
 	return s.ends
 }
 
@@ -229,12 +229,12 @@
 // Choked is how far it is slowed down by long queues, 0 to 1.
 func (s *Server) Choked() float64 { return s.choke }
 
-// Load is what a load report tells: lookups in work, waiting, and the part of the cores in use of late.
+// Load is what a load report tells: requests in work, waiting, and the part of the cores in use of late.
 func (s *Server) Load() (inWork, waiting int, use float64) {
 	return len(s.running), s.waiting.len(), s.util
 }
 
-// Holds is how many lookups it holds in any way.
+// Holds is how many requests it holds in any way.
 func (s *Server) Holds() int { return len(s.running) + s.waiting.len() + len(s.stuck) + len(s.inbox) }
 
 func (s *Server) begin(now float64) {
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -130,8 +130,8 @@
 func pause(x float64) func(*Server, float64) []End {
 	return func(s *Server, now float64) []End { return s.Pause(now, now+x) }
 }
-func fail(tariff int, x float64) func(*Server, float64) []End {
-	return func(s *Server, now float64) []End { return s.Fail(now, tariff, x) }
+func fail(class int, x float64) func(*Server, float64) []End {
+	return func(s *Server, now float64) []End { return s.Fail(now, class, x) }
 }
 func hang(on bool) func(*Server, float64) []End {
 	return func(s *Server, now float64) []End { return s.Hang(now, -1, on) }
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// asked is what a request says of its lookup.
+// asked is what a request says of its request.
 type asked struct {
 	lookup Lookup
 	id     string
--- a/internal/fakeserver/yard.go
+++ b/internal/fakeserver/yard.go
@@ -29,19 +29,19 @@
 	sleepMost  = time.Second           // of the clock, without anything due
 )
 
-// Sight is what servers and agents see, told as it happens, by several goroutines. A leg is named by its lookup's id.
+// Sight is what servers and agents see, told as it happens, by several goroutines. An attempt is named by its request's id.
 type Sight interface {
 	Reached(now float64, id string, proxy, member, group int)
 	Turned(id string)
 	Listed(now float64, member int)
 	Told(now float64, proxy, member int)
 	Fell(now float64, member int)
-	Served(id string, work float64) // a leg's answer went out
+	Served(id string, work float64) // an attempt's answer went out
 }
 
-// Lookup is what a server needs to know of one, by its tariff's name.
+// Request is what a server needs to know of one, by its class's name.
 type Lookup struct {
-	Number int // the tariff's
+	Number int // the class's
 	Work   float64
 	Window float64
 	Marks  func(m *emulator.Member) int // the group that drops its repeats; -1: none
@@ -88,8 +88,8 @@
 
 // Open puts a fleet on sockets for so many proxies. It serves until Close. The clock began at a time: the fleet's own times
 // are seconds since 1970.
-func Open(f *emulator.Fleet, proxies int, lookups map[string]Lookup, sight Sight) (*Yard, error) {
-	y := &Yard{Fleet: f, sight: sight, lookups: lookups, proxies: proxies, began: time.Now(), kick: make(chan struct{}, 1),
+func Open(f *emulator.Fleet, proxies int, requests map[string]Lookup, sight Sight) (*Yard, error) {
+	y := &Yard{Fleet: f, sight: sight, lookups: requests, proxies: proxies, began: time.Now(), kick: make(chan struct{}, 1),
 		quit: make(chan struct{}), port: begin(), dueAt: math.Inf(1), Late: func(float64) {}}
 	for i := range proxies {
 		a, err := y.agent(i)
--- a/internal/fakeserver/yard_test.go
+++ b/internal/fakeserver/yard_test.go
@@ -55,13 +55,13 @@
 func field(t *testing.T, build emulator.Build) (*Yard, *notes) {
 	f := emulator.NewFleet(1)
 	n := &notes{}
-	lookups := map[string]Lookup{"page": {Work: .001, Marks: func(*emulator.Member) int { return -1 }},
+	requests := map[string]Lookup{"page": {Work: .001, Marks: func(*emulator.Member) int { return -1 }},
 		"sign": {Number: 1, Work: .001, Window: 60, Marks: func(*emulator.Member) int { return 1 }}}
 	build.Cores, build.Speed = 1, 1
 	for range 2 {
 		f.Seat(float64(time.Now().UnixMicro())/1e6, emulator.Made{Name: "s", Zone: "a", Build: build}, true)
 	}
-	y, err := Open(f, 2, lookups, n)
+	y, err := Open(f, 2, requests, n)
 	require.NoError(t, err)
 	t.Cleanup(y.Close)
 	return y, n
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -15,7 +15,7 @@
 	bytesEach = 7
 	MaxBytes  = 256 // the longest note that a platform passes on
 	perSecond = 50  // units of an age
-	load      = 255 // in the place of a tariff
+	load      = 255 // in the place of a class
 	whole     = 100 // units of a payoff of 1
 	sixteenth = 16
 )
@@ -27,12 +27,12 @@
 func Encode(n balance.GossipMessage) []byte {
 	out := binary.BigEndian.AppendUint16([]byte{version}, uint16(bound(n.Rate*sixteenth, math.MaxUint16)))
 	for _, s := range n.Observations[:min(len(n.Observations), MaxObservations)] {
-		tariff, value := byte(load), s.Value
+		class, value := byte(load), s.Value
 		if s.Class >= 0 {
-			tariff, value = byte(bound(float64(s.Class), load-1)), bound(s.Value, 1)*whole
+			class, value = byte(bound(float64(s.Class), load-1)), bound(s.Value, 1)*whole
 		}
 		out = binary.BigEndian.AppendUint32(out, s.NameHash)
-		out = append(out, tariff, byte(bound(math.Ceil(s.Age*perSecond), 255)), byte(bound(value+0.5, 255)))
+		out = append(out, class, byte(bound(math.Ceil(s.Age*perSecond), 255)), byte(bound(value+0.5, 255)))
 	}
 	return out
 }
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -23,7 +23,7 @@
 	ended chan struct{}
 }
 
-// Open listens for notes of a bank, by number; heard gets each, on a goroutine of its own, until Close.
+// Open listens for notes of a fleet, by number; heard gets each, on a goroutine of its own, until Close.
 func Open(listen string, self int, bank map[int]string, heard func(from int, n balance.GossipMessage)) (*Link, error) {
 	l := &Link{self: self, bank: map[int]netip.AddrPort{}, ended: make(chan struct{})}
 	for i, addr := range bank {
--- a/internal/histogram/times.go
+++ b/internal/histogram/times.go
@@ -11,7 +11,7 @@
 	enough          = 5     // results; fewer tell nothing
 )
 
-// edges are the bins' upper ones, reckoned once: quantiles are asked for with every lookup.
+// edges are the bins' upper ones, reckoned once: quantiles are asked for with every request.
 var edges = func() (list [bins]float64) {
 	for i := range list {
 		list[i] = shortest * math.Exp2(float64(i+1)/binsPerDoubling)
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -30,7 +30,7 @@
 const (
 	Format     = 1                      // of the frames; others are refused
 	greeting   = "lockloom hand-over\n" // before all else, both ways
-	most       = 8 << 20                // bytes of a frame: a list of some ten thousand backends, and their ids
+	most       = 8 << 20                // bytes of a frame: a list of some ten thousand servers, and their ids
 	mostPassed = 16                     // listening sockets
 	answerFor  = 1500 * time.Millisecond
 	writeFor   = time.Second
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -10,21 +10,21 @@
 	"lockloom/balance"
 )
 
-// Intent is one lookup that somebody wants answered, tried once or more.
+// Intent is one request that somebody wants answered, tried once or more.
 type Intent struct {
 	Number           int
 	At               float64 // s since the start
-	Tariff, Customer int     // Customer -1: none
+	Tariff, Customer int     // Tenant -1: none
 	Key              uint64  // 0: none
 	Work             float64 // s of a core at speed 1
 }
 
-// Asked is what a tariff gets of all lookups, and what they are like.
+// Asked is what a class gets of all requests, and what they are like.
 type Asked struct {
 	Share  float64 // of all, in proportion to the others'
 	Work   float64 // mean
 	Spread float64 // its standard deviation over the mean; 0: all alike
-	Keyed  float64 // part of the lookups that have a key
+	Keyed  float64 // part of the requests that have a key
 }
 
 // Phase changes the rate for a time.
@@ -48,7 +48,7 @@
 
 // Mix is all that clients ask.
 type Mix struct {
-	Rate      float64 // lookups a second
+	Rate      float64 // requests a second
 	For       float64 // s
 	Phases    []Phase
 	Tariffs   []Asked
@@ -97,7 +97,7 @@
 	return m.Rate * most
 }
 
-// Plan deals out a mix's lookups in order of time, the same ones for the same seed.
+// Plan deals out a mix's requests in order of time, the same ones for the same seed.
 type Plan struct {
 	mix       Mix
 	chance    *rand.Rand
@@ -138,7 +138,7 @@
 	return sort.SearchFloat64s(sums, p.chance.Float64()*sums[len(sums)-1])
 }
 
-// Next is the next lookup; false after the last.
+// Next is the next request; false after the last.
 func (p *Plan) Next() (Intent, bool) {
 	for { // by thinning: the gaps are those of the highest rate, and what is too many is left out
 		p.now += p.chance.ExpFloat64() / p.peak
@@ -163,10 +163,10 @@
 	return in, true
 }
 
-// Source deals out lookups in order of time: a Plan, or given ones.
+// Source deals out requests in order of time: a Plan, or given ones.
 type Source interface{ Next() (Intent, bool) }
 
-// Given deals out lookups that were written down.
+// Given deals out requests that were written down.
 func Given(list []Intent) Source { return &given{list} }
 
 type given struct{ rest []Intent }
@@ -181,9 +181,9 @@
 
 // Clients is how they take what they are told.
 type Clients struct {
-	Tries    int     // of one lookup, most
+	Tries    int     // of one request, most
 	Backoff  float64 // s before the second, twice that before the third
-	Patience float64 // of the hard stop that they wait
+	Patience float64 // of the deadline that they wait
 	Marked   bool    // they mark further tries
 }
 
--- a/internal/loadgen/sockets.go
+++ b/internal/loadgen/sockets.go
@@ -22,7 +22,7 @@
 	probeEvery = 100 * time.Millisecond // of a proxy's readiness
 	probeFor   = 2 * time.Second        // for its answer: longer, and it counts as not up
 	elseAfter  = 50 * time.Millisecond  // until a client that found no proxy looks again
-	overtime   = 300 * time.Millisecond // past the hard stop that a client still listens, to tell late from never
+	overtime   = 300 * time.Millisecond // past the deadline that a client still listens, to tell late from never
 	headRoom   = 512                    // bytes of a request's head
 	idleMost   = 4096                   // connections kept idle to a proxy
 	tryTail    = 30 * time.Second       // for what is under way when the plan has ended, at most
@@ -34,9 +34,9 @@
 	Sent(in *Intent, late float64) (try int) // it is about to be written
 	Honoured(try int, in *Intent, took, whole float64)
 	Failed(try int, answer balance.Reply, wrong bool) // wrong: told that it is the client's own fault
-	Spoilt(try int)                                   // honoured with what no server made for it
+	Spoilt(try int)                                   // successful with what no server made for it
 	Lost(try int, withProxy bool)                     // ended with no answer
-	Late(try int)                                     // no answer by the hard stop and some more
+	Late(try int)                                     // no answer by the deadline and some more
 	Left(try int)                                     // the client went away first
 	Unreached()                                       // no proxy took it in time
 }
@@ -65,7 +65,7 @@
 	r  *http1.Reader
 }
 
-// Front deals lookups out to proxies that are up, in turn.
+// Front deals requests out to proxies that are up, in turn.
 type Front struct {
 	Targets []*Target
 	turn    atomic.Uint64
@@ -97,7 +97,7 @@
 	work.Wait()
 }
 
-// Ready asks a proxy whether it takes lookups.
+// Ready asks a proxy whether it takes requests.
 func Ready(addr string, within time.Duration) error {
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
@@ -137,7 +137,7 @@
 	Seed      uint64
 }
 
-// Run asks until the plan or the context ends, and returns when all tries are over. The first lookup is due at the plan's
+// Run asks until the plan or the context ends, and returns when all tries are over. The first request is due at the plan's
 // own time after the start.
 func (d *Driver) Run(ctx context.Context, start time.Time) {
 	var work sync.WaitGroup
@@ -164,7 +164,7 @@
 	work.Wait()
 }
 
-// lookup tries one until it has its answer or is given up.
+// request tries one until it has its answer or is given up.
 func (d *Driver) lookup(ctx context.Context, in Intent, due, last time.Time) {
 	chance := rand.New(rand.NewPCG(d.Seed, uint64(in.Number)+5))
 	whole := due
@@ -355,8 +355,8 @@
 		b = append(b, "\r\nIdempotency-Key: k"...)
 		b = strconv.AppendInt(b, int64(in.Number), 10)
 	}
-	if customer := d.customer(in); customer != "" {
-		b = append(b, "\r\nX-Customer: "+customer...)
+	if tenant := d.customer(in); tenant != "" {
+		b = append(b, "\r\nX-Customer: "+tenant...)
 	}
 	if again {
 		b = append(b, "\r\nX-Second-Try: 1"...)
--- a/internal/nginx/import.go
+++ b/internal/nginx/import.go
@@ -1168,16 +1168,16 @@
 }
 
 func (m *importer) retry(lv level) string {
-	legs := lv.tries
+	attempts := lv.tries
 	if lv.off {
-		legs = 1
+		attempts = 1
 	}
 	name := "nginx"
-	if legs > 0 {
-		name += "-" + strconv.Itoa(legs)
+	if attempts > 0 {
+		name += "-" + strconv.Itoa(attempts)
 	}
 	if !slices.ContainsFunc(m.retries, func(r *retry) bool { return r.name == name }) {
-		m.retries = append(m.retries, &retry{name, legs})
+		m.retries = append(m.retries, &retry{name, attempts})
 	}
 	return name
 }
--- a/internal/report/beliefs.go
+++ b/internal/report/beliefs.go
@@ -40,7 +40,7 @@
 {{range .Pools}}<h2>Pool {{printf "%q" .Name}}</h2>{{if .More}}<p>{{.More}} more backends are not drawn.</p>{{end}}{{range .Plots}}{{.}}{{end}}{{end}}
 `))
 
-// Beliefs writes a page of what a captured proxy believed of its backends over time, by pool.
+// Beliefs writes a page of what a captured proxy believed of its servers over time, by pool.
 func Beliefs(w io.Writer, title string, moments []capture.Moment) error {
 	type pool struct {
 		Name  string
@@ -61,12 +61,12 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(by)) {
 		one := pool{Name: name, More: max(len(by[name])-backendsMost, 0)}
-		backends := slices.Sorted(maps.Keys(by[name]))
+		servers := slices.Sorted(maps.Keys(by[name]))
 		for _, b := range beliefs {
 			p := framed(b.title, b.unit)
-			for i, backend := range backends[:min(len(backends), backendsMost)] {
+			for i, server := range servers[:min(len(servers), backendsMost)] {
 				var points plotter.XYs
-				for _, m := range by[name][backend] {
+				for _, m := range by[name][server] {
 					points = append(points, plotter.XY{X: m.At, Y: b.value(m)})
 				}
 				curve, err := plotter.NewLine(points)
@@ -75,7 +75,7 @@
 				}
 				curve.Color, curve.Width, curve.Dashes = plotutil.Color(i), vg.Points(1.2), plotutil.Dashes(i/7)
 				p.Add(curve)
-				p.Legend.Add(fmt.Sprint(backend), curve)
+				p.Legend.Add(fmt.Sprint(server), curve)
 			}
 			p.Y.Min = 0
 			svg, err := drawn(p)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -92,7 +92,7 @@
 	return fmt.Sprint(r.Seeds)
 }
 
-// One writes one run's table, tariff by tariff.
+// One writes one run's table, class by class.
 func One(w io.Writer, r *simulation.Result) error {
 	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.Took)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/settings/registry.go
+++ b/internal/settings/registry.go
@@ -6,20 +6,20 @@
 	"lockloom/balance"
 )
 
-// Entry is a backend with its names; Register.Backend settles Index, Mark, Zone and Model.
+// Entry is a server with its names; Register.Backend settles Index, Mark, Zone and Model.
 type Entry struct {
 	balance.Endpoint
 	Name, ZoneName, ModelName string
 }
 
-// NewRegistry numbers names. A backend keeps its number until it is forgotten, all others as long as the register lives.
+// NewRegistry numbers names. A server keeps its number until it is forgotten, all others as long as the register lives.
 type Registry struct {
 	tariffs, customers, zones, backends, models map[string]int
-	names                                       []string // of backends; empty where the number is free
-	free                                        []int    // numbers of forgotten backends
+	names                                       []string // of servers; empty where the number is free
+	free                                        []int    // numbers of forgotten servers
 }
 
-// NewRegistry has the deployment's tariffs, customers and zones in their order.
+// NewRegistry has the deployment's classes, tenants and zones in their order.
 func (f Settings) NewRegistry() *Registry {
 	r := &Registry{tariffs: map[string]int{}, customers: map[string]int{}, zones: map[string]int{},
 		backends: map[string]int{}, models: map[string]int{}}
@@ -35,13 +35,13 @@
 	return r
 }
 
-// Class is a tariff's number, and whether there is such a tariff.
+// Class is a class's number, and whether there is such a class.
 func (r *Registry) Class(name string) (int, bool) {
 	i, ok := r.tariffs[name]
 	return i, ok
 }
 
-// Tenant is a customer's number, or -1 for one that is not known.
+// Tenant is a tenant's number, or -1 for one that is not known.
 func (r *Registry) Tenant(name string) int { return find(r.customers, name) }
 
 // Endpoint is an entry as the decisions take it.
@@ -67,7 +67,7 @@
 	return i
 }
 
-// Forget frees a backend's number for another. Danger: backends under ever new names would fill the memory, and
+// Forget frees a server's number for another. Danger: servers under ever new names would fill the memory, and
 // make every walk over them longer.
 func (r *Registry) Forget(index int) {
 	delete(r.backends, r.names[index])
@@ -77,13 +77,13 @@
 // Size is how many numbers were given out at once, most.
 func (r *Registry) Size() int { return len(r.names) }
 
-// Find is the number of a backend's name, and whether it has one.
+// Find is the number of a server's name, and whether it has one.
 func (r *Registry) Find(name string) (int, bool) {
 	i, ok := r.backends[name]
 	return i, ok
 }
 
-// Name is that of a backend.
+// Name is that of a server.
 func (r *Registry) Name(index int) string { return r.names[index] }
 
 func find(numbers map[string]int, name string) int {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,9 +15,9 @@
 type Settings struct {
 	balance.Deployment
 	Zones                []string // numbered as they are listed
-	StreamsPerConnection int      // lookups that a connection to a backend carries at once, at most
+	StreamsPerConnection int      // requests that a connection to a server carries at once, at most
 	ConnectTimeout       float64  // a connection that is not up by then counts as never coming up; 0: not told
-	DrainGrace           float64  // from being told that a backend drains or is gone to the last send there
+	DrainGrace           float64  // from being told that a server drains or is gone to the last send there
 }
 
 // Fields of a load report that the decisions know.
@@ -97,8 +97,8 @@
 	return f, e.err
 }
 
-// tells says whether reports of these fields are worth their probes. Danger: a load says how full a backend is only beside the
-// share of its cores in use; without it two cores count as one, and half of what the backends bear is turned away.
+// tells says whether reports of these fields are worth their probes. Danger: a load says how full a server is only beside the
+// share of its cores in use; without it two cores count as one, and half of what the servers bear is rejected.
 func tells(fields string) bool {
 	list := strings.Split(fields, ",")
 	return slices.Contains(list, fieldHeld) && slices.Contains(list, fieldBusy)
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -12,7 +12,7 @@
 	Slack   float64 // past each limit, for the ways of the wire and the rig's own clock
 	Grace   float64
 	Counts  float64 // what is listed counts as told so much later
-	Clients bool    // only clients are seen: no server tells of legs
+	Clients bool    // only clients are seen: no server tells of attempts
 	Broken  [5]int  // by rule, from 1
 	First   []string
 
@@ -23,21 +23,21 @@
 	banned  map[[2]int]float64 // a member at a proxy, since its operators' door said yes
 }
 
-// tried is what is known of one try of a lookup.
+// tried is what is known of one try of a request.
 type tried struct {
 	tariff             uint16
-	ran                uint8 // legs that reached a server and were not turned away unseen
+	ran                uint8 // attempts that reached a server and were not rejected unseen
 	answered, left     bool
 	hardStop, answerAt float64
-	firstAt            float64 // the first such leg
+	firstAt            float64 // the first such attempt
 	group              int     // and who drops its repeats
 }
 
 const firstFaults = 20 // breaches told in words; the rest is counted
 
-// NewAudit checks tries of these tariffs.
-func NewAudit(tariffs []balance.Class, slack, grace, counts float64) *Audit {
-	return &Audit{Slack: slack, Grace: grace, Counts: counts, tariffs: tariffs, listed: map[int]float64{}, told: map[[2]int]float64{}, banned: map[[2]int]float64{}}
+// NewAudit checks tries of these classes.
+func NewAudit(classes []balance.Class, slack, grace, counts float64) *Audit {
+	return &Audit{Slack: slack, Grace: grace, Counts: counts, tariffs: classes, listed: map[int]float64{}, told: map[[2]int]float64{}, banned: map[[2]int]float64{}}
 }
 
 func (a *Audit) breach(rule int, now float64, format string, args ...any) {
@@ -48,12 +48,12 @@
 }
 
 // Sent notes a try that a proxy took, and numbers it.
-func (a *Audit) Sent(tariff int, hardStop float64) int {
-	a.tries = append(a.tries, tried{tariff: uint16(tariff), hardStop: hardStop})
+func (a *Audit) Sent(class int, hardStop float64) int {
+	a.tries = append(a.tries, tried{tariff: uint16(class), hardStop: hardStop})
 	return len(a.tries) - 1
 }
 
-// Reached notes a leg that came whole to a server, from a proxy (-1: not known); group is who drops its repeats there.
+// Reached notes an attempt that came whole to a server, from a proxy (-1: not known); group is who drops its repeats there.
 func (a *Audit) Reached(now float64, try, proxy, member, group int) {
 	if since, drains := a.listed[member]; drains {
 		since += a.Counts
@@ -91,14 +91,14 @@
 	t.ran++
 }
 
-// Turned notes that a server turned a leg away unseen: it never ran.
+// Turned notes that a server turned an attempt away unseen: it never ran.
 func (a *Audit) Turned(try int) {
 	if try >= 0 && try < len(a.tries) && a.tries[try].ran > 0 {
 		a.tries[try].ran--
 	}
 }
 
-// Answered notes a try's final answer at its client: NoReply stands for an honoured one.
+// Answered notes a try's final answer at its client: NoReply stands for an successful one.
 func (a *Audit) Answered(now float64, try int, answer balance.Reply) {
 	t := &a.tries[try]
 	row := &a.tariffs[t.tariff]
@@ -147,7 +147,7 @@
 	}
 }
 
-// Banned notes that a proxy's operators banned a member, or let it serve again.
+// Disabled notes that a proxy's operators disabled a member, or let it serve again.
 func (a *Audit) Banned(now float64, proxy, member int, banned bool) {
 	key := [2]int{proxy, member}
 	if _, already := a.banned[key]; !banned {
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -15,7 +15,7 @@
 	Seeds                   int
 	Share, Least, Most      float64 // value in time: mean, worst and best seed
 	Spread                  float64 // its standard deviation over the seeds
-	InTime, Late, Unserved  float64 // of the lookups wanted
+	InTime, Late, Unserved  float64 // of the requests wanted
 	Dismissed, Forfeited    float64 // of the tries
 	Lost                    int
 	Legs                    float64 // a try
@@ -30,7 +30,7 @@
 	var w Row
 	w.Least = math.Inf(1)
 	var shares []float64
-	lookups, tries := 0.0, 0.0
+	requests, tries := 0.0, 0.0
 	for _, r := range all {
 		w.Scenario, w.Policy, w.Clock = r.Scenario, r.Policy, r.Clock
 		if r.Void != "" {
@@ -39,7 +39,7 @@
 		}
 		shares = append(shares, r.Share)
 		w.Least, w.Most = min(w.Least, r.Share), max(w.Most, r.Share)
-		lookups, tries = lookups+float64(r.Lookups), tries+float64(r.Tries)
+		requests, tries = requests+float64(r.Lookups), tries+float64(r.Tries)
 		w.InTime, w.Late, w.Unserved = w.InTime+float64(r.InTime), w.Late+float64(r.Late), w.Unserved+float64(r.Unserved)
 		w.Dismissed, w.Forfeited = w.Dismissed+float64(r.Dismissed), w.Forfeited+float64(r.Forfeited)
 		w.Lost += r.Lost
@@ -62,7 +62,7 @@
 	}
 	w.Spread = math.Sqrt(w.Spread)
 	for _, x := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
-		*x = share(*x, lookups)
+		*x = share(*x, requests)
 	}
 	for _, x := range []*float64{&w.Dismissed, &w.Forfeited, &w.Legs} {
 		*x = share(*x, tries)
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -14,9 +14,9 @@
 	TimerFired(now float64) *balance.Actions
 }
 
-// RequestHandle is a lookup that a Decider was given.
+// RequestHandle is a request that a Decider was given.
 type RequestHandle interface {
-	AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions
+	AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions
 	ClientDisconnected(now float64) *balance.Actions
 	TimerFired(now float64) *balance.Actions
 }
@@ -46,14 +46,14 @@
 	return m.Balancer.RequestArrived(now, a)
 }
 
-// plain is a proxy as most are set up: every listed server alike, a leg at once, another one after what never ran or may
+// plain is a proxy as most are set up: every listed server alike, an attempt at once, another one after what never ran or may
 // run twice, no limits, no pauses, no care for cold servers. It keeps rules 1 to 3.
 type plain struct {
 	d      balance.Deployment
 	chance *rand.Rand
 	choose func(*plain, []int) int
 	list   []balance.Endpoint // by index
-	out    []int              // legs in flight, by index
+	out    []int              // attempts in flight, by index
 	turn   int
 	cands  []int
 	orders balance.Actions
@@ -73,7 +73,7 @@
 	return cands[p.turn%len(cands)]
 }
 
-// leastInFlight is the one with the fewest of this proxy's legs, by chance among equals.
+// leastInFlight is the one with the fewest of this proxy's attempts, by chance among equals.
 func leastInFlight(p *plain, cands []int) int {
 	best, ties := cands[0], 0
 	for _, c := range cands {
@@ -126,9 +126,9 @@
 	return l, &p.orders
 }
 
-const plainEarly = 0.01 // s before the hard stop at which a baseline answers
+const plainEarly = 0.01 // s before the deadline at which a baseline answers
 
-// asked is a lookup of a baseline's.
+// asked is a request of a baseline's.
 type asked struct {
 	balance.RequestInfo
 	p    *plain
@@ -198,9 +198,9 @@
 	}
 }
 
-func (l *asked) AttemptEnded(now float64, leg int, o balance.Outcome, _ float64, over bool) *balance.Actions {
+func (l *asked) AttemptEnded(now float64, attempt int, o balance.Outcome, _ float64, over bool) *balance.Actions {
 	l.p.begin()
-	g := &l.legs[leg]
+	g := &l.legs[attempt]
 	l.p.out[g.to]--
 	if l.p.steward != nil {
 		l.p.steward.ended(g.to, o)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -50,7 +50,7 @@
 	file *tomlfile.File
 }
 
-// Bank is the proxies and what each of their machines has.
+// Fleet is the proxies and what each of their machines has.
 type Bank struct {
 	Proxies  int     `toml:"proxies"`
 	Cores    float64 `toml:"cores"`
@@ -75,7 +75,7 @@
 	FallFor      float64 `toml:"fall_for"`
 }
 
-// Tariff is a class of lookups and its part of what clients ask.
+// Class is a class of requests and its part of what clients ask.
 type Tariff struct {
 	Name     string  `toml:"name"`
 	Kind     string  `toml:"kind"`
@@ -88,17 +88,17 @@
 	Work     float64 `toml:"work"`
 	Spread   float64 `toml:"spread"`
 	Keyed    float64 `toml:"keyed"`
-	Pool     string  `toml:"pool"` // the group of servers that an ordinary client's lookups go to
+	Pool     string  `toml:"pool"` // the group of servers that an ordinary client's requests go to
 }
 
-// Customer is a tenant and its part of what is asked.
+// Tenant is a tenant and its part of what is asked.
 type Customer struct {
 	Name  string  `toml:"name"`
 	Quota float64 `toml:"quota"`
 	Share float64 `toml:"share"`
 }
 
-// Keys are the subjects of lookups.
+// Keys are the subjects of requests.
 type Keys struct {
 	Count int     `toml:"count"`
 	Skew  float64 `toml:"skew"`
@@ -124,7 +124,7 @@
 	WarmWork float64  `toml:"warm_work"`
 }
 
-// Arrivals is how many lookups come.
+// Arrivals is how many requests come.
 type Arrivals struct {
 	Rate   float64 `toml:"rate"`
 	Phases []Phase `toml:"phase"`
@@ -439,7 +439,7 @@
 			return s.file.At("trouble", n, "kind", "%q: it is %s", t.Kind, strings.Join(sortedNames(troubles), ", "))
 		}
 		ofServers := !kind.proxies && !kind.lists
-		_, tariff := s.tariff(t.Tariff)
+		_, class := s.tariff(t.Tariff)
 		switch {
 		case ofServers && group == 0:
 			return s.file.At("trouble", n, "servers", "%q: no such group", t.Servers)
@@ -451,7 +451,7 @@
 			return s.file.At("trouble", n, "share", "a count or a share, not both")
 		case t.From < 0 || t.Count < 0 || ofServers && t.From+s.hit(t) > group:
 			return s.file.At("trouble", n, "count", "servers %d to %d of %d", t.From, t.From+s.hit(t), group)
-		case t.Tariff != "" && !tariff:
+		case t.Tariff != "" && !class:
 			return s.file.At("trouble", n, "tariff", "%q: no such tariff", t.Tariff)
 		case t.Tariff != "" && t.Kind != "errors" && t.Kind != "hang":
 			return s.file.At("trouble", n, "tariff", "%s is of no one tariff", t.Kind)
@@ -499,10 +499,10 @@
 	return -1, false
 }
 
-// Ordinary tells whether its clients are ordinary ones, whose lookups go to pools by routes.
+// Ordinary tells whether its clients are ordinary ones, whose requests go to pools by routes.
 func (s *Scenario) Ordinary() bool { return len(s.Tariffs) > 0 && s.Tariffs[0].Pool != "" }
 
-// pools are the groups that lookups go to, by number; -1 alone: all groups are one pool.
+// pools are the groups that requests go to, by number; -1 alone: all groups are one pool.
 func (s *Scenario) pools() []int {
 	if !s.Ordinary() {
 		return []int{-1}
@@ -516,7 +516,7 @@
 	return list
 }
 
-// Operator is the operator file of a proxy for ordinary clients: a route for each tariff, a pool for each group.
+// Operator is the operator file of a proxy for ordinary clients: a route for each class, a pool for each group.
 func (s *Scenario) Operator(listen string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# of the scenario %s\n[[listener]]\naddress = %q\n", s.Name, listen)
--- a/internal/simulation/score.go
+++ b/internal/simulation/score.go
@@ -18,7 +18,7 @@
 	tally *tally
 	audit *Audit
 	slow  *lateness
-	last  int // legs, as of the last second
+	last  int // attempts, as of the last second
 }
 
 // lateness is how late the servers' clock acted.
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A bank of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are killed at once.
+// A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are killed at once.
 func TestLarge(t *testing.T) {
 	text := strings.NewReplacer("proxies = 2", "proxies = 350", "count = 6", "count = 1024", "seconds = 4.0", "seconds = 2.0", "cores = 2", "cores = 1").Replace(small)
 	s, err := Read("large.toml", []byte(text+"[[trouble]]\nat = 0.2\nkind = \"list-silent\"\nfor = 0.6\n"+
@@ -194,7 +194,7 @@
 		case r.rule == 1 && s.Send && !r.used:
 			r.used, s.Send, s.WakeAt = true, false, 0
 			return mute{}, o
-		case r.rule == 2 && single: // two legs at once
+		case r.rule == 2 && single: // two attempts at once
 			r.used = true
 			o.Requests = append(o.Requests, balance.RequestAction{Ref: a.Ref, Send: true, Endpoint: (s.Endpoint + 1) % 6})
 			return twice{RequestHandle: h}, o
@@ -212,14 +212,14 @@
 func (mute) ClientDisconnected(float64) *balance.Actions { return &balance.Actions{} }
 func (mute) TimerFired(float64) *balance.Actions         { return &balance.Actions{} }
 
-// twice hides the second leg from the decisions, which do not know of it.
+// twice hides the second attempt from the decisions, which do not know of it.
 type twice struct{ RequestHandle }
 
-func (t twice) AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions {
-	if leg > 0 {
+func (t twice) AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions {
+	if attempt > 0 {
 		return &balance.Actions{}
 	}
-	return t.RequestHandle.AttemptEnded(now, leg, o, latency, over)
+	return t.RequestHandle.AttemptEnded(now, attempt, o, latency, over)
 }
 
 // Each rule's check sees a proxy that breaks it, and no other rule's does.
@@ -278,7 +278,7 @@
 
 // What each breach looks like to the audit, and what only resembles one.
 func TestAudit(t *testing.T) {
-	tariffs := []balance.Class{{Name: "page"}, {Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
+	classes := []balance.Class{{Name: "page"}, {Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
 		{Name: "sms", Idempotency: balance.NonIdempotent}}
 	const page, sign, sms = 0, 1, 2
 	for name, c := range map[string]struct {
@@ -351,7 +351,7 @@
 		"counts as told":   {page, 3, func(a *Audit, n int) { a.Listed(.1, 0); a.Reached(8.7, n, 0, 0, 0); a.Left(3, n) }},
 		"pushed over":      {page, 4, func(a *Audit, n int) { a.Fell(1, 0); a.Left(1, n) }},
 	} {
-		a := NewAudit(tariffs, .05, 2.5, 6)
+		a := NewAudit(classes, .05, 2.5, 6)
 		c.play(a, a.Sent(c.tariff, 2))
 		a.Close(10)
 		for rule := 1; rule <= 4; rule++ {
@@ -383,7 +383,7 @@
 	}
 }
 
-// A proxy killed with lookups in hand loses those and no others; one that is restarted in order loses none.
+// A proxy killed with requests in hand loses those and no others; one that is restarted in order loses none.
 func TestProxies(t *testing.T) {
 	for kind, lost := range map[string]bool{"proxy-kill": true, "proxy-restart": false} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 1.0\nfor = 1.0\nproxy = 1\n")
--- a/internal/simulation/sockets.go
+++ b/internal/simulation/sockets.go
@@ -25,7 +25,7 @@
 const (
 	readyFor   = 15 * time.Second       // for a proxy to be up after its start
 	readyEach  = 20 * time.Millisecond  // between questions
-	settleFor  = 500 * time.Millisecond // from all being up to the first lookup
+	settleFor  = 500 * time.Millisecond // from all being up to the first request
 	sliceSlack = 0.05                   // s past each limit of the rules, for two clocks' reading and the wire
 	lateMost   = 0.01                   // s that the rig may be late ...
 	lateShare  = 0.01                   // ... for this share of what it does; past that the figures are void
@@ -159,7 +159,7 @@
 	return r, nil
 }
 
-// Lookups is what servers need to know of each tariff's.
+// Requests is what servers need to know of each class's.
 func (s *Scenario) Lookups() map[string]fakeserver.Lookup {
 	zones := map[string]int{}
 	for i, z := range s.zones() {
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// run plays timeline and lookups, and looks at the fleet each second.
+// run plays timeline and requests, and looks at the fleet each second.
 func (st *stage) run() {
 	s := st.s
 	start := time.Now().Add(settleFor)
--- a/internal/simulation/steered.go
+++ b/internal/simulation/steered.go
@@ -66,7 +66,7 @@
 	s.look(now)
 }
 
-// ended counts how a leg ended, as its sender would see it.
+// ended counts how an attempt ended, as its sender would see it.
 func (s *steward) ended(to int, o balance.Outcome) {
 	switch o {
 	case balance.Succeeded:
@@ -119,7 +119,7 @@
 	}
 }
 
-// choose draws a server by the told weights, as gRPC's clients do; -1: the lookup is dropped, or none may be sent to.
+// choose draws a server by the told weights, as gRPC's clients do; -1: the request is dropped, or none may be sent to.
 func (s *steward) choose(p *plain, cands []int) int {
 	if p.chance.Float64() < s.drop {
 		return -1
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -19,8 +19,8 @@
 	Clock    string  `json:"clock"`
 	Seed     uint64  `json:"seed"`
 	Lookups  int     `json:"lookups"` // that somebody wanted
-	InTime   int     `json:"in_time"` // honoured within the due time, counted from the first try
-	Late     int     `json:"late"`    // honoured after it
+	InTime   int     `json:"in_time"` // successful within the latency objective, counted from the first try
+	Late     int     `json:"late"`    // successful after it
 	Unserved int     `json:"unserved"`
 	Value    float64 `json:"value"`
 	Share    float64 `json:"value_in_time"` // of all value
@@ -34,7 +34,7 @@
 	Gone       int `json:"gone"` // their clients left first
 	Unreached  int `json:"found_no_proxy"`
 	Turned     int `json:"told_wrong"` // 4xx: the client's own fault, so the rig's
-	Mismatched int `json:"mismatched"` // honoured with another lookup's answer
+	Mismatched int `json:"mismatched"` // successful with another request's answer
 
 	Legs    int      `json:"legs"`
 	Work    float64  `json:"work"`
@@ -44,7 +44,7 @@
 	Broken  [5]int   `json:"rules_broken"` // by rule, from 1
 	First   []string `json:"first_breaches,omitempty"`
 
-	P50     float64    `json:"P50"` // of honoured tries, from when they were meant to be sent
+	P50     float64    `json:"P50"` // of successful tries, from when they were meant to be sent
 	P90     float64    `json:"P90"`
 	P99     float64    `json:"P99"`
 	P999    float64    `json:"P999"`
@@ -59,7 +59,7 @@
 	Peak    float64 `json:"proxy_memory_mb,omitempty"`
 }
 
-// ByTariff is what became of one tariff's lookups.
+// ByTariff is what became of one class's requests.
 type ByTariff struct {
 	Name    string  `json:"name"`
 	Lookups int     `json:"lookups"`
@@ -81,7 +81,7 @@
 	Legs      int     `json:"Legs"`
 	P50       float64 `json:"P50"`
 	P99       float64 `json:"P99"`
-	Ready     int     `json:"Ready"` // servers; lookups waiting at them
+	Ready     int     `json:"Ready"` // servers; requests waiting at them
 	Cold      int     `json:"Cold"`
 	Choked    int     `json:"Choked"`
 	Still     int     `json:"Still"`
@@ -112,17 +112,17 @@
 	by      []*hdrhistogram.Histogram
 	late    *hdrhistogram.Histogram
 	second  *hdrhistogram.Histogram
-	worth   []float64 // by tariff
+	worth   []float64 // by class
 	gained  []float64
-	useful  float64 // work of honoured legs that were handed on
+	useful  float64 // work of successful attempts that were handed on
 }
 
-func newTally(s *Scenario, tariffs []balance.Class, seed uint64, policy, clock string) *tally {
+func newTally(s *Scenario, classes []balance.Class, seed uint64, policy, clock string) *tally {
 	hist := func(figures int) *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, figures) }
-	t := &tally{tariffs: tariffs, times: hist(figures3), late: hist(figures3), second: hist(figures2),
-		worth: make([]float64, len(tariffs)), gained: make([]float64, len(tariffs))}
+	t := &tally{tariffs: classes, times: hist(figures3), late: hist(figures3), second: hist(figures2),
+		worth: make([]float64, len(classes)), gained: make([]float64, len(classes))}
 	t.Scenario, t.Seed, t.Policy, t.Clock = s.Name, seed, policy, clock
-	for _, row := range tariffs {
+	for _, row := range classes {
 		t.Tariffs = append(t.Tariffs, ByTariff{Name: row.Name})
 		t.by = append(t.by, hist(figures3))
 	}
@@ -146,7 +146,7 @@
 	t.now(at).Asked++
 }
 
-// honoured counts a served try: took since the try was meant to be sent, whole since the lookup was wanted.
+// successful counts a served try: took since the try was meant to be sent, whole since the request was wanted.
 func (t *tally) honoured(at float64, in *loadgen.Intent, took, whole float64) {
 	t.Honoured++
 	us := int64(took * 1e6)
@@ -185,9 +185,9 @@
 }
 
 // look notes the servers' states at the end of a second.
-func (t *tally) look(at float64, f *emulator.Fleet, legs int) {
+func (t *tally) look(at float64, f *emulator.Fleet, attempts int) {
 	s := t.now(at)
-	s.Legs = legs
+	s.Legs = attempts
 	s.P50, s.P99 = float64(t.second.ValueAtQuantile(50))/1e6, float64(t.second.ValueAtQuantile(99))/1e6
 	t.second.Reset()
 	for _, m := range f.Members {
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -64,14 +64,14 @@
 			continue
 		}
 		kind, n, first := troubles[t.Kind], s.hit(t), s.first(t.Servers)+t.From
-		tariff, _ := s.tariff(t.Tariff)
+		class, _ := s.tariff(t.Tariff)
 		for i := range n {
 			if kind.bans {
 				all = append(all, Happening{At: t.At + t.Within*float64(i)/float64(n), Proxy: Ban, Who: t.Proxy - 1, Value: t.For,
 					Act: emulator.Act{Seat: first + i}})
 				continue
 			}
-			a := emulator.Act{At: t.At + t.Within*float64(i)/float64(n), Deed: kind.deed, Seat: first + i, Tariff: tariff, Value: t.Factor}
+			a := emulator.Act{At: t.At + t.Within*float64(i)/float64(n), Deed: kind.deed, Seat: first + i, Tariff: class, Value: t.Factor}
 			switch kind.deed {
 			case emulator.SetPause, emulator.SetCrash:
 				a.Value = t.For
@@ -119,19 +119,19 @@
 	return seat
 }
 
-// marks is the group that drops repeats of a tariff's lookups at a member: -1 none.
-func marks(t balance.Class, tariff int, m *emulator.Member, zone int) int {
-	const most = serversMost + 2 // groups of one tariff: all, or zones, or pods
+// marks is the group that drops repeats of a class's requests at a member: -1 none.
+func marks(t balance.Class, class int, m *emulator.Member, zone int) int {
+	const most = serversMost + 2 // groups of one class: all, or zones, or pods
 	if t.Idempotency != balance.Keyed {
 		return -1
 	}
 	switch t.DedupScope {
 	case balance.DedupZone:
-		return tariff*most + 1 + zone
+		return class*most + 1 + zone
 	case balance.DedupPod:
-		return tariff*most + 1 + m.Pod
+		return class*most + 1 + m.Pod
 	}
-	return tariff * most
+	return class * most
 }
 
 func sortedNames[T any](m map[string]T) []string {
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -20,19 +20,19 @@
 	listLag    = 0.02   // s from a change of the list to a proxy's being told
 	muteFor    = 3.1    // s until a proxy has a watch again that fell silent
 	tryElse    = 0.05   // s until a client that found no proxy looks again
-	killMargin = 0.7    // s past the longest hard stop that a proxy has, once told to stop
+	killMargin = 0.7    // s past the longest deadline that a proxy has, once told to stop
 	startUp    = 0.2    // s until a started proxy serves
 )
 
 // What an event of the agenda is.
 const (
-	evWant  uint8 = iota // the next lookup is wanted
+	evWant  uint8 = iota // the next request is wanted
 	evTry                // a: try
-	evStop               // a: try: its hard stop
+	evStop               // a: try: its deadline
 	evWake               // a: try: its own timer
 	evPump               // a: proxy: its balancer's timer; gen: its era
-	evReach              // a: leg
-	evBack               // a: leg, b: outcome
+	evReach              // a: attempt
+	evBack               // a: attempt, b: outcome
 	evServe              // a: member: something ends there
 	evDo                 // a: of the acts
 	evTold               // a: proxy
@@ -92,7 +92,7 @@
 	}
 }
 
-// try is one of a client's tries of a lookup.
+// try is one of a client's tries of a request.
 type try struct {
 	in       loadgen.Intent
 	n        int // from 1
@@ -105,12 +105,12 @@
 	leaves   float64
 	handle   RequestHandle
 	legs     []int32
-	open     int // legs
+	open     int // attempts
 	over     bool
 	used     bool
 }
 
-// leg is one leg of a try.
+// attempt is one attempt of a try.
 type leg struct {
 	try     int32
 	proxy   int32
@@ -129,7 +129,7 @@
 type vproxy struct {
 	pools   []Decider // one, or one for each pool of an ordinary scenario
 	era     uint32
-	up      bool // takes lookups
+	up      bool // takes requests
 	alive   bool
 	open    int
 	version int64
@@ -153,7 +153,7 @@
 	chance  *rand.Rand
 	fleet   *emulator.Fleet
 	nextAt  []float64 // by member: when an evServe is due
-	unheard [][]int32 // by member: legs that were lost on their way, until its connections are reset
+	unheard [][]int32 // by member: attempts that were lost on their way, until its connections are reset
 	acts    []Happening
 	proxies []*vproxy
 	turn    int
@@ -174,11 +174,11 @@
 	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Mix(), seed))
 }
 
-// VirtualOf plays it with other lookups than its own.
-func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, lookups loadgen.Source) (*Result, error) {
+// VirtualOf plays it with other requests than its own.
+func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, requests loadgen.Source) (*Result, error) {
 	began := time.Now()
 	f := s.Figures(seed)
-	v := &virtual{s: s, figures: f, policy: policy, seed: seed, now: epoch, plan: lookups,
+	v := &virtual{s: s, figures: f, policy: policy, seed: seed, now: epoch, plan: requests,
 		clients: loadgen.Clients(s.Clients), chance: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
 		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wire+1e-6, s.Deployment.Grace, s.Deployment.CountsAfter),
 		tally: newTally(s, f.Classes, seed, name, "virtual")}
@@ -213,7 +213,7 @@
 	return r, v.failed
 }
 
-// longest is the longest hard stop.
+// longest is the longest deadline.
 func (s *Scenario) longest() float64 {
 	longest := 0.0
 	for _, t := range s.Tariffs {
@@ -270,7 +270,7 @@
 	}
 }
 
-// wanted plans the next lookup.
+// wanted plans the next request.
 func (v *virtual) wanted() {
 	if in, ok := v.plan.Next(); ok {
 		v.want = in
@@ -369,7 +369,7 @@
 	}
 }
 
-// answered tells a client that its try was dismissed or forfeited.
+// answered tells a client that its try was rejected or failed.
 func (v *virtual) answered(t *try, answer balance.Reply, advice float64) {
 	at := v.now + wire
 	v.audit.Answered(at, t.id, answer)
@@ -406,7 +406,7 @@
 	if l.kept = *idle > 0; l.kept {
 		*idle--
 	} else {
-		way = 3 * wire // there, back, and there with the lookup
+		way = 3 * wire // there, back, and there with the request
 	}
 	v.agenda.add(event{at: v.now + way, what: evReach, a: g, gen: l.gen})
 }
@@ -418,7 +418,7 @@
 	return &p.idle[member]
 }
 
-// reach is a leg's coming to its server.
+// reach is an attempt's coming to its server.
 func (v *virtual) reach(g int32) {
 	l := &v.legs[g]
 	if l.closed {
@@ -515,7 +515,7 @@
 	}
 }
 
-// back is a leg's end at its proxy.
+// back is an attempt's end at its proxy.
 func (v *virtual) back(g int32, o balance.Outcome) {
 	l := &v.legs[g]
 	t := &v.tries[l.try]
@@ -541,7 +541,7 @@
 	v.release(i)
 }
 
-// drop closes a leg's connection: its server hears that nobody waits.
+// drop closes an attempt's connection: its server hears that nobody waits.
 func (v *virtual) drop(g int32) {
 	l := &v.legs[g]
 	l.closed = true
@@ -552,7 +552,7 @@
 	}
 }
 
-// freed gives a leg's slot back once neither its proxy nor its server has to do with it.
+// freed gives an attempt's slot back once neither its proxy nor its server has to do with it.
 func (v *virtual) freed(g int32) {
 	if l := &v.legs[g]; l.used && l.closed && !l.reached {
 		l.used = false
@@ -749,11 +749,11 @@
 	}
 }
 
-// pool is the number of the pool that a tariff's lookups go to.
-func (v *virtual) pool(tariff int) int32 {
+// pool is the number of the pool that a class's requests go to.
+func (v *virtual) pool(class int) int32 {
 	if v.s.Ordinary() {
 		for k, group := range v.s.pools() {
-			if v.s.Servers[group].Name == v.s.Tariffs[tariff].Pool {
+			if v.s.Servers[group].Name == v.s.Tariffs[class].Pool {
 				return int32(k)
 			}
 		}
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -24,15 +24,15 @@
 	Stopped() error
 	Listed(kind ListKind, entries []settings.Entry) error
 	Order(RequestOrder) error
-	Started(id string, leg int) error
+	Started(id string, attempt int) error
 	Ended(End) error
 	Left(id string) error
 	Fired(label int) error
-	Probed(backend string, ok bool, r balance.LoadReport) error
+	Probed(server string, ok bool, r balance.LoadReport) error
 	Heard(from int, n balance.GossipMessage) error
 }
 
-// ListKind says what a list of backends holds.
+// ListKind says what a list of servers holds.
 type ListKind uint8
 
 const (
@@ -42,13 +42,13 @@
 	PollFailed // none: asking failed
 )
 
-// RequestOrder is a lookup with its names; the rest is as the module takes it, but for Ref, Tariff, Customer and Key.
+// RequestOrder is a request with its names; the rest is as the module takes it, but for Ref, Class, Tenant and Key.
 type RequestOrder struct {
 	balance.RequestInfo
 	ID, ClassName, TenantName, KeyName string
 }
 
-// End is the end of a leg.
+// End is the end of an attempt.
 type End struct {
 	ID      string
 	Leg     int
@@ -225,8 +225,8 @@
 			o.ClientRetry = l.bool("AgainByClient")
 			call = func() error { return to.Order(o) }
 		case "first":
-			id, leg := l.must("Job"), l.whole("Leg")
-			call = func() error { return to.Started(id, leg) }
+			id, attempt := l.must("Job"), l.whole("Leg")
+			call = func() error { return to.Started(id, attempt) }
 		case "finished":
 			e := End{ID: l.must("Job"), Leg: l.whole("Leg"), Outcome: word(l, "Status", outcomes),
 				Latency: l.num("LatencyMs") / 1000, Over: l.bool("Over")}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -16,13 +16,13 @@
 // Instance makes the following lines those of this instance.
 func (w *Writer) Instance(n int) { w.line("context Proxy=", strconv.Itoa(n)) }
 
-func (w *Writer) Send(id, backend string, until float64) {
-	// rounded down, so that a leg never outlives its time
-	w.line("try Job=", id, " Backend=", backend, " NotPastMs=", ms(math.Floor(until*1e6)/1e6))
+func (w *Writer) Send(id, server string, until float64) {
+	// rounded down, so that an attempt never outlives its time
+	w.line("try Job=", id, " Backend=", server, " NotPastMs=", ms(math.Floor(until*1e6)/1e6))
 }
 
-func (w *Writer) CallOff(id string, leg int) {
-	w.line("stop_attempt Job=", id, " Leg=", strconv.Itoa(leg))
+func (w *Writer) CallOff(id string, attempt int) {
+	w.line("stop_attempt Job=", id, " Leg=", strconv.Itoa(attempt))
 }
 
 func (w *Writer) Dismiss(id string, advice float64) {
@@ -42,9 +42,9 @@
 
 func (w *Writer) Subscribe() { w.line("keep_informed Enable=1") }
 
-func (w *Writer) Probe(backend string) { w.line("inspect Backend=", backend) }
+func (w *Writer) Probe(server string) { w.line("inspect Backend=", server) }
 
-func (w *Writer) HangUp(backend string) { w.line("hang_up Backend=", backend) }
+func (w *Writer) HangUp(server string) { w.line("hang_up Backend=", server) }
 
 func (w *Writer) Tell(peer int, data string) {
 	w.line("broadcast_to Target=", strconv.Itoa(peer), " Data=", data)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -29,11 +29,11 @@
 	largeMost = 1 << 20               // bytes of an answer, where there is room for it; heads.Most without
 )
 
-// Exchange is one request to a backend.
+// Exchange is one request to a server.
 type Exchange struct {
 	Head, Tail, Body  []byte        // written one after the other
 	Deadline          time.Time     // no answer by then: it timed out
-	SendBy            time.Time     // not sent where it can't be at its backend by then; zero: no such bound
+	SendBy            time.Time     // not sent where it can't be at its server by then; zero: no such bound
 	ClientGone        func() bool   // whether its client has gone: it is not sent then; called by any goroutine; nil: nobody waits for it
 	OnDone            func(Result)  // called once, on the owner's goroutine
 	Passthrough       bool          // what a server answers goes on as it is, but for its own failures
@@ -41,7 +41,7 @@
 	Upload            *Upload       // the rest of a body that is not kept; nil: Body is all
 	ResponseTimeout   time.Duration // of an exchange with an Upload: from its last byte, in the place of Until
 	OnResponseStarted func(Result)  // a large answer has begun and flows; called at most once, before Report, on the owner's goroutine
-	off, begun        bool          // called off; being written; under conn.mu
+	off, begun        bool          // canceled; being written; under conn.mu
 	flows             bool          // its answer has begun to flow; likewise
 	wrote             chan struct{}
 	opening           time.Duration // its connection's
@@ -60,13 +60,13 @@
 	Err           error          // of an answer that did not come whole
 	Status        int            // of an answer; 0: none came
 	Length        int            // of its body, or of the one that it would have; -1: not told
-	Fields        []byte         // of an honoured answer, and of any plain one: the lines that go on
+	Fields        []byte         // of an successful answer, and of any plain one: the lines that go on
 	Body          []byte         // of one that has begun: its first bytes
 	ReservedBytes int64          // bytes of room held for it
 	Stream        *io.PipeReader // of one that has begun: the rest of its body. Who does not read it to its end closes it
 }
 
-// conn is one connection to a backend. One goroutine opens it and writes, one reads; the owner hands it
+// conn is one connection to a server. One goroutine opens it and writes, one reads; the owner hands it
 // exchanges, one at a time.
 type conn struct {
 	pool  *Pool
@@ -104,7 +104,7 @@
 	return true
 }
 
-// callOff ends an exchange by closing its connection: a late answer must reach no other lookup.
+// callOff ends an exchange by closing its connection: a late answer must reach no other request.
 func (c *conn) callOff(ex *Exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -159,7 +159,7 @@
 }
 
 // unwanted is why an exchange is not to be written any more, nil where it is. It is asked last before the first byte, of first and
-// further legs alike. Danger: whatever was true when the leg was ordered, this goroutine may have waited for a connection, or its core.
+// further attempts alike. Danger: whatever was true when the attempt was ordered, this goroutine may have waited for a connection, or its core.
 func (c *conn) unwanted(ex *Exchange) error {
 	switch {
 	case ex.off:
@@ -175,7 +175,7 @@
 }
 
 // write writes a request, unless it is unwanted or something has come before it. Danger: a second copy of the answer before would be
-// read as the answer to this request, and one written to a connection that the backend has closed may seem to have run.
+// read as the answer to this request, and one written to a connection that the server has closed may seem to have run.
 func (c *conn) write(ex *Exchange) {
 	c.mu.Lock()
 	sound := !c.dead && !c.pending()
@@ -314,7 +314,7 @@
 	}
 }
 
-// read reads answers, and notices while none is due that the backend closes.
+// read reads answers, and notices while none is due that the server closes.
 func (c *conn) read() {
 	in := recvtime.NewReader(c.nc)
 	r := http1.NewReader(in)
@@ -414,20 +414,20 @@
 		res.Outcome = balance.Succeeded
 	case (h.Status == 503 || h.Status == 504) && never:
 		res.Outcome = balance.ServerRejected
-	case h.Status >= 400 && h.Status < 500 && h.Status != 408 && h.Status != 429: // of time and of room: not the lookup's fault
+	case h.Status >= 400 && h.Status < 500 && h.Status != 408 && h.Status != 429: // of time and of room: not the request's fault
 		res.Outcome = balance.InvalidRequest
 	default:
 		res.Outcome = balance.ServerError
 	}
 	// Danger: the writer may not have run on since its last byte went, which must not cost the connection; or it
-	// is at a long body that the backend answered without reading, which must not keep the answer.
+	// is at a long body that the server answered without reading, which must not keep the answer.
 	select {
 	case <-ex.wrote:
 	default:
 		c.nc.SetWriteDeadline(res.EndedAt.Add(writeOn))
 	}
 	ex.written()
-	if !ex.whole && res.Outcome == balance.Succeeded && !ex.Passthrough && ex.Upload == nil { // a backend begins when the last byte has come
+	if !ex.whole && res.Outcome == balance.Succeeded && !ex.Passthrough && ex.Upload == nil { // a server begins when the last byte has come
 		c.nc.Close()
 		res.Outcome, res.Err = balance.ConnectFailed, errEarly
 		return res, false
@@ -436,7 +436,7 @@
 }
 
 // flow hands a large answer on as it comes. The client's pace is the server's: what is not taken is not read. Until it begins it is
-// kept: if it ends or breaks by then it is a small answer, or one that another leg may still give.
+// kept: if it ends or breaks by then it is a small answer, or one that another attempt may still give.
 func (c *conn) flow(r *http1.Reader, ex *Exchange, h *http1.Head, res Result) (Result, bool) {
 	length, chunked, closes := h.Length, h.Chunked, h.Close // reading on moves the head
 	enough := http1.DefaultMaxBytes + 1
@@ -452,7 +452,7 @@
 		out, in = io.Pipe()
 		c.mu.Lock()
 		ex.flows = true
-		c.nc.SetReadDeadline(time.Now().Add(flowIdle)) // danger: a large answer takes longer than any hard stop; once begun it counts as given
+		c.nc.SetReadDeadline(time.Now().Add(flowIdle)) // danger: a large answer takes longer than any deadline; once begun it counts as given
 		c.mu.Unlock()
 		begun := res
 		begun.Body, begun.Stream = first, out
@@ -532,13 +532,13 @@
 	return u
 }
 
-// OnResponseStarted tells whether some of it may have gone to a server: there can be no other leg then.
+// OnResponseStarted tells whether some of it may have gone to a server: there can be no other attempt then.
 func (u *Upload) Started() bool { return u.begun.Load() }
 
 // Stop lets the client's side end: nothing more of it is wanted.
 func (u *Upload) Stop() { u.out.CloseWithError(ErrUploadStopped) }
 
-// ErrUploadStopped is what the client's side of an upload meets when its lookup has its answer.
+// ErrUploadStopped is what the client's side of an upload meets when its request has its answer.
 var ErrUploadStopped = errors.New("the body is not wanted any more")
 
 // to writes it to a server, at the pace of both.
@@ -594,7 +594,7 @@
 		return balance.Canceled
 	case off:
 		return balance.NotSent
-	case !whole: // a backend begins a request when its last byte has come
+	case !whole: // a server begins a request when its last byte has come
 		return balance.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.TimedOut
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-// Package upstream keeps the connections to backends. A Pool belongs to one goroutine, its owner; what its
+// Package upstream keeps the connections to servers. A Pool belongs to one goroutine, its owner; what its
 // connections have to tell comes back to that goroutine.
 //
 // Nothing is ever sent again from here: each exchange is written once at most, and its result says what that
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Pool hands out connections, the one idle for longest first: what a backend sends behind an answer, or its closing, has
+// Pool hands out connections, the one idle for longest first: what a server sends behind an answer, or its closing, has
 // come by then.
 type Pool struct {
 	ConnectTimeout time.Duration          // a connection that is not up by then never comes up
@@ -31,7 +31,7 @@
 	total    int
 }
 
-// backend is where one backend listens and the connections to it that are idle, the last used last.
+// server is where one server listens and the connections to it that are idle, the last used last.
 type backend struct {
 	addr    string
 	started float64
@@ -46,7 +46,7 @@
 	return &Pool{dial: dial, post: post}
 }
 
-// SetEndpoint says where a backend listens. What is idle to it is closed where it moved or began anew.
+// SetEndpoint says where a server listens. What is idle to it is closed where it moved or began anew.
 func (p *Pool) SetEndpoint(index int, addr string, started float64) {
 	for len(p.backends) <= index {
 		p.backends = append(p.backends, &backend{})
@@ -58,7 +58,7 @@
 	}
 }
 
-// CloseIdle ends the idle connections of a backend; those in use end with their exchange.
+// CloseIdle ends the idle connections of a server; those in use end with their exchange.
 func (p *Pool) CloseIdle(index int) {
 	b := p.backends[index]
 	b.era++
@@ -68,7 +68,7 @@
 	b.idle = b.idle[:0]
 }
 
-// StopSendingAt sets from when on nothing is written to a backend; zero: no such bound. Danger: a leg that was ordered in time may be on
+// StopSendingAt sets from when on nothing is written to a server; zero: no such bound. Danger: an attempt that was ordered in time may be on
 // a connection that is being opened for longer than a drain's grace.
 func (p *Pool) StopSendingAt(index int, at time.Time) {
 	if at.IsZero() {
@@ -84,7 +84,7 @@
 	return until != 0 && time.Now().UnixNano() > until
 }
 
-// Remove forgets a backend, whose index may be given to another. What is in use ends with its exchange.
+// Remove forgets a server, whose index may be given to another. What is in use ends with its exchange.
 func (p *Pool) Remove(index int) {
 	p.CloseIdle(index)
 	p.backends[index] = &backend{}
@@ -154,7 +154,7 @@
 // Total is how many connections there are.
 func (p *Pool) Total() int { return p.total }
 
-// InFlight is how many connections to a backend carry an exchange, or are opened for one.
+// InFlight is how many connections to a server carry an exchange, or are opened for one.
 func (p *Pool) InFlight(index int) int { return p.backends[index].open - len(p.backends[index].idle) }
 
 // spare closes the connection that was idle for longest, to make room for another.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 	"lockloom/balance"
 )
 
-// bank is a pool whose owner is the test, and the backends' ends of its connections as they are opened.
+// fleet is a pool whose owner is the test, and the servers' ends of its connections as they are opened.
 type bank struct {
 	*Pool
 	posted  chan func()
@@ -66,7 +66,7 @@
 	}
 }
 
-// leg sends an exchange; its results come one by one.
+// attempt sends an exchange; its results come one by one.
 func (b *bank) leg(index int) (*Exchange, *[]Result) {
 	results := &[]Result{}
 	ex := &Exchange{Head: []byte("GET /a HTTP/1.1\r\n"), Tail: []byte("\r\n"), Deadline: time.Now().Add(time.Second),
@@ -77,7 +77,7 @@
 	return ex, results
 }
 
-// asked reads a request at a backend's end.
+// asked reads a request at a server's end.
 func asked(t *testing.T, end net.Conn) {
 	buf := make([]byte, 100)
 	n := 0
@@ -96,7 +96,7 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		ends         bool // the backend closes after it
+		ends         bool // the server closes after it
 		want         balance.Outcome
 		kept         bool
 	}{
@@ -202,7 +202,7 @@
 	for _, c := range []struct {
 		name string
 		set  func(*bank)
-		part bool // the backend reads a part of the request, then closes
+		part bool // the server reads a part of the request, then closes
 		want balance.Outcome
 	}{
 		{"refused", func(b *bank) { b.refuses = true }, false, balance.ConnectFailed},
@@ -239,7 +239,7 @@
 }
 
 // Danger: an answer that comes while the request is still being written waits for a body that nobody reads; and a 200 is none to it then:
-// a backend begins with the last byte.
+// a server begins with the last byte.
 func TestAnsweredEarly(t *testing.T) {
 	for _, c := range []struct {
 		answer string
@@ -266,7 +266,7 @@
 	}
 }
 
-// Danger: a late answer that stays in a connection would reach the next lookup.
+// Danger: a late answer that stays in a connection would reach the next request.
 func TestCallOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := open()
@@ -366,7 +366,7 @@
 	}
 }
 
-// Danger: the goroutine that writes may wait for its core for long: until its lookup has its answer, or past the time within which a
+// Danger: the goroutine that writes may wait for its core for long: until its request has its answer, or past the time within which a
 // repeat is known, or a drain's grace, or its client's patience.
 func TestNotWritten(t *testing.T) {
 	const wayThere = 40 * time.Millisecond
@@ -422,7 +422,7 @@
 	assert.False(t, ex.off, "one that is being written goes on")
 }
 
-// Danger: bytes that a backend sent before its request was written, taken from the system by the reader just before the writer looked
+// Danger: bytes that a server sent before its request was written, taken from the system by the reader just before the writer looked
 // for any, would be read as the request's answer.
 func TestCameBeforeItsRequest(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -472,12 +472,12 @@
 func TestReuse(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before func(b *bank, end net.Conn) // the next leg
+		before func(b *bank, end net.Conn) // the next attempt
 		dials  []string
 	}{
 		{"at once", func(*bank, net.Conn) {}, []string{"one:1"}},
 		{"idle for a while", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout - 1); b.CloseExpired() }, []string{"one:1"}},
-		// Danger: a request to a connection that the backend is closing ends as a reset, and may have run.
+		// Danger: a request to a connection that the server is closing ends as a reset, and may have run.
 		{"idle for long", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout) }, []string{"one:1", "one:1"}},
 		{"idle for long and swept", func(b *bank, _ net.Conn) { time.Sleep(b.IdleTimeout); b.CloseExpired() }, []string{"one:1", "one:1"}},
 		{"closed by the backend, owner told", func(b *bank, end net.Conn) { end.Close(); b.settle() }, []string{"one:1", "one:1"}},
@@ -515,7 +515,7 @@
 	}
 }
 
-// A backend that moved while a leg was out there: its connection ends with the leg.
+// A server that moved while an attempt was out there: its connection ends with the attempt.
 func TestMovedWhileBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := open()
--- a/lifecycle/lifecycle.go
+++ b/lifecycle/lifecycle.go
@@ -1,25 +1,25 @@
 // Package lifecycle holds what operators have ordered of one proxy, and says what follows from it: whether the proxy is up, what it
-// takes in, when its clients' connections close and which backends are banned. Up to two processes, or more where starts follow
+// takes in, when its clients' connections close and which servers are disabled. Up to two processes, or more where starts follow
 // one another, are one proxy for a while; each keeps Orders, and merging them settles what holds. It keeps no clock: times are
 // passed in, in seconds since 1970, alike at all processes of a machine. A Life is not safe for concurrent use.
 package lifecycle
 
 import "maps"
 
-// Every constant of a drain and of a hand-over, in seconds from the order. Four seconds after a drain no connection may be idle,
+// Every constant of a drain and of a hot restart, in seconds from the order. Four seconds after a drain no connection may be idle,
 // or have a request of the last two.
 const (
 	DrainNotice              = 0.5 // connections stay as they are for so long: the front notices within 0.3 s, and till then deals out new ones
 	IdleCloseSpread          = 1.1 // and the idle ones go within this, one after the other
-	AdmitDuration            = 1.8 // what comes whole later is turned away at once
+	AdmitDuration            = 1.8 // what comes whole later is rejected at once
 	NewConnectionCloseSpread = 0.3 // after Take, a connection without a request goes within this
 )
 
-// Switch is the last that was said of the proxy, or of one backend.
+// Switch is the last that was said of the proxy, or of one server.
 type Switch struct {
 	On        bool    `json:"On"`    // drained; disabled
 	ChangedAt float64 `json:"At"`    // when it was said last
-	Since     float64 `json:"Since"` // of a disabled backend, or one that was: when it was disabled
+	Since     float64 `json:"Since"` // of a disabled server, or one that was: when it was disabled
 }
 
 // supersededBy says whether another order holds over this one. Danger: two said at the same moment must come out alike at both
@@ -62,7 +62,7 @@
 	o.Servers[id] = order
 }
 
-// Disable bans a backend. It may be repeated.
+// Disable bans a server. It may be repeated.
 func (o *AdminState) Disable(id string, now float64) {
 	order := Switch{On: true, ChangedAt: now, Since: now}
 	if old := o.Servers[id]; old.On {
@@ -71,7 +71,7 @@
 	o.set(id, order)
 }
 
-// Enable ends a backend's ban, however often it was said.
+// Enable ends a server's ban, however often it was said.
 func (o *AdminState) Enable(id string, now float64) {
 	if old := o.Servers[id]; old.On {
 		o.set(id, Switch{ChangedAt: max(now, old.ChangedAt), Since: old.Since})
@@ -85,9 +85,9 @@
 	}
 }
 
-// Disabled says whether a backend is banned, and when the decisions are to take it to have started, which the list says it did at
+// Disabled says whether a server is disabled, and when the decisions are to take it to have started, which the list says it did at
 // started (0: long ago). Danger: it is disabled to be restarted, and the list may not tell; once enabled it counts as started just
-// then unless a later start than the ban was told. While it is banned such a start is not passed on: enabled, it is a new one.
+// then unless a later start than the ban was told. While it is disabled such a start is not passed on: enabled, it is a new one.
 func (o *AdminState) Disabled(id string, started float64) (bool, float64) {
 	order, known := o.Servers[id]
 	switch {
@@ -109,10 +109,10 @@
 	PredecessorServing bool    // another process of this proxy serves beside this one
 	Terminating        bool    // no connection is served any longer than to its answer
 	SuccessorServing   bool    // another process of this proxy takes clients in its stead
-	IdleCloseDeadline  float64 // once it is stopped and has an heir: when its last idle connection is to close
+	IdleCloseDeadline  float64 // once it is stopped and has an successor: when its last idle connection is to close
 }
 
-// WantsClients is the answer to the front: whether the proxy, by this process or its heir, wants clients.
+// WantsClients is the answer to the front: whether the proxy, by this process or its successor, wants clients.
 func (l *Process) WantsClients() bool {
 	return !l.Drain.On && (l.SuccessorServing || (l.Serving || l.PredecessorServing) && l.StoppedAt == 0)
 }
@@ -128,7 +128,7 @@
 	return l.Terminating || l.Drain.On && now >= l.Drain.ChangedAt+DrainNotice || l.StoppedAt > 0 && l.SuccessorServing
 }
 
-// AdmitsRequests says whether a request that has come whole is a lookup; else it is turned away at once.
+// AdmitsRequests says whether a request that has come whole is a request; else it is rejected at once.
 func (l *Process) AdmitsRequests(now float64) bool {
 	return !l.Drain.On || now < l.Drain.ChangedAt+AdmitDuration
 }
--- a/lifecycle/lifecycle_test.go
+++ b/lifecycle/lifecycle_test.go
@@ -124,8 +124,8 @@
 	serves bool            // on the way to the old one: the new one takes clients
 }
 
-// In every interleaving of an upgrade, drains and bans: one of the two takes clients whenever one lives that may, a banned backend
-// is banned at whoever serves once messages have come, and nobody is up while drained.
+// In every interleaving of an upgrade, drains and bans: one of the two takes clients whenever one lives that may, a disabled server
+// is disabled at whoever serves once messages have come, and nobody is up while drained.
 func TestUpgradeInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{alive: [2]bool{true, false}}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,4 +1,4 @@
-// Package limits decides who has asked enough: rates, lookups in hand, budgets of further legs, and a pool's sharing between
+// Package limits decides who has asked enough: rates, requests in hand, budgets of further attempts, and a pool's sharing between
 // routes. It does no input or output and keeps no clock: every call takes the present time in seconds. Its caller is the
 // proxy's owner, so none of it is safe for concurrent use.
 package limits
@@ -15,27 +15,27 @@
 	lookedAt    = 16   // keys of which the one idle for longest is forgotten
 	slack       = 1e-9 // s that reckoning may be off
 	reservePart = 0.9  // of a pool: beyond it a route that has its fair part waits for the others
-	activeFor   = 1.0  // s after its last lookup that a route still has a part of the pool
+	activeFor   = 1.0  // s after its last request that a route still has a part of the pool
 	budgetFor   = 10.0 // s: what is recent for a budget
-	budgetLeast = 3.0  // further legs in that time that are always allowed: a share of next to nothing would allow none
+	budgetLeast = 3.0  // further attempts in that time that are always allowed: a share of next to nothing would allow none
 )
 
-// Limit is a bound for each of many keys (a route, a customer, an address), or for one thing with the key 0.
+// Limit is a bound for each of many keys (a route, a tenant, an address), or for one thing with the key 0.
 type Limit struct {
 	Name        string
-	Rate        float64 // lookups a second; 0: no limit
+	Rate        float64 // requests a second; 0: no limit
 	Burst       float64 // that may come at once, after a pause; less than 1 counts as 1
-	Concurrency int     // lookups at a time; 0: no limit
+	Concurrency int     // requests at a time; 0: no limit
 	MaxKeys     int     // remembered at once; 0: a million
 }
 
-// LimitKey is one limit that a lookup must pass, and the key it counts under there.
+// LimitKey is one limit that a request must pass, and the key it counts under there.
 type LimitKey struct {
 	Limit int
 	Key   uint64
 }
 
-// Rejection is the limit that a lookup did not pass, and in how many seconds it would; 0: when another ends.
+// Rejection is the limit that a request did not pass, and in how many seconds it would; 0: when another ends.
 type Rejection struct {
 	Limit      int
 	RetryAfter float64
@@ -48,7 +48,7 @@
 	inHand []map[uint64]int
 }
 
-// Permit is what a lookup has taken; the zero value is nothing.
+// Permit is what a request has taken; the zero value is nothing.
 type Permit struct{ asks []LimitKey }
 
 // New refuses limits that mean nothing.
@@ -76,8 +76,8 @@
 	return l, errors.Join(faults...)
 }
 
-// Acquire passes a lookup through limits in order. At the first that it does not pass it gives back what it took at the
-// others: a lookup that is refused counts nowhere.
+// Acquire passes a request through limits in order. At the first that it does not pass it gives back what it took at the
+// others: a request that is refused counts nowhere.
 func (l *Limits) Acquire(now float64, asks []LimitKey) (Permit, *Rejection) {
 	for i, a := range asks {
 		after, ok := l.one(now, a)
@@ -114,7 +114,7 @@
 	l.leave(a)
 }
 
-// Release tells that a lookup has ended: it is in hand no more. A second call does nothing.
+// Release tells that a request has ended: it is in hand no more. A second call does nothing.
 func (l *Limits) Release(t *Permit) {
 	for _, a := range t.asks {
 		l.leave(a)
@@ -129,7 +129,7 @@
 	if n := l.inHand[a.Limit]; n[a.Key] > 1 {
 		n[a.Key]--
 	} else {
-		delete(n, a.Key) // so that it holds no more keys than lookups are in hand
+		delete(n, a.Key) // so that it holds no more keys than requests are in hand
 	}
 }
 
@@ -145,9 +145,9 @@
 // buckets is a rate for each key, by the generic cell rate algorithm: due is when a key's bucket is full again. A key whose
 // time has come is as good as unknown, so forgetting it loses nothing.
 //
-// They stand in one open table, a place of memory a lookup: at a million keys a map and a list of their order cost twice as much.
+// They stand in one open table, a place of memory a request: at a million keys a map and a list of their order cost twice as much.
 type buckets struct {
-	every, depth float64 // s a lookup; s that a key may be ahead
+	every, depth float64 // s a request; s that a key may be ahead
 	most         int
 	list         []bucket // a power of two, half of it free; probed one after the other
 	n            int
@@ -251,10 +251,10 @@
 	b.list[free] = bucket{}
 }
 
-// RetryBudget bounds further legs to a share of recent first ones, so that a pool that fails is not stormed.
+// RetryBudget bounds further attempts to a share of recent first ones, so that a pool that fails is not stormed.
 type RetryBudget struct {
 	Ratio           float64
-	Allowed, Denied int // further legs allowed and not, since the start
+	Allowed, Denied int // further attempts allowed and not, since the start
 	firsts, more    float64
 	at              float64
 }
@@ -266,13 +266,13 @@
 	}
 }
 
-// FirstAttempt notes a lookup's first leg.
+// FirstAttempt notes a request's first attempt.
 func (b *RetryBudget) FirstAttempt(now float64) {
 	b.fade(now)
 	b.firsts++
 }
 
-// AllowRetry tells whether a further leg is in the budget, and spends it.
+// AllowRetry tells whether a further attempt is in the budget, and spends it.
 func (b *RetryBudget) AllowRetry(now float64) bool {
 	b.fade(now)
 	if b.more+1 > b.Ratio*b.firsts+budgetLeast {
@@ -303,7 +303,7 @@
 	return f
 }
 
-// Acquire takes room for a route's lookup; false: there is none for it now.
+// Acquire takes room for a route's request; false: there is none for it now.
 func (f *FairLimiter) Acquire(now float64, route int) bool {
 	f.asked[route] = now
 	if f.total >= f.Capacity {
@@ -328,7 +328,7 @@
 	return max(float64(f.Capacity)*f.Weights[route]/sum, 1)
 }
 
-// Release gives a lookup's room back.
+// Release gives a request's room back.
 func (f *FairLimiter) Release(route int) {
 	f.inHand[route]--
 	f.total--
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -55,10 +55,10 @@
 	})
 }
 
-// What a lookup took before it was refused is given back everywhere; what it holds is given back once.
+// What a request took before it was refused is given back everywhere; what it holds is given back once.
 func TestLadder(t *testing.T) {
 	l := open(t, Limit{Name: "proxy", Concurrency: 3}, Limit{Name: "pool", Rate: 10, Burst: 2}, Limit{Name: "customer", Concurrency: 1})
-	asks := func(customer uint64) []LimitKey { return []LimitKey{{0, 0}, {1, 0}, {2, customer}} }
+	asks := func(tenant uint64) []LimitKey { return []LimitKey{{0, 0}, {1, 0}, {2, tenant}} }
 	first, refusal := l.Acquire(0, asks(1))
 	assert.Nil(t, refusal)
 	for range 50 {
@@ -162,8 +162,8 @@
 
 func TestBudget(t *testing.T) {
 	for name, c := range map[string]struct {
-		rate, share float64 // first legs a second, all of which fail
-		least, most float64 // further legs over first ones, in the long run
+		rate, share float64 // first attempts a second, all of which fail
+		least, most float64 // further attempts over first ones, in the long run
 	}{
 		"a tenth":    {100, .1, .08, .14},
 		"none":       {100, 0, 0, .01},
--- a/limits/overload.go
+++ b/limits/overload.go
@@ -8,23 +8,23 @@
 
 // Every constant of the strain, times in seconds.
 const (
-	strainBurst  = 0.75  // of its due time: a lookup that waited longer for its turn would be late
+	strainBurst  = 0.75  // of its latency objective: a request that waited longer for its turn would be late
 	strainStands = 0.1   // a queue that has not been empty for so long is told as one that stands
-	strainTurns  = 2     // of so many turns one is for who is to be turned away, where there is somebody
+	strainTurns  = 2     // of so many turns one is for who is to be rejected, where there is somebody
 	lineSlack    = 64    // turns that are over and still stand in the line of all that came, beside as many as wait
-	strainSmooth = 0.02  // of the mean times of legs replaced by one
-	strainIdle   = 0.001 // of a leg's time that is spent here in any case
-	lagDevs      = 4.0   // mean deviations over the mean of a leg's time that is spent here
+	strainSmooth = 0.02  // of the mean times of attempts replaced by one
+	strainIdle   = 0.001 // of an attempt's time that is spent here in any case
+	lagDevs      = 4.0   // mean deviations over the mean of an attempt's time that is spent here
 	lagMost      = 0.1
-	slackMost    = 4.0 // times longer that legs are out than their servers have them, at the most
+	slackMost    = 4.0 // times longer that attempts are out than their servers have them, at the most
 )
 
-// Overload holds back what has come for a core that is behind. A few lookups at a time are in its hands, from their reading to their
-// being sent or turned away; further ones wait for their turn, which costs nothing, so that answers, which come behind none of them,
-// are soon passed on. The one worth most for its work goes first; among those worth as much, that of the customer who had least
-// lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). Who has waited too long to be answered in time is turned away, and
-// has turns for that: turned away all at once, clients that come again at once take up the whole core with it. It says too how much
-// longer legs are out than their servers have them. All times are in seconds. It is not safe for concurrent use.
+// Overload holds back what has come for a core that is behind. A few requests at a time are in its hands, from their reading to their
+// being sent or rejected; further ones wait for their turn, which costs nothing, so that answers, which come behind none of them,
+// are soon passed on. The one worth most for its work goes first; among those worth as much, that of the tenant who had least
+// lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). Who has waited too long to be answered in time is rejected, and
+// has turns for that: rejected all at once, clients that come again at once take up the whole core with it. It says too how much
+// longer attempts are out than their servers have them. All times are in seconds. It is not safe for concurrent use.
 type Overload struct {
 	Admitted, Queued, Rejected int // counted
 
@@ -38,11 +38,11 @@
 	customers []float64 // their clocks; the first is of nobody known
 	waited    float64   // what the last one that passed had waited
 
-	away, legs float64 // mean time of legs at their servers; how many
+	away, legs float64 // mean time of attempts at their servers; how many
 	here, dev  float64 // and spent here, and by how much that differs from its mean
 }
 
-// Waiter is a lookup that waits for its turn.
+// Waiter is a request that waits for its turn.
 type Waiter struct {
 	Owner any // the caller's
 	grade int // by worth, in steps of half as much again
@@ -52,16 +52,16 @@
 	place int     // in the queue; -1: it had its turn
 }
 
-// NewOverload begins where so many lookups are in hand at the most, with so many customers.
-func NewOverload(most, customers int) *Overload {
-	return &Overload{most: max(most, 1), since: math.Inf(1), customers: make([]float64, customers+1)}
+// NewOverload begins where so many requests are in hand at the most, with so many tenants.
+func NewOverload(most, tenants int) *Overload {
+	return &Overload{most: max(most, 1), since: math.Inf(1), customers: make([]float64, tenants+1)}
 }
 
-// RequestArrived tells of a lookup that came to this machine at a time, is late past its due time, in seconds from then, and is worth so much
-// for its work; customer -1: none known. Where its turn has come at once it returns no turn, and whether it passes; else that is told
+// RequestArrived tells of a request that came to this machine at a time, is late past its latency objective, in seconds from then, and is worth so much
+// for its work; tenant -1: none known. Where its turn has come at once it returns no turn, and whether it passes; else that is told
 // later, by Give. Whether it passed or was refused, Done is to be called.
-func (s *Overload) RequestArrived(now, came, due, worth float64, customer int, of any) (passes bool, waits *Waiter) {
-	who := customer + 1
+func (s *Overload) RequestArrived(now, came, due, worth float64, tenant int, of any) (passes bool, waits *Waiter) {
+	who := tenant + 1
 	if who < 0 || who >= len(s.customers) {
 		who = 0
 	}
@@ -136,7 +136,7 @@
 	return s.waited, now-s.since > strainStands
 }
 
-// AttemptMeasured tells how long a leg was out, and how much of that its server had it.
+// AttemptMeasured tells how long an attempt was out, and how much of that its server had it.
 func (s *Overload) AttemptMeasured(out, away float64) {
 	s.legs++
 	part := max(strainSmooth, 1/s.legs)
@@ -145,12 +145,12 @@
 	s.here += part * (out - away - s.here)
 }
 
-// DelayFactor is how much longer legs are out than their servers have them, from 1.
+// DelayFactor is how much longer attempts are out than their servers have them, from 1.
 func (s *Overload) DelayFactor() float64 {
 	return min(1+max(s.here-strainIdle, 0)/max(s.away, strainIdle/4), slackMost)
 }
 
-// Lag is what a leg spends here at the most, in all likelihood; the reasoning is that of TCP's time-outs (RFC 6298).
+// Lag is what an attempt spends here at the most, in all likelihood; the reasoning is that of TCP's time-outs (RFC 6298).
 func (s *Overload) Lag() float64 { return min(max(s.here+lagDevs*s.dev-strainIdle, 0), lagMost) }
 
 // turns is a heap, whoever goes first at its top.
--- a/limits/overload_test.go
+++ b/limits/overload_test.go
@@ -19,10 +19,10 @@
 	return all
 }
 
-// come has so many lookups alike come.
-func (s *Overload) come(n int, now, due float64, customer int, of any) {
+// come has so many requests alike come.
+func (s *Overload) come(n int, now, due float64, tenant int, of any) {
 	for range n {
-		s.RequestArrived(now, now, due, 1, customer, of)
+		s.RequestArrived(now, now, due, 1, tenant, of)
 	}
 }
 
@@ -81,7 +81,7 @@
 	assert.Equal(t, 4, passed)
 }
 
-// A customer that floods has its part and no more, as long as others ask.
+// A tenant that floods has its part and no more, as long as others ask.
 func TestCustomersInTurn(t *testing.T) {
 	s := NewOverload(1, 2)
 	s.come(1, 0, 10, 1, nil)
@@ -95,8 +95,8 @@
 		}
 	}
 	assert.Equal(t, 10, few, "among the first two dozen")
-	for _, customer := range []int{-7, 2, 99} { // unknown ones count as one
-		s.RequestArrived(0, 0, 10, 1, customer, nil)
+	for _, tenant := range []int{-7, 2, 99} { // unknown ones count as one
+		s.RequestArrived(0, 0, 10, 1, tenant, nil)
 	}
 }
 
