--- a/limits/retry.go
+++ b/limits/retry.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// RetrySafety says how a lookup may be sent again, as far as its rule goes; the decision module still decides each leg.
+// RetrySafety says how a request may be sent again, as far as its rule goes; the decision module still decides each attempt.
 type RetrySafety uint8
 
 const (
@@ -13,13 +13,13 @@
 
 func (a RetrySafety) String() string { return [...]string{"single-use", "referenced", "replayable"}[a] }
 
-// RetryRule is a retry rule: by which method and mark a lookup may be sent again.
+// RetryRule is a retry rule: by which method and mark a request may be sent again.
 type RetryRule struct {
 	Name              string
 	IdempotentMethods []string // methods; nil: GET, HEAD, OPTIONS and TRACE
 	KeyedMethods      []string // methods that a mark makes repeatable; nil: all others
-	MaxAttempts       int      // of a lookup, at most; 0: as many as the deployment allows
-	BudgetRatio       float64  // of recent first legs in a pool that may be sent again
+	MaxAttempts       int      // of a request, at most; 0: as many as the deployment allows
+	BudgetRatio       float64  // of recent first attempts in a pool that may be sent again
 }
 
 var freely = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -10,7 +10,7 @@
 	"lockloom/limits"
 )
 
-// lookup is a lookup from its taking in to its end; after that of its client's goroutine it is the owner's.
+// request is a request from its taking in to its end; after that of its client's goroutine it is the owner's.
 type lookup struct {
 	in         *branch
 	row        *balance.Class
@@ -18,21 +18,21 @@
 	alarm      alarm // of its module's wakes and its backstop
 	ref        int
 	id         string
-	trace      string // the id that its client and the backends know; empty: id
+	trace      string // the id that its client and the servers know; empty: id
 	arrived    float64
 	hardStop   float64
-	head, body []byte // what goes to a backend, alike for all its legs
+	head, body []byte // what goes to a server, alike for all its attempts
 	legs       []*leg
 	client     *client // nil: nobody's
 	answered   bool    // or its client has left
-	curtailed  bool    // its hard stop is the process's end, which the decisions do not know
+	curtailed  bool    // its deadline is the process's end, which the decisions do not know
 	released   bool
 	plain      bool              // by the ordinary door: a server's answer goes on as it is
 	upload     *upstream.Upload  // of a body that is not kept; nil: body is all
 	from       *paced            // where it comes from
 	wait       float64           // s that its client waits from its last byte on
 	wholeAt    float64           // when that came; 0: not yet
-	failed     *reply            // what a server said of its own failure, the last one; for a plain lookup
+	failed     *reply            // what a server said of its own failure, the last one; for a plain request
 	bare       bool              // it asks for a head only
 	rule       *limits.RetryRule // nil: the platform's, which the deployment tells
 	limits     *limits.Limits
@@ -50,8 +50,8 @@
 	return l.client != nil && (l.client.left.Load() || time.Since(taken) > lookEvery && upstream.ClosedByPeer(l.client.nc))
 }
 
-// admit hands a lookup to the decisions. One over a bound of this machine, of connections or of memory, is
-// dismissed unseen.
+// admit hands a request to the decisions. One over a bound of this machine, of connections or of memory, is
+// rejected unseen.
 func (p *Proxy) admit(l *lookup, a balance.RequestInfo, over bool) {
 	if over {
 		p.counts.Taken++
@@ -59,13 +59,13 @@
 		p.finish(l, balance.Rejected, p.launch.MaxRetryAfter)
 		return
 	}
-	if p.open[l.id] { // danger: two legs of one id look like one lookup run twice, and either could get the other's answer
+	if p.open[l.id] { // danger: two attempts of one id look like one request run twice, and either could get the other's answer
 		p.counts.TurnedAway++
 		l.answered = true
 		l.answer <- reply{status: 409, body: []byte("X-Trace-Id is in use\n")}
 		return
 	}
-	if !p.limited(l) { // danger: a lookup over its limit must cost nothing more
+	if !p.limited(l) { // danger: a request over its limit must cost nothing more
 		return
 	}
 	if last := p.last.Load(); last != nil { // danger: its last byte, or this call, may have come after the order to stop
@@ -111,9 +111,9 @@
 	}
 }
 
-// due looks at a lookup when it asked for that, or its time is up.
+// due looks at a request when it asked for that, or its time is up.
 func (p *Proxy) due(l *lookup) {
-	// Danger: a client that sends a large body slowly would have its leg taken for overdue, and the server blamed.
+	// Danger: a client that sends a large body slowly would have its attempt taken for overdue, and the server blamed.
 	if !l.released && !(l.upload != nil && l.upload.Started() && l.wholeAt == 0) {
 		p.tell(l, l.handle.TimerFired)
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-// abandon gives a lookup up with its process: dismissed where trying again is harmless, else forfeited.
+// abandon gives a request up with its process: rejected where trying again is harmless, else failed.
 func (p *Proxy) abandon(l *lookup) {
 	answer := balance.Rejected
 	if !l.harmless(p.now() + p.launch.MaxRetryAfter) {
@@ -146,7 +146,7 @@
 	p.tell(l, l.handle.ClientDisconnected)
 }
 
-// expired answers a lookup that the decisions have not. Danger: one without an answer breaks rule 1.
+// expired answers a request that the decisions have not. Danger: one without an answer breaks rule 1.
 func (p *Proxy) expired(l *lookup) {
 	if !invariant.Holds(l.answered, "every lookup is answered before its hard stop") {
 		p.finish(l, balance.Failed, 0)
--- a/proxy/bank_test.go
+++ b/proxy/bank_test.go
@@ -19,7 +19,7 @@
 	"lockloom/internal/config"
 )
 
-// member makes a proxy of a bank of two, each client process having one of its own; notes go by loopback sockets.
+// member makes a proxy of a fleet of two, each client process having one of its own; notes go by loopback sockets.
 func member(t *testing.T, number int, own, other string, plays map[string][]string) *yard {
 	return made(t, plays, func(l *BootstrapConfig) {
 		l.Fleet = bootstrap.Fleet{Listen: own, Peers: map[int]string{1 - number: other}}
@@ -34,7 +34,7 @@
 	return <-got
 }
 
-// What one proxy learns of a failing backend reaches the other, which has sent nothing there; loads come by probes, and a report
+// What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by probes, and a report
 // of unknown fields tells nothing and harms nothing.
 func TestOneProxyTellsTheOther(t *testing.T) {
 	plays := map[string][]string{"b1": {strings.Replace(ok, "X-From", "x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
@@ -87,7 +87,7 @@
 	assert.Equal(t, busy.broken, broken(), "invariants")
 }
 
-// Danger: a note numbers the platform's tariffs; one of an operator's pool would be taken for those.
+// Danger: a note numbers the platform's classes; one of an operator's pool would be taken for those.
 func TestPoolsTellNoNotes(t *testing.T) {
 	y := member(t, 0, "", "", nil)
 	s, faults := config.Read("f.toml", []byte(operated))
--- a/proxy/bodies_test.go
+++ b/proxy/bodies_test.go
@@ -15,7 +15,7 @@
 	"lockloom/internal/upstream"
 )
 
-// chunked is a lookup whose body comes in these chunks.
+// chunked is a request whose body comes in these chunks.
 func chunked(chunks string) string {
 	return strings.Replace(sms, "Content-Length: 3\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n"+chunks, 1)
 }
@@ -41,13 +41,13 @@
 	return body, pieces.String() + "0\r\nX-After: all\r\n\r\n"
 }()
 
-// told is a lookup whose body is so long, and may be shorter.
+// told is a request whose body is so long, and may be shorter.
 func told(n int, body string) string {
 	return strings.Replace(sms, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body, 1)
 }
 
 // Danger: a client may take 2 s for a head and send a body at 64 kB/s; its time counts from the last byte. What flows blames no
-// backend, and is not sent twice.
+// server, and is not sent twice.
 func TestSlowRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
@@ -128,7 +128,7 @@
 	}
 }
 
-// Danger: who stops in a body holds a connection, here and at a backend, for as long as it likes.
+// Danger: who stops in a body holds a connection, here and at a server, for as long as it likes.
 func TestUnfinishedBodies(t *testing.T) {
 	for _, c := range []struct {
 		in     string
@@ -192,7 +192,7 @@
 	}
 }
 
-// What breaks before it was passed on may be another leg's; what breaks later is shown as broken.
+// What breaks before it was passed on may be another attempt's; what breaks later is shown as broken.
 func TestBrokenLargeAnswers(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
 	for _, c := range []struct {
@@ -231,7 +231,7 @@
 	}
 }
 
-// Whatever a head says of its target, the backend gets path and query as they were.
+// Whatever a head says of its target, the server gets path and query as they were.
 func TestAbsoluteForm(t *testing.T) {
 	for in, want := range map[string]string{"http://x:1/look?user=7": "/look?user=7", "HTTP://x/look": "/look", "/look?u=http://x/": "/look?u=http://x/",
 		"http://x": "/", "http://x?a=/b": "/?a=/b"} {
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -11,10 +11,10 @@
 // counts are what the owner has seen since the start.
 type counts struct {
 	Taken, Honoured, Dismissed, Forfeited, Left, TurnedAway, Unseen, InVain, Legs, Late, Probes int
-	Outcomes                                                                                    [9]int // of legs
+	Outcomes                                                                                    [9]int // of attempts
 }
 
-// book tells the decisions how a leg ended. The first honoured one answers its lookup.
+// book tells the decisions how an attempt ended. The first successful one answers its request.
 func (p *Proxy) book(l *lookup, g *leg, r upstream.Result) {
 	invariant.Holds(!g.ended, "a leg ends once")
 	g.ended = true
@@ -27,7 +27,7 @@
 		l.answered = true
 		p.counts.Honoured++
 		p.withhold(l)
-		defer func() { // once its other legs are called off, see decide
+		defer func() { // once its other attempts are canceled, see decide
 			l.answer <- reply{status: r.Status, fields: r.Fields, body: r.Body, held: r.ReservedBytes, bare: l.bare, length: r.Length}
 		}()
 	} else {
@@ -47,7 +47,7 @@
 	})
 }
 
-// took is what a leg took to its end: from its request's last byte, where that flows. Danger: an answer may come before that, or be
+// took is what an attempt took to its end: from its request's last byte, where that flows. Danger: an answer may come before that, or be
 // seen before it is, and the time in which a client sends is none of its server's.
 func (l *lookup) took(sent, at float64) float64 {
 	switch {
@@ -59,7 +59,7 @@
 	return max(at-max(sent, l.wholeAt), 0)
 }
 
-// started tells the decisions that a large answer has begun to flow: the lookup belongs to that leg, and its client has its answer
+// started tells the decisions that a large answer has begun to flow: the request belongs to that attempt, and its client has its answer
 // as it comes.
 func (p *Proxy) started(l *lookup, g *leg, r upstream.Result) {
 	if l.answered || g.ended {
--- a/proxy/branch.go
+++ b/proxy/branch.go
@@ -17,7 +17,7 @@
 	RequestArrived(now float64, a balance.RequestInfo, id string) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
 	EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions
-	HealthChecked(now float64, backend int, ok bool, r balance.LoadReport) *balance.Actions
+	HealthChecked(now float64, server int, ok bool, r balance.LoadReport) *balance.Actions
 	GossipReceived(now float64, from int, n balance.GossipMessage) *balance.Actions
 	OutcomesReported(now float64, all []balance.ReportedOutcomes)
 	SetBudgetShare(part float64)
@@ -29,11 +29,11 @@
 	HasEndpoint(index int) bool
 }
 
-// RequestHandle is a lookup's.
+// RequestHandle is a request's.
 type RequestHandle interface {
-	AttemptEnded(now float64, leg int, o balance.Outcome, latency float64, over bool) *balance.Actions
+	AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions
 	ClientDisconnected(now float64) *balance.Actions
-	ResponseStarted(now float64, leg int) *balance.Actions
+	ResponseStarted(now float64, attempt int) *balance.Actions
 	BodyCompleted(now float64) *balance.Actions
 	TimerFired(now float64) *balance.Actions
 	Done() bool
@@ -60,7 +60,7 @@
 	return p.through(pool, b)
 }
 
-// branch is a pool of servers with a Balancer of its own. The platform's lookups go to the main one, which has all that are
+// branch is a pool of servers with a Balancer of its own. The platform's requests go to the main one, which has all that are
 // listed; an operator's pools have some of them, or those written out.
 type branch struct {
 	b    Decisions
@@ -77,10 +77,10 @@
 	away    bool                // the backup serves now
 	fair    *limits.FairLimiter // its room, shared between routes; nil: no bound
 	shares  map[string]int      // a route's number in fair
-	live    int                 // lookups in hand
+	live    int                 // requests in hand
 	retired bool                // a reload has taken it away
 
-	admitted, opined int     // lookups so far; as of when opinions were told last
+	admitted, opined int     // requests so far; as of when opinions were told last
 	rate, opinedAt   float64 // of them a second, then
 }
 
@@ -125,7 +125,7 @@
 }
 
 // serving is the branch that serves for this one: itself, or the first backup on the way that does not stand aside too. Danger:
-// a pool that gets nothing while its backup serves would never be known to be well again, so a lookup goes to it whenever one
+// a pool that gets nothing while its backup serves would never be known to be well again, so a request goes to it whenever one
 // of its servers has cooled down; the decisions let one at a time go there.
 func (in *branch) serving(now float64) *branch {
 	for in.away && in.backup != nil {
--- a/proxy/door.go
+++ b/proxy/door.go
@@ -16,7 +16,7 @@
 	bounds
 	whole   bounds // where no other process of this proxy has a part
 	all     map[*client]bool
-	quiet   line // no request has come whole yet, or none will: turned away, read on
+	quiet   line // no request has come whole yet, or none will: rejected, read on
 	kept    line // idle between requests, but not for long
 	stale   line // the same for long
 	crowded int  // connections taken over the bound
@@ -63,11 +63,11 @@
 	l.n--
 }
 
-// bounds are how many connections are served, how many further ones dismissed at once, and how many kept idle between requests.
+// bounds are how many connections are served, how many further ones rejected at once, and how many kept idle between requests.
 type bounds struct{ most, over, keep int }
 
 // wait blocks while there is room for no connection at all and none is idle, unless the door was woken to stop. Where the core is
-// behind there is none past the bound. Danger: a connection that is taken in to be dismissed costs as much as three lookups.
+// behind there is none past the bound. Danger: a connection that is taken in to be rejected costs as much as three requests.
 // Where one is idle it goes first, and its place is waited for: descriptors are bounded too.
 func (d *door) wait(stops, behind func() bool) {
 	d.mu.Lock()
@@ -187,7 +187,7 @@
 }
 
 // lingers notes that a connection's last answer is written and what still comes is dropped: where room is wanted it goes first.
-// Danger: many that are turned away would keep others out while they are read on.
+// Danger: many that are rejected would keep others out while they are read on.
 func (d *door) lingers(c *client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/proxy/doors_bench_test.go
+++ b/proxy/doors_bench_test.go
@@ -21,13 +21,13 @@
 	"lockloom/internal/http1"
 )
 
-// BenchmarkDoors tells the processor time of a lookup on kept connections by both doors, and of a request through a plain reverse
+// BenchmarkDoors tells the processor time of a request on kept connections by both doors, and of a request through a plain reverse
 // proxy of the standard library, in one process and so with the same clients and servers, whose part is measured apart; and the same
 // of an answer of largeAnswer bytes, which flows.
 func BenchmarkDoors(b *testing.B) {
 	server := benchServer(b)
-	tariff := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
-	setup, faults := config.Read("bench", []byte(tariff+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
+	class := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
+	setup, faults := config.Read("bench", []byte(class+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
 	require.Empty(b, faults)
 	text := `{"seed":"1","limits":{"cores":1,"memory_mb":256,"sockets":4096},"known":{"version":1,"full":true,"servers":[
 		{"id":"s","addr":"` + server + `","zone":"a","kind":"k","cell":0,"state":"active","started_ms":0}]},
--- a/proxy/endings_test.go
+++ b/proxy/endings_test.go
@@ -23,20 +23,20 @@
 	"lockloom/internal/http1"
 )
 
-// street is a proxy on real sockets between its clients and two backends, at which a test may hold things up.
+// street is a proxy on real sockets between its clients and two servers, at which a test may hold things up.
 type street struct {
 	*Proxy
 	t     *testing.T
 	front net.Listener
 	mu    sync.Mutex
-	open  chan struct{} // connections to backends come up once it is closed
+	open  chan struct{} // connections to servers come up once it is closed
 	reply func(n int, end net.Conn)
-	got   atomic.Int32 // requests at backends
+	got   atomic.Int32 // requests at servers
 	calls atomic.Int32 // for the list
 	stop  context.CancelFunc
 }
 
-// onStreet serves; reply is what a backend does with the n-th request that any of them gets.
+// onStreet serves; reply is what a server does with the n-th request that any of them gets.
 func onStreet(t *testing.T, reply func(n int, end net.Conn)) *street {
 	return onStreetWith(t, 1024, reply)
 }
@@ -126,7 +126,7 @@
 
 var longLook = strings.Replace(look, "In: 0.5", "In: 5", 1)
 
-// Danger: a client closes while its request waits for a connection to a backend, for the owner, for its turn, or for what another leg
+// Danger: a client closes while its request waits for a connection to a server, for the owner, for its turn, or for what another attempt
 // comes to; what is sent on then has nobody to go to. However it goes, and whatever is known of that, nothing is sent on any more.
 func TestNothingIsSentForWhoHasGone(t *testing.T) {
 	ahead := string(bytes.Repeat([]byte("x"), 64<<10))
@@ -330,7 +330,7 @@
 	all.Wait()
 }
 
-// Danger: the platform waits 3 s for the longest hard stop and no longer; whoever plans on more is killed with lookups in hand.
+// Danger: the platform waits 3 s for the longest deadline and no longer; whoever plans on more is killed with requests in hand.
 func TestStopIsOverWhenThePlatformKills(t *testing.T) {
 	for _, c := range []struct{ hardStop, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -407,7 +407,7 @@
 	})
 }
 
-// Danger: idle clients that hold every place they may have while discovery is down leave none for whoever asks, for backends, or for
+// Danger: idle clients that hold every place they may have while discovery is down leave none for whoever asks, for servers, or for
 // discovery's return.
 func TestIdleClientsFillTheDoor(t *testing.T) {
 	for _, sockets := range []int{80, 128, 256} {
--- a/proxy/life.go
+++ b/proxy/life.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// ruled is an entry of the list as operators' orders leave it, and since when its backend is banned, if it is.
+// ruled is an entry of the list as operators' orders leave it, and since when its server is disabled, if it is.
 func (p *Proxy) ruled(e discovery.Entry) (discovery.Entry, float64) {
 	banned, started := p.orders.Disabled(e.Name, e.StartedAt)
 	e.StartedAt = started
@@ -276,7 +276,7 @@
 	return peek(p.life, func(d *lifecycle.Process) bool { return d.ClosesAfterResponse(now) })
 }
 
-// takes says whether what has come whole is a lookup.
+// takes says whether what has come whole is a request.
 func (p *Proxy) takes() bool {
 	now := p.now()
 	return peek(p.life, func(d *lifecycle.Process) bool { return d.AdmitsRequests(now) })
--- a/proxy/life_test.go
+++ b/proxy/life_test.go
@@ -22,7 +22,7 @@
 	return status
 }
 
-// where counts the requests that each backend got since the last look.
+// where counts the requests that each server got since the last look.
 func (y *yard) where() map[string]int {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -64,14 +64,14 @@
 	})
 }
 
-// beliefOf is when a backend counts as started.
+// beliefOf is when a server counts as started.
 func (y *yard) beliefOf(id string) float64 {
 	index, _ := y.names.Find(id)
 	e, _ := y.ruled(y.known[index])
 	return e.StartedAt
 }
 
-// Danger: a leg ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
+// Danger: an attempt ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
 // counted as told before this proxy came to hear it.
 func TestToldWhileConnecting(t *testing.T) {
 	ban := func(y *yard) { assert.Equal(y.t, 200, y.call(admin.Disable, "b1")) }
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -25,7 +25,7 @@
 // ReadConfig reads an operator file; the errors are all its faults, a line each.
 func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
 
-// kindsOf is the order of a tariff's rows in an operator's pool: one for each way in which a lookup may be sent again.
+// kindsOf is the order of a class's rows in an operator's pool: one for each way in which a request may be sent again.
 var kindsOf = [...]balance.Idempotency{limits.RetryNever: balance.NonIdempotent, limits.RetryKeyed: balance.Keyed, limits.RetryAlways: balance.Idempotent}
 
 var scopesOf = map[string]balance.DedupScope{"": balance.DedupAll, "none": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone,
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// ReloadConfig serves by another operator file from now on, all of it or nothing. Lookups in hand end as they were begun; pools that
-// are as they were keep what they have learned, and limits that are as they were their counts. Listeners, and hard stops longer
+// ReloadConfig serves by another operator file from now on, all of it or nothing. Requests in hand end as they were begun; pools that
+// are as they were keep what they have learned, and limits that are as they were their counts. Listeners, and deadlines longer
 // than any before, change with the next start.
 func (p *Proxy) ReloadConfig(s *Config) error {
 	done := make(chan error, 1)
@@ -135,7 +135,7 @@
 	o := &ordinary{setup: s, pools: map[string]*branch{}, tariffs: map[string]int{}, limits: map[string]int{}}
 	d := p.launch.Deployment
 	d.Classes, d.Tenants = nil, nil
-	d.Gossip = false // danger: a note numbers the platform's tariffs; a pool's would be taken for those
+	d.Gossip = false // danger: a note numbers the platform's classes; a pool's would be taken for those
 	for i, t := range s.Classes {
 		o.tariffs[t.Name] = i
 		for _, kind := range kindsOf {
@@ -170,7 +170,7 @@
 	return o, nil
 }
 
-// dropped forgets a pool that a reload has taken away, once the last lookup in hand has left it. Until then it hears of drains.
+// dropped forgets a pool that a reload has taken away, once the last request in hand has left it. Until then it hears of drains.
 func (p *Proxy) dropped(in *branch) {
 	if !in.retired || in.live > 0 {
 		return
@@ -223,7 +223,7 @@
 	return in.budgets[r.Name]
 }
 
-// narrowed says whether a lookup's retry rule lets another leg be sent. The decisions choose each leg; the rule only narrows.
+// narrowed says whether a request's retry rule lets another attempt be sent. The decisions choose each attempt; the rule only narrows.
 func (p *Proxy) narrowed(l *lookup) bool {
 	if l.rule == nil {
 		return false
@@ -236,7 +236,7 @@
 	return l.rule.MaxAttempts > 0 && len(l.legs) >= l.rule.MaxAttempts || !b.AllowRetry(p.now())
 }
 
-// limited takes a lookup through its limits and its pool's room. Where it does not pass it tells the client so at once, and when
+// limited takes a request through its limits and its pool's room. Where it does not pass it tells the client so at once, and when
 // to come back if that is known.
 func (p *Proxy) limited(l *lookup) bool {
 	if l.rule == nil { // the platform's
@@ -267,7 +267,7 @@
 	return true
 }
 
-// turnedAt dismisses a lookup that the decisions never saw.
+// turnedAt dismisses a request that the decisions never saw.
 func (p *Proxy) turnedAt(l *lookup, r reply) {
 	p.counts.Taken++
 	p.counts.Dismissed++
@@ -275,7 +275,7 @@
 	l.answer <- r
 }
 
-// giveBack returns what a lookup held of limits and room.
+// giveBack returns what a request held of limits and room.
 func (l *lookup) giveBack() {
 	if l.rule == nil {
 		return
@@ -288,7 +288,7 @@
 }
 
 // asks are the limits of a route, with the keys that a request counts under.
-func (o *ordinary) asks(r *routes.Route, w *config.Route, customer, address string, field func(name string) string) []limits.LimitKey {
+func (o *ordinary) asks(r *routes.Route, w *config.Route, tenant, address string, field func(name string) string) []limits.LimitKey {
 	var list []limits.LimitKey
 	for _, name := range w.Limits {
 		i := o.limits[name]
@@ -298,7 +298,7 @@
 		case "route":
 			a.Key = settings.NameHash(r.Name)
 		case "customer":
-			a.Key = settings.NameHash(customer)
+			a.Key = settings.NameHash(tenant)
 		case "address":
 			a.Key = settings.NameHash(address)
 		default:
@@ -309,9 +309,9 @@
 	return list
 }
 
-// row is the index of a tariff's row of a kind.
-func (o *ordinary) row(tariff string, again limits.RetrySafety) int {
-	return o.tariffs[tariff]*len(kindsOf) + int(again)
+// row is the index of a class's row of a kind.
+func (o *ordinary) row(class string, again limits.RetrySafety) int {
+	return o.tariffs[class]*len(kindsOf) + int(again)
 }
 
 // whole is a wait in whole seconds, as Retry-After has it, and not less than it is.
--- a/proxy/opine.go
+++ b/proxy/opine.go
@@ -20,18 +20,18 @@
 	p.opined = call
 }
 
-// OutcomesReported takes in how legs ended that the control service's subscribers sent to a pool, by server's name: honoured, failed. Unknown
+// OutcomesReported takes in how attempts ended that the control service's subscribers sent to a pool, by server's name: successful, failed. Unknown
 // names are passed over. It may be called by anyone.
-func (p *Proxy) OutcomesReported(pool string, legs map[string][2]int) {
+func (p *Proxy) OutcomesReported(pool string, attempts map[string][2]int) {
 	p.post(func() {
 		o := p.ordinary.Load()
 		if o == nil || o.pools[pool] == nil {
 			return
 		}
 		var all []balance.ReportedOutcomes
-		for _, name := range slices.Sorted(maps.Keys(legs)) {
+		for _, name := range slices.Sorted(maps.Keys(attempts)) {
 			if index, ok := p.names.Find(name); ok {
-				all = append(all, balance.ReportedOutcomes{Endpoint: index, Succeeded: legs[name][0], Failed: legs[name][1]})
+				all = append(all, balance.ReportedOutcomes{Endpoint: index, Succeeded: attempts[name][0], Failed: attempts[name][1]})
 			}
 		}
 		o.pools[pool].b.OutcomesReported(p.now(), all)
--- a/proxy/ordinary.go
+++ b/proxy/ordinary.go
@@ -17,8 +17,8 @@
 	"lockloom/routes"
 )
 
-// The ordinary door: HTTP/1.1 as clients send it, without the platform's own fields. A route gives a lookup its pool, its
-// tariff and its limits; what may be sent again follows from method and mark.
+// The ordinary door: HTTP/1.1 as clients send it, without the platform's own fields. A route gives a request its pool, its
+// class and its limits; what may be sent again follows from method and mark.
 
 // replaced are the fields that go on as this proxy says, not as the client does.
 var replaced = []string{"X-Expires-In", "Forwarded", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Via", "X-Never-Ran"}
@@ -31,7 +31,7 @@
 	return string(v), v != nil
 }
 
-// routed is what a request's head says of its lookup, or the answer where the route itself is one.
+// routed is what a request's head says of its request, or the answer where the route itself is one.
 func (c *client) routed(h *http1.Head, arrived time.Time) (*lookup, balance.RequestInfo, *reply, error) {
 	o, a := c.p.ordinary.Load(), balance.RequestInfo{Tenant: -1}
 	refuse := func(status int, text string) (*lookup, balance.RequestInfo, *reply, error) {
--- a/proxy/ordinary_test.go
+++ b/proxy/ordinary_test.go
@@ -164,7 +164,7 @@
 	return method + " " + target + " HTTP/1.1\r\nHost: example.org\r\n" + more + "\r\n"
 }
 
-// What an ordinary client is answered, and how often its lookup was sent, by what the servers do in turn.
+// What an ordinary client is answered, and how often its request was sent, by what the servers do in turn.
 func TestOrdinary(t *testing.T) {
 	const missing = "HTTP/1.1 404 x\r\nContent-Length: 4\r\n\r\nnone"
 	const found = "HTTP/1.1 302 x\r\nLocation: /there\r\nContent-Length: 0\r\n\r\n"
@@ -311,7 +311,7 @@
 		assert.Equal(t, "200 body", y.want(request))
 		y.end()
 	})
-	synctest.Test(t, func(t *testing.T) { // each value of a field, and each customer, has a bucket of its own
+	synctest.Test(t, func(t *testing.T) { // each value of a field, and each tenant, has a bucket of its own
 		y := opened(t, map[string][]string{"any": {ok}})
 		for _, c := range []struct{ team, customer, want string }{{"a", "x", "200"}, {"a", "y", "429"}, {"b", "x", "429"}, {"b", "y", "200"},
 			{"c", "z", "200"}, {"", "", "200"}, {"", "", "429"}} {
@@ -365,7 +365,7 @@
 		assert.Equal(t, "200 f1", at(2*time.Second))
 		y.end()
 	})
-	synctest.Test(t, func(t *testing.T) { // lookups that are out when it changes end where they are
+	synctest.Test(t, func(t *testing.T) { // requests that are out when it changes end where they are
 		y := opened(t, map[string][]string{"f1:80": {silent}, "c1:80": {ok}})
 		assert.Equal(t, "503 dismissed", y.want(plain("GET", "/frail", "")))
 		y.end()
@@ -383,14 +383,14 @@
 			synctest.Wait()
 		}
 		assert.Equal(t, "503 the pool is full", y.want(plain("GET", "/other", "")))
-		time.Sleep(time.Second) // their hard stop
+		time.Sleep(time.Second) // their deadline
 		synctest.Wait()
 		assert.Equal(t, "503 dismissed", y.want(plain("GET", "/other", "")))
 		y.end()
 	})
 }
 
-// A pool that fails every other leg is never paused; its lookups are tried again only as far as the budget goes.
+// A pool that fails every other attempt is never paused; its requests are tried again only as far as the budget goes.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var every []string
@@ -426,14 +426,14 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		legs := 0
+		attempts := 0
 		for _, line := range y.got {
 			if strings.HasPrefix(line, "b") {
-				legs++
+				attempts++
 			}
 		}
 		assert.Equal(t, 100, served)
-		assert.LessOrEqual(t, legs, firsts, "its servers are paused, and tried one leg at a time")
+		assert.LessOrEqual(t, attempts, firsts, "its servers are paused, and tried one leg at a time")
 		y.end()
 	})
 }
@@ -589,7 +589,7 @@
 			ours, theirs := net.Pipe()
 			y.ends2 <- theirs
 			io.WriteString(ours, strings.Replace(plain("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
-			time.Sleep(3 * time.Second) // a client that does not read; the hard stop is long past
+			time.Sleep(3 * time.Second) // a client that does not read; the deadline is long past
 			assert.Less(t, written.Load(), int64(200_000), "%s: what is not taken is not read", name)
 			r := http1.NewReader(ours)
 			h, err := r.Response()
@@ -683,7 +683,7 @@
 		y := opened(t, map[string][]string{"any": {ok}})
 		var written atomic.Int64
 		y.flood = func(end net.Conn) { flood(end, 1<<40, false, false, &written) }
-		const downloads = 30 // a server that was never heard is given two legs
+		const downloads = 30 // a server that was never heard is given two attempts
 		var clients []net.Conn
 		for range downloads {
 			ours, theirs := net.Pipe()
--- a/proxy/owner.go
+++ b/proxy/owner.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// guard runs one call and what it left for later. A panic costs one lookup, not the lookups of all: its
+// guard runs one call and what it left for later. A panic costs one request, not the requests of all: its
 // backstop still answers it.
 func (p *Proxy) guard(f func()) {
 	defer p.rescue()
@@ -96,7 +96,7 @@
 // call, so whatever would lead to one is left for later.
 func (p *Proxy) decide(in *branch, call func(now float64) *balance.Actions) {
 	o := call(p.now())
-	for _, i := range o.CloseIdle { // before a leg is sent there, which then opens anew
+	for _, i := range o.CloseIdle { // before an attempt is sent there, which then opens anew
 		p.pool.CloseIdle(i)
 	}
 	for _, i := range o.HealthChecks {
@@ -108,7 +108,7 @@
 	for i := range o.Requests {
 		p.route(&o.Requests[i])
 	}
-	// Danger: this goroutine may be held up at any place. A leg that is only called off after its lookup's answer has been let go might
+	// Danger: this goroutine may be held up at any place. An attempt that is only canceled after its request's answer has been let go might
 	// be written after it.
 	for i := range o.Requests {
 		if s := &o.Requests[i]; s.Reply != balance.NoReply {
@@ -127,13 +127,13 @@
 	}
 }
 
-// tell makes a call about one lookup, which may be its last.
+// tell makes a call about one request, which may be its last.
 func (p *Proxy) tell(l *lookup, call func(now float64) *balance.Actions) {
 	p.decide(l.in, call)
 	p.release(l)
 }
 
-// release frees the slot of a lookup to which nothing more will happen.
+// release frees the slot of a request to which nothing more will happen.
 func (p *Proxy) release(l *lookup) {
 	if l != nil && !l.released && l.handle != nil && l.handle.Done() {
 		l.released = true
@@ -201,7 +201,7 @@
 	go d.Run(ctx)
 }
 
-// list takes in a list of backends.
+// list takes in a list of servers.
 func (p *Proxy) list(l List, first bool) {
 	p.version, p.listed = l.Version, true
 	since := p.now()
@@ -221,7 +221,7 @@
 		}
 		p.told(b.Index, b.State, since, banned)
 	}
-	if l.Full { // danger: who is left out is gone, and a leg to it may be on a connection that is still being opened
+	if l.Full { // danger: who is left out is gone, and an attempt to it may be on a connection that is still being opened
 		there := map[int]bool{}
 		for _, b := range list {
 			there[b.Index] = true
@@ -249,7 +249,7 @@
 	p.opine()
 }
 
-// kept says whether a pool's decisions may still name a backend: one that is listed, or that the list has lost and that lingers.
+// kept says whether a pool's decisions may still name a server: one that is listed, or that the list has lost and that lingers.
 func (p *Proxy) kept(index int) bool {
 	return slices.ContainsFunc(p.branches, func(in *branch) bool { return in.b.HasEndpoint(index) })
 }
@@ -269,7 +269,7 @@
 	}
 }
 
-// forget frees the number of a backend that is gone: no order names it any more, and what is out there keeps its own
+// forget frees the number of a server that is gone: no order names it any more, and what is out there keeps its own
 // hold on connection and server.
 func (p *Proxy) forget(index int) {
 	p.stopSend[index] = math.Inf(1)
@@ -277,8 +277,8 @@
 	p.names.Forget(index)
 }
 
-// told notes from when on nothing may be sent to a backend, and closes what is idle to it then. Its state counts as told since a time;
-// one that operators have banned, since a time (0: it is not), drains whatever its state.
+// told notes from when on nothing may be sent to a server, and closes what is idle to it then. Its state counts as told since a time;
+// one that operators have disabled, since a time (0: it is not), drains whatever its state.
 func (p *Proxy) told(index int, state balance.EndpointState, since, banned float64) {
 	for len(p.stopSend) <= index {
 		p.stopSend = append(p.stopSend, math.Inf(1))
@@ -317,7 +317,7 @@
 }
 
 // timers is a heap of alarms by their next time. An alarm has one place in it however many its times. Danger: a place for each time,
-// kept until then, held every lookup for as long as its hard stop, which the collector went through again and again.
+// kept until then, held every request for as long as its deadline, which the collector went through again and again.
 type timers []*alarm
 
 // add has an alarm go off at a further time.
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	probeFor    = 200 * time.Millisecond // for a backend to tell its load
+	probeFor    = 200 * time.Millisecond // for a server to tell its load
 	probeHead   = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
 	reportField = "X-Load" // of the answer: name:value, with commas between
 )
 
-// probe asks a backend for its load and tells the decisions what came. A backend that drains or is gone is not asked.
+// probe asks a server for its load and tells the decisions what came. A server that drains or is gone is not asked.
 func (p *Proxy) probe(in *branch, index int) {
 	if p.now() > p.stopSend[index] {
 		return
@@ -24,7 +24,7 @@
 	ex := &upstream.Exchange{Head: []byte(probeHead), Passthrough: true, Deadline: time.Now().Add(probeFor)}
 	ex.OnDone = func(r upstream.Result) {
 		p.held.Add(-r.ReservedBytes)
-		if p.names.Name(index) != to { // danger: the number may be another backend's by now
+		if p.names.Name(index) != to { // danger: the number may be another server's by now
 			return
 		}
 		p.decide(in, func(now float64) *balance.Actions {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,8 +1,8 @@
-// Package proxy serves lookups on sockets round the decisions of package balance.
+// Package proxy serves requests on sockets round the decisions of package balance.
 //
-// A lookup passes six stages, each in a file of its own: it is taken in from its client, admitted to the
-// decisions, routed as they order, sent to a backend, its answer relayed, and what came of it booked. One
-// goroutine, the owner, makes every call on the Balancer and keeps all that is about lookups; each connection
+// A request passes six stages, each in a file of its own: it is taken in from its client, admitted to the
+// decisions, routed as they order, sent to a server, its answer relayed, and what came of it booked. One
+// goroutine, the owner, makes every call on the Balancer and keeps all that is about requests; each connection
 // has goroutines of its own that tell the owner what happened. The owner never waits for a socket.
 package proxy
 
@@ -46,12 +46,12 @@
 	eventsFirst = 256                     // of them, taken before what has come due
 	socketsFor  = 1024                    // descriptors where the limit is not told
 	reserve     = 64                      // descriptors for files, listener, discovery and what is just closing
-	clientPart  = 0.75                    // of the other descriptors: a lookup may wait longer than its legs take
-	overPart    = 0.2                     // of the clients': taken over the bound, to be dismissed at once
+	clientPart  = 0.75                    // of the other descriptors: a request may wait longer than its attempts take
+	overPart    = 0.2                     // of the clients': taken over the bound, to be rejected at once
 	keptPart    = 0.25                    // of the clients': idle between requests; further ones close with their answer
 	fullPart    = 0.75                    // of the clients': with so many the door is nearly full
-	heldPart    = 0.25                    // of the memory limit, for what is kept to be sent to backends
-	idleMargin  = 250 * time.Millisecond  // before a backend closes an idle connection: the way there, and a look that comes late
+	heldPart    = 0.25                    // of the memory limit, for what is kept to be sent to servers
+	idleMargin  = 250 * time.Millisecond  // before a server closes an idle connection: the way there, and a look that comes late
 	idleUntold  = 2 * time.Second         // where that time is not told
 	connectFor  = time.Second             // where the deployment does not tell it
 	sweepEvery  = 100 * time.Millisecond  // between looks for connections idle too long
@@ -72,11 +72,11 @@
 	bodyPace    = 24_000                  // bytes a second that a body comes at, at least, while it is waited for
 	bodyMost    = 40 << 20                // bytes of a body by the platform's door
 	bodyFor     = 15 * time.Minute        // that a flowing body may take, all told
-	bodyEnd     = 15 * time.Millisecond   // from when the leg of a flowing request is given up to its hard stop
+	bodyEnd     = 15 * time.Millisecond   // from when the attempt of a flowing request is given up to its deadline
 	freshFor    = 100 * time.Millisecond  // for the first request of a connection, where others wait to be accepted
 	headGuess   = 512                     // bytes of a head that goes on; a longer one grows
-	watchAfter  = 10 * time.Millisecond   // from a lookup's taking in: until then nobody looks whether its client has gone
-	lookEvery   = 50 * time.Millisecond   // between looks at a client whose end can't be read; one that went less before a leg is not looked for
+	watchAfter  = 10 * time.Millisecond   // from a request's taking in: until then nobody looks whether its client has gone
+	lookEvery   = 50 * time.Millisecond   // between looks at a client whose end can't be read; one that went less before an attempt is not looked for
 	outMost     = 2 << 10                 // bytes of an answer's head that a connection keeps for the next
 	clientSlow  = 5 * time.Second         // for an answer to be taken
 	flowBytes   = 16 << 10                // of an answer that flows, between reading and writing
@@ -85,24 +85,24 @@
 	acceptPause = 10 * time.Millisecond   // after accepting failed: out of descriptors, it would spin
 	lingerFor   = 500 * time.Millisecond  // to read on after a connection's last answer, so that the client can read that
 	lingerMost  = 8 << 20                 // bytes; the same
-	backstop    = 0.002                   // s before the hard stop when a lookup with no answer is forfeited
+	backstop    = 0.002                   // s before the deadline when a request with no answer is failed
 	closeAfter  = 500 * time.Millisecond  // from the order to stop to the end of accepting: the front needs 0.4 s
 	lastAccept  = 20 * time.Millisecond   // then, for those that wait to be accepted, room or none: closed on, they would be reset
-	stopMost    = 3 * time.Second         // of the longest hard stop, that a proxy told to stop is left for: the platform's
+	stopMost    = 3 * time.Second         // of the longest deadline, that a proxy told to stop is left for: the platform's
 	killAfter   = 700 * time.Millisecond  // from the order to stop to being killed, past that
 	lastServe   = 350 * time.Millisecond  // before that: connections close between requests, and with their answers
-	lastAnswer  = 150 * time.Millisecond  // before that: the hard stop of whatever is in hand
+	lastAnswer  = 150 * time.Millisecond  // before that: the deadline of whatever is in hand
 	lastCut     = 75 * time.Millisecond   // before that: what a client has not taken is cut
-	workBytes   = 32 << 10                // of a body cost this core as much as all else of its lookup
-	handsEach   = 8                       // lookups in the hands of each core, from reading to sending
+	workBytes   = 32 << 10                // of a body cost this core as much as all else of its request
+	handsEach   = 8                       // requests in the hands of each core, from reading to sending
 	slackStep   = 1.1                     // times a change of the slack, to tell the decisions
 	lagStep     = 0.001                   // s; the same of the lag
 	lateEvent   = 0.02                    // s from an event to the owner's call: more is counted
 )
 
-// Proxy is one proxy of the bank.
+// Proxy is one proxy of the fleet.
 type Proxy struct {
-	// Dial opens the connections to discovery and backends; whoever embeds a proxy may set it before Serve.
+	// Dial opens the connections to discovery and servers; whoever embeds a proxy may set it before Serve.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	// OnShareChanged is told this process's part, from 0 to 1, of what the proxy may use, when another process of it comes or goes; it
@@ -112,20 +112,20 @@
 	launch  BootstrapConfig
 	log     logrus.FieldLogger
 	began   time.Time
-	longest time.Duration // the longest hard stop
+	longest time.Duration // the longest deadline
 
 	listeners []net.Listener // of the ordinary door
 
 	// The owner's.
 	main     *branch            // the platform's: all that is listed
 	branches []*branch          // it, and the operator's pools
-	names    *settings.Registry // of tariffs and customers, which never change, clients' goroutines read too
+	names    *settings.Registry // of classes and tenants, which never change, clients' goroutines read too
 	pool     *upstream.Pool
-	poolMost int // connections to backends, where no other process of this proxy has a part
+	poolMost int // connections to servers, where no other process of this proxy has a part
 	timers   timers
 	slots    []*lookup // by Arrival.Ref
 	free     []int
-	open     map[string]bool // ids of the lookups in slots
+	open     map[string]bool // ids of the requests in slots
 	ordinary atomic.Pointer[ordinary]
 	known    map[int]discovery.Entry                          // what is listed, by index, as discovery says
 	listed   bool                                             // a list was taken in
@@ -133,7 +133,7 @@
 	through  func(pool string, b *balance.Balancer) Decisions // nil: nobody captures
 	opined   func(now float64, pools map[string]assignment.Observation)
 	orders   lifecycle.AdminState // those that were obeyed
-	written  map[int]bool         // backends that an operator wrote out: no list takes them away
+	written  map[int]bool         // servers that an operator wrote out: no list takes them away
 	later    []func()             // what came up while orders were carried out
 	stopSend []float64
 	counts   counts
@@ -147,17 +147,17 @@
 	heard   chan struct{} // closed, by first, when discovery has told a list
 	first   func()
 	life    *life
-	last    atomic.Pointer[time.Time] // once ordered to stop: the hard stop of all lookups
+	last    atomic.Pointer[time.Time] // once ordered to stop: the deadline of all requests
 	closing atomic.Bool               // accepting is about to end
 	door    door
 	work    sync.WaitGroup // client connections
 
-	link *gossip.Link // to the bank's other proxies; nil: they are told nothing
+	link *gossip.Link // to the fleet's other proxies; nil: they are told nothing
 
 	strained strained
 	idle     poller.Set // clients' connections without a request
 
-	held      atomic.Int64 // bytes kept: to be sent to backends, and of large answers
+	held      atomic.Int64 // bytes kept: to be sent to servers, and of large answers
 	heldMost  atomic.Int64
 	heldWhole float64 // bytes, where no other process of this proxy has a part
 }
@@ -193,7 +193,7 @@
 		p.pool.ConnectTimeout = seconds(l.ConnectTimeout)
 	}
 	if l.ServerIdleTimeout > 0 {
-		p.pool.IdleTimeout = max(seconds(l.ServerIdleTimeout)-idleMargin, seconds(l.ServerIdleTimeout/2)) // danger: in a large bank most new connections replace lapsed ones
+		p.pool.IdleTimeout = max(seconds(l.ServerIdleTimeout)-idleMargin, seconds(l.ServerIdleTimeout/2)) // danger: in a large fleet most new connections replace lapsed ones
 	}
 	p.door.whole = p.door.bounds
 	if p.heldWhole = heldPart * float64(l.Limits.Memory); p.heldWhole == 0 {
@@ -258,7 +258,7 @@
 	case err = <-accepted:
 	case <-ctx.Done():
 		p.log.Info("stopping")
-		killed := time.Now().Add(min(p.longest, stopMost) + killAfter) // danger: a lookup that waits for longer would be in hand then
+		killed := time.Now().Add(min(p.longest, stopMost) + killAfter) // danger: a request that waits for longer would be in hand then
 		last := killed.Add(-lastAnswer)
 		p.last.Store(&last)
 		p.post(func() { p.curtail(p.stamp(last)) })
@@ -297,7 +297,7 @@
 }
 
 // ReloadBootstrap takes in what the proxy is told anew. Only discovery may be another; the rest holds until the next start,
-// since lookups were taken by it.
+// since requests were taken by it.
 func (p *Proxy) ReloadBootstrap(l BootstrapConfig) {
 	p.post(func() {
 		log := p.log.WithField("discovery", l.Discovery)
@@ -320,7 +320,7 @@
 	return false
 }
 
-// now is the time in seconds since 1970, as the backends' starts are told. It never steps back.
+// now is the time in seconds since 1970, as the servers' starts are told. It never steps back.
 func (p *Proxy) now() float64 { return p.stamp(time.Now()) }
 
 func (p *Proxy) stamp(t time.Time) float64 {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -44,17 +44,17 @@
 	t       *testing.T
 	ends    chan net.Conn      // clients' connections on their way in
 	ends2   chan net.Conn      // and by the ordinary door
-	flood   func(end net.Conn) // what each backend answers instead of its plays
+	flood   func(end net.Conn) // what each server answers instead of its plays
 	flows   bool               // bodies are read as they come, whatever their size
 	taken   int64              // bytes of them
-	heads   bool               // whole heads are kept of what backends get
+	heads   bool               // whole heads are kept of what servers get
 	closed  chan struct{}
 	mu      sync.Mutex
-	plays   map[string][]string // by address, or for any: what backends do one time after the other; the last stays
-	got     []string            // requests at backends: address and head
+	plays   map[string][]string // by address, or for any: what servers do one time after the other; the last stays
+	got     []string            // requests at servers: address and head
 	dials   []string
 	slow    time.Duration          // that opening a connection takes
-	gone    int                    // connections that ended at a backend's end
+	gone    int                    // connections that ended at a server's end
 	agents  map[string]chan string // discovery, by address: changes to tell
 	watches []string               // address and question of each watch, and its end
 	stop    context.CancelFunc
@@ -82,7 +82,7 @@
 	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}}, Addr: id}
 }
 
-// serve starts a proxy before the backends, each named and listening by its id.
+// serve starts a proxy before the servers, each named and listening by its id.
 func serve(t *testing.T, plays map[string][]string, set func(*BootstrapConfig)) *yard {
 	y := made(t, plays, set)
 	y.begin()
@@ -151,7 +151,7 @@
 	assert.Equal(y.t, y.broken, broken(), "invariants")
 }
 
-// open is how the proxy reaches discovery and backends.
+// open is how the proxy reaches discovery and servers.
 func (y *yard) open(ctx context.Context, addr string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	if changes := y.agents[addr]; changes != nil {
@@ -201,7 +201,7 @@
 	}
 }
 
-// next is what a backend does now. To be refused is done with when a connection is opened, all else later.
+// next is what a server does now. To be refused is done with when a connection is opened, all else later.
 func (y *yard) next(addr string, only string) string {
 	if y.plays["any"] != nil {
 		addr = "any"
@@ -315,7 +315,7 @@
 	sms  = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
 )
 
-// What a client is answered, and how often its lookup was sent, by what the first backend reached does; the
+// What a client is answered, and how often its request was sent, by what the first server reached does; the
 // other one honours.
 func TestChain(t *testing.T) {
 	for _, c := range []struct {
@@ -530,7 +530,7 @@
 	}
 }
 
-// Danger: a panic over what a client sends costs the lookups of all.
+// Danger: a panic over what a client sends costs the requests of all.
 func FuzzArrival(f *testing.F) {
 	for _, request := range []string{look, sign, sms, "GET ?x HTTP/1.1\r\nX-Qos: none\r\n\r\n"} {
 		f.Add([]byte(request))
@@ -571,7 +571,7 @@
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err, "idle for too long")
 
-		for _, ahead := range []string{"", look[:20]} { // leaves while its lookup waits, also with bytes ahead
+		for _, ahead := range []string{"", look[:20]} { // leaves while its request waits, also with bytes ahead
 			y.plays["b1"] = []string{silent}
 			c = y.client()
 			go io.WriteString(c, look+ahead)
@@ -661,7 +661,7 @@
 	})
 }
 
-// Discovery that is named anew is followed, lookups in hand go on, and an address where nothing answers costs nothing.
+// Discovery that is named anew is followed, requests in hand go on, and an address where nothing answers costs nothing.
 func TestReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plays := map[string][]string{"b1": {silent}, "b2:1": {ok}, "b3:1": {ok}, "nowhere": {refused}}
@@ -705,7 +705,7 @@
 	})
 }
 
-// Danger: under ever new ids of backends, lookups and connections, what is kept grows until the memory is gone.
+// Danger: under ever new ids of servers, requests and connections, what is kept grows until the memory is gone.
 func TestNothingGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		plays := map[string][]string{"any": {ok}, "b1": {ok}}
@@ -806,7 +806,7 @@
 	})
 }
 
-// Danger: an id that another client's lookup has open would be at two backends at once, as if it had run twice.
+// Danger: an id that another client's request has open would be at two servers at once, as if it had run twice.
 func TestOpenID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {cutLate, ok}}, nil)
@@ -1015,7 +1015,7 @@
 		d.rest(c, true)
 		d.begin(c, true)
 		switch i % 4 {
-		case 0: // turned away before its request has come whole
+		case 0: // rejected before its request has come whole
 			d.lingers(c)
 		case 1:
 			d.rouse(c)
@@ -1041,7 +1041,7 @@
 		assert.Equal(t, l.n, n)
 		assert.Same(t, before, l.last)
 	}
-	assert.Equal(t, 10-4, d.quiet.n) // those turned away and those whose request has begun, but for those that left
+	assert.Equal(t, 10-4, d.quiet.n) // those rejected and those whose request has begun, but for those that left
 	assert.Equal(t, 4, d.kept.n)
 }
 
@@ -1077,7 +1077,7 @@
 	})
 }
 
-// Danger: bodies of lookups that wait fill the memory, and the proxy is killed with all that it has taken.
+// Danger: bodies of requests that wait fill the memory, and the proxy is killed with all that it has taken.
 func TestHeldBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, func(l *BootstrapConfig) { l.Limits.Memory = 1000 })
@@ -1100,7 +1100,7 @@
 	})
 }
 
-// A lookup that the decisions forgot is forfeited before its hard stop; a call that panics ends no proxy.
+// A request that the decisions forgot is failed before its deadline; a call that panics ends no proxy.
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	y := &Proxy{log: log, began: time.Now()}
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -12,7 +12,7 @@
 // reply is what a client is answered.
 type reply struct {
 	status int
-	fields []byte // lines of an honoured answer's head that go on
+	fields []byte // lines of an successful answer's head that go on
 	body   []byte
 	held   int64   // bytes of room, to be given back
 	old    bool    // the client knows no chunks
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// withhold has nothing more written for a lookup that has its answer, wherever its legs are not written yet.
+// withhold has nothing more written for a request that has its answer, wherever its attempts are not written yet.
 func (p *Proxy) withhold(l *lookup) {
 	for _, g := range l.legs {
 		if g.begun && !g.ended {
@@ -32,7 +32,7 @@
 	}
 }
 
-// harmless says whether a client may try the lookup again at a time: rule 2.
+// harmless says whether a client may try the request again at a time: rule 2.
 func (l *lookup) harmless(at float64) bool {
 	for _, g := range l.legs {
 		if !g.neverRan && (l.row.Idempotency == balance.NonIdempotent ||
@@ -43,7 +43,7 @@
 	return true
 }
 
-// finish gives a lookup its final answer.
+// finish gives a request its final answer.
 func (p *Proxy) finish(l *lookup, answer balance.Reply, advice float64) {
 	if !invariant.Holds(!l.answered, "a lookup gets one answer") {
 		return
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -9,7 +9,7 @@
 	"lockloom/internal/upstream"
 )
 
-// leg is one leg of a lookup.
+// attempt is one attempt of a request.
 type leg struct {
 	number   int
 	to       string
@@ -22,11 +22,11 @@
 	neverRan bool
 }
 
-// send starts a leg. What it came to is booked, also where no connection may be had or a rule would be broken.
-func (p *Proxy) send(l *lookup, backend int, until float64) {
+// send starts an attempt. What it came to is booked, also where no connection may be had or a rule would be broken.
+func (p *Proxy) send(l *lookup, server int, until float64) {
 	now := p.now()
 	may := invariant.Holds(!l.answered, "nothing is sent for an answered lookup") &&
-		invariant.Holds(now <= p.stopSend[backend]+p.launch.DrainGrace, "nothing is sent past the grace of a drain") &&
+		invariant.Holds(now <= p.stopSend[server]+p.launch.DrainGrace, "nothing is sent past the grace of a drain") &&
 		invariant.Holds(l.row.Idempotency != balance.NonIdempotent || l.harmless(now), "single-use is sent again only if it never ran") &&
 		(l.upload == nil || !l.upload.Started()) && !p.narrowed(l)
 	var before time.Time // danger: opening a connection outlasts what is left of a repeat's window
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	g := &leg{number: len(l.legs), to: p.names.Name(backend), sent: now}
+	g := &leg{number: len(l.legs), to: p.names.Name(server), sent: now}
 	l.legs = append(l.legs, g)
 	p.counts.Legs++
 	taken := p.at(l.arrived)
@@ -50,7 +50,7 @@
 		g.ex.Body, until = nil, now+l.wait
 	}
 	g.ex.Tail = append(http1.AppendField(nil, "X-Expires-In", http1.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
-	if g.begun = may && p.pool.Send(backend, &g.ex); !g.begun {
+	if g.begun = may && p.pool.Send(server, &g.ex); !g.begun {
 		p.later = append(p.later, func() {
 			p.book(l, g, upstream.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
 		})
--- a/proxy/strained.go
+++ b/proxy/strained.go
@@ -28,7 +28,7 @@
 	s.Overload, s.slack = limits.NewOverload(handsEach*runtime.GOMAXPROCS(0), len(p.launch.Tenants)), 1
 }
 
-// dueOf is a tariff's due time; where none is set, half of what its client waits.
+// dueOf is a class's latency objective; where none is set, half of what its client waits.
 func dueOf(t *balance.Class) float64 {
 	if t.LatencyObjective > 0 {
 		return t.LatencyObjective
@@ -36,23 +36,23 @@
 	return t.Deadline / 2
 }
 
-// turn waits until it is the turn of the lookup that has come last, and tells whether it is taken on by this core. It is in its hands
+// turn waits until it is the turn of the request that has come last, and tells whether it is taken on by this core. It is in its hands
 // then, until done.
-func (c *client) turn(row *balance.Class, customer, bytes int) bool {
+func (c *client) turn(row *balance.Class, tenant, bytes int) bool {
 	s := &c.p.strained
 	worth := max(row.PriorityWeight, 1e-3) / (1 + float64(max(bytes, 0))/workBytes)
 	s.mu.Lock()
-	passes, waits := s.RequestArrived(c.p.now(), c.p.stamp(c.came()), dueOf(row), worth, customer, c)
+	passes, waits := s.RequestArrived(c.p.now(), c.p.stamp(c.came()), dueOf(row), worth, tenant, c)
 	s.mu.Unlock()
 	if waits != nil {
 		s.kick()
-		passes = <-c.passes && !upstream.ClosedByPeer(c.nc) // danger: a client may have gone while its lookup waited, with nobody reading
+		passes = <-c.passes && !upstream.ClosedByPeer(c.nc) // danger: a client may have gone while its request waited, with nobody reading
 	}
 	c.inHand = true
 	return passes
 }
 
-// done tells that a lookup is out of this core's hands.
+// done tells that a request is out of this core's hands.
 func (p *Proxy) done() {
 	s := &p.strained
 	s.mu.Lock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// behind tells whether lookups wait for this core for longer than a burst.
+// behind tells whether requests wait for this core for longer than a burst.
 func (p *Proxy) behind() bool {
 	s := &p.strained
 	s.mu.Lock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// turns gives lookups their turns, some in each round, until the proxy ends.
+// turns gives requests their turns, some in each round, until the proxy ends.
 func (p *Proxy) turns() {
 	s := &p.strained
 	round := poller.NewRound()
@@ -101,14 +101,14 @@
 	}
 }
 
-// ended notes a leg that was out for so long and at its server for so long.
+// ended notes an attempt that was out for so long and at its server for so long.
 func (s *strained) ended(out, away float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.AttemptMeasured(out, away)
 }
 
-// slacken tells the decisions how much longer legs are out than their servers have them, where that has changed.
+// slacken tells the decisions how much longer attempts are out than their servers have them, where that has changed.
 func (p *Proxy) slacken() {
 	s := &p.strained
 	s.mu.Lock()
--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -37,7 +37,7 @@
 		free := y.busy(1)
 		late, worth := y.client(), y.client()
 		go io.WriteString(late, look)
-		time.Sleep(210 * time.Millisecond) // of 300 that are its due time
+		time.Sleep(210 * time.Millisecond) // of 300 that are its latency objective
 		go io.WriteString(worth, sms)
 		time.Sleep(30 * time.Millisecond)
 		synctest.Wait()
@@ -79,7 +79,7 @@
 	})
 }
 
-// heard is a lookup's handle that keeps what it is told of a leg.
+// heard is a request's handle that keeps what it is told of an attempt.
 type heard struct {
 	RequestHandle
 	latency float64
@@ -118,7 +118,7 @@
 	}
 }
 
-// Danger: a leg called off behind its lookup's answer may be written in between, if this goroutine is held up there.
+// Danger: an attempt canceled behind its request's answer may be written in between, if this goroutine is held up there.
 func TestCalledOffBeforeTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := made(t, nil, nil)
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -30,18 +30,18 @@
 	*reader
 	met     time.Time
 	by      time.Time   // its present read deadline
-	slow    *time.Timer // of a lookup that takes long; nil: none did yet
+	slow    *time.Timer // of a request that takes long; nil: none did yet
 	out     []byte      // the head of its last answer
 	fed     bool        // a body flowed
 	lost    bool        // its client has closed it, or takes nothing more
 	feeding chan error  // of a body that flows, and is still read
-	passes  chan bool   // its lookup's turn has come, or is not to come
-	inHand  bool        // its lookup is in this core's hands
+	passes  chan bool   // its request's turn has come, or is not to come
+	inHand  bool        // its request is in this core's hands
 	ahead   bool        // its present request was sent before the answer to the last
 	over    bool        // taken over the bound
 
 	idle  *poller.Wait  // nil: reading waits
-	left  atomic.Bool   // its lookup is not waited for any more; the connection ends then
+	left  atomic.Bool   // its request is not waited for any more; the connection ends then
 	ended atomic.Bool   // its client sends nothing more than has come
 	wake  chan struct{} // its next request has come, or it is to go
 
@@ -206,7 +206,7 @@
 	if err != nil {
 		return c.turnAway(err)
 	}
-	arrived := c.came() // it may have waited for this core; but the time in which a client writes slowly is none of its lookup's
+	arrived := c.came() // it may have waited for this core; but the time in which a client writes slowly is none of its request's
 	closing := h.Close
 	head, old := string(h.Method) == "HEAD", h.HTTP10
 	l, a, told, err := c.read(h, arrived, first)
@@ -235,7 +235,7 @@
 		over := !room || c.over || !c.p.takes()
 		c.inHand = false
 		c.p.post(func() {
-			defer c.p.done() // danger: a panic that costs one lookup must not cost the core a hand
+			defer c.p.done() // danger: a panic that costs one request must not cost the core a hand
 			c.p.admit(l, a, over)
 		})
 		if answer, err = c.await(l); err != nil {
@@ -263,7 +263,7 @@
 	return true
 }
 
-// feed hands a body on as it comes, at the server's pace, and says how that ended. A lookup that is answered stops it. Danger: the leg
+// feed hands a body on as it comes, at the server's pace, and says how that ended. A request that is answered stops it. Danger: the attempt
 // ends by the body's end too, and what became of the body is the better answer; so it is said first.
 func (c *client) feed(l *lookup, fed chan<- error) {
 	var err error
@@ -322,7 +322,7 @@
 	return n, err
 }
 
-// await waits for a lookup's answer, and for its client to go: a body that flows tells that first. Else the connection is watched
+// await waits for a request's answer, and for its client to go: a body that flows tells that first. Else the connection is watched
 // only where the answer takes long: a watch costs a goroutine and two turns of the scheduler. What a client sends before it has its
 // answer stays in the buffer; behind what does not fit, or is not read, the system is asked for its end.
 func (c *client) await(l *lookup) (reply, error) {
@@ -378,7 +378,7 @@
 	return time.Now()
 }
 
-// read reads the rest of a request and what it says of its lookup; there is none in a question of readiness.
+// read reads the rest of a request and what it says of its request; there is none in a question of readiness.
 func (c *client) read(h *http1.Head, arrived time.Time, first bool) (*lookup, balance.RequestInfo, *reply, error) {
 	var l *lookup
 	var a balance.RequestInfo
@@ -472,12 +472,12 @@
 	return l, a, told, nil
 }
 
-// tired is the answer to a lookup that this core does not take on.
+// tired is the answer to a request that this core does not take on.
 func (p *Proxy) tired() *reply {
 	return &reply{status: 503, advice: p.launch.MaxRetryAfter, body: []byte("dismissed\n")}
 }
 
-// kept is a lookup whose body came whole, or that has none.
+// kept is a request whose body came whole, or that has none.
 func (c *client) kept(l *lookup, a *balance.RequestInfo, body []byte, get bool, arrived time.Time) {
 	l.body = body
 	if !get || len(body) > 0 {
@@ -508,10 +508,10 @@
 	return rest[i:]
 }
 
-// ownFields say whose lookup it is and how it may be sent again.
+// ownFields say whose request it is and how it may be sent again.
 var ownFields = []string{"X-Trace-Id", "X-Qos", "X-Expires-In", "Idempotency-Key"}
 
-// arrival is what a request's head says of its lookup.
+// arrival is what a request's head says of its request.
 func (p *Proxy) arrival(h *http1.Head, path, query []byte, arrived time.Time) (balance.RequestInfo, error) {
 	a := balance.RequestInfo{Tenant: -1}
 	refuse := func(status int, text string) (balance.RequestInfo, error) {
@@ -519,21 +519,21 @@
 	}
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte{'/'}), []byte{'/'})
 	named := h.Get("X-Qos")
-	tariff, known := p.names.Class(string(named))
+	class, known := p.names.Class(string(named))
 	if _, there := p.names.Class(string(first)); !bytes.HasPrefix(path, []byte{'/'}) || !there && (known || named == nil) {
 		return refuse(404, "no such path")
 	} else if !known {
 		return refuse(400, "unknown tariff")
 	}
-	get, kind := string(h.Method) == "GET", p.launch.Classes[tariff].Idempotency
+	get, kind := string(h.Method) == "GET", p.launch.Classes[class].Idempotency
 	wait, err := strconv.ParseFloat(string(h.Get("X-Expires-In")), 64)
-	for _, name := range ownFields { // danger: a backend may go by another of them than this proxy
+	for _, name := range ownFields { // danger: a server may go by another of them than this proxy
 		if h.HasRepeated(name) {
 			return refuse(400, name+" twice")
 		}
 	}
 	switch {
-	case get && (h.Length > 0 || h.Chunked): // danger: a backend that expects none takes it for a request
+	case get && (h.Length > 0 || h.Chunked): // danger: a server that expects none takes it for a request
 		return refuse(400, "GET with a body")
 	case !bytes.Equal(first, named):
 		return refuse(400, "path and X-Qos differ")
@@ -548,7 +548,7 @@
 	case err != nil || math.IsNaN(wait) || math.IsInf(wait, 0):
 		return refuse(400, "no X-Expires-In")
 	}
-	a.Class = tariff
+	a.Class = class
 	a.Deadline = p.stamp(arrived) + min(wait, longestWait)
 	if last := p.last.Load(); last != nil {
 		a.Deadline = min(a.Deadline, p.stamp(*last))
@@ -597,7 +597,7 @@
 	return false
 }
 
-// up answers whether the proxy takes lookups.
+// up answers whether the proxy takes requests.
 func (p *Proxy) up() reply {
 	if peek(p.life, (*lifecycle.Process).WantsClients) {
 		return reply{status: 200, body: []byte("up\n")}
--- a/proxy/trace.go
+++ b/proxy/trace.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// What the log tells at its level debug, for those who ask why a lookup was given up or a backend is left out.
+// What the log tells at its level debug, for those who ask why a request was given up or a server is left out.
 
 // traces says whether it is to tell that.
 func (p *Proxy) traces() bool {
@@ -14,7 +14,7 @@
 	return ok && e.Logger.IsLevelEnabled(logrus.DebugLevel)
 }
 
-// trace tells what is believed of each backend, beside the connections that are in use there.
+// trace tells what is believed of each server, beside the connections that are in use there.
 func (p *Proxy) trace() {
 	for _, b := range p.main.b.ServerStatuses(p.now()) {
 		p.log.WithFields(logrus.Fields{"backend": p.names.Name(b.Endpoint), "out": b.InFlight, "in_use": p.pool.InFlight(b.Endpoint),
@@ -23,20 +23,20 @@
 	}
 }
 
-// traced is what became of a lookup and its legs.
+// traced is what became of a request and its attempts.
 func (p *Proxy) traced(l *lookup) logrus.Fields {
-	legs := ""
+	attempts := ""
 	for _, g := range l.legs {
-		legs += fmt.Sprintf("%s after %.3f ", g.to, g.sent-l.arrived)
+		attempts += fmt.Sprintf("%s after %.3f ", g.to, g.sent-l.arrived)
 		if g.ended {
-			legs += g.outcome.String()
+			attempts += g.outcome.String()
 			if g.err != nil {
-				legs += " (" + g.err.Error() + ")"
+				attempts += " (" + g.err.Error() + ")"
 			}
-			legs += "; "
+			attempts += "; "
 		} else {
-			legs += fmt.Sprintf("out for %.3f; ", p.now()-g.sent)
+			attempts += fmt.Sprintf("out for %.3f; ", p.now()-g.sent)
 		}
 	}
-	return logrus.Fields{"tariff": l.row.Name, "age": fmt.Sprintf("%.3f", p.now()-l.arrived), "legs": legs}
+	return logrus.Fields{"tariff": l.row.Name, "age": fmt.Sprintf("%.3f", p.now()-l.arrived), "legs": attempts}
 }
--- a/routes/failover.go
+++ b/routes/failover.go
@@ -1,7 +1,7 @@
 package routes
 
 // Failover decides whether a pool's backup serves for it: once the pool has had no server admitted for After, until it has had
-// one for Until. Danger: without the second time a pool at the edge would hand its lookups to and fro.
+// one for Until. Danger: without the second time a pool at the edge would hand its requests to and fro.
 type Failover struct {
 	ActivateAfter, RecoverAfter float64 // s
 
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,4 +1,4 @@
-// Package routes decides which route a request meets, and so which pool its lookup goes to: by host, path, method, fields
+// Package routes decides which route a request meets, and so which pool its request goes to: by host, path, method, fields
 // and query. It is compiled once and then only read; it does no input or output and keeps no clock. The proxy's door calls
 // it for each request that does not speak the platform's own headers; it never chooses a server.
 //
@@ -74,7 +74,7 @@
 	Response *FixedResponse
 }
 
-// WeightedPool is a pool's part of a route's lookups.
+// WeightedPool is a pool's part of a route's requests.
 type WeightedPool struct {
 	Pool   string
 	Weight float64
@@ -489,8 +489,8 @@
 	return "", false
 }
 
-// SelectPool is the pool that a key's lookups go to, as an index of the route's Pools; -1 where it has none. A key stays where it is
-// when weights move a little: only as much moves as they do. A lookup without a key has one drawn by chance.
+// SelectPool is the pool that a key's requests go to, as an index of the route's Pools; -1 where it has none. A key stays where it is
+// when weights move a little: only as much moves as they do. A request without a key has one drawn by chance.
 func (m *Match) SelectPool(key uint64) int {
 	pools := m.Route.Action.Pools
 	if len(pools) < 2 {
