--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,9 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 
-# All tests but those that KNOWN-RED.txt names, as released and with the debug assertions; then these, and how each ended.
+# All tests but those that KNOWN-RED.txt lists, as released and with the debug assertions; then these, and how each ended.
 test:
-	go run ./internal/knownred
+	go run ./internal/knownfailures
 
 lint:
 	test -z "$$(gofmt -l .)"
