--- a/internal/comparebuilds/main.go
+++ b/internal/comparebuilds/main.go
@@ -10,7 +10,8 @@
 // deploy/balancer.toml. The plays' journal entries are copied to the repository's journal at the end, as the operators want every
 // entry kept; commit them as they are.
 //
-// Only a difference that changes a decision on one of these days is seen. One line is printed for each play. The program ends with 1 if a play differs or cannot be played, or without the operators' kit.
+// One line is printed for each play. Only a change that changes a decision on one of these days is seen. The program ends with 1 if
+// a play differs or cannot be played, and without the operators' kit.
 package main
 
 import (
