--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -85,7 +85,7 @@
 	latency float64
 }
 
-func (h *heard) Ended(_ float64, _ int, _ balance.Outcome, latency float64, _ bool) *balance.Actions {
+func (h *heard) AttemptEnded(_ float64, _ int, _ balance.Outcome, latency float64, _ bool) *balance.Actions {
 	h.latency = latency
 	return &balance.Actions{}
 }
