--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 	test -z "$$(gofmt -l .)"
 	go vet ./...
 	go vet -tags debug ./...
+	go tool -modfile=tools/golangci-lint/go.mod golangci-lint run
 
 # Told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG; see README.md.
 run: build
--- a/internal/comparebuilds/builds.go
+++ b/internal/comparebuilds/builds.go
@@ -82,8 +82,8 @@
 	return build(ctx, dir)
 }
 
-// presentTree writes the working tree to git's objects and returns its name. It works on a copy of the index, kept at indexFile,
-// so what is staged stays as it is.
+// presentTree writes the working tree to git's objects and returns its name. It works on a copy of the index, kept at
+// indexFile, so what is staged stays as it is.
 func presentTree(ctx context.Context, repo, indexFile string) (string, error) {
 	path, err := git(ctx, repo, "rev-parse", "--path-format=absolute", "--git-path", "index")
 	if err != nil {
--- a/internal/comparebuilds/compare.go
+++ b/internal/comparebuilds/compare.go
@@ -18,7 +18,7 @@
 }
 
 // compare plays the days with both builds and prints a line for each. Its error is a *differenceError if all was tried.
-func compare(ctx context.Context, o options, out io.Writer) error {
+func compare(ctx context.Context, o options, out io.Writer) (err error) {
 	if o.base == "" && o.baseDir == "" {
 		return errNoBase
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(scratch)
+	defer func() { err = errors.Join(err, os.RemoveAll(scratch)) }()
 	base, present, err := prepare(ctx, repo, scratch, o)
 	if err != nil {
 		return err
@@ -76,7 +76,8 @@
 	return base, present, err
 }
 
-// withJournals calls do, then keeps in the repository what the plays wrote to the checkouts' journals, however do ended.
+// withJournals calls do, then keeps in the repository what the plays wrote to the checkouts' journals, however do
+// ended.
 func withJournals(repo string, checkouts []checkout, out io.Writer, do func() error) error {
 	var journals []journal
 	for _, c := range checkouts {
@@ -121,7 +122,13 @@
 	case o.err != nil:
 		return fmt.Sprintf("%v  NOT PLAYED: %v", p, o.err)
 	case len(o.differing) > 0:
-		return fmt.Sprintf("%v  g %s against %s  DIFFERENT: %s", p, o.present.g(), o.base.g(), strings.Join(o.differing, ", "))
+		return fmt.Sprintf(
+			"%v  g %s against %s  DIFFERENT: %s",
+			p,
+			o.present.g(),
+			o.base.g(),
+			strings.Join(o.differing, ", "),
+		)
 	}
 	return fmt.Sprintf("%v  g %s  same", p, o.base.g())
 }
--- a/internal/comparebuilds/compare_test.go
+++ b/internal/comparebuilds/compare_test.go
@@ -15,7 +15,8 @@
 )
 
 func TestDifferingNamesEveryFigureThatDiffers(t *testing.T) {
-	const same = `{"g": 0.9235, "events": 7, "breaks": {}, "classes": [{"a": 0.5, "b": 1}], "happenings": ["x", "y"], "cpu": 1,
+	const same = `{"g": 0.9235, "events": 7, "breaks": {}, "classes": [{"a": 0.5, "b": 1}],
+		"happenings": ["x", "y"], "cpu": 1,
 		"trace_hash": "6d15", "policy_events": 5, "requests": 3, "fault": null, "tenants": []}`
 	for name, c := range map[string]struct {
 		old, new string // replaced in the second report
@@ -76,8 +77,8 @@
 	assert.ErrorContains(t, err, deployFile)
 }
 
-// site is a folder with a repository and, beside it, the operators' folder with a stand-in for the simulators: it prints as g what
-// the build wrote into the adapter, fails where that is "broken", and writes a journal entry.
+// site is a folder with a repository and, beside it, the operators' folder with a stand-in for the simulators: it
+// prints as g what the build wrote into the adapter, fails where that is "broken", and writes a journal entry.
 type site struct {
 	t          *testing.T
 	root, repo string
@@ -92,6 +93,7 @@
 `
 
 func newSite(t *testing.T) site {
+	t.Helper()
 	root := t.TempDir()
 	s := site{t, root, filepath.Join(root, "lockloom")}
 	for _, simulator := range simulators {
@@ -135,7 +137,13 @@
 	s := newSite(t)
 	printed, err := s.compare(options{base: "HEAD"})
 	require.NoError(t, err, printed)
-	assert.Equal(t, 12, strings.Count(printed, "g 0.51  same"), "two site files of two simulators, three kinds of day: %s", printed)
+	assert.Equal(
+		t,
+		12,
+		strings.Count(printed, "g 0.51  same"),
+		"two site files of two simulators, three kinds of day: %s",
+		printed,
+	)
 	entries, err := filepath.Glob(filepath.Join(s.repo, "journal", "*.json"))
 	require.NoError(t, err)
 	assert.Len(t, entries, 24, "the entries of both builds are kept")
--- a/internal/comparebuilds/journal.go
+++ b/internal/comparebuilds/journal.go
@@ -42,8 +42,8 @@
 	return paths, err
 }
 
-// keep copies what has come into the journal since readJournal to the same paths below repo, and counts the files that are new
-// there. An entry or blob that repo has already is left as it is: their names are those of their content.
+// keep copies what has come into the journal since readJournal to the same paths below repo, and counts the files that
+// are new there. An entry or blob that repo has already is left as it is: their names are those of their content.
 func (j journal) keep(repo string) (int, error) {
 	paths, err := j.files()
 	if err != nil {
--- a/internal/comparebuilds/plays.go
+++ b/internal/comparebuilds/plays.go
@@ -134,7 +134,22 @@
 	ctx, cancel := context.WithTimeout(ctx, playTimeout)
 	defer cancel()
 	number := strconv.FormatUint(p.seed, 10)
-	printed, err := run(ctx, c.dir, nil, p.program, "run", p.site, "--kind", p.kind, "--seed", number, "--no-build", "--json", "--why", why)
+	printed, err := run(
+		ctx,
+		c.dir,
+		nil,
+		p.program,
+		"run",
+		p.site,
+		"--kind",
+		p.kind,
+		"--seed",
+		number,
+		"--no-build",
+		"--json",
+		"--why",
+		why,
+	)
 	if err != nil {
 		return nil, fmt.Errorf("in %s: %w", c.dir, err)
 	}
--- a/internal/comparebuilds/report.go
+++ b/internal/comparebuilds/report.go
@@ -6,10 +6,21 @@
 	"fmt"
 )
 
-// compared are the figures of a play that one build gives alike each time: the simulator's hash of the play, what the day served,
-// what it broke, and how much happened. What is left out is the measured time of the adapter, the adapter's log lines, whose
-// wording is no decision, and what is derived from the figures here.
-var compared = []string{"g", "trace_hash", "events", "policy_events", "requests", "breaks", "fault", "classes", "tenants", "happenings"}
+// compared are the figures of a play that one build gives alike each time: the simulator's hash of the play, what the
+// day served, what it broke, and how much happened. What is left out is the measured time of the adapter, the adapter's
+// log lines, whose wording is no decision, and what is derived from the figures here.
+var compared = []string{
+	"g",
+	"trace_hash",
+	"events",
+	"policy_events",
+	"requests",
+	"breaks",
+	"fault",
+	"classes",
+	"tenants",
+	"happenings",
+}
 
 // report holds the figures of one play, by name, as they were printed.
 type report map[string]json.RawMessage
--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -23,8 +23,8 @@
 // goCommand runs the go command with these arguments and returns what it printed.
 type goCommand func(args ...string) (printed string, err error)
 
-// check runs the tests around the list's text and prints to out. Its errors are a *syntaxError, an unknownTestError, errTestsFailed
-// or that of a go command which could not list the tests.
+// check runs the tests around the list's text and prints to out. Its errors are a *syntaxError, an unknownTestError,
+// errTestsFailed or that of a go command which could not list the tests.
 func check(text string, out io.Writer, goTool goCommand) error {
 	entries, err := parse(text)
 	if err != nil {
