--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,424 +12,428 @@
 )
 
 const (
-	stepEvery = 0.1  // s between looks at what changes by and by: warming up, choking
-	calm      = 0.01 // of choking; less is none
-	reported  = 0.5  // s over which the load report's use of the cores is smoothed
+	stepInterval            = 0.1  // s between looks at what changes by and by: warming up, choking
+	minDegradation          = 0.01 // of choking; less is none
+	utilizationTimeConstant = 0.5  // s over which the load report's use of the cores is smoothed
 )
 
-// Build is what a server is made of. Times are in seconds, work in seconds of a core at speed 1.
-type Build struct {
-	Cores        int
-	Speed        float64 // work that a core does in a second
-	Room         int     // requests that may wait; a further one is rejected unseen
-	ColdShare    float64 // of its speed, just after its start
-	ColdFor      float64 // until it has all of it
-	FallMultiple float64 // cold, and sent more than this many times what it can do ...
-	FallFor      float64 // ... over this long, it falls over; 0: never
-	DownFor      float64 // and is back, cold, so much later
-	ChokeAt      int     // requests waiting from which it slows down; 0: never
-	ChokeTo      float64 // of its speed that is left then
-	ChokeIn      float64 // time constant of slowing down
-	Linger       float64 // and of getting over it once fewer wait
-	WarmKeys     int     // keys that it remembers
-	WarmWork     float64 // of its work that a request with such a key takes
+// Spec is what a server is made of. Times are in seconds, work in seconds of a core at speed 1.
+type Spec struct {
+	Cores               int
+	Speed               float64 // work that a core does in a second
+	QueueCapacity       int     // requests that may wait; a further one is rejected unseen
+	SlowStartFraction   float64 // of its speed, just after its start
+	SlowStartDuration   float64 // until it has all of it
+	CrashFactor         float64 // cold, and sent more than this many times what it can do ...
+	CrashWindow         float64 // ... over this long, it falls over; 0: never
+	CrashDowntime       float64 // and is back, cold, so much later
+	DegradeQueueLength  int     // requests waiting from which it slows down; 0: never
+	DegradedSpeed       float64 // of its speed that is left then
+	DegradeTimeConstant float64 // time constant of slowing down
+	RecoverTimeConstant float64 // and of getting over it once fewer wait
+	CacheSize           int     // keys that it remembers
+	CachedWorkFraction  float64 // of its work that a request with such a key takes
 }
 
 // Job is a request as it reaches a server.
 type Job struct {
-	Ref    int // the caller's, handed back in its End
-	Tariff int
-	Work   float64
-	Key    uint64 // of its subject; 0: none
-	Mark   uint64 // by which repeats are known; 0: none
-	Window float64
-	Marks  *Marks // of the server's group
+	Ref         int // the caller's, handed back in its End
+	Class       int
+	Work        float64
+	Key         uint64 // of its subject; 0: none
+	DedupKey    uint64 // by which repeats are known; 0: none
+	DedupWindow float64
+	DedupGroup  *DedupGroup // of the server's group
 }
 
-// End is how a job ended here: successful, a fault, no room (it never ran) or cut (the server crashed).
-type End struct {
-	Ref     int
-	Outcome balance.Outcome
-	At      float64
-	Work    float64 // that it took
-	Repeat  bool    // dropped as one: answered, not run
+// Completion is how a job ended here: successful, a fault, no room (it never ran) or cut (the server crashed).
+type Completion struct {
+	Ref       int
+	Outcome   balance.Outcome
+	At        float64
+	Work      float64 // that it took
+	Duplicate bool    // dropped as one: answered, not run
 }
 
-// Reach is what becomes of those who connect to a server.
-type Reach uint8
+// Reachability is what becomes of those who connect to a server.
+type Reachability uint8
 
 const (
-	Open   Reach = iota
-	Shut         // refused; what was open is reset
-	Silent       // never comes up; what was open says nothing
+	Accepting   Reachability = iota
+	Refusing                 // refused; what was open is reset
+	Unreachable              // never comes up; what was open says nothing
 )
 
 // Counts are a server's own, since it was made.
 type Counts struct {
-	Reached, Begun, Honoured, Faults, Turned, Repeats, Lost, Unheard, Falls int
-	Work                                                                    float64 // done
+	Received, Started, Succeeded, Errors, Rejected, Duplicates, Lost, Unreceived, Crashes int
+	Work                                                                                  float64 // done
 }
 
 // Server is one emulated server.
 type Server struct {
 	Counts
-	build   Build
-	chance  *rand.Rand
-	now     float64
-	since   float64 // it started; -Inf: long ago
-	up      bool
-	silent  bool
-	rate    float64 // work that a core does in a second now
-	passed  float64 // work that a core busy since the first start would have done
-	running runs
-	waiting queue
-	stuck   []Job // hung: answered never
-	inbox   []Job // came while it stood still
-	nextAt  float64
-	backAt  float64 // +Inf: not planned
-	pauseTo float64
-	slow    float64 // factor on its speed
-	choke   float64 // 0 to 1
-	faults  []float64
-	hangs   []bool // both by class, and for all at 0
-	pushed  window
-	keys    recent
-	util    float64
-	ends    []End
-}
-
-type run struct {
-	job Job
-	end float64 // of passed
-}
-
-type runs []run
-
-func (r runs) Len() int           { return len(r) }
-func (r runs) Less(i, j int) bool { return r[i].end < r[j].end }
-func (r runs) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *runs) Push(x any)        { *r = append(*r, x.(run)) }
-func (r *runs) Pop() any {
+	spec        Spec
+	rand        *rand.Rand
+	now         float64
+	startedAt   float64 // it started; -Inf: long ago
+	up          bool
+	unreachable bool
+	rate        float64 // work that a core does in a second now
+	virtualWork float64 // work that a core busy since the first start would have done
+	running     runningJobs
+	waiting     queue
+	hanging     []Job // hung: answered never
+	inbox       []Job // came while it stood still
+	nextStepAt  float64
+	restartAt   float64 // +Inf: not planned
+	pausedUntil float64
+	speedFactor float64 // factor on its speed
+	degradation float64 // 0 to 1
+	errorShares []float64
+	classHangs  []bool // both by class, and for all at 0
+	recentWork  workWindow
+	cache       keyCache
+	utilization float64
+	completions []Completion
+}
+
+type runningJob struct {
+	job    Job
+	endsAt float64 // of passed
+}
+
+type runningJobs []runningJob
+
+func (r runningJobs) Len() int           { return len(r) }
+func (r runningJobs) Less(i, j int) bool { return r[i].endsAt < r[j].endsAt }
+func (r runningJobs) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *runningJobs) Push(x any)        { *r = append(*r, x.(runningJob)) }
+func (r *runningJobs) Pop() any {
 	x := (*r)[len(*r)-1]
 	*r = (*r)[:len(*r)-1]
 	return x
 }
 
 // New is a server that has not started. Its chance, of faults alone, comes from the seed.
-func New(b Build, seed uint64) *Server {
-	return &Server{build: b, chance: rand.New(rand.NewPCG(seed, 1)), nextAt: math.Inf(1), backAt: math.Inf(1),
-		slow: 1, keys: recent{most: b.WarmKeys}}
+func New(b Spec, seed uint64) *Server {
+	return &Server{spec: b, rand: rand.New(rand.NewPCG(seed, 1)), nextStepAt: math.Inf(1), restartAt: math.Inf(1),
+		speedFactor: 1, cache: keyCache{capacity: b.CacheSize}}
 }
 
 // Start lets it serve, warm as if it had run for long or cold.
-func (s *Server) Start(now float64, warm bool) []End {
-	s.begin(now)
+func (s *Server) Start(now float64, warm bool) []Completion {
+	s.advanceTo(now)
 	s.start(warm)
-	return s.ends
+	return s.completions
 }
 
-// Take hands it a request whose last byte has come. Its end comes from this call or a later one.
-func (s *Server) Take(now float64, j Job) []End {
-	s.begin(now)
+// Receive hands it a request whose last byte has come. Its end comes from this call or a later one.
+func (s *Server) Receive(now float64, j Job) []Completion {
+	s.advanceTo(now)
 	switch {
 	case !s.up:
-		s.end(j, balance.ConnectionLost)
-	case s.silent:
-		s.Unheard++ // on its way to a server that is cut off, it is lost
-	case now < s.pauseTo:
+		s.complete(j, balance.ConnectionLost)
+	case s.unreachable:
+		s.Unreceived++ // on its way to a server that is cut off, it is lost
+	case now < s.pausedUntil:
 		s.inbox = append(s.inbox, j)
 	default:
-		s.take(j)
+		s.accept(j)
 	}
-	return s.ends
+	return s.completions
 }
 
-// Leave tells that nobody waits for a job any more. One that waits is dropped, which it tells; one in work is done all
+// Abandon tells that nobody waits for a job any more. One that waits is dropped, which it tells; one in work is done all
 // the same and ends as ever.
-func (s *Server) Leave(now float64, ref int) (dropped bool, ends []End) {
-	s.begin(now)
+func (s *Server) Abandon(now float64, ref int) (dropped bool, ends []Completion) {
+	s.advanceTo(now)
 	match := func(j Job) bool { return j.Ref == ref }
-	dropped = s.waiting.remove(match) || remove(&s.stuck, match) || remove(&s.inbox, match)
-	return dropped, s.ends
+	dropped = s.waiting.remove(match) || remove(&s.hanging, match) || remove(&s.inbox, match)
+	return dropped, s.completions
 }
 
 // Crash ends it: all it holds is lost. It is back, cold, at the time given; +Inf: not by itself.
-func (s *Server) Crash(now, back float64) []End {
-	s.begin(now)
+func (s *Server) Crash(now, back float64) []Completion {
+	s.advanceTo(now)
 	s.crash(back)
-	return s.ends
+	return s.completions
 }
 
 // Pause lets it stand still until then: what comes waits, and nothing is answered.
-func (s *Server) Pause(now, until float64) []End {
-	s.begin(now)
-	s.pauseTo = max(s.pauseTo, until)
-	s.tune()
-	return s.ends
+func (s *Server) Pause(now, until float64) []Completion {
+	s.advanceTo(now)
+	s.pausedUntil = max(s.pausedUntil, until)
+	s.updateSpeed()
+	return s.completions
 }
 
-// Slow sets the factor on its speed; 1 is none.
-func (s *Server) Slow(now, factor float64) []End {
-	s.begin(now)
-	s.slow = factor
-	s.tune()
-	return s.ends
+// SetSpeedFactor sets the factor on its speed; 1 is none.
+func (s *Server) SetSpeedFactor(now, factor float64) []Completion {
+	s.advanceTo(now)
+	s.speedFactor = factor
+	s.updateSpeed()
+	return s.completions
 }
 
-// Fail sets the share of a class's requests, of all classes' at -1, that it answers at once with a fault.
-func (s *Server) Fail(now float64, class int, share float64) []End {
-	s.begin(now)
-	s.faults = set(s.faults, class+1, share)
-	return s.ends
+// SetErrorShare sets the share of a class's requests, of all classes' at -1, that it answers at once with a fault.
+func (s *Server) SetErrorShare(now float64, class int, share float64) []Completion {
+	s.advanceTo(now)
+	s.errorShares = withValue(s.errorShares, class+1, share)
+	return s.completions
 }
 
-// Hang sets whether it takes a class's requests, all classes' at -1, and never answers.
-func (s *Server) Hang(now float64, class int, hangs bool) []End {
-	s.begin(now)
-	s.hangs = set(s.hangs, class+1, hangs)
-	return s.ends
+// SetHanging sets whether it takes a class's requests, all classes' at -1, and never answers.
+func (s *Server) SetHanging(now float64, class int, hangs bool) []Completion {
+	s.advanceTo(now)
+	s.classHangs = withValue(s.classHangs, class+1, hangs)
+	return s.completions
 }
 
-// Cut cuts it off the network, or lets it back: what had been open is reset then, which the caller sees to.
-func (s *Server) Cut(now float64, off bool) []End {
-	s.begin(now)
-	s.silent = off
-	return s.ends
+// SetUnreachable cuts it off the network, or lets it back: what had been open is reset then, which the caller sees to.
+func (s *Server) SetUnreachable(now float64, off bool) []Completion {
+	s.advanceTo(now)
+	s.unreachable = off
+	return s.completions
 }
 
 // Advance lets time pass.
-func (s *Server) Advance(now float64) []End {
-	s.begin(now)
-	return s.ends
+func (s *Server) Advance(now float64) []Completion {
+	s.advanceTo(now)
+	return s.completions
 }
 
-// Next is when it wants Advance at the latest; +Inf: nothing will happen by itself.
-func (s *Server) Next() float64 {
-	at, _ := s.coming()
+// NextEvent is when it wants Advance at the latest; +Inf: nothing will happen by itself.
+func (s *Server) NextEvent() float64 {
+	at, _ := s.nextChange()
 	return at
 }
 
-// Reach is what becomes of those who connect now.
-func (s *Server) Reach() Reach {
+// Reachability is what becomes of those who connect now.
+func (s *Server) Reachability() Reachability {
 	switch {
-	case s.silent:
-		return Silent
+	case s.unreachable:
+		return Unreachable
 	case !s.up:
-		return Shut
+		return Refusing
 	}
-	return Open
+	return Accepting
 }
 
-// Since is when it last started; 0: long ago.
-func (s *Server) Since() float64 { return max(s.since, 0) }
+// StartedAt is when it last started; 0: long ago.
+func (s *Server) StartedAt() float64 { return max(s.startedAt, 0) }
 
-// Cold tells whether it still warms up.
-func (s *Server) Cold() bool { return s.up && s.now < s.since+s.build.ColdFor }
+// WarmingUp tells whether it still warms up.
+func (s *Server) WarmingUp() bool { return s.up && s.now < s.startedAt+s.spec.SlowStartDuration }
 
-// Choked is how far it is slowed down by long queues, 0 to 1.
-func (s *Server) Choked() float64 { return s.choke }
+// Degradation is how far it is slowed down by long queues, 0 to 1.
+func (s *Server) Degradation() float64 { return s.degradation }
 
 // Load is what a load report tells: requests in work, waiting, and the part of the cores in use of late.
 func (s *Server) Load() (inWork, waiting int, use float64) {
-	return len(s.running), s.waiting.len(), s.util
+	return len(s.running), s.waiting.len(), s.utilization
 }
 
-// Holds is how many requests it holds in any way.
-func (s *Server) Holds() int { return len(s.running) + s.waiting.len() + len(s.stuck) + len(s.inbox) }
+// InFlight is how many requests it holds in any way.
+func (s *Server) InFlight() int {
+	return len(s.running) + s.waiting.len() + len(s.hanging) + len(s.inbox)
+}
 
-func (s *Server) begin(now float64) {
-	s.ends = s.ends[:0]
+func (s *Server) advanceTo(now float64) {
+	s.completions = s.completions[:0]
 	for {
-		at, what := s.coming()
+		at, what := s.nextChange()
 		if at > now {
 			break
 		}
-		s.move(max(at, s.now))
+		s.elapse(max(at, s.now))
 		what(s)
 	}
-	s.move(now)
+	s.elapse(now)
 }
 
-// coming is what happens next by itself.
-func (s *Server) coming() (float64, func(*Server)) {
-	at, what := s.nextAt, (*Server).step
+// nextChange is what happens next by itself.
+func (s *Server) nextChange() (float64, func(*Server)) {
+	at, what := s.nextStepAt, (*Server).updateDegradation
 	if len(s.running) > 0 && s.rate > 0 {
-		if t := s.now + (s.running[0].end-s.passed)/s.rate; t < at {
-			at, what = t, (*Server).finish
+		if t := s.now + (s.running[0].endsAt-s.virtualWork)/s.rate; t < at {
+			at, what = t, (*Server).finishNext
 		}
 	}
-	if s.now < s.pauseTo && s.pauseTo < at {
-		at, what = s.pauseTo, (*Server).resume
+	if s.now < s.pausedUntil && s.pausedUntil < at {
+		at, what = s.pausedUntil, (*Server).resume
 	}
-	if s.backAt < at {
-		at, what = s.backAt, (*Server).comeBack
+	if s.restartAt < at {
+		at, what = s.restartAt, (*Server).restart
 	}
 	return at, what
 }
 
-// move lets time pass in which nothing happens.
-func (s *Server) move(to float64) {
+// elapse lets time pass in which nothing happens.
+func (s *Server) elapse(to float64) {
 	dt := to - s.now
 	if dt <= 0 {
 		return
 	}
-	s.passed += s.rate * dt
+	s.virtualWork += s.rate * dt
 	s.Work += s.rate * dt * float64(len(s.running))
-	if s.build.Cores > 0 {
-		s.util += (1 - math.Exp(-dt/reported)) * (float64(len(s.running))/float64(s.build.Cores) - s.util)
+	if s.spec.Cores > 0 {
+		s.utilization += (1 - math.Exp(-dt/utilizationTimeConstant)) * (float64(len(s.running))/float64(s.spec.Cores) - s.utilization)
 	}
 	s.now = to
 }
 
-// tune settles its speed and when to look at it again.
-func (s *Server) tune() {
-	b := &s.build
-	if s.rate = b.Speed * s.slow * s.warmth() * (1 - (1-b.ChokeTo)*s.choke); s.now < s.pauseTo || !s.up {
+// updateSpeed settles its speed and when to look at it again.
+func (s *Server) updateSpeed() {
+	b := &s.spec
+	if s.rate = b.Speed * s.speedFactor * s.slowStartFactor() * (1 - (1-b.DegradedSpeed)*s.degradation); s.now < s.pausedUntil || !s.up {
 		s.rate = 0
 	}
 	switch { // danger: a look put off by every call never comes
-	case !s.up || !s.Cold() && s.choke == 0 && !s.crowded():
-		s.nextAt = math.Inf(1)
-	case s.nextAt <= s.now || s.nextAt > s.now+stepEvery:
-		s.nextAt = s.now + stepEvery
+	case !s.up || !s.WarmingUp() && s.degradation == 0 && !s.overDegradeLength():
+		s.nextStepAt = math.Inf(1)
+	case s.nextStepAt <= s.now || s.nextStepAt > s.now+stepInterval:
+		s.nextStepAt = s.now + stepInterval
 	}
 }
 
-func (s *Server) warmth() float64 {
-	if !s.Cold() {
+func (s *Server) slowStartFactor() float64 {
+	if !s.WarmingUp() {
 		return 1
 	}
-	return s.build.ColdShare + (1-s.build.ColdShare)*(s.now-s.since)/s.build.ColdFor
+	return s.spec.SlowStartFraction + (1-s.spec.SlowStartFraction)*(s.now-s.startedAt)/s.spec.SlowStartDuration
 }
 
-func (s *Server) crowded() bool { return s.build.ChokeAt > 0 && s.waiting.len() >= s.build.ChokeAt }
+func (s *Server) overDegradeLength() bool {
+	return s.spec.DegradeQueueLength > 0 && s.waiting.len() >= s.spec.DegradeQueueLength
+}
 
-func (s *Server) step() {
-	if s.crowded() {
-		s.choke += (1 - s.choke) * (1 - math.Exp(-stepEvery/max(s.build.ChokeIn, stepEvery)))
-	} else if s.choke *= math.Exp(-stepEvery / max(s.build.Linger, stepEvery)); s.choke < calm {
-		s.choke = 0
+func (s *Server) updateDegradation() {
+	if s.overDegradeLength() {
+		s.degradation += (1 - s.degradation) * (1 - math.Exp(-stepInterval/max(s.spec.DegradeTimeConstant, stepInterval)))
+	} else if s.degradation *= math.Exp(-stepInterval / max(s.spec.RecoverTimeConstant, stepInterval)); s.degradation < minDegradation {
+		s.degradation = 0
 	}
-	s.tune()
+	s.updateSpeed()
 }
 
 func (s *Server) resume() {
-	s.tune()
+	s.updateSpeed()
 	inbox := s.inbox
 	s.inbox = nil
 	for _, j := range inbox {
 		if s.up { // one of them may push it over
-			s.take(j)
+			s.accept(j)
 		} else {
-			s.end(j, balance.ConnectionLost)
+			s.complete(j, balance.ConnectionLost)
 		}
 	}
 }
 
-func (s *Server) comeBack() { s.start(false) }
+func (s *Server) restart() { s.start(false) }
 
 func (s *Server) start(warm bool) {
-	s.up, s.since, s.backAt, s.choke, s.pauseTo = true, s.now, math.Inf(1), 0, math.Inf(-1)
+	s.up, s.startedAt, s.restartAt, s.degradation, s.pausedUntil = true, s.now, math.Inf(1), 0, math.Inf(-1)
 	if warm {
-		s.since = math.Inf(-1)
+		s.startedAt = math.Inf(-1)
 	}
-	s.keys, s.pushed = recent{most: s.build.WarmKeys}, window{}
-	s.tune()
+	s.cache, s.recentWork = keyCache{capacity: s.spec.CacheSize}, workWindow{}
+	s.updateSpeed()
 }
 
 func (s *Server) crash(back float64) {
 	for _, r := range s.running {
-		s.end(r.job, balance.ConnectionLost)
+		s.complete(r.job, balance.ConnectionLost)
 	}
 	for s.waiting.len() > 0 {
-		s.end(s.waiting.pop(), balance.ConnectionLost)
+		s.complete(s.waiting.pop(), balance.ConnectionLost)
 	}
-	for _, j := range append(s.stuck, s.inbox...) {
-		s.end(j, balance.ConnectionLost)
+	for _, j := range append(s.hanging, s.inbox...) {
+		s.complete(j, balance.ConnectionLost)
 	}
-	s.running, s.stuck, s.inbox = s.running[:0], s.stuck[:0], nil
-	s.up, s.backAt, s.util = false, back, 0
-	s.tune()
-}
-
-// take is a job's coming in at a server that works.
-func (s *Server) take(j Job) {
-	s.Reached++
-	if s.Cold() && s.build.FallFor > 0 {
-		sum := s.pushed.add(s.now, j.Work, s.build.FallFor)
-		if sum > s.build.FallMultiple*s.build.FallFor*float64(s.build.Cores)*s.build.Speed*s.warmth() {
-			s.Falls++
-			s.end(j, balance.ConnectionLost)
-			s.crash(s.now + s.build.DownFor)
+	s.running, s.hanging, s.inbox = s.running[:0], s.hanging[:0], nil
+	s.up, s.restartAt, s.utilization = false, back, 0
+	s.updateSpeed()
+}
+
+// accept is a job's coming in at a server that works.
+func (s *Server) accept(j Job) {
+	s.Received++
+	if s.WarmingUp() && s.spec.CrashWindow > 0 {
+		sum := s.recentWork.add(s.now, j.Work, s.spec.CrashWindow)
+		if sum > s.spec.CrashFactor*s.spec.CrashWindow*float64(s.spec.Cores)*s.spec.Speed*s.slowStartFactor() {
+			s.Crashes++
+			s.complete(j, balance.ConnectionLost)
+			s.crash(s.now + s.spec.CrashDowntime)
 			return
 		}
 	}
 	switch {
-	case at(s.hangs, 0) || at(s.hangs, j.Tariff+1):
-		s.stuck = append(s.stuck, j)
-	case s.fails(0) || s.fails(j.Tariff+1):
-		s.end(j, balance.ServerError)
-	case len(s.running) < s.build.Cores:
-		s.run(j)
-	case s.waiting.len() >= s.build.Room:
-		s.end(j, balance.ServerRejected)
+	case valueAt(s.classHangs, 0) || valueAt(s.classHangs, j.Class+1):
+		s.hanging = append(s.hanging, j)
+	case s.failsAt(0) || s.failsAt(j.Class+1):
+		s.complete(j, balance.ServerError)
+	case len(s.running) < s.spec.Cores:
+		s.execute(j)
+	case s.waiting.len() >= s.spec.QueueCapacity:
+		s.complete(j, balance.ServerRejected)
 	default:
 		s.waiting.push(j)
-		if s.waiting.len() == s.build.ChokeAt {
-			s.tune()
+		if s.waiting.len() == s.spec.DegradeQueueLength {
+			s.updateSpeed()
 		}
 	}
 }
 
-func (s *Server) fails(row int) bool {
-	share := at(s.faults, row)
-	return share > 0 && s.chance.Float64() < share
+func (s *Server) failsAt(row int) bool {
+	share := valueAt(s.errorShares, row)
+	return share > 0 && s.rand.Float64() < share
 }
 
-// run puts a job to work, or answers a repeat.
-func (s *Server) run(j Job) {
-	if j.Mark != 0 && j.Marks != nil && j.Marks.repeat(s.now, j.Mark, j.Window) {
-		s.Repeats++
-		s.ends = append(s.ends, End{Ref: j.Ref, Outcome: balance.Succeeded, At: s.now, Repeat: true})
+// execute puts a job to work, or answers a repeat.
+func (s *Server) execute(j Job) {
+	if j.DedupKey != 0 && j.DedupGroup != nil && j.DedupGroup.isDuplicate(s.now, j.DedupKey, j.DedupWindow) {
+		s.Duplicates++
+		s.completions = append(s.completions, Completion{Ref: j.Ref, Outcome: balance.Succeeded, At: s.now, Duplicate: true})
 		return
 	}
-	s.Begun++
-	if j.Key != 0 && s.keys.met(j.Key) {
-		j.Work *= s.build.WarmWork
+	s.Started++
+	if j.Key != 0 && s.cache.touch(j.Key) {
+		j.Work *= s.spec.CachedWorkFraction
 	}
-	heap.Push(&s.running, run{j, s.passed + j.Work})
+	heap.Push(&s.running, runningJob{j, s.virtualWork + j.Work})
 }
 
-func (s *Server) finish() {
-	r := heap.Pop(&s.running).(run)
-	s.end(r.job, balance.Succeeded)
-	for len(s.running) < s.build.Cores && s.waiting.len() > 0 {
-		s.run(s.waiting.pop())
+func (s *Server) finishNext() {
+	r := heap.Pop(&s.running).(runningJob)
+	s.complete(r.job, balance.Succeeded)
+	for len(s.running) < s.spec.Cores && s.waiting.len() > 0 {
+		s.execute(s.waiting.pop())
 	}
 }
 
-func (s *Server) end(j Job, o balance.Outcome) {
+func (s *Server) complete(j Job, o balance.Outcome) {
 	switch o {
 	case balance.Succeeded:
-		s.Honoured++
+		s.Succeeded++
 	case balance.ServerError:
-		s.Faults++
+		s.Errors++
 	case balance.ServerRejected:
-		s.Turned++
+		s.Rejected++
 	default:
 		s.Lost++
 	}
-	s.ends = append(s.ends, End{Ref: j.Ref, Outcome: o, At: s.now, Work: j.Work})
+	s.completions = append(s.completions, Completion{Ref: j.Ref, Outcome: o, At: s.now, Work: j.Work})
 }
 
-func at[T any](list []T, i int) (zero T) {
+func valueAt[T any](list []T, i int) (zero T) {
 	if i < len(list) {
 		return list[i]
 	}
 	return zero
 }
 
-func set[T any](list []T, i int, x T) []T {
+func withValue[T any](list []T, i int, x T) []T {
 	for len(list) <= i {
 		var zero T
 		list = append(list, zero)
@@ -438,5 +442,5 @@
 	return list
 }
 
-// Still tells whether it stands still.
-func (s *Server) Still() bool { return s.up && s.now < s.pauseTo }
+// Paused tells whether it stands still.
+func (s *Server) Paused() bool { return s.up && s.now < s.pausedUntil }
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -125,7 +125,7 @@
 		defer a.y.mu.Unlock()
 		now := a.y.Now()
 		for i, m := range a.y.Fleet.Members[:len(a.y.owners)] {
-			if m.State != balance.Ready && !m.Changed(version) {
+			if m.State != balance.Ready && !m.ChangedAfter(version) {
 				a.y.sight.Told(now, a.proxy, i)
 			}
 		}
@@ -276,12 +276,12 @@
 	out.Version = y.Fleet.Version
 	now := y.Now()
 	for i, m := range y.Fleet.Members[:len(y.owners)] {
-		if !m.Changed(from) || out.Full && m.State == balance.Removed {
+		if !m.ChangedAfter(from) || out.Full && m.State == balance.Removed {
 			continue
 		}
-		e := discovery.Entry{Addr: y.slots[m.Slot].doors[a.proxy].addr}
+		e := discovery.Entry{Addr: y.slots[m.AddressIndex].doors[a.proxy].addr}
 		e.Name, e.ZoneName, e.ModelName, e.Pod, e.State, e.Cores = m.Name, m.Zone, m.Model, m.Pod, m.State, 1
-		e.StartedAt = math.Trunc(m.Since()*1000) / 1000
+		e.StartedAt = math.Trunc(m.StartedAt()*1000) / 1000
 		out.Entries = append(out.Entries, e)
 		if m.State != balance.Ready {
 			y.sight.Told(now, a.proxy, i)
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -23,7 +23,7 @@
 	nc     *net.TCPConn
 	proxy  int
 	member int
-	ends   chan emulator.End
+	ends   chan emulator.Completion
 
 	// Under the yard's lock.
 	id  string
@@ -52,8 +52,8 @@
 			return
 		}
 		y.mu.Lock()
-		c := &conn{y: y, nc: nc, proxy: proxy, member: s.member, ends: make(chan emulator.End, 1), job: -1}
-		deaf := s.reach != emulator.Open
+		c := &conn{y: y, nc: nc, proxy: proxy, member: s.member, ends: make(chan emulator.Completion, 1), job: -1}
+		deaf := s.reach != emulator.Accepting
 		if !deaf {
 			s.conns[c] = true
 			y.work.Add(2)
@@ -83,7 +83,7 @@
 		delete(s.conns, c)
 		if c.job >= 0 {
 			c.y.jobs[c.job] = nil
-			dropped, ends := c.y.Fleet.Members[c.member].Leave(c.y.Now(), c.job)
+			dropped, ends := c.y.Fleet.Members[c.member].Abandon(c.y.Now(), c.job)
 			if dropped {
 				c.y.free = append(c.y.free, c.job)
 			}
@@ -155,9 +155,9 @@
 	m := y.Fleet.Members[c.member]
 	now := y.Now()
 	group := a.lookup.Marks(m)
-	j := emulator.Job{Tariff: a.lookup.Number, Work: a.work, Key: a.key}
+	j := emulator.Job{Class: a.lookup.Number, Work: a.work, Key: a.key}
 	if group >= 0 {
-		j.Mark, j.Window, j.Marks = a.mark, a.lookup.Window, y.Fleet.Group(group)
+		j.DedupKey, j.DedupWindow, j.DedupGroup = a.mark, a.lookup.Window, y.Fleet.DedupGroup(group)
 	}
 	if n := len(y.free); n > 0 {
 		j.Ref, y.free = y.free[n-1], y.free[:n-1]
@@ -167,12 +167,12 @@
 		y.jobs = append(y.jobs, c)
 	}
 	c.job, c.id = j.Ref, a.id
-	unheard := m.Unheard
-	if m.Reach() == emulator.Open {
+	unheard := m.Unreceived
+	if m.Reachability() == emulator.Accepting {
 		y.sight.Reached(began, a.id, c.proxy, c.member, group)
 	}
-	ends := m.Take(now, j)
-	if m.Unheard > unheard { // lost on its way: no end will tell
+	ends := m.Receive(now, j)
+	if m.Unreceived > unheard { // lost on its way: no end will tell
 		y.jobs[j.Ref] = nil
 		y.free = append(y.free, j.Ref)
 		c.job = -1
--- a/internal/fakeserver/yard.go
+++ b/internal/fakeserver/yard.go
@@ -74,7 +74,7 @@
 type slot struct {
 	doors  []*entrance
 	member int
-	reach  emulator.Reach
+	reach  emulator.Reachability
 	conns  map[*conn]bool
 }
 
@@ -122,10 +122,10 @@
 func (y *Yard) Agent(proxy int) *Agent { return y.agents[proxy] }
 
 // Do carries out an act and what it leads to later.
-func (y *Yard) Do(a emulator.Act) error {
+func (y *Yard) Do(a emulator.Change) error {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	e, later := y.Fleet.Do(y.Now(), a)
+	e, later := y.Fleet.Apply(y.Now(), a)
 	if err := y.grow(); err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 func (y *Yard) grow() error {
 	for i := len(y.owners); i < len(y.Fleet.Members); i++ {
 		m := y.Fleet.Members[i]
-		for len(y.slots) <= m.Slot {
+		for len(y.slots) <= m.AddressIndex {
 			s := &slot{conns: map[*conn]bool{}}
 			for p := range y.proxies {
 				ln, err := y.listen()
@@ -241,9 +241,9 @@
 			}
 			y.slots = append(y.slots, s)
 		}
-		y.owners = append(y.owners, m.Slot)
-		y.slots[m.Slot].member = i
-		if err := y.reachable(m.Slot); err != nil {
+		y.owners = append(y.owners, m.AddressIndex)
+		y.slots[m.AddressIndex].member = i
+		if err := y.reachable(m.AddressIndex); err != nil {
 			return err
 		}
 	}
@@ -254,23 +254,23 @@
 func (y *Yard) reachable(n int) error {
 	s := y.slots[n]
 	m := y.Fleet.Members[s.member]
-	want := m.Reach()
+	want := m.Reachability()
 	if want == s.reach {
 		return nil
 	}
 	was := s.reach
 	s.reach = want
 	for p, d := range s.doors {
-		if was == emulator.Silent {
+		if was == emulator.Unreachable {
 			d.hear()
 		}
 		switch want {
-		case emulator.Shut:
+		case emulator.Refusing:
 			d.shut()
-		case emulator.Silent:
+		case emulator.Unreachable:
 			y.deafen(d)
-		case emulator.Open:
-			if was == emulator.Shut {
+		case emulator.Accepting:
+			if was == emulator.Refusing {
 				if err := y.reopen(s, d, p); err != nil {
 					return err
 				}
@@ -373,20 +373,22 @@
 	y.dueAt = math.Inf(1)
 	for i := range y.owners {
 		m := y.Fleet.Members[i]
-		if m.Next() <= now {
+		if m.NextEvent() <= now {
 			y.settle(i, m.Advance(now))
 		}
-		y.dueAt = min(y.dueAt, m.Next())
+		y.dueAt = min(y.dueAt, m.NextEvent())
 	}
 }
 
-func (y *Yard) settle(member int, ends []emulator.End) { y.effect(y.Fleet.Settle(member, ends)) }
+func (y *Yard) settle(member int, ends []emulator.Completion) {
+	y.effect(y.Fleet.Reconcile(member, ends))
+}
 
 // effect carries out what came of a call on a member.
 func (y *Yard) effect(e emulator.Effect) {
 	now := y.Now()
 	m := y.Fleet.Members[e.Member]
-	for _, end := range e.Ends {
+	for _, end := range e.Completions {
 		y.Late(now - end.At)
 		c := y.jobs[end.Ref]
 		y.jobs[end.Ref] = nil
@@ -397,26 +399,26 @@
 		if end.Outcome == balance.ServerRejected {
 			y.sight.Turned(c.id)
 		}
-		if c.job = -1; m.Reach() != emulator.Silent { // else nothing that it says gets out
+		if c.job = -1; m.Reachability() != emulator.Unreachable { // else nothing that it says gets out
 			c.ends <- end // has room: one is out at a time
 		}
 	}
-	if e.Reset {
-		if m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Removed {
+	if e.ResetConnections {
+		if m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
 			y.sight.Fell(now, e.Member)
 		}
-		for c := range y.slots[m.Slot].conns {
+		for c := range y.slots[m.AddressIndex].conns {
 			if c.member == e.Member {
 				c.reset()
 			}
 		}
 	}
-	if y.slots[m.Slot].member == e.Member {
-		if err := y.reachable(m.Slot); err != nil && y.fault == nil {
+	if y.slots[m.AddressIndex].member == e.Member {
+		if err := y.reachable(m.AddressIndex); err != nil && y.fault == nil {
 			y.fault = err
 		}
 	}
-	if e.Listed {
+	if e.ListChanged {
 		for i, m := range y.Fleet.Members {
 			if m.State != balance.Ready {
 				y.sight.Listed(now, i)
@@ -426,7 +428,7 @@
 			a.changed(y.Fleet.Version, time.Now())
 		}
 	}
-	if next := m.Next(); next < y.dueAt {
+	if next := m.NextEvent(); next < y.dueAt {
 		y.dueAt = next
 		select {
 		case y.kick <- struct{}{}:
--- a/internal/fakeserver/yard_test.go
+++ b/internal/fakeserver/yard_test.go
@@ -52,14 +52,14 @@
 }
 
 // field is a yard with two servers, for two proxies.
-func field(t *testing.T, build emulator.Build) (*Yard, *notes) {
+func field(t *testing.T, build emulator.Spec) (*Yard, *notes) {
 	f := emulator.NewFleet(1)
 	n := &notes{}
 	requests := map[string]Lookup{"page": {Work: .001, Marks: func(*emulator.Member) int { return -1 }},
 		"sign": {Number: 1, Work: .001, Window: 60, Marks: func(*emulator.Member) int { return 1 }}}
 	build.Cores, build.Speed = 1, 1
 	for range 2 {
-		f.Seat(float64(time.Now().UnixMicro())/1e6, emulator.Made{Name: "s", Zone: "a", Build: build}, true)
+		f.AddPosition(float64(time.Now().UnixMicro())/1e6, emulator.MemberSpec{Name: "s", Zone: "a", Spec: build}, true)
 	}
 	y, err := Open(f, 2, requests, n)
 	require.NoError(t, err)
@@ -114,7 +114,7 @@
 }
 
 func TestServers(t *testing.T) {
-	y, n := field(t, emulator.Build{Room: 0})
+	y, n := field(t, emulator.Spec{QueueCapacity: 0})
 	a := dial(t, y, 0, 0)
 	b := dial(t, y, 1, 0)
 	assert.Equal(t, "200 7", a.ask("page?user=3", "7", ""))
@@ -129,17 +129,17 @@
 	assert.ElementsMatch(t, []string{"7 from 0 at 0", "7 served", "9 from 0 at 0", "10 from 1 at 0", "10 turned", "9 served"}, n.seen())
 	assert.Equal(t, "200 11", a.ask("sign", "11", "Idempotency-Key: k\r\n"))
 	assert.Equal(t, "200 12", dial(t, y, 1, 1).ask("sign", "12", "Idempotency-Key: k\r\n"), "a repeat at another server of the group")
-	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[1].Repeats) })
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetFail, Seat: 1, Tariff: -1, Value: 1}))
+	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[1].Duplicates) })
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeErrorShare, Position: 1, Class: -1, Value: 1}))
 	assert.Equal(t, "500", dial(t, y, 0, 1).ask("page", "13", ""))
 }
 
 // A server that dies resets what it has and refuses; it comes back at the same address.
 func TestCrash(t *testing.T) {
-	y, _ := field(t, emulator.Build{Room: 9})
+	y, _ := field(t, emulator.Spec{QueueCapacity: 9})
 	a := dial(t, y, 0, 0)
 	a.send("page", "1", "X-Work: 50\r\n")
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetCrash, Value: .3}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeCrash, Value: .3}))
 	assert.Equal(t, "reset", a.answer())
 	_, err := net.DialTimeout("tcp", y.addr(0, 0), time.Second)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
@@ -156,11 +156,11 @@
 
 // A server that is cut off says nothing on open connections, and new ones never come up; back, it resets the old ones.
 func TestSilence(t *testing.T) {
-	y, n := field(t, emulator.Build{Room: 9})
+	y, n := field(t, emulator.Spec{QueueCapacity: 9})
 	a := dial(t, y, 0, 0)
 	a.send("page", "1", "X-Work: 0.05\r\n")
 	require.Eventually(t, func() bool { return len(n.seen()) == 1 }, 5*time.Second, time.Millisecond)
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetCut, Value: 1}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeUnreachable, Value: 1}))
 	require.Eventually(t, func() bool { // until the last place is taken
 		nc, err := net.DialTimeout("tcp", y.addr(0, 0), 100*time.Millisecond)
 		if err == nil {
@@ -173,9 +173,9 @@
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err := a.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "done long since, and not told")
-	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Honoured) })
+	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Succeeded) })
 	a.SetReadDeadline(time.Now().Add(10 * time.Second))
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetCut}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeUnreachable}))
 	_, err = a.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 	assert.Equal(t, "200 3", dial(t, y, 0, 0).ask("page", "3", ""))
@@ -183,7 +183,7 @@
 
 // A client that goes takes what waits along, not what is in work.
 func TestLeaves(t *testing.T) {
-	y, n := field(t, emulator.Build{Room: 9})
+	y, n := field(t, emulator.Spec{QueueCapacity: 9})
 	a, b := dial(t, y, 0, 0), dial(t, y, 0, 0)
 	a.send("page", "1", "X-Work: 0.3\r\n")
 	require.Eventually(t, func() bool { return len(n.seen()) == 1 }, 5*time.Second, time.Millisecond)
@@ -193,15 +193,15 @@
 	b.Close()
 	require.Eventually(t, func() bool {
 		done := false
-		y.Look(func(f *emulator.Fleet) { done = f.Members[0].Honoured == 1 && f.Members[0].Holds() == 0 })
+		y.Look(func(f *emulator.Fleet) { done = f.Members[0].Succeeded == 1 && f.Members[0].InFlight() == 0 })
 		return done
 	}, 10*time.Second, time.Millisecond)
-	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Begun) })
+	y.Look(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Started) })
 }
 
 // The agent tells what the proxy's own reader of lists takes, late or silent as it is told to be.
 func TestAgent(t *testing.T) {
-	y, n := field(t, emulator.Build{Room: 9})
+	y, n := field(t, emulator.Spec{QueueCapacity: 9})
 	told := make(chan discovery.List, 100)
 	log, _ := test.NewNullLogger()
 	w := &discovery.Watch{Addr: y.Agent(1).Addr(), Version: 0, Log: log, OnConnected: func() {}, OnList: func(l discovery.List) { told <- l },
@@ -215,7 +215,7 @@
 	first := <-told
 	assert.Equal(t, 2, len(first.Entries), "what changed since the beginning is everything")
 	assert.Equal(t, y.addr(1, 0), first.Entries[0].Addr, "its own address of each server")
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetRenewAt, Value: .2}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeReplaceInPlace, Value: .2}))
 	draining := <-told
 	assert.Equal(t, balance.Draining, draining.Entries[0].State)
 	states := map[string]balance.EndpointState{}
@@ -235,7 +235,7 @@
 
 	y.Agent(1).Delay(300*time.Millisecond, time.Minute)
 	began := time.Now()
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetDrain, Seat: 1, Value: 100}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeDrain, Position: 1, Value: 100}))
 	<-told
 	assert.Greater(t, time.Since(began), 300*time.Millisecond)
 	y.Agent(1).Delay(0, 0)
@@ -243,7 +243,7 @@
 	y.Agent(1).Cut() // and nobody watches at its return but the call that was made meanwhile
 	y.Indent = true
 	began = time.Now()
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetRenew, Seat: 0, Value: 100}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeReplace, Position: 0, Value: 100}))
 	<-told
 	assert.Greater(t, time.Since(began), 380*time.Millisecond)
 	assert.Less(t, time.Since(began), 2*time.Second, "the call is held, and heard at the return")
@@ -256,7 +256,7 @@
 	}
 	y.Agent(1).Mute()
 	began = time.Now()
-	require.NoError(t, y.Do(emulator.Act{Deed: emulator.SetDrain, Seat: 0, Value: 100}))
+	require.NoError(t, y.Do(emulator.Change{Kind: emulator.ChangeDrain, Position: 0, Value: 100}))
 	<-told
 	assert.Greater(t, time.Since(began), time.Second, "a watch that has fallen silent tells nothing")
 	assert.Less(t, time.Since(began), 4*time.Second)
@@ -275,7 +275,7 @@
 
 // What a watch says is chunked as a plain reader of HTTP/1.1 expects it, and ends when the agent is cut.
 func TestWatchOnTheWire(t *testing.T) {
-	y, _ := field(t, emulator.Build{})
+	y, _ := field(t, emulator.Spec{})
 	nc, err := net.Dial("tcp", y.Agent(0).Addr())
 	require.NoError(t, err)
 	defer nc.Close()
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -402,21 +402,21 @@
 
 // troubles is what each kind of trouble needs, and what it does.
 var troubles = map[string]struct {
-	deed           emulator.Deed
+	deed           emulator.ChangeKind
 	factor, lasts  bool // needs a factor, ends after For
 	proxies, lists bool // not of servers
 	bans           bool // of servers at proxies
 	once           bool // lasts for no time, or for one that may be left out
 }{
-	"slow":          {deed: emulator.SetSlow, factor: true, lasts: true},
-	"pause":         {deed: emulator.SetPause},
-	"errors":        {deed: emulator.SetFail, factor: true, lasts: true},
-	"hang":          {deed: emulator.SetHang, lasts: true},
-	"silence":       {deed: emulator.SetCut, lasts: true},
-	"crash":         {deed: emulator.SetCrash, once: true},
-	"drain":         {deed: emulator.SetDrain, once: true},
-	"replace":       {deed: emulator.SetRenew, once: true},
-	"replace-there": {deed: emulator.SetRenewAt, once: true},
+	"slow":          {deed: emulator.ChangeSpeed, factor: true, lasts: true},
+	"pause":         {deed: emulator.ChangePause},
+	"errors":        {deed: emulator.ChangeErrorShare, factor: true, lasts: true},
+	"hang":          {deed: emulator.ChangeHanging, lasts: true},
+	"silence":       {deed: emulator.ChangeUnreachable, lasts: true},
+	"crash":         {deed: emulator.ChangeCrash, once: true},
+	"drain":         {deed: emulator.ChangeDrain, once: true},
+	"replace":       {deed: emulator.ChangeReplace, once: true},
+	"replace-there": {deed: emulator.ChangeReplaceInPlace, once: true},
 	"list-late":     {lists: true, factor: true},
 	"list-silent":   {lists: true},
 	"list-reset":    {lists: true, once: true},
@@ -588,12 +588,12 @@
 	d := &s.Deployment
 	seat := 0
 	for n, g := range s.Servers {
-		b := emulator.Build{Cores: g.Cores, Speed: g.Speed, Room: g.Room, ColdShare: d.ColdShare, ColdFor: d.ColdFor,
-			FallMultiple: d.FallMultiple, FallFor: d.FallFor, DownFor: g.DownFor, ChokeAt: g.ChokeAt, ChokeTo: g.ChokeTo,
-			ChokeIn: g.ChokeIn, Linger: g.Linger, WarmKeys: g.WarmKeys, WarmWork: g.WarmWork}
+		b := emulator.Spec{Cores: g.Cores, Speed: g.Speed, QueueCapacity: g.Room, SlowStartFraction: d.ColdShare, SlowStartDuration: d.ColdFor,
+			CrashFactor: d.FallMultiple, CrashWindow: d.FallFor, CrashDowntime: g.DownFor, DegradeQueueLength: g.ChokeAt, DegradedSpeed: g.ChokeTo,
+			DegradeTimeConstant: g.ChokeIn, RecoverTimeConstant: g.Linger, CacheSize: g.WarmKeys, CachedWorkFraction: g.WarmWork}
 		for i := range g.Count {
-			f.Seat(now, emulator.Made{Name: fmt.Sprintf("%s-%d", g.Name, i), Zone: g.Zones[i%len(g.Zones)], Model: g.Model,
-				Pod: seat / g.Pod, Group: n, Build: b}, !g.Cold)
+			f.AddPosition(now, emulator.MemberSpec{Name: fmt.Sprintf("%s-%d", g.Name, i), Zone: g.Zones[i%len(g.Zones)], Model: g.Model,
+				Pod: seat / g.Pod, Group: n, Spec: b}, !g.Cold)
 			seat++
 		}
 	}
--- a/internal/simulation/sockets.go
+++ b/internal/simulation/sockets.go
@@ -276,7 +276,7 @@
 		case Drain:
 			work.Go(func() { st.try(st.drain(i, seconds(h.Value))) })
 		case Ban:
-			work.Go(func() { st.try(st.ban(i, h.Act.Seat, seconds(h.Value))) })
+			work.Go(func() { st.try(st.ban(i, h.Act.Position, seconds(h.Value))) })
 		default:
 			h.listed(st.yard.Agent(i))
 		case Kill, Restart:
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -197,17 +197,17 @@
 		_, waiting, _ := m.Load()
 		s.Waiting += waiting
 		switch {
-		case m.Reach() == emulator.Silent:
+		case m.Reachability() == emulator.Unreachable:
 			s.Silent++
-		case m.Reach() == emulator.Shut:
+		case m.Reachability() == emulator.Refusing:
 			s.Down++
 		case m.State == balance.Draining:
 			s.Draining++
-		case m.Still():
+		case m.Paused():
 			s.Still++
-		case m.Cold():
+		case m.WarmingUp():
 			s.Cold++
-		case m.Choked() > .1:
+		case m.Degradation() > .1:
 			s.Choked++
 		default:
 			s.Ready++
@@ -229,8 +229,8 @@
 	r.P50, r.P90, r.P99, r.P999 = at(t.times, 50), at(t.times, 90), at(t.times, 99), at(t.times, 99.9)
 	for _, m := range f.Members {
 		r.Work += m.Work
-		r.Repeats += m.Repeats
-		r.Falls += m.Falls
+		r.Repeats += m.Duplicates
+		r.Falls += m.Crashes
 	}
 	r.Waste = max(1-share(t.useful, r.Work), 0)
 	r.Broken, r.First = a.Broken, a.First
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -12,8 +12,8 @@
 // Happening is one thing of a scenario's timeline: to a server, to a proxy, or to what proxies are told.
 type Happening struct {
 	At    float64
-	Act   emulator.Act // where Proxy is nothing
-	Then  bool         // it follows from another, and is not scripted
+	Act   emulator.Change // where Proxy is nothing
+	Then  bool            // it follows from another, and is not scripted
 	Proxy Turn
 	Who   int     // the proxy, from 0; -1: all
 	Value float64 // for so long
@@ -42,10 +42,10 @@
 
 func (h Happening) String() string {
 	if h.Proxy == NoTurn {
-		return fmt.Sprintf("seat %d %s %g", h.Act.Seat, h.Act.Deed, h.Act.Value)
+		return fmt.Sprintf("seat %d %s %g", h.Act.Position, h.Act.Kind, h.Act.Value)
 	}
 	if h.Proxy == Ban {
-		return fmt.Sprintf("seat %d banned for %g", h.Act.Seat, h.Value)
+		return fmt.Sprintf("seat %d banned for %g", h.Act.Position, h.Value)
 	}
 	if h.Who < 0 {
 		return fmt.Sprintf("all proxies %s %g", h.Proxy, h.Value)
@@ -68,22 +68,22 @@
 		for i := range n {
 			if kind.bans {
 				all = append(all, Happening{At: t.At + t.Within*float64(i)/float64(n), Proxy: Ban, Who: t.Proxy - 1, Value: t.For,
-					Act: emulator.Act{Seat: first + i}})
+					Act: emulator.Change{Position: first + i}})
 				continue
 			}
-			a := emulator.Act{At: t.At + t.Within*float64(i)/float64(n), Deed: kind.deed, Seat: first + i, Tariff: class, Value: t.Factor}
+			a := emulator.Change{At: t.At + t.Within*float64(i)/float64(n), Kind: kind.deed, Position: first + i, Class: class, Value: t.Factor}
 			switch kind.deed {
-			case emulator.SetPause, emulator.SetCrash:
+			case emulator.ChangePause, emulator.ChangeCrash:
 				a.Value = t.For
-			case emulator.SetDrain, emulator.SetRenew, emulator.SetRenewAt:
+			case emulator.ChangeDrain, emulator.ChangeReplace, emulator.ChangeReplaceInPlace:
 				a.Value = t.Drain
-			case emulator.SetHang, emulator.SetCut:
+			case emulator.ChangeHanging, emulator.ChangeUnreachable:
 				a.Value = 1
 			}
 			all = append(all, Happening{At: a.At, Act: a})
 			if kind.lasts {
 				a.At += t.For
-				if a.Value = 0; kind.deed == emulator.SetSlow {
+				if a.Value = 0; kind.deed == emulator.ChangeSpeed {
 					a.Value = 1
 				}
 				all = append(all, Happening{At: a.At, Act: a})
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -426,36 +426,36 @@
 	}
 	m := v.fleet.Members[l.member]
 	t := &v.tries[l.try]
-	switch reach := m.Reach(); {
-	case reach == emulator.Shut || m.State == balance.Removed:
+	switch reach := m.Reachability(); {
+	case reach == emulator.Refusing || m.State == balance.Removed:
 		v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
-	case reach == emulator.Silent && !l.kept:
+	case reach == emulator.Unreachable && !l.kept:
 		v.agenda.add(event{at: l.sent + v.figures.ConnectTimeout, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
-	case reach == emulator.Silent:
+	case reach == emulator.Unreachable:
 		v.unheard[l.member] = append(v.unheard[l.member], g)
-		m.Take(v.now, emulator.Job{Ref: int(g)})
+		m.Receive(v.now, emulator.Job{Ref: int(g)})
 		return
 	}
 	row := &v.figures.Classes[t.in.Tariff]
-	j := emulator.Job{Ref: int(g), Tariff: t.in.Tariff, Work: l.work, Key: t.in.Key}
+	j := emulator.Job{Ref: int(g), Class: t.in.Tariff, Work: l.work, Key: t.in.Key}
 	group := marks(*row, t.in.Tariff, m, v.zones[m.Zone])
 	if group >= 0 {
-		j.Mark, j.Window, j.Marks = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.Group(group)
+		j.DedupKey, j.DedupWindow, j.DedupGroup = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.DedupGroup(group)
 	}
 	l.reached = true
 	v.audit.Reached(v.now, t.id, int(l.proxy), int(l.member), group)
-	v.settle(int(l.member), m.Take(v.now, j))
+	v.settle(int(l.member), m.Receive(v.now, j))
 }
 
 // settle takes in what came of a call on a member.
-func (v *virtual) settle(i int, ends []emulator.End) { v.effect(v.fleet.Settle(i, ends)) }
+func (v *virtual) settle(i int, ends []emulator.Completion) { v.effect(v.fleet.Reconcile(i, ends)) }
 
 func (v *virtual) effect(e emulator.Effect) {
 	v.grow()
 	m := v.fleet.Members[e.Member]
-	for _, end := range e.Ends {
+	for _, end := range e.Completions {
 		g := int32(end.Ref)
 		l := &v.legs[g]
 		if end.Outcome == balance.ServerRejected {
@@ -465,7 +465,7 @@
 		case l.closed: // nobody waits for it
 			l.reached = false
 			v.freed(g)
-		case m.Reach() == emulator.Silent:
+		case m.Reachability() == emulator.Unreachable:
 			l.reached = false
 			v.unheard[e.Member] = append(v.unheard[e.Member], g)
 		default:
@@ -473,13 +473,13 @@
 			v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(end.Outcome), gen: l.gen})
 		}
 	}
-	if e.Reset {
+	if e.ResetConnections {
 		v.reset(e.Member)
 	}
-	if e.Listed {
+	if e.ListChanged {
 		v.listed()
 	}
-	if next := m.Next(); next < v.nextAt[e.Member] {
+	if next := m.NextEvent(); next < v.nextAt[e.Member] {
 		v.nextAt[e.Member] = next
 		v.agenda.add(event{at: next, what: evServe, a: int32(e.Member)})
 	}
@@ -490,7 +490,7 @@
 	for len(v.nextAt) < len(v.fleet.Members) {
 		v.nextAt, v.unheard = append(v.nextAt, farOff), append(v.unheard, nil)
 		i := len(v.nextAt) - 1
-		if next := v.fleet.Members[i].Next(); next < farOff {
+		if next := v.fleet.Members[i].NextEvent(); next < farOff {
 			v.nextAt[i] = next
 			v.agenda.add(event{at: next, what: evServe, a: int32(i)})
 		}
@@ -499,7 +499,7 @@
 
 // reset ends all connections to a member.
 func (v *virtual) reset(member int) {
-	if m := v.fleet.Members[member]; m.Falls > 0 && m.Reach() == emulator.Shut && m.State != balance.Removed {
+	if m := v.fleet.Members[member]; m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
 		v.tally.event(v.now-epoch, fmt.Sprintf("!%s fell over", m.Name))
 		v.audit.Fell(v.now, member)
 	}
@@ -546,7 +546,7 @@
 	l := &v.legs[g]
 	l.closed = true
 	if l.reached {
-		dropped, ends := v.fleet.Members[l.member].Leave(v.now, int(g))
+		dropped, ends := v.fleet.Members[l.member].Abandon(v.now, int(g))
 		l.reached = l.reached && !dropped
 		v.settle(int(l.member), ends)
 	}
@@ -613,7 +613,7 @@
 		v.tally.event(v.now-epoch, h.String())
 	}
 	if h.Proxy == NoTurn {
-		e, later := v.fleet.Do(v.now, h.Act)
+		e, later := v.fleet.Apply(v.now, h.Act)
 		v.grow()
 		v.effect(e)
 		for _, a := range later {
@@ -708,7 +708,7 @@
 		model = len(v.models)
 		v.models[m.Model] = model
 	}
-	return balance.Endpoint{Index: i, NameHash: settings.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.Since()}
+	return balance.Endpoint{Index: i, NameHash: settings.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.StartedAt()}
 }
 
 func (v *virtual) told(proxy, member int) {
@@ -769,7 +769,7 @@
 	}
 	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
-		if m.Changed(p.version) {
+		if m.ChangedAfter(p.version) {
 			list = append(list, v.entry(k))
 			v.told(i, k)
 		}
