--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -7,7 +7,7 @@
 	"lockloom/balance"
 )
 
-// Member is a server with what the list says of it.
+// Member is a server with its entry of the endpoint list.
 type Member struct {
 	*Server
 	Name, Zone, Model      string
@@ -20,7 +20,7 @@
 	listedCrashes          int
 }
 
-// MemberSpec is a kind of server that a fleet can start.
+// MemberSpec describes a server that a fleet can start.
 type MemberSpec struct {
 	Name, Zone, Model string
 	Pod               int
@@ -28,7 +28,7 @@
 	Spec              Spec
 }
 
-// What an Act does.
+// ChangeKind is what a Change does to a server.
 type ChangeKind uint8
 
 const (
@@ -44,12 +44,24 @@
 	ChangeReplaceInPlace                   // the same at its address, once the old one is gone
 )
 
-// changeKindNames are their names in timelines.
-var changeKindNames = [...]string{"slow", "pause", "fail", "hang", "cut", "crash", "drain", "gone", "renew", "renew at its address"}
+// changeKindNames are the kinds in timelines.
+var changeKindNames = [...]string{
+	"slow",
+	"pause",
+	"fail",
+	"hang",
+	"cut",
+	"crash",
+	"drain",
+	"gone",
+	"renew",
+	"renew at its address",
+}
 
+// String is the name of the kind in timelines.
 func (d ChangeKind) String() string { return changeKindNames[d] }
 
-// Change is one thing that happens to the server in a seat.
+// Change is a fault or a planned change of the server at a position.
 type Change struct {
 	At       float64
 	Kind     ChangeKind
@@ -59,7 +71,7 @@
 	Value    float64
 }
 
-// Effect is what came of a call on one member.
+// Effect is the result of a call on one member.
 type Effect struct {
 	Member           int
 	Completions      []Completion // of its jobs, valid until its next call
@@ -67,7 +79,8 @@
 	ListChanged      bool         // the list has changed
 }
 
-// Fleet is servers under a list. Members are numbered as they came and stay in it when they are gone.
+// Fleet is a set of servers with their endpoint list. Members are numbered in the order of their start and keep their
+// number once they are removed.
 type Fleet struct {
 	Members     []*Member
 	Version     int64
@@ -79,44 +92,52 @@
 	seed      uint64
 }
 
-// NewFleet is empty; chance comes from the seed.
+// NewFleet returns an empty fleet; the seed determines which jobs fail.
 func NewFleet(seed uint64) *Fleet {
 	return &Fleet{seed: seed, Version: 1, DedupGroups: map[int]*DedupGroup{}}
 }
 
-// Position adds a seat with a server that has long been up or, cold, starts now.
+// AddPosition adds a position, filled by a server that has long been up or, if not warm, starts now.
 func (f *Fleet) AddPosition(now float64, m MemberSpec, warm bool) int {
 	f.specs = append(f.specs, m)
 	f.positions = append(f.positions, 0)
-	seat := len(f.specs) - 1
-	f.start(now, seat, f.newAddress(), warm)
-	return seat
+	position := len(f.specs) - 1
+	f.start(now, position, f.newAddress(), warm)
+	return position
 }
 
-// Member is the one that fills a seat.
-func (f *Fleet) Member(seat int) *Member { return f.Members[f.positions[seat]] }
+// Member is the server at a position.
+func (f *Fleet) Member(position int) *Member { return f.Members[f.positions[position]] }
 
-// Index is the number of the member in a seat.
-func (f *Fleet) Index(seat int) int { return f.positions[seat] }
+// Index is the number of the member at a position.
+func (f *Fleet) Index(position int) int { return f.positions[position] }
 
 func (f *Fleet) newAddress() int {
 	f.Addresses++
 	return f.Addresses - 1
 }
 
-func (f *Fleet) start(now float64, seat, slot int, warm bool) int {
-	made := f.specs[seat]
+func (f *Fleet) start(now float64, position, address int, warm bool) int {
+	made := f.specs[position]
 	i := len(f.Members)
-	m := &Member{Server: New(made.Spec, f.seed+uint64(i)), Name: made.Name, Zone: made.Zone, Model: made.Model, Pod: made.Pod,
-		Position: seat, AddressIndex: slot, Group: made.Group}
+	m := &Member{
+		Server:       New(made.Spec, f.seed+uint64(i)),
+		Name:         made.Name,
+		Zone:         made.Zone,
+		Model:        made.Model,
+		Pod:          made.Pod,
+		Position:     position,
+		AddressIndex: address,
+		Group:        made.Group,
+	}
 	for _, old := range f.Members {
-		if old.Position == seat {
+		if old.Position == position {
 			m.Name = fmt.Sprintf("%s.%d", made.Name, i)
 		}
 	}
 	m.Start(now, warm)
 	m.listedStart = m.StartedAt()
-	f.Members, f.positions[seat] = append(f.Members, m), i
+	f.Members, f.positions[position] = append(f.Members, m), i
 	f.touch(m)
 	return i
 }
@@ -126,61 +147,61 @@
 	m.changedVersion = f.Version
 }
 
-// Apply carries out an act. It returns what came of it, and acts that are due later, all at one time, in this order.
-func (f *Fleet) Apply(now float64, a Change) (Effect, []Change) {
-	i, version := f.positions[a.Position], f.Version
-	if a.Kind == ChangeRemove {
-		i = a.Member
+// Apply carries out a change. It returns its effect and the changes that follow from it, all at one later time.
+func (f *Fleet) Apply(now float64, change Change) (Effect, []Change) {
+	member, version := f.positions[change.Position], f.Version
+	if change.Kind == ChangeRemove {
+		member = change.Member
 	}
-	m := f.Members[i]
-	var ends []Completion
+	m := f.Members[member]
+	var completions []Completion
 	var later []Change
 	reset := false
-	switch a.Kind {
+	switch change.Kind {
 	case ChangeSpeed:
-		ends = m.SetSpeedFactor(now, a.Value)
+		completions = m.SetSpeedFactor(now, change.Value)
 	case ChangePause:
-		ends = m.Pause(now, now+a.Value)
+		completions = m.Pause(now, now+change.Value)
 	case ChangeErrorShare:
-		ends = m.SetErrorShare(now, a.Class, a.Value)
+		completions = m.SetErrorShare(now, change.Class, change.Value)
 	case ChangeHanging:
-		ends = m.SetHanging(now, a.Class, a.Value > 0)
+		completions = m.SetHanging(now, change.Class, change.Value > 0)
 	case ChangeUnreachable:
-		ends, reset = m.SetUnreachable(now, a.Value > 0), a.Value == 0
+		completions, reset = m.SetUnreachable(now, change.Value > 0), change.Value == 0
 	case ChangeCrash:
 		back := math.Inf(1)
-		if a.Value > 0 {
-			back = now + a.Value
+		if change.Value > 0 {
+			back = now + change.Value
 		}
-		ends, reset = m.Crash(now, back), true
+		completions, reset = m.Crash(now, back), true
 	case ChangeRemove:
 		m.State = balance.Removed
 		f.touch(m)
-		ends, reset = m.Crash(now, math.Inf(1)), true
+		completions, reset = m.Crash(now, math.Inf(1)), true
 	case ChangeDrain, ChangeReplace, ChangeReplaceInPlace:
 		if m.State == balance.Ready {
 			m.State = balance.Draining
 			f.touch(m)
-			later = append(later, Change{At: now + a.Value, Kind: ChangeRemove, Position: a.Position, Member: i})
-			if a.Kind == ChangeReplaceInPlace {
-				later = append(later, Change{At: now + a.Value, Kind: ChangeReplaceInPlace, Position: a.Position})
+			later = append(later, Change{At: now + change.Value, Kind: ChangeRemove, Position: change.Position, Member: member})
+			if change.Kind == ChangeReplaceInPlace {
+				later = append(later, Change{At: now + change.Value, Kind: ChangeReplaceInPlace, Position: change.Position})
 			}
-		} else if a.Kind == ChangeReplaceInPlace && m.State == balance.Removed {
-			f.start(now, a.Position, m.AddressIndex, false)
+		} else if change.Kind == ChangeReplaceInPlace && m.State == balance.Removed {
+			f.start(now, change.Position, m.AddressIndex, false)
 		}
-		if a.Kind == ChangeReplace {
-			f.start(now, a.Position, f.newAddress(), false)
+		if change.Kind == ChangeReplace {
+			f.start(now, change.Position, f.newAddress(), false)
 		}
 	}
-	e := f.Reconcile(i, ends)
-	e.ResetConnections, e.ListChanged = e.ResetConnections || reset, f.Version != version
-	return e, later
+	effect := f.Reconcile(member, completions)
+	effect.ResetConnections, effect.ListChanged = effect.ResetConnections || reset, f.Version != version
+	return effect, later
 }
 
-// Reconcile looks at what a call on a member changed by itself: it fell over, or came back.
-func (f *Fleet) Reconcile(i int, ends []Completion) Effect {
-	m := f.Members[i]
-	e := Effect{Member: i, Completions: ends}
+// Reconcile updates the list after a call on a member, which may have crashed or restarted by itself.
+func (f *Fleet) Reconcile(member int, completions []Completion) Effect {
+	m := f.Members[member]
+	e := Effect{Member: member, Completions: completions}
 	if since := m.StartedAt(); since != m.listedStart && m.State != balance.Removed {
 		m.listedStart, e.ListChanged = since, true
 		f.touch(m)
@@ -191,10 +212,10 @@
 	return e
 }
 
-// ChangedAfter tells whether a member's entry changed after a version of the list.
+// ChangedAfter reports whether a member's entry changed after a version of the list.
 func (m *Member) ChangedAfter(after int64) bool { return m.changedVersion > after }
 
-// DedupGroup is the Marks of a number, made when first asked for.
+// DedupGroup returns the group of a number and makes it on first use.
 func (f *Fleet) DedupGroup(i int) *DedupGroup {
 	if f.DedupGroups[i] == nil {
 		f.DedupGroups[i] = &DedupGroup{}
--- /dev/null
+++ b/internal/emulator/heap.go
@@ -0,0 +1,19 @@
+package emulator
+
+// runningJob is a job in work, and when it ends.
+type runningJob struct {
+	job    Job
+	endsAt float64 // of passed
+}
+
+type runningJobs []runningJob
+
+func (r runningJobs) Len() int           { return len(r) }
+func (r runningJobs) Less(i, j int) bool { return r[i].endsAt < r[j].endsAt }
+func (r runningJobs) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *runningJobs) Push(x any)        { *r = append(*r, x.(runningJob)) }
+func (r *runningJobs) Pop() any {
+	x := (*r)[len(*r)-1]
+	*r = (*r)[:len(*r)-1]
+	return x
+}
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -65,7 +65,9 @@
 		"slow for a while": {acts: []act{{0, job(1, 2)}, {1, slow(.5)}, {2, slow(1)}}, ends: []outcome{{1, ok, 2.5}}},
 		"stands still, and takes in what came meanwhile": {acts: []act{{0, job(1, 1)}, {.5, pause(5)}, {1, job(2, 1)}},
 			ends: []outcome{{1, ok, 6}, {2, ok, 7}}},
-		"two pauses make the longer one": {acts: []act{{0, pause(3)}, {1, pause(1)}, {1, job(1, 1)}}, ends: []outcome{{1, ok, 4}}},
+		"two pauses make the longer one": {
+			acts: []act{{0, pause(3)}, {1, pause(1)}, {1, job(1, 1)}}, ends: []outcome{{1, ok, 4}},
+		},
 		"fails at once": {acts: []act{{0, fail(-1, 1)}, {0, job(1, 1)}, {1, fail(-1, 0)}, {1, job(2, 1)}},
 			ends: []outcome{{1, fault, 0}, {2, ok, 2}}},
 		"fails one tariff": {acts: []act{{0, fail(0, 1)}, {0, job(1, 1)}, {1, fail(0, 0)}, {1, fail(1, 1)}, {1, job(2, 1)}},
@@ -176,8 +178,8 @@
 	assert.InDelta(t, .1, took(quiet+120), .005, "two minutes later it is not")
 }
 
-// A look that is put off by every arrival would never come: a queue that goes to and fro at the mark, faster than looks are due, must
-// slow the server down all the same.
+// A look that is put off by every arrival would never come: a queue that goes to and fro at the mark, faster than looks
+// are due, must slow the server down all the same.
 func TestChokesUnderSteadyCrowd(t *testing.T) {
 	b := plain()
 	b.DegradeQueueLength, b.DegradedSpeed, b.DegradeTimeConstant, b.RecoverTimeConstant, b.QueueCapacity = 5, .25, .5, 20, 10
@@ -338,19 +340,39 @@
 	version := f.Version
 	f.Member(0).Receive(1, Job{Ref: 1, Work: 5})
 	e, later := f.Apply(1, Change{Kind: ChangeReplaceInPlace, Position: 0, Value: 2})
-	assert.Equal(t, []any{balance.Draining, true, 2}, []any{f.Members[0].State, e.ListChanged, len(later)}, "drains, and serves on")
+	assert.Equal(
+		t,
+		[]any{balance.Draining, true, 2},
+		[]any{f.Members[0].State, e.ListChanged, len(later)},
+		"drains, and serves on",
+	)
 	assert.Empty(t, e.Completions)
 	e, _ = f.Apply(3, later[0])
 	assert.Equal(t, []any{balance.Removed, true}, []any{f.Members[0].State, e.ResetConnections})
 	assert.Equal(t, []outcome{{1, balance.ConnectionLost, 3}}, seen(e.Completions), "what it still had is lost")
 	e, _ = f.Apply(3, later[1])
 	m := f.Member(0)
-	assert.Equal(t, []any{true, 3, 0, 3.0, "s.3"}, []any{e.ListChanged, len(f.Members) - 1, m.AddressIndex, m.StartedAt(), m.Name}, "a new one at the old address")
+	assert.Equal(
+		t,
+		[]any{true, 3, 0, 3.0, "s.3"},
+		[]any{e.ListChanged, len(f.Members) - 1, m.AddressIndex, m.StartedAt(), m.Name},
+		"a new one at the old address",
+	)
 	f.Apply(4, Change{Kind: ChangeReplace, Position: 1, Value: 1})
-	assert.Equal(t, []any{3, balance.Draining}, []any{f.Member(1).AddressIndex, f.Members[1].State}, "at a new address beside the old one")
+	assert.Equal(
+		t,
+		[]any{3, balance.Draining},
+		[]any{f.Member(1).AddressIndex, f.Members[1].State},
+		"at a new address beside the old one",
+	)
 	f.Apply(5, Change{Kind: ChangeCrash, Position: 2, Value: 1})
 	changed := f.Version
 	e = f.Reconcile(2, f.Members[2].Advance(7))
-	assert.Equal(t, []any{true, 6.0, changed + 1}, []any{e.ListChanged, f.Members[2].StartedAt(), f.Version}, "back, and listed as begun anew")
+	assert.Equal(
+		t,
+		[]any{true, 6.0, changed + 1},
+		[]any{e.ListChanged, f.Members[2].StartedAt(), f.Version},
+		"back, and listed as begun anew",
+	)
 	assert.True(t, slices.ContainsFunc(f.Members, func(m *Member) bool { return m.ChangedAfter(version) }))
 }
