--- /dev/null
+++ b/balance/checkpoint_test.go
@@ -0,0 +1,98 @@
+package balance
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// trafficBeforeCheckpoint returns a proxy of a fleet that gossips with attempts in flight, some at a server that the
+// endpoint list has lost, and with requests that wait.
+func trafficBeforeCheckpoint(t *testing.T) (*bank, map[uint64]*Request) {
+	t.Helper()
+	d := apart()
+	d.CacheAffinity = true
+	k := open(t, d, 4)
+	requests := map[uint64]*Request{}
+	for i := range 60 {
+		k.clock += 0.01
+		request, _ := k.take(RequestInfo{Key: uint64(i % 5)})
+		requests[uint64(request.Ref)] = request
+		if i%3 == 0 && len(request.legs) > 0 {
+			request.AttemptEnded(k.clock, 0, Outcome(i%5), 0.05, true)
+		}
+		k.GossipReceived(k.clock, 2, note(Observation{NameHash: 2, Value: 0.5, Age: 0.01}))
+		if request.Done() {
+			delete(requests, uint64(request.Ref))
+		}
+	}
+	k.EndpointsUpdated(k.clock, false, false, []Endpoint{{Index: 0, NameHash: 1, State: Removed}})
+	return k, requests
+}
+
+// A restored balancer and the original answer the same calls with the same actions.
+func TestRestoredBalancerDecidesTheSame(t *testing.T) {
+	original, requests := trafficBeforeCheckpoint(t)
+	require.NotEmpty(t, original.held)
+	require.NotEmpty(t, original.cands)
+	checkpoint, stored := original.Checkpoint(requests)
+	b, restored, err := checkpoint.Restore(stored)
+	require.NoError(t, err)
+	require.Len(t, restored, len(requests))
+	assert.Equal(t, original.CurrentStatuses(), b.CurrentStatuses())
+	copied := &bank{Balancer: b, t: t, clock: original.clock, refs: original.refs}
+	onLostServer := 0
+	for key := range uint64(61) {
+		request := requests[key]
+		if request == nil {
+			continue
+		}
+		if len(request.legs) > 0 && request.legs[0].s.State == Removed {
+			onLostServer++
+		}
+		assert.Equal(t, request.ScoreBreakdown(), restored[key].ScoreBreakdown())
+		want := *request.AttemptEnded(original.clock, 0, ServerError, 0.05, false)
+		assert.Equal(t, want, *restored[key].AttemptEnded(copied.clock, 0, ServerError, 0.05, false))
+	}
+	assert.Positive(t, onLostServer)
+	for range 200 {
+		original.clock += 0.02
+		copied.clock = original.clock
+		_, want := original.take(RequestInfo{Key: 3})
+		_, got := copied.take(RequestInfo{Key: 3})
+		assert.Equal(t, want, got)
+	}
+	assert.Equal(t, original.Snapshot(original.clock), copied.Snapshot(copied.clock))
+}
+
+func TestCheckpointWithADanglingReferenceIsRejected(t *testing.T) {
+	for name, damage := range map[string]func(*Checkpoint, map[uint64]*RequestCheckpoint){
+		"no class":                   func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.classes = nil },
+		"no fleet estimate":          func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.fleet = nil },
+		"no machine model":           func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.models[0] = nil },
+		"server without a model":     func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].model = nil },
+		"server without an estimate": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].shared[2] = nil },
+		"server without breakers":    func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].classBreakers = nil },
+		"latencies of another":       func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.classes[0].all = nil },
+		"candidate without a server": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.candidates[0].server = nil },
+		"nobody waits":               func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.waiting[0] = nil },
+		"no request":                 func(_ *Checkpoint, r map[uint64]*RequestCheckpoint) { r[1] = nil },
+		"request of another balancer": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
+			c.waiting[0].balancer = &Checkpoint{}
+		},
+		"request of an unknown class": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.waiting[0].info.Class = 9 },
+		"attempt without a server": func(_ *Checkpoint, r map[uint64]*RequestCheckpoint) {
+			r[7] = &RequestCheckpoint{balancer: r[60].balancer, class: r[60].class, attempts: make([]checkpointAttempt, 1)}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			k, requests := trafficBeforeCheckpoint(t)
+			c, stored := k.Checkpoint(requests)
+			damage(c, stored)
+			_, _, err := c.Restore(stored)
+			var dangling *CheckpointError
+			assert.ErrorAs(t, err, &dangling)
+		})
+	}
+}
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -55,7 +55,11 @@
 		if s.Next > 0 {
 			return errors.New("the capture begins in the midst of the pool's life: an excerpt begins with its making")
 		}
-		g.made = &born{Pool: s.Pool, Name: s.Name, Deployment: s.B.Deployment()}
+		pool, err := s.restore()
+		if err != nil {
+			return err
+		}
+		g.made = &born{Pool: s.Pool, Name: s.Name, Deployment: pool.B.Deployment()}
 	}
 	return nil
 }
@@ -199,7 +203,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Pool{state: state{Name: e.Pool, B: b, Hand: map[uint64]*balance.Request{}}}, nil
+	return &Pool{Name: e.Pool, B: b, Hand: map[uint64]*balance.Request{}}, nil
 }
 
 // Write writes an excerpt as a capture of its own, with the digests that came of it.
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -36,11 +36,15 @@
 	if err != nil {
 		return err
 	}
+	pool, err := s.restore()
+	if err != nil {
+		return err
+	}
 	results := 0
-	for _, learned := range s.B.Snapshot(0).Servers {
+	for _, learned := range pool.B.Snapshot(0).Servers {
 		results += learned.Results
 	}
-	r.hand, r.results = append(r.hand, len(s.Hand)), append(r.results, results)
+	r.hand, r.results = append(r.hand, len(pool.Hand)), append(r.results, results)
 	return r.Player.State(text)
 }
 
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -64,13 +64,13 @@
 	r.second, r.taken, r.dismissed = x.Now, 0, 0
 }
 
-// state is what a segment begins with, for one pool.
+// state is the stored form of a pool, with which a segment begins. Its layout is published: see form.go.
 type state struct {
-	Pool int
-	Name string
-	B    *balance.Balancer
-	Hand map[uint64]*balance.Request
-	Next uint64
+	Pool     int
+	Name     string
+	Balancer *balance.Checkpoint
+	Requests map[uint64]*balance.RequestCheckpoint
+	Next     uint64
 }
 
 // Balancer is a Balancer whose calls are recorded.
@@ -152,7 +152,8 @@
 		if b == nil {
 			continue
 		}
-		text, err := graphcodec.Write(&state{b.pool, b.name, b.Balancer, b.hand, b.next})
+		balancer, requests := b.Checkpoint(b.hand)
+		text, err := graphcodec.Write(&state{b.pool, b.name, balancer, requests, b.next})
 		if err != nil { // a type that cannot be written down: a fault of the program
 			r.to.fail(err)
 			return
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -35,8 +35,23 @@
 
 // Pool is one Balancer in replay.
 type Pool struct {
-	state
-	Last *balance.Request // the one that the last call was on; nil: none
+	Number int
+	Name   string
+	B      *balance.Balancer
+	Hand   map[uint64]*balance.Request // requests in hand, by their number
+	Last   *balance.Request            // the one that the last call was on; nil: none
+}
+
+// restore builds the pool of a stored state.
+func (s *state) restore() (*Pool, error) {
+	if s.Balancer == nil {
+		return nil, errors.New("a pool's state: it has none")
+	}
+	b, requests, err := s.Balancer.Restore(s.Requests)
+	if err != nil {
+		return nil, fmt.Errorf("a pool's state: %w", err)
+	}
+	return &Pool{Number: s.Pool, Name: s.Name, B: b, Hand: requests}, nil
 }
 
 // errDiffers is where a replay stops.
@@ -79,13 +94,11 @@
 	if err != nil {
 		return fmt.Errorf("a pool's state: %w", err)
 	}
-	if s.B == nil {
-		return errors.New("a pool's state: it has none")
-	}
-	if s.Hand == nil {
-		s.Hand = map[uint64]*balance.Request{}
+	pool, err := s.restore()
+	if err != nil {
+		return err
 	}
-	p.Pools[s.Pool] = &Pool{state: *s}
+	p.Pools[pool.Number] = pool
 	p.proved = true
 	return nil
 }
@@ -111,7 +124,7 @@
 	if p.Pools == nil {
 		return nil
 	}
-	p.Pools[b.Pool] = &Pool{state: state{Pool: b.Pool, Name: b.Name, B: made, Hand: map[uint64]*balance.Request{}}}
+	p.Pools[b.Pool] = &Pool{Number: b.Pool, Name: b.Name, B: made, Hand: map[uint64]*balance.Request{}}
 	p.proved = true
 	return nil
 }
--- a/internal/capture/story.go
+++ b/internal/capture/story.go
@@ -98,14 +98,14 @@
 
 // Tell is told of each call.
 func (s *Story) Tell(p *Pool, x *Call, o *balance.Actions) {
-	if s.done || s.l != nil && p.state.Pool != s.pool || s.l == nil && s.Pool != "" && p.Name != s.Pool {
+	if s.done || s.l != nil && p.Number != s.pool || s.l == nil && s.Pool != "" && p.Name != s.Pool {
 		return
 	}
 	if s.l == nil {
 		if x.Kind != Take || !(s.Number > 0 && x.Lookup == s.Number || s.Number == 0 && x.ID == s.ID) {
 			return
 		}
-		s.Found, s.pool, s.l, s.taken, s.Number = true, p.state.Pool, p.Last, x.Now, x.Lookup
+		s.Found, s.pool, s.l, s.taken, s.Number = true, p.Number, p.Last, x.Now, x.Lookup
 		d := p.B.Deployment()
 		t := d.Classes[x.Arrival.Class]
 		fmt.Fprintf(s.W, "lookup %d of pool %q, id hash %08x, taken at %.6f\n", x.Lookup, p.Name, x.ID, x.Now)
