--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -23,10 +23,10 @@
 		{"a success clears", "ffffffh", 0, "", true},
 		{"the next failure pauses again", "ffffffhf", 0, "", false},
 		{"a late answer is no failure", "llllllll", 0, "", true},
-		{"the window resets", "fffff", roundInterval + 1, "f", true},
-		{"within the window all count", "fffff", roundInterval - 1, "f", false},
-		{"still cooling down", "ffffff", recoverInterval * 0.9, "", false},
-		{"cooled down", "ffffff", recoverInterval*(1+recoverSpread) + 0.1, "", true},
+		{"the window resets", "fffff", breakerWindow + 1, "f", true},
+		{"within the window all count", "fffff", breakerWindow - 1, "f", false},
+		{"still cooling down", "ffffff", breakerCooldown * 0.9, "", false},
+		{"cooled down", "ffffff", breakerCooldown*(1+cooldownJitter) + 0.1, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k := open(t, deployment(), 2)
@@ -34,7 +34,7 @@
 			k.clock += c.wait
 			k.hear(k.servers[0], c.after)
 			k.now = k.clock
-			assert.Equal(t, c.want, k.admitted(&k.servers[0].breaker))
+			assert.Equal(t, c.want, k.servers[0].breaker.admits(k.now))
 		})
 	}
 }
@@ -48,18 +48,18 @@
 		}
 		return used
 	}
-	l := &Request{b: k.Balancer, row: &k.rows[1], heavy: 1, RequestInfo: RequestInfo{Class: 1}}
-	for range minCheck + 1 {
+	l := &Request{balancer: k.Balancer, class: &k.classes[1], relativeWork: 1, RequestInfo: RequestInfo{Class: 1}}
+	for range minBreakerResults + 1 {
 		k.hear(k.servers[0], "hhh")
 		k.hear(k.servers[1], "hhh")
-		k.learn(l, &leg{s: k.servers[0]}, ServerError, 0)
-		k.learn(l, &leg{s: k.servers[1]}, Succeeded, 0.05)
+		k.recordOutcome(l, &attempt{server: k.servers[0]}, ServerError, 0)
+		k.recordOutcome(l, &attempt{server: k.servers[1]}, Succeeded, 0.05)
 	}
 	assert.Positive(t, to(0)[0], "what it does well it goes on doing")
 	assert.Zero(t, to(1)[0])
-	k.now += recoverInterval * (1 + recoverSpread)
+	k.now += breakerCooldown * (1 + cooldownJitter)
 	assert.Positive(t, to(1)[0], "cooled down")
-	k.send(&Request{b: k.Balancer, row: &k.rows[1], RequestInfo: RequestInfo{Class: 1}}, k.servers[0])
+	k.send(&Request{balancer: k.Balancer, class: &k.classes[1], RequestInfo: RequestInfo{Class: 1}}, k.servers[0])
 	assert.Zero(t, to(1)[0], "one at a time")
 }
 
@@ -70,8 +70,8 @@
 		for _, s := range k.servers {
 			k.hear(s, "fhhh") // opens the row
 		}
-		k.clock += tariffRound + 1
-		for range minCheck + 1 {
+		k.clock += classBreakerWindow + 1
+		for range minBreakerResults + 1 {
 			for i, s := range k.servers {
 				if i < c.bad {
 					k.hear(s, "f")
@@ -82,7 +82,7 @@
 		}
 		paused := 0
 		for _, s := range k.servers {
-			if s.tariffs[0].paused {
+			if s.classBreakers[0].paused {
 				paused++
 			}
 		}
@@ -95,17 +95,17 @@
 	for _, c := range []struct {
 		limit float64
 		out   int
-	}{{1, 0}, {halfLeg / 2, 1}} {
+	}{{1, 0}, {minBindingLimit / 2, 1}} {
 		k := open(t, deployment(), 1)
 		l, _ := k.take(RequestInfo{Deadline: 99})
-		k.servers[0].limit = c.limit
-		k.clock += k.patience(l)
+		k.servers[0].limit.value = c.limit
+		k.clock += k.overdueAge(l)
 		l.TimerFired(k.clock)
-		assert.Equal(t, c.out, k.out, "in a large bank only the sum binds")
-		assert.Equal(t, c.out, k.servers[0].inFlight)
+		assert.Equal(t, c.out, k.concurrency.inFlight, "in a large bank only the sum binds")
+		assert.Equal(t, c.out, k.servers[0].breaker.inFlight)
 		l.AttemptEnded(k.clock, 0, TimedOut, 1, true)
-		assert.Zero(t, k.out, "it is taken off once")
-		assert.Zero(t, k.servers[0].inFlight)
+		assert.Zero(t, k.concurrency.inFlight, "it is taken off once")
+		assert.Zero(t, k.servers[0].breaker.inFlight)
 	}
 }
 
@@ -119,17 +119,17 @@
 		legs    int
 		want    []Reply
 	}{{Idempotent, 2, []Outcome{ConnectFailed, ConnectFailed}, 2, []Reply{Rejected}}, {Idempotent, 2, []Outcome{ServerRejected, ServerRejected}, 3, nil},
-		{Idempotent, 8, []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, mostLost, []Reply{Rejected}}, {NonIdempotent, 8, []Outcome{ConnectionLost, ConnectionLost}, 1, []Reply{Failed}},
-		{Keyed, 8, []Outcome{ConnectionLost, ServerError, ServerError}, mostLost, []Reply{Rejected}},
+		{Idempotent, 8, []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, maxLostAttempts, []Reply{Rejected}}, {NonIdempotent, 8, []Outcome{ConnectionLost, ConnectionLost}, 1, []Reply{Failed}},
+		{Keyed, 8, []Outcome{ConnectionLost, ServerError, ServerError}, maxLostAttempts, []Reply{Rejected}},
 		{Idempotent, 8, []Outcome{ServerRejected, ConnectFailed, NotSent, ConnectionLost, ConnectionLost, ConnectionLost}, 5, []Reply{Rejected}}} {
 		k := open(t, deployment(Class{Idempotency: c.kind, DedupWindow: 5}), c.servers)
-		k.d.MaxAttempts = 6
+		k.deployment.MaxAttempts = 6
 		l, steps := k.take(RequestInfo{})
-		for i := 0; i < min(len(l.legs), len(c.ends)); i++ {
-			k.credit = 9 // there is room for the next
+		for i := 0; i < min(len(l.attempts), len(c.ends)); i++ {
+			k.concurrency.credit = 9 // there is room for the next
 			steps = append(steps, l.AttemptEnded(k.clock, i, c.ends[i], 0, false).Requests...)
 		}
-		assert.Len(t, l.legs, c.legs, "%v", c.ends)
+		assert.Len(t, l.attempts, c.legs, "%v", c.ends)
 		assert.Equal(t, c.want, answers(steps), "%v", c.ends)
 	}
 }
@@ -154,18 +154,18 @@
 			d.HedgingAllowed, d.Proxies = c.beside, 1
 			k := open(t, d, 3)
 			for _, s := range k.servers {
-				s.limit = 2
+				s.limit.value = 2
 			}
 			for range c.out {
 				k.take(RequestInfo{})
 			}
 			l, _ := k.take(RequestInfo{})
-			k.clock += k.patience(l)
+			k.clock += k.overdueAge(l)
 			assert.Equal(t, c.want-1, sends(l.TimerFired(k.clock).Requests))
 			if c.want < 2 {
 				return
 			}
-			assert.NotSame(t, l.legs[0].s, l.legs[1].s)
+			assert.NotSame(t, l.attempts[0].server, l.attempts[1].server)
 			o := l.AttemptEnded(k.clock, 0, ConnectionLost, 0.2, false)
 			assert.Empty(t, o.Requests, "the other may still answer")
 			o = l.AttemptEnded(k.clock, 1, Succeeded, 0.1, true)
@@ -184,7 +184,7 @@
 	}
 	paused := 0
 	for _, s := range k.servers {
-		if s.paused {
+		if s.breaker.paused {
 			paused++
 		}
 	}
@@ -192,7 +192,7 @@
 	k.hear(k.servers[0], "ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff")
 	k.hear(k.servers[1], "hhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhh")
 	k.hear(k.servers[0], "f")
-	assert.True(t, k.servers[0].paused, "one that only it fails is paused still")
+	assert.True(t, k.servers[0].breaker.paused, "one that only it fails is paused still")
 }
 
 func TestDraw(t *testing.T) {
@@ -213,8 +213,8 @@
 			k := open(t, deployment(), len(c.heard))
 			for i, s := range k.servers {
 				k.hear(s, c.heard[i])
-				s.inFlight, s.limit = c.out[i], 99
-				k.out += c.out[i]
+				s.breaker.inFlight, s.limit.value = c.out[i], 99
+				k.concurrency.inFlight += c.out[i]
 			}
 			n := 0
 			for range 500 {
@@ -236,8 +236,8 @@
 	two := open(t, d, 6)
 	used := map[int]bool{}
 	for key := uint64(1); key <= 40; key++ {
-		a, _ := one.pick(&Request{b: one.Balancer, row: &one.rows[0], place: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
-		b, _ := two.pick(&Request{b: two.Balancer, row: &two.rows[0], place: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
+		a, _ := one.selectServer(&Request{balancer: one.Balancer, class: &one.classes[0], placement: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
+		b, _ := two.selectServer(&Request{balancer: two.Balancer, class: &two.classes[0], placement: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
 		assert.Equal(t, a.Index, b.Index)
 		used[a.Index] = true
 	}
@@ -258,7 +258,7 @@
 			l, _ := k.take(RequestInfo{})
 			l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 			if i > 100 {
-				used[l.legs[0].s.Index] = true
+				used[l.attempts[0].server.Index] = true
 			}
 		}
 		assert.GreaterOrEqual(t, len(used), c.least)
@@ -270,7 +270,7 @@
 	k, used := open(t, Deployment{Classes: deployment().Classes, CacheAffinity: true}, 60), map[uint64]bool{}
 	for range 300 {
 		l, _ := k.take(RequestInfo{Key: 5})
-		used[l.place] = true
+		used[l.placement] = true
 	}
 	assert.Greater(t, len(used), 30, "alone it would crowd two homes")
 }
@@ -279,16 +279,16 @@
 	d := deployment()
 	d.CacheAffinity = true
 	k := open(t, d, 6)
-	l := &Request{b: k.Balancer, row: &k.rows[0], place: 5, RequestInfo: RequestInfo{Deadline: 9, Key: 5}}
-	for range homes {
-		s, _ := k.pick(l)
-		s.inFlight = 1
+	l := &Request{balancer: k.Balancer, class: &k.classes[0], placement: 5, RequestInfo: RequestInfo{Deadline: 9, Key: 5}}
+	for range keyHomes {
+		s, _ := k.selectServer(l)
+		s.breaker.inFlight = 1
 	}
-	s, full := k.pick(l)
+	s, full := k.selectServer(l)
 	assert.Nil(t, s, "a key on every server is warm on none")
 	assert.True(t, full)
-	k.now = homeTime * k.rows[0].LatencyObjective
-	s, _ = k.pick(l)
+	k.now = keyHomeWaitShare * k.classes[0].LatencyObjective
+	s, _ = k.selectServer(l)
 	assert.NotNil(t, s, "but it does not wait long")
 }
 
@@ -297,9 +297,9 @@
 	for _, s := range k.servers {
 		k.hear(s, "hhhhhhhhhh")
 	}
-	k.servers[0].pace, k.servers[1].pace = 0.5, 2
+	k.servers[0].scores.relativeLatency, k.servers[1].scores.relativeLatency = 0.5, 2
 	for range 200 {
-		s, _ := k.pick(&Request{b: k.Balancer, row: &k.rows[0], heavy: 8, RequestInfo: RequestInfo{Deadline: 9}})
+		s, _ := k.selectServer(&Request{balancer: k.Balancer, class: &k.classes[0], relativeWork: 8, RequestInfo: RequestInfo{Deadline: 9}})
 		assert.Zero(t, s.Index)
 	}
 }
@@ -347,13 +347,13 @@
 				k := open(t, d, c.servers)
 				l, steps := k.take(RequestInfo{})
 				require.Equal(t, 1, sends(steps))
-				first := l.legs[0].s.Endpoint
+				first := l.attempts[0].server.Endpoint
 				k.clock = c.after
 				o := l.AttemptEnded(k.clock, 0, c.first, c.after, false)
 				assert.Equal(t, c.want, answers(o.Requests))
 				if c.want == nil {
 					require.Equal(t, 1, sends(o.Requests))
-					second := l.legs[1].s.Endpoint
+					second := l.attempts[1].server.Endpoint
 					assert.NotEqual(t, first.Index, second.Index)
 					assert.True(t, c.same == nil || c.same(first, second))
 				}
@@ -366,11 +366,11 @@
 	k := open(t, deployment(), 2)
 	for _, s := range k.servers {
 		k.hear(s, "hhhhhh")
-		s.limit = 20
+		s.limit.value = 20
 	}
 	var hung []*Request
 	for range 40 {
-		if l, _ := k.take(RequestInfo{}); l.legs[0].s.Index == 0 {
+		if l, _ := k.take(RequestInfo{}); l.attempts[0].server.Index == 0 {
 			hung = append(hung, l)
 		} else {
 			l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
@@ -379,7 +379,7 @@
 	for _, l := range hung {
 		l.TimerFired(0.2)
 	}
-	assert.True(t, k.servers[0].paused, "well before any hard stop")
+	assert.True(t, k.servers[0].breaker.paused, "well before any hard stop")
 }
 
 func TestAnswerBeforeHardStop(t *testing.T) {
@@ -390,17 +390,17 @@
 		given := answers(l.TimerFired(0.1).Requests)
 		given = append(given, answers(l.TimerFired(steps[0].WakeAt).Requests)...)
 		require.Len(t, given, 1)
-		for i := range l.legs {
+		for i := range l.attempts {
 			o := l.AttemptEnded(0.5, i, TimedOut, 0.5, true)
 			assert.Zero(t, sends(o.Requests))
 			assert.Empty(t, answers(o.Requests))
 		}
 		assert.Empty(t, l.ClientDisconnected(0.6).Requests)
 		assert.True(t, l.Done())
-		assert.Zero(t, k.out)
+		assert.Zero(t, k.concurrency.inFlight)
 	}
 	k := open(t, deployment(), 6)
-	_, steps := k.take(RequestInfo{Deadline: answerEarly / 2})
+	_, steps := k.take(RequestInfo{Deadline: answerMargin / 2})
 	assert.Zero(t, sends(steps), "too late to send at all")
 	assert.Len(t, answers(steps), 1)
 }
@@ -415,13 +415,13 @@
 	k.hear(k.servers[1], "ffffff")
 	k.EndpointsUpdated(1, false, false, with(0, Draining, 0))
 	k.EndpointsUpdated(1, false, false, with(1, Ready, 1))
-	assert.False(t, k.servers[1].tracked, "a restart has a fresh row")
-	assert.True(t, k.cold(k.servers[1]), "and is cold")
+	assert.False(t, k.servers[1].breaker.tracked, "a restart has a fresh row")
+	assert.True(t, k.warmingUp(k.servers[1]), "and is cold")
 	k.clock = 1
 	for range 20 {
 		l, _ := k.take(RequestInfo{})
-		for _, g := range l.legs {
-			assert.NotZero(t, g.s.Index, "nothing new to a draining backend")
+		for _, g := range l.attempts {
+			assert.NotZero(t, g.server.Index, "nothing new to a draining backend")
 		}
 	}
 	k.EndpointsUpdated(2, true, false, backends(2))
@@ -438,13 +438,13 @@
 		"hffffffg": {false, true}, "hgw": {}, "hgrw": {}} {
 		for _, advice := range []bool{true, false} {
 			k := open(t, deployment(), 1)
-			k.d.RemovalIsAdvisory, k.clock = advice, 50
+			k.deployment.RemovalIsAdvisory, k.clock = advice, 50
 			for _, x := range told {
 				switch x {
 				case 'h', 'f':
 					k.hear(k.servers[0], string(x))
 				case 'w':
-					k.clock += goneFor
+					k.clock += removedServerTimeout
 				case 'o':
 					k.EndpointsUpdated(k.clock, true, false, nil)
 				default:
@@ -475,7 +475,7 @@
 		assert.True(t, b.TimerFired(now).Subscribe)
 		assert.False(t, b.TimerFired(now+1).Subscribe, "asked once a failure")
 	}
-	assert.Greater(t, last, askFirst, "the pauses grow")
+	assert.Greater(t, last, minPollDelay, "the pauses grow")
 }
 
 func TestColdBudget(t *testing.T) {
@@ -490,7 +490,7 @@
 			if !c.fresh {
 				k.hear(k.servers[0], "hhhhhhhhhhhhhh")
 			}
-			k.rows[0].work = 0.05
+			k.classes[0].meanWork = 0.05
 			list := backends(4) // a whole fleet restarted at once
 			for i := range list {
 				list[i].StartedAt = 0.001
@@ -503,7 +503,7 @@
 				open[l.Ref] = l
 				for _, s := range steps {
 					if s.Send {
-						cost[s.Endpoint] += k.work(open[s.Ref])
+						cost[s.Endpoint] += open[s.Ref].expectedWork()
 						open[s.Ref].AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 					}
 				}
@@ -529,10 +529,10 @@
 			}
 			k.EndpointsUpdated(0, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 			sent := 0
-			l := &Request{b: k.Balancer, row: &k.rows[0], heavy: 1}
+			l := &Request{balancer: k.Balancer, class: &k.classes[0], relativeWork: 1}
 			for k.clock = 0; k.clock < 10; k.clock += 0.01 {
 				k.now = k.clock
-				if k.coldRoom(l, k.servers[1]) {
+				if k.takeSlowStartBudget(l, k.servers[1]) {
 					sent++
 				}
 			}
@@ -562,9 +562,9 @@
 			for now := c.age + 0.01; now < c.age+d.CrashDuration; now += 0.05 {
 				for _, k := range bank {
 					k.now = now
-					l := &Request{b: k.Balancer, row: &k.rows[0], RequestInfo: RequestInfo{Deadline: 99}, heavy: 1}
-					if s, _ := k.pick(l); s != nil && s.Index == 1 {
-						sent += k.work(l)
+					l := &Request{balancer: k.Balancer, class: &k.classes[0], RequestInfo: RequestInfo{Deadline: 99}, relativeWork: 1}
+					if s, _ := k.selectServer(l); s != nil && s.Index == 1 {
+						sent += l.expectedWork()
 					}
 				}
 			}
@@ -596,11 +596,11 @@
 	assert.Less(t, again.priority, cheap.priority, "a client's further try")
 	o := first.AttemptEnded(0.01, 0, Succeeded, 0.01, true)
 	require.Equal(t, 1, sends(o.Requests))
-	assert.Zero(t, cheap.out+again.out, "the dearest are sent first")
+	assert.Zero(t, cheap.inFlight+again.inFlight, "the dearest are sent first")
 	assert.False(t, dear.over)
 	k.TimerFired(0.29)
 	assert.True(t, cheap.over && again.over, "one that can no longer be in time is answered at once")
-	k.held = nil
+	k.queue.waiting = nil
 	assert.Zero(t, k.TimerFired(0.5).WakeAt)
 }
 
@@ -611,20 +611,20 @@
 	k := open(t, d, 20)
 	first, _ := k.take(RequestInfo{Key: 9})
 	for _, s := range k.servers {
-		s.inFlight = 99 // none takes an attempt, though there is room in all
+		s.breaker.inFlight = 99 // none takes an attempt, though there is room in all
 	}
 	for range 40 {
 		k.take(RequestInfo{Key: 9})
 	}
-	scored, before := 0, k.chance
-	for k.pump(); before != k.chance && scored < 40*20; scored++ { // a number drawn for each server
+	scored, before := 0, k.random
+	for k.dispatch(); before != k.random && scored < 40*20; scored++ { // a number drawn for each server
 		before.Float64()
 	}
-	assert.Equal(t, []int{40, mostVain * 20}, []int{len(k.held), scored})
+	assert.Equal(t, []int{40, maxFruitlessDraws * 20}, []int{len(k.queue.waiting), scored})
 	assert.Equal(t, []Reply{Failed}, answers(first.AttemptEnded(0, 0, ConnectionLost, 0, false).Requests), "it can go nowhere: not held behind them")
-	k.room, k.out, before = 0, 999, k.chance
-	k.pump()
-	assert.Equal(t, before, k.chance, "without room none is scored")
+	k.concurrency.capacity, k.concurrency.inFlight, before = 0, 999, k.random
+	k.dispatch()
+	assert.Equal(t, before, k.random, "without room none is scored")
 }
 
 // Danger: a client that waited more than half of its time and is rejected with nothing sent waited in vain.
@@ -635,17 +635,17 @@
 		sent     bool // an attempt that never ran
 		until    float64
 	}{
-		{"a short hard stop binds", 0.2, false, 0.2 * holdPart},
-		{"not where a leg was sent", 0.2, true, 0.2 - answerEarly - 0.075},
+		{"a short hard stop binds", 0.2, false, 0.2 * maxWaitShare},
+		{"not where a leg was sent", 0.2, true, 0.2 - answerMargin - 0.075},
 		{"the due time binds before a long one", 10, false, 0.3 - 0.075},
 	} {
 		k := open(t, deployment(), 1)
 		l, _ := k.take(RequestInfo{Deadline: c.hardStop})
-		if l.legs = nil; c.sent {
-			l.legs = []leg{{neverRan: true}}
+		if l.attempts = nil; c.sent {
+			l.attempts = []attempt{{neverRan: true}}
 		}
-		k.pace = 0
-		for k.now = 0; k.worthHolding(l, 0); k.now += 0.001 {
+		k.queue.sendInterval = 0
+		for k.now = 0; k.worthWaiting(l, 0); k.now += 0.001 {
 		}
 		assert.InDelta(t, c.until, k.now, 0.002, c.name)
 	}
@@ -655,7 +655,7 @@
 	k := open(t, deployment(), 1)
 	asked := 0
 	for range 10 {
-		if k.take(RequestInfo{}); k.orders.WakeAt > 0 {
+		if k.take(RequestInfo{}); k.actions.WakeAt > 0 {
 			asked++
 		}
 	}
@@ -666,18 +666,18 @@
 	k := open(t, deployment(), 1)
 	s := k.servers[0]
 	k.hear(s, "nnnnnnnn")
-	assert.InDelta(t, leastLimit/2, s.limit, 1e-9, "never shut by its limit alone")
+	assert.InDelta(t, minLimit/2, s.limit.value, 1e-9, "never shut by its limit alone")
 	// danger: gone at once and using up no room, hundreds a second would pass a room of less than one attempt
-	assert.InDelta(t, -8*k.rows[0].median(), k.credit, 1e-9, "a leg turned away uses up room as one that was served")
+	assert.InDelta(t, -8*k.classes[0].medianLatency(), k.concurrency.credit, 1e-9, "a leg turned away uses up room as one that was served")
 	k.hear(s, "hhhhhhhhhh")
-	grown := s.limit
-	assert.Greater(t, grown, leastLimit/2)
-	k.room, k.credit = 9, 0 // far from binding
+	grown := s.limit.value
+	assert.Greater(t, grown, minLimit/2)
+	k.concurrency.capacity, k.concurrency.credit = 9, 0 // far from binding
 	k.hear(s, "llll")
-	assert.Equal(t, grown, s.limit, "chance alone is no crowd")
-	k.room = 0
+	assert.Equal(t, grown, s.limit.value, "chance alone is no crowd")
+	k.concurrency.capacity = 0
 	k.hear(s, "l")
-	assert.Less(t, s.limit, grown)
+	assert.Less(t, s.limit.value, grown)
 	k.take(RequestInfo{})
 	_, steps := k.take(RequestInfo{})
 	assert.Zero(t, sends(steps), "held while the backend is at its limit")
@@ -694,7 +694,7 @@
 		two.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 	}
 	k.take(RequestInfo{})
-	assert.Greater(t, k.room, 16*firstLimit/18+0.01, "the leg that ends belongs to what bound")
+	assert.Greater(t, k.concurrency.capacity, 16*initialLimit/18+0.01, "the leg that ends belongs to what bound")
 }
 
 func TestStreamBelongsToItsLeg(t *testing.T) {
@@ -705,7 +705,7 @@
 	assert.False(t, l.Done())
 	l.AttemptEnded(5, 0, Succeeded, 5, true)
 	assert.True(t, l.Done())
-	assert.Greater(t, k.payNow(l.legs[0].s, 0), 0.7, "judged by when it began, not by its end")
+	assert.Greater(t, k.payoffOf(l.attempts[0].server, 0), 0.7, "judged by when it began, not by its end")
 }
 
 func TestSameSeedSameDecisions(t *testing.T) {
@@ -715,7 +715,7 @@
 			k.clock += 0.01
 			l, steps := k.take(RequestInfo{})
 			all = append(all, steps...)
-			if len(l.legs) > 0 {
+			if len(l.attempts) > 0 {
 				all = append(all, l.AttemptEnded(k.clock, 0, Outcome(i%3), 0.05, i%3 == 0).Requests...)
 			}
 		}
@@ -729,12 +729,12 @@
 		name string
 		bend func(*Deployment)
 	}{
-		{"no tariffs", func(d *Deployment) { d.Classes = nil }},
-		{"due time", func(d *Deployment) { d.Classes[0].LatencyObjective = -1 }},
-		{"hard stop", func(d *Deployment) { d.Classes[0].Deadline = 0 }},
-		{"cold time", func(d *Deployment) { d.SlowStartDuration = -1 }},
-		{"price of notes", func(d *Deployment) { d.GossipCost = -1 }},
-		{"quota", func(d *Deployment) { d.Tenants = []Tenant{{"small", -1}} }},
+		{"no classes", func(d *Deployment) { d.Classes = nil }},
+		{"plain: latency objective", func(d *Deployment) { d.Classes[0].LatencyObjective = -1 }},
+		{"plain: no deadline", func(d *Deployment) { d.Classes[0].Deadline = 0 }},
+		{"slow start duration", func(d *Deployment) { d.SlowStartDuration = -1 }},
+		{"gossip cost", func(d *Deployment) { d.GossipCost = -1 }},
+		{"small: quota", func(d *Deployment) { d.Tenants = []Tenant{{"small", -1}} }},
 	} {
 		d := deployment()
 		c.bend(&d)
@@ -752,21 +752,21 @@
 		assert.Equal(t, 1, sends(steps), "they wait for their clients, not for room")
 		flowing = append(flowing, l)
 	}
-	assert.Zero(t, k.out)
+	assert.Zero(t, k.concurrency.inFlight)
 	_, steps := k.take(RequestInfo{})
 	assert.Equal(t, 1, sends(steps), "and take none from others")
 	k.clock = 30
 	l := flowing[0]
 	o := l.BodyCompleted(k.clock)
-	assert.Equal(t, 2, k.out, "from its last byte on it is at work")
+	assert.Equal(t, 2, k.concurrency.inFlight, "from its last byte on it is at work")
 	assert.Greater(t, o.Requests[0].WakeAt, k.clock)
-	before := k.payNow(l.legs[0].s, 0)
+	before := k.payoffOf(l.attempts[0].server, 0)
 	assert.Empty(t, l.TimerFired(k.clock+0.01).Requests, "not overdue: it counts from then")
 	l.AttemptEnded(k.clock+0.05, 0, Succeeded, 0.05, true)
-	assert.Equal(t, 1, k.out)
-	assert.GreaterOrEqual(t, k.payNow(l.legs[0].s, 0), before-0.1)
+	assert.Equal(t, 1, k.concurrency.inFlight)
+	assert.GreaterOrEqual(t, k.payoffOf(l.attempts[0].server, 0), before-0.1)
 	flowing[1].AttemptEnded(k.clock+0.05, 0, ConnectFailed, 0, false) // its client left it unfinished
-	assert.Equal(t, 1, k.out, "what took no room gives none back")
+	assert.Equal(t, 1, k.concurrency.inFlight, "what took no room gives none back")
 }
 
 // Danger: two processes of one proxy, each with the proxy's whole part of a slow-start budget, push a cold server over together.
@@ -780,7 +780,7 @@
 		for range 4000 {
 			k.clock += 0.01
 			l, _ := k.take(RequestInfo{})
-			if len(l.legs) > 0 {
+			if len(l.attempts) > 0 {
 				n++
 				l.AttemptEnded(k.clock, 0, Succeeded, 0.05, true)
 			} else {
@@ -801,9 +801,9 @@
 	k.hear(k.servers[0], "hhhhhhhhhh")
 	k.hear(k.servers[1], "ffffffffff")
 	k.hear(k.servers[2], "llllllllll")
-	k.servers[3].limit = 0.7
+	k.servers[3].limit.value = 0.7
 	m := k.Snapshot(20)
-	require.True(t, k.servers[1].paused)
+	require.True(t, k.servers[1].breaker.paused)
 
 	next := open(t, deployment(), 4)
 	next.clock = 20
@@ -813,18 +813,18 @@
 		assert.Equal(t, old[i].Paused, now[i].Paused, i)
 		assert.InDelta(t, old[i].Limit, now[i].Limit, 1e-9, i)
 		assert.InDelta(t, old[i].Age, now[i].Age, 1e-9, i)
-		assert.Equal(t, k.servers[i].opinions[2].pay, next.servers[i].opinions[2].pay, i)
+		assert.Equal(t, k.servers[i].scores.shared[ownEstimate].payoff, next.servers[i].scores.shared[ownEstimate].payoff, i)
 	}
 	assert.Less(t, now[1].Payoff, now[0].Payoff)
-	assert.Equal(t, k.rows[0].base, next.rows[0].base)
+	assert.Equal(t, k.classes[0].baseLatency, next.classes[0].baseLatency)
 
 	again := open(t, deployment(), 0)
 	list := backends(3) // the last is gone
 	list[1].StartedAt = 19
 	again.EndpointsUpdated(20, true, true, list)
 	again.Restore(20, m)
-	assert.False(t, again.servers[1].paused, "it has started since")
-	assert.Zero(t, again.servers[1].opinions[2].sure)
+	assert.False(t, again.servers[1].breaker.paused, "it has started since")
+	assert.Zero(t, again.servers[1].scores.shared[ownEstimate].confidence)
 	assert.Len(t, again.ServerStatuses(20), 3)
 
 	later := open(t, deployment(), 4)
@@ -832,9 +832,9 @@
 		m.Servers[i].Age += 60
 	}
 	later.Restore(20, m)
-	assert.InDelta(t, 0, later.servers[1].opinions[2].at(20), 0.01, "what is old moves nothing")
+	assert.InDelta(t, 0, later.servers[1].scores.shared[ownEstimate].payoffAt(20), 0.01, "what is old moves nothing")
 	later.Restore(20, Snapshot{BaseLatencies: []float64{-1, 7}, Servers: []ServerSnapshot{{NameHash: 1, Limit: -3, RelativeLatency: 1}, {NameHash: 99, Limit: 1, RelativeLatency: 1}}})
-	assert.Greater(t, later.servers[0].limit, 0.0, "what cannot be is not taken in")
+	assert.Greater(t, later.servers[0].limit.value, 0.0, "what cannot be is not taken in")
 }
 
 // What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by their order.
--- a/balance/checkpoint_test.go
+++ b/balance/checkpoint_test.go
@@ -19,7 +19,7 @@
 		k.clock += 0.01
 		request, _ := k.take(RequestInfo{Key: uint64(i % 5)})
 		requests[uint64(request.Ref)] = request
-		if i%3 == 0 && len(request.legs) > 0 {
+		if i%3 == 0 && len(request.attempts) > 0 {
 			request.AttemptEnded(k.clock, 0, Outcome(i%5), 0.05, true)
 		}
 		k.GossipReceived(k.clock, 2, note(Observation{NameHash: 2, Value: 0.5, Age: 0.01}))
@@ -34,8 +34,8 @@
 // A restored balancer and the original answer the same calls with the same actions.
 func TestRestoredBalancerDecidesTheSame(t *testing.T) {
 	original, requests := trafficBeforeCheckpoint(t)
-	require.NotEmpty(t, original.held)
-	require.NotEmpty(t, original.cands)
+	require.NotEmpty(t, original.queue.waiting)
+	require.NotEmpty(t, original.selection.candidates)
 	checkpoint, stored := original.Checkpoint(requests)
 	b, restored, err := checkpoint.Restore(stored)
 	require.NoError(t, err)
@@ -48,7 +48,7 @@
 		if request == nil {
 			continue
 		}
-		if len(request.legs) > 0 && request.legs[0].s.State == Removed {
+		if len(request.attempts) > 0 && request.attempts[0].server.State == Removed {
 			onLostServer++
 		}
 		assert.Equal(t, request.ScoreBreakdown(), restored[key].ScoreBreakdown())
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -83,7 +83,7 @@
 		if !s.Send {
 			continue
 		}
-		took, i := eachWork*m.rand.ExpFloat64()*m.slower(s.Endpoint), len(l.legs)-1
+		took, i := eachWork*m.rand.ExpFloat64()*m.slower(s.Endpoint), len(l.attempts)-1
 		if s.Endpoint == 0 && m.now >= coldAt {
 			m.cold = append(m.cold, m.now)
 		}
@@ -198,8 +198,8 @@
 		before  string
 		times   float64 // as fast as usual
 	}{
-		{"a few proxies", 2, false, "h", 1}, {"a fleet", 300, false, "h", firstGain / limitGain}, {"a small fleet", 8, false, "h", firstGain / limitGain},
-		{"a fleet that tells", 300, true, "h", 1}, {"once full", 300, false, "hn", firstGain / limitGain * limitFull},
+		{"a few proxies", 2, false, "h", 1}, {"a fleet", 300, false, "h", initialLimitGrowth / limitGrowth}, {"a small fleet", 8, false, "h", initialLimitGrowth / limitGrowth},
+		{"a fleet that tells", 300, true, "h", 1}, {"once full", 300, false, "hn", initialLimitGrowth / limitGrowth * rejectionCut},
 		{"full a few times", 300, false, "hnnnnn", 1}, {"slow a few times", 300, false, "h" + strings.Repeat("l", 15), 1},
 	} {
 		growth := func(usual bool) float64 {
@@ -208,13 +208,13 @@
 			k := open(t, d, 4)
 			k.hear(k.servers[0], c.before)
 			if usual {
-				k.gain = 0
+				k.concurrency.growth = 0
 			}
 			s := k.servers[0]
-			was := max(0.2, 1.2*s.least)
-			s.limit, s.inFlight, s.opinions[2].sure, k.servable = was, 1, 0, 4 // known from the others only
+			was := max(0.2, 1.2*s.limit.minimum)
+			s.limit.value, s.breaker.inFlight, s.scores.shared[ownEstimate].confidence, k.selection.admitted = was, 1, 0, 4 // known from the others only
 			k.hear(s, "h")
-			return math.Log(s.limit / was)
+			return math.Log(s.limit.value / was)
 		}
 		assert.InDelta(t, c.times, growth(false)/growth(true), 0.1*c.times, c.name)
 	}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -57,7 +57,7 @@
 
 // draw is where a class's request would go now, and whether it would go somewhere if there were room.
 func (k *bank) draw(class int) (*server, bool) {
-	return k.pick(&Request{b: k.Balancer, row: &k.rows[class], heavy: 1, RequestInfo: RequestInfo{Deadline: 99, Class: class}})
+	return k.selectServer(&Request{balancer: k.Balancer, class: &k.classes[class], relativeWork: 1, RequestInfo: RequestInfo{Deadline: 99, Class: class}})
 }
 
 // hear lets a server's attempts end in these ways, a letter each: h successful, l late, f fault, n no room, c canceled.
@@ -66,7 +66,7 @@
 		o := map[rune]Outcome{'h': Succeeded, 'l': Succeeded, 'f': ServerError, 'n': ServerRejected, 'c': Canceled}[c]
 		latency := map[rune]float64{'h': 0.05, 'l': 0.5}[c]
 		k.now = k.clock
-		k.learn(&Request{b: k.Balancer, row: &k.rows[0], heavy: 1}, &leg{s: s}, o, latency)
+		k.recordOutcome(&Request{balancer: k.Balancer, class: &k.classes[0], relativeWork: 1}, &attempt{server: s}, o, latency)
 	}
 }
 
--- /dev/null
+++ b/balance/snapshot.go
@@ -0,0 +1,98 @@
+package balance
+
+// Snapshot is what a balancer learned, for the next one of the same proxy after a restart.
+type Snapshot struct {
+	BaseLatencies []float64        `json:"Bases"` // s, by class: what an answer takes when little waits
+	Servers       []ServerSnapshot `json:"Servers"`
+}
+
+// ServerSnapshot is what was learned of one server since its start.
+type ServerSnapshot struct {
+	NameHash        uint64  `json:"Mark"`
+	StartedAt       float64 `json:"UpSince"`
+	Limit           float64 `json:"Limit"`
+	RelativeLatency float64 `json:"Pace"`
+	Payoff          float64 `json:"Pay"` // of its own estimate, beside those of its model and the fleet
+	Confidence      float64 `json:"Sure"`
+	Age             float64 `json:"Age"` // s since the estimate was updated
+	Paused          bool    `json:"Paused"`
+	PauseRemaining  float64 `json:"PausedFor"` // s
+	Errors          int     `json:"Errors"`
+	Results         int     `json:"Results"`
+}
+
+// Snapshot returns what was learned.
+func (b *Balancer) Snapshot(now float64) Snapshot {
+	b.begin(now)
+	var snapshot Snapshot
+	for i := range b.classes {
+		snapshot.BaseLatencies = append(snapshot.BaseLatencies, b.classes[i].baseLatency)
+	}
+	for _, s := range b.servers {
+		if s != nil {
+			snapshot.Servers = append(snapshot.Servers, s.snapshot(now))
+		}
+	}
+	return snapshot
+}
+
+func (s *server) snapshot(now float64) ServerSnapshot {
+	own := s.scores.shared[ownEstimate]
+	return ServerSnapshot{
+		NameHash:        s.NameHash,
+		StartedAt:       s.StartedAt,
+		Limit:           s.limit.value,
+		RelativeLatency: s.scores.relativeLatency,
+		Payoff:          own.payoff,
+		Confidence:      own.confidence,
+		Age:             now - own.updatedAt,
+		Paused:          s.breaker.paused,
+		PauseRemaining:  max(s.breaker.lastResult+s.breaker.cooldown-now, 0),
+		Errors:          s.breaker.failures,
+		Results:         s.breaker.results,
+	}
+}
+
+// Restore takes in what another balancer of this proxy learned. What was known of a server before its restart is not
+// true of it now, so only a server with the same start takes it over. It ages like anything heard, and no rule rests on
+// it.
+func (b *Balancer) Restore(now float64, snapshot Snapshot) {
+	b.begin(now)
+	for i := range min(len(snapshot.BaseLatencies), len(b.classes)) {
+		if base := snapshot.BaseLatencies[i]; base > 0 && base <= b.classes[i].LatencyObjective {
+			b.classes[i].baseLatency = base
+		}
+	}
+	for i := range snapshot.Servers {
+		learned := &snapshot.Servers[i]
+		if !learned.valid() {
+			continue
+		}
+		for _, s := range b.servers {
+			if s != nil && s.NameHash == learned.NameHash && s.StartedAt == learned.StartedAt {
+				s.restore(now, learned)
+			}
+		}
+	}
+}
+
+func (l *ServerSnapshot) valid() bool { return l.Limit > 0 && l.RelativeLatency > 0 && l.Age >= 0 }
+
+func (s *server) restore(now float64, learned *ServerSnapshot) {
+	s.limit.value = max(s.limit.minimum, learned.Limit)
+	s.scores.relativeLatency = learned.RelativeLatency
+	own := s.scores.shared[ownEstimate]
+	own.payoff = min(max(learned.Payoff, -1), 1)
+	own.confidence = min(max(learned.Confidence, 0), 1)
+	own.updatedAt = now - learned.Age
+	if learned.Paused {
+		s.breaker.restorePause(now, learned)
+	}
+}
+
+func (k *breaker) restorePause(now float64, learned *ServerSnapshot) {
+	k.tracked, k.paused = true, true
+	k.cooldown = min(learned.PauseRemaining, 2*breakerCooldown)
+	k.lastResult, k.windowStart = now, now
+	k.failures, k.results = learned.Errors, learned.Results
+}
--- a/balance/types.go
+++ b/balance/types.go
@@ -33,11 +33,22 @@
 	InvalidRequest         // the server found the request itself at fault; it may have run
 )
 
-// String is its name in logs.
-func (o Outcome) String() string {
-	return [...]string{"honoured", "fault", "no_room", "too_slow", "no_route", "cut", "called_off", "never_sent", "unfit"}[o]
+// outcomeNames are those in logs and in the output of lockloomctl why.
+var outcomeNames = [...]string{
+	Succeeded:      "succeeded",
+	ServerError:    "server_error",
+	ServerRejected: "no_capacity",
+	TimedOut:       "timeout",
+	ConnectFailed:  "connect_failed",
+	ConnectionLost: "connection_lost",
+	Canceled:       "cancelled",
+	NotSent:        "never_sent",
+	InvalidRequest: "request_fault",
 }
 
+// String returns the outcome's name in logs.
+func (o Outcome) String() string { return outcomeNames[o] }
+
 // NeverRan says whether an outcome proves that the attempt never ran.
 func (o Outcome) NeverRan() bool { return o == ServerRejected || o == ConnectFailed || o == NotSent }
 
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -41,7 +41,7 @@
 		{begin + "hello\n", "line 3: hello: message: unknown"},
 		{begin + "down\n", "line 3: down: Proxy: unknown instance 3"},
 		{begin + "fired Label=1\n", "unknown instance 3"},
-		{begin + "launch Prng=1\n", "line 3: launch: no tariffs"},
+		{begin + "launch Prng=1\n", "line 3: launch: no classes"},
 		{begin + strings.Replace(launch, "retryable", "odd", 1), "Profiles.0.Effect: unknown"},
 		{begin + strings.Replace(launch, "StageState=Ready", "", 1), "line 5: entry: StageState: missing"},
 		{begin + strings.Replace(launch, "How=C", "How=Q", 1), "line 6: view: How: unknown"},
--- a/internal/cli/controlplanecmd/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -94,7 +94,7 @@
 		code, said = lockloomctl("why", folder, "-lookup", id)
 		require.Equal(t, cli.Done, code, said)
 		assert.Contains(t, said, `pool "try"`)
-		assert.Contains(t, said, "honoured")
+		assert.Contains(t, said, "succeeded")
 		assert.Contains(t, said, "payoff")
 	}
 	code, said = lockloomctl("why", folder, "-lookup", "before-5")
