--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Danger: a request whose first two servers are both down goes to and fro between them until it has no attempt left, and one that
-// brings down what takes it would bring down as many servers as it may have attempts.
+// Danger: a request whose first two servers are both down goes to and fro between them until it has no attempt left,
+// and one that brings down what takes it would bring down as many servers as it may have attempts.
 func TestHowFarALookupIsHandedOn(t *testing.T) {
 	for _, c := range []struct {
 		kind    Idempotency
@@ -604,7 +604,8 @@
 	assert.Zero(t, k.TimerFired(0.5).WakeAt)
 }
 
-// Danger: on a crowded day each that waits was drawn for among all servers at each event, half a core at a proxy of many.
+// Danger: on a crowded day each that waits was drawn for among all servers at each event, half a core at a proxy of
+// many.
 func TestDrawsForThoseThatWaitAreBounded(t *testing.T) {
 	d := deployment(Class{Idempotency: NonIdempotent})
 	d.CacheAffinity, d.Proxies = true, 1
@@ -645,7 +646,7 @@
 			l.attempts = []attempt{{neverRan: true}}
 		}
 		k.queue.sendInterval = 0
-		for k.now = 0; k.worthWaiting(l, 0); k.now += 0.001 {
+		for k.now = 0; k.canAnswerInTime(l, 0); k.now += 0.001 {
 		}
 		assert.InDelta(t, c.until, k.now, 0.002, c.name)
 	}
@@ -743,7 +744,8 @@
 	}
 }
 
-// Danger: a client that sends slowly would fill the limits of all with attempts at rest, and its server would look slow.
+// Danger: a client that sends slowly would fill the limits of all with attempts at rest, and its server would look
+// slow.
 func TestFlowingBody(t *testing.T) {
 	k := open(t, deployment(), 2)
 	var flowing []*Request
@@ -769,7 +771,8 @@
 	assert.Equal(t, 1, k.concurrency.inFlight, "what took no room gives none back")
 }
 
-// Danger: two processes of one proxy, each with the proxy's whole part of a slow-start budget, push a cold server over together.
+// Danger: two processes of one proxy, each with the proxy's whole part of a slow-start budget, push a cold server over
+// together.
 func TestPartOfTheColdBudget(t *testing.T) {
 	sent := func(part float64) (n int) {
 		d := deployment()
@@ -794,7 +797,8 @@
 	assert.InDelta(t, 0.5, float64(half)/float64(whole), 0.12, "%d of %d", half, whole)
 }
 
-// What one process of a proxy learned is the next one's, but for servers that have started anew or are not listed any more.
+// What one process of a proxy learned is the next one's, but for servers that have started anew or are not listed any
+// more.
 func TestRememberedByTheNext(t *testing.T) {
 	k := open(t, deployment(), 4)
 	k.clock = 20
@@ -837,7 +841,8 @@
 	assert.Greater(t, later.servers[0].limit.value, 0.0, "what cannot be is not taken in")
 }
 
-// What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by their order.
+// What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by
+// their order.
 func TestReported(t *testing.T) {
 	for _, c := range []struct {
 		honoured, failed, after int // after: successful, told in a second report
@@ -861,7 +866,8 @@
 	}
 }
 
-// Danger: of a class unheard so far a quarter of a long latency objective is a bad guess: its first request waited for most of it beside idle servers.
+// Danger: of a class unheard so far a quarter of a long latency objective is a bad guess: its first request waited for
+// most of it beside idle servers.
 func TestFirstOfATariffWithALongDueTime(t *testing.T) {
 	d := deployment(Class{Name: "post", Idempotency: NonIdempotent}, Class{Name: "get"})
 	for i := range d.Classes {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -110,7 +110,7 @@
 	}
 	b.traffic.arrived(now)
 	r.placement = b.placement(r)
-	b.askForLoads()
+	b.requestHealthChecks()
 	b.sendGossip()
 	r.priority = b.priority(r)
 	b.traffic.priority += meanSmoothing * (r.priority - b.traffic.priority)
@@ -199,7 +199,7 @@
 // TimerFired is the balancer's own timer, set by Actions.WakeAt.
 func (b *Balancer) TimerFired(now float64) *Actions {
 	b.begin(now)
-	b.actions.Subscribe = b.endpoints.due(now)
+	b.actions.Subscribe = b.endpoints.takeDuePoll(now)
 	return b.dispatch()
 }
 
--- a/balance/bank_test.go
+++ b/balance/bank_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Where neither notes nor probes are allowed, nothing of the new shape is ever ordered, and equal calls are answered by equal
-// orders, whatever else a deployment tells and whatever peers say.
+// Where neither notes nor probes are allowed, nothing of the new shape is ever ordered, and equal calls are answered
+// by equal orders, whatever else a deployment tells and whatever peers say.
 func TestOldShapeOrdersNothingNew(t *testing.T) {
 	play := func(d Deployment) (all [][]RequestAction) {
 		k := open(t, d, 6)
@@ -111,7 +111,8 @@
 	assert.True(t, k.servers[1].breaker.paused, "nor readmits one")
 }
 
-// Danger: rule 4 rests on nobody's word. Absurd rates bend a proxy's part within bounds, and its slow-start budgets not at all.
+// Danger: rule 4 rests on nobody's word. Absurd rates bend a proxy's part within bounds, and its slow-start budgets
+// not at all.
 func TestPartsAreBounded(t *testing.T) {
 	cold := map[int]bool{}
 	for _, rate := range []float64{0, 1e-9, 10, 4095} {
@@ -155,8 +156,8 @@
 	k.serve(func(_ *Request, o *Actions) { assert.Nil(t, o.Gossip, "alone in its bank") })
 }
 
-// A server not heard starts with attempts by its size where peers tell what they see there; a full answer then moves what a proxy
-// of many may have out in all, not the one limit that holds nothing back.
+// A server not heard starts with attempts by its size where peers tell what they see there; a full answer then moves
+// what a proxy of many may have out in all, not the one limit that holds nothing back.
 func TestLimitsWherePeersTell(t *testing.T) {
 	d := apart()
 	d.Proxies = 40
@@ -244,7 +245,8 @@
 	}
 }
 
-// A connection that would have to be opened costs a server in the draw, as far as opening has a price and there is room.
+// A connection that would have to be opened costs a server in the draw, as far as opening has a price and there is
+// room.
 func TestOpeningCosts(t *testing.T) {
 	play := func(price, idle float64, out int) (all []int) {
 		d := apart()
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -67,8 +67,8 @@
 }
 
 // capacityOf is how many attempts a server is given: where loads are reported, as many as leave a usual request
-// fullServerObjective of its latency objective, else the limit of this proxy there. What waits for this proxy's own core
-// is no load of the server.
+// fullServerObjective of its latency objective, else the limit of this proxy there. What waits for this proxy's own
+// core is no load of the server.
 func (b *Balancer) capacityOf(s *server) float64 {
 	if !b.loadsKnown() {
 		return s.limit.value * b.trafficMultiple() * b.process.attemptStretch
@@ -126,9 +126,9 @@
 		(!b.deployment.Gossip || latency > minSlowBaseMultiple*usual)
 }
 
-// moveLimits changes a server's limit by a factor, and the limits of the others by another as far as too little is heard
-// from the server to learn it alone. A limit too small to hold back an attempt moves with the others only, since it
-// binds by their sum.
+// moveLimits changes a server's limit by a factor, and the limits of the others by another as far as too little is
+// heard from the server to learn it alone. A limit too small to hold back an attempt moves with the others only, since
+// it binds by their sum.
 func (b *Balancer) moveLimits(s *server, factor, others float64) {
 	alone := 1 - math.Pow(1-s.scores.shared[ownEstimate].confidence, 2) //nolint:staticcheck // x*x may round otherwise
 	own := alone * min(s.limit.value/minBindingLimit, 1)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -25,8 +25,8 @@
 	p.delay = min(2*p.delay, maxPollDelay, max(notificationDeadline/4, minPollDelay))
 }
 
-// due reports, once, whether it is time to poll.
-func (p *endpointPoller) due(now float64) bool {
+// takeDuePoll reports, once, whether it is time to poll.
+func (p *endpointPoller) takeDuePoll(now float64) bool {
 	if now < p.pollAt-timerTolerance {
 		return false
 	}
@@ -55,8 +55,8 @@
 	return &b.actions
 }
 
-// HasEndpoint reports whether a server is still known: as listed, or as one that still serves. An index that is not will
-// not be named again.
+// HasEndpoint reports whether a server is still known: as listed, or as one that still serves. An index that is not
+// will not be named again.
 func (b *Balancer) HasEndpoint(index int) bool {
 	return index < len(b.servers) && b.servers[index] != nil
 }
@@ -94,8 +94,8 @@
 	s.drained = s.drained || e.State == Draining
 }
 
-// stillServing reports whether a server that the list has lost may be sent to, as long as it goes on answering. One that
-// is up again would be warming up, which the list could not tell.
+// stillServing reports whether a server that the list has lost may be sent to, as long as it goes on answering. One
+// that is up again would be warming up, which the list could not tell.
 func (b *Balancer) stillServing(s *server) bool {
 	return b.deployment.RemovalIsAdvisory && s.State == Removed && !s.drained && b.now < s.lastSuccess+removedServerTimeout
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleet is many balancers before the same servers, the first of which starts anew, cold, at coldAt. Servers take no notice of one
-// another's load: only what is sent to the cold one is counted.
+// fleet is many balancers before the same servers, the first of which starts anew, cold, at coldAt. Servers take no
+// notice of one another's load: only what is sent to the cold one is counted.
 type fleet struct {
 	now    float64
 	due    occasions
@@ -188,8 +188,9 @@
 	}
 }
 
-// Danger: at one proxy of hundreds the first limits, two attempts of all at a server, grew by a few parts in a hundred with each answer, and
-// until servers of many cores were found to bear more, a third of the requests were rejected. A few cuts later they grow as usual.
+// Danger: at one proxy of hundreds the first limits, two attempts of all at a server, grew by a few parts in a hundred
+// with each answer, and until servers of many cores were found to bear more, a third of the requests were rejected. A
+// few cuts later they grow as usual.
 func TestFirstLimitsOfAFleetGrowFast(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -26,8 +26,8 @@
 	g.peerRate += max(1/g.received, meanSmoothing) * (message.Rate - g.peerRate)
 }
 
-// GossipReceived takes in what a peer tells. It ages, weighs less than what this proxy saw, and counts once. It bears on
-// payoffs, loads and, where there is no capacity, limits; no rule and no breaker rests on it.
+// GossipReceived takes in what a peer tells. It ages, weighs less than what this proxy saw, and counts once. It bears
+// on payoffs, loads and, where there is no capacity, limits; no rule and no breaker rests on it.
 func (b *Balancer) GossipReceived(now float64, from int, message GossipMessage) *Actions {
 	b.begin(now)
 	if !b.deployment.Gossip || from == b.deployment.Self || from < 0 || from >= b.deployment.Proxies {
--- a/balance/loadreports.go
+++ b/balance/loadreports.go
@@ -65,8 +65,8 @@
 	return b.dispatch()
 }
 
-// askForLoads orders health checks, as many for a request as their cost allows.
-func (b *Balancer) askForLoads() {
+// requestHealthChecks orders health checks, as many for a request as their cost allows.
+func (b *Balancer) requestHealthChecks() {
 	stats := &b.loadReports
 	stats.healthCheckBudget = min(
 		stats.healthCheckBudget+overheadShare/max(b.deployment.HealthCheckCost, 1e-9),
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -89,7 +89,7 @@
 		case s != nil:
 			b.queue.remove(r)
 			b.send(r, s)
-		case possible && b.worthWaiting(r, i):
+		case possible && b.canAnswerInTime(r, i):
 			i++
 		default:
 			b.answerUnserved(r)
@@ -107,9 +107,9 @@
 		len(r.attempts) == 0 && !b.cacheAffine(r)
 }
 
-// worthWaiting reports whether a request with so many before it can still be answered in time. A client that is rejected
-// with nothing sent has waited in vain.
-func (b *Balancer) worthWaiting(r *Request, before int) bool {
+// canAnswerInTime reports whether a request with so many before it can still be answered in time. A client that is
+// rejected with nothing sent has waited in vain.
+func (b *Balancer) canAnswerInTime(r *Request, before int) bool {
 	sendAt := b.now + float64(before+1)*b.queue.sendInterval
 	inTime := sendAt+r.expectedLatency() <= min(r.arrivedAt+r.class.LatencyObjective, r.Deadline-answerMargin)
 	return inTime && (len(r.attempts) > 0 || sendAt <= r.arrivedAt+maxWaitShare*(r.Deadline-r.arrivedAt))
--- a/balance/request.go
+++ b/balance/request.go
@@ -76,14 +76,14 @@
 	a.server.attemptEnded(r.Class, a.sentAt, b.now)
 }
 
-// finish ends a request and cancels every attempt but the kept one.
-func (b *Balancer) finish(r *Request, kept int) {
+// finish ends a request and cancels every attempt but the one to keep.
+func (b *Balancer) finish(r *Request, keep int) {
 	r.over = true
 	if r.waiting {
 		b.queue.remove(r)
 	}
 	for i := range r.attempts {
-		if r.attempts[i].inFlight && i != kept && b.deployment.CancelAllowed {
+		if r.attempts[i].inFlight && i != keep && b.deployment.CancelAllowed {
 			b.act(RequestAction{Ref: r.Ref, CancelAttempt: i + 1})
 		}
 	}
--- a/balance/score.go
+++ b/balance/score.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// recordCanceled counts the time of an overdue attempt: if only answers counted, the slowest class would look as fast as
-// its luckiest answers.
+// recordCanceled counts the time of an overdue attempt: if only answers counted, the slowest class would look as fast
+// as its luckiest answers.
 func (b *Balancer) recordCanceled(r *Request, a *attempt) {
 	if a.overdue {
 		r.class.latencies.Add((b.now - a.sentAt) / max(r.relativeWork, minRelativeWork))
@@ -146,7 +146,8 @@
 
 // recordRejected learns from a full server. It is no broken one: its breakers stay as they are.
 func (b *Balancer) recordRejected(r *Request, a *attempt) {
-	// An attempt that is rejected at once uses up as much capacity as one that is served: else hundreds a second would pass.
+	// An attempt that is rejected at once uses up as much capacity as one that is served: else hundreds a second would
+	// pass.
 	b.concurrency.credit -= max(r.class.medianLatency()-(b.now-a.sentAt), 0)
 	cut, payoff := rejectionCut, 0.0
 	if b.deployment.Gossip {
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -155,8 +155,8 @@
 	return payoff, cost
 }
 
-// score weighs a payoff. A key is moved by what servers of one machine model have in common, and less by what tells them
-// apart; a request without a key is weighed by what its work takes at this server.
+// score weighs a payoff. A key is moved by what servers of one machine model have in common, and less by what tells
+// them apart; a request without a key is weighed by what its work takes at this server.
 func (b *Balancer) score(r *Request, s *server, payoff float64) float64 {
 	if b.cacheAffine(r) {
 		common := s.scores.shared[modelEstimate].payoffAt(b.now)
@@ -167,8 +167,8 @@
 	return (payoff - penalty) / temperature
 }
 
-// noise is Gumbel noise: by chance or, where the request has a placement, by that and the server. The placement of a key
-// is alike at every proxy; a proxy of many has a few of its own. Over all placements the draw is the same.
+// noise is Gumbel noise: by chance or, where the request has a placement, by that and the server. The placement of a
+// key is alike at every proxy; a proxy of many has a few of its own. Over all placements the draw is the same.
 func (b *Balancer) noise(r *Request, s *server) float64 {
 	u := b.random.Float64()
 	if r.placement != 0 {
--- a/internal/histogram/times.go
+++ b/internal/histogram/times.go
@@ -1,51 +1,54 @@
-// Package histogram keeps what was measured in a few coarse bins.
+// Package histogram keeps what was measured in a few coarse bins of fixed size. Its types are not safe for concurrent
+// use, and captures store them: the layout of their fields is published.
 package histogram
 
 import "math"
 
 const (
-	shortest        = 0.001 // s; what is shorter falls in the first bin
+	minTime         = 0.001 // s; what is shorter falls into the first bin
 	binsPerDoubling = 2.0   // a factor of 1.4 tells slow from fast
-	bins            = 28    // up to 16 s
-	halveAt         = 200   // results; all then weigh half, so that the past fades
-	enough          = 5     // results; fewer tell nothing
+	timeBins        = 28    // up to 16 s
+	maxTimesWeight  = 200   // times; from then on all count half, so that the past fades
+	minTimes        = 5     // times; fewer tell nothing
 )
 
-// edges are the bins' upper ones, reckoned once: quantiles are asked for with every request.
-var edges = func() (list [bins]float64) {
-	for i := range list {
-		list[i] = shortest * math.Exp2(float64(i+1)/binsPerDoubling)
+// upperEdges are those of the bins, in seconds. They are computed once, since every request asks for quantiles.
+var upperEdges = func() (edges [timeBins]float64) {
+	for i := range edges {
+		edges[i] = minTime * math.Exp2(float64(i+1)/binsPerDoubling)
 	}
-	return list
+	return edges
 }()
 
 // Times is a histogram of times in seconds, in bins of equal ratio.
 type Times struct {
-	count [bins]float64
+	count [timeBins]float64
 	n     float64
 }
 
-// Add counts a time.
-func (t *Times) Add(x float64) {
-	i := int(binsPerDoubling * math.Log2(max(x, shortest)/shortest))
-	t.count[min(i, bins-1)]++
-	if t.n++; t.n >= halveAt {
-		for i := range t.count {
-			t.count[i] /= 2
-		}
-		t.n /= 2
+// Add counts a time in seconds.
+func (t *Times) Add(seconds float64) {
+	bin := int(binsPerDoubling * math.Log2(max(seconds, minTime)/minTime))
+	t.count[min(bin, timeBins-1)]++
+	if t.n++; t.n < maxTimesWeight {
+		return
+	}
+	for i := range t.count {
+		t.count[i] /= 2
 	}
+	t.n /= 2
 }
 
-// Quantile is the upper edge of the bin that holds it, or the given value while too little is known.
+// Quantile returns the upper edge, in seconds, of the bin that holds the quantile q, or the given value while too little
+// is known.
 func (t *Times) Quantile(q, unknown float64) float64 {
-	if t.n < enough {
+	if t.n < minTimes {
 		return unknown
 	}
 	sum := 0.0
-	for i, c := range t.count {
-		if sum += c; sum >= q*t.n {
-			return edges[i]
+	for i, count := range t.count {
+		if sum += count; sum >= q*t.n {
+			return upperEdges[i]
 		}
 	}
 	return unknown
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,21 +1,28 @@
-// Package pcg is a small permuted congruential generator and the hash that stands in for it where all
-// proxies must draw alike.
+// Package pcg is a small permuted congruential generator, and the hash that stands in for it where all proxies must
+// draw the same number.
 package pcg
 
-// Rand is the generator; its value is its seed.
+// Rand is the generator; its value is its state, and at first its seed. It is not safe for concurrent use.
 type Rand uint64
 
-// Float64 is the next number between 0 and 1, both left out.
+// The generator's constants, of PCG's reference implementation.
+const (
+	multiplier = 6364136223846793005
+	increment  = 1442695040888963407
+)
+
+// Float64 returns the next number between 0 and 1, both excluded.
 func (s *Rand) Float64() float64 {
-	*s = *s*6364136223846793005 + 1442695040888963407
-	x := uint32((*s>>18 ^ *s) >> 27)
-	r := uint(*s >> 59)
-	return (float64(x>>r|x<<(-r&31)) + 0.5) / (1 << 32)
+	*s = *s*multiplier + increment
+	shifted := uint32((*s>>18 ^ *s) >> 27)
+	rotation := uint(*s >> 59)
+	return (float64(shifted>>rotation|shifted<<(-rotation&31)) + 0.5) / (1 << 32)
 }
 
-// HashFloat64 is a number between 0 and 1, both left out, that two marks settle between them.
+// HashFloat64 returns a number between 0 and 1, both excluded, that depends on two keys only.
 func HashFloat64(a, b uint64) float64 { return (float64(mix(a^mix(b))>>12) + 0.5) / (1 << 52) }
 
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
