--- /dev/null
+++ b/balance/breaker_test.go
@@ -0,0 +1,155 @@
+package balance
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestBreakerOpensOnTheFailureShare(t *testing.T) {
+	for _, c := range []struct {
+		name, before string
+		wait         float64
+		after        string
+		want         bool // admitted
+	}{
+		{"too few to judge", "fffff", 0, "", true},
+		{"above the gate", "ffffff", 0, "", false},
+		{"successes before the first failure go uncounted", "hhhhhhhhffffff", 0, "", false},
+		{"half failing is not over half", "fhfhfhfh", 0, "", true},
+		{"no room leaves the row alone", "nnnnnnnnnn", 0, "", true},
+		{"called off counts neither way", "fffffcccc", 0, "", true},
+		{"a success clears", "ffffffh", 0, "", true},
+		{"the next failure pauses again", "ffffffhf", 0, "", false},
+		{"a late answer is no failure", "llllllll", 0, "", true},
+		{"the window resets", "fffff", breakerWindow + 1, "f", true},
+		{"within the window all count", "fffff", breakerWindow - 1, "f", false},
+		{"still cooling down", "ffffff", breakerCooldown * 0.9, "", false},
+		{"cooled down", "ffffff", breakerCooldown*(1+cooldownJitter) + 0.1, "", true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			proxy := startProxy(t, deployment(), 2)
+			proxy.endAttempts(proxy.servers[0], c.before)
+			proxy.clock += c.wait
+			proxy.endAttempts(proxy.servers[0], c.after)
+			proxy.now = proxy.clock
+			assert.Equal(t, c.want, proxy.servers[0].breaker.admits(proxy.now))
+		})
+	}
+}
+
+func TestClassFailingAtOneServerIsPausedThereOnly(t *testing.T) {
+	proxy := startProxy(t, deployment(Class{Name: "good"}, Class{Name: "bad"}), 2)
+	to := func(class int) (used [2]int) {
+		for range 100 {
+			s, _ := proxy.draw(class)
+			used[s.Index]++
+		}
+		return used
+	}
+	request := &Request{balancer: proxy.Balancer, class: &proxy.classes[1], relativeWork: 1, RequestInfo: RequestInfo{Class: 1}}
+	for range minBreakerResults + 1 {
+		proxy.endAttempts(proxy.servers[0], "hhh")
+		proxy.endAttempts(proxy.servers[1], "hhh")
+		proxy.recordOutcome(request, &attempt{server: proxy.servers[0]}, ServerError, 0)
+		proxy.recordOutcome(request, &attempt{server: proxy.servers[1]}, Succeeded, 0.05)
+	}
+	assert.Positive(t, to(0)[0], "what it does well it goes on doing")
+	assert.Zero(t, to(1)[0])
+	proxy.now += breakerCooldown * (1 + cooldownJitter)
+	assert.Positive(t, to(1)[0], "cooled down")
+	proxy.send(&Request{balancer: proxy.Balancer, class: &proxy.classes[1], RequestInfo: RequestInfo{Class: 1}}, proxy.servers[0])
+	assert.Zero(t, to(1)[0], "one at a time")
+}
+
+// Danger: where most servers fail one class, the fleet's own share of failures would keep each from being paused.
+func TestClassFailingAtMostServersIsPausedThere(t *testing.T) {
+	for _, c := range []struct{ bad, paused int }{{7, 7}, {10, 0}} {
+		proxy := startProxy(t, deployment(), 10)
+		for _, s := range proxy.servers {
+			proxy.endAttempts(s, "fhhh") // opens the row
+		}
+		proxy.clock += classBreakerWindow + 1
+		for range minBreakerResults + 1 {
+			for i, s := range proxy.servers {
+				if i < c.bad {
+					proxy.endAttempts(s, "f")
+				} else {
+					proxy.endAttempts(s, "h")
+				}
+			}
+		}
+		paused := 0
+		for _, s := range proxy.servers {
+			if s.classBreakers[0].paused {
+				paused++
+			}
+		}
+		assert.Equal(t, c.paused, paused)
+	}
+}
+
+func TestSharedFailuresRaiseTheBar(t *testing.T) {
+	proxy := startProxy(t, deployment(), 4)
+	for range 40 {
+		for _, s := range proxy.servers {
+			proxy.endAttempts(s, "fffh") // all fail alike, three in four
+		}
+	}
+	paused := 0
+	for _, s := range proxy.servers {
+		if s.breaker.paused {
+			paused++
+		}
+	}
+	assert.Zero(t, paused)
+	proxy.endAttempts(proxy.servers[0], "ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff")
+	proxy.endAttempts(proxy.servers[1], "hhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhh")
+	proxy.endAttempts(proxy.servers[0], "f")
+	assert.True(t, proxy.servers[0].breaker.paused, "one that only it fails is paused still")
+}
+
+func TestHangingServerIsPausedBeforeTheDeadline(t *testing.T) {
+	proxy := startProxy(t, deployment(), 2)
+	for _, s := range proxy.servers {
+		proxy.endAttempts(s, "hhhhhh")
+		s.limit.value = 20
+	}
+	var hung []*Request
+	for range 40 {
+		if request, _ := proxy.arrive(RequestInfo{}); request.attempts[0].server.Index == 0 {
+			hung = append(hung, request)
+		} else {
+			request.AttemptEnded(proxy.clock, 0, Succeeded, 0.05, true)
+		}
+	}
+	for _, request := range hung {
+		request.TimerFired(0.2)
+	}
+	assert.True(t, proxy.servers[0].breaker.paused, "well before any hard stop")
+}
+
+// What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by
+// their order.
+func TestReportedOutcomesPauseAndReadmit(t *testing.T) {
+	for _, c := range []struct {
+		honoured, failed, after int // after: successful, told in a second report
+		paused                  bool
+	}{{100, 0, 0, false}, {0, 5, 0, false}, {0, 8, 0, true}, {70, 30, 0, false}, {400, 1600, 0, true}, {10, 90, 1, false}} {
+		proxy := startProxy(t, deployment(), 9)
+		report := []ReportedOutcomes{{0, 0, c.honoured, c.failed}, {77, 0, 5, 5}} // the last is nobody's
+		for i := 1; i < 9; i++ {
+			report = append(report, ReportedOutcomes{i, 0, 95, 5})
+		}
+		proxy.OutcomesReported(1, report)
+		proxy.OutcomesReported(2, []ReportedOutcomes{{0, 0, c.after, 0}})
+		all := proxy.ServerStatuses(3)
+		for i := range all {
+			assert.Equal(t, i == 0 && c.paused, all[i].Paused, "%d: %+v", i, c)
+		}
+		assert.Equal(t, c.paused, proxy.ServerStatuses(20)[0].Trial, "cooled down")
+		if c.paused {
+			assert.Less(t, all[0].Payoff, all[1].Payoff)
+		}
+	}
+}
--- a/balance/checkpoint_test.go
+++ b/balance/checkpoint_test.go
@@ -9,26 +9,26 @@
 
 // trafficBeforeCheckpoint returns a proxy of a fleet that gossips with attempts in flight, some at a server that the
 // endpoint list has lost, and with requests that wait.
-func trafficBeforeCheckpoint(t *testing.T) (*bank, map[uint64]*Request) {
+func trafficBeforeCheckpoint(t *testing.T) (*testProxy, map[uint64]*Request) {
 	t.Helper()
-	d := apart()
+	d := sidecarDeployment()
 	d.CacheAffinity = true
-	k := open(t, d, 4)
+	proxy := startProxy(t, d, 4)
 	requests := map[uint64]*Request{}
 	for i := range 60 {
-		k.clock += 0.01
-		request, _ := k.take(RequestInfo{Key: uint64(i % 5)})
+		proxy.clock += 0.01
+		request, _ := proxy.arrive(RequestInfo{Key: uint64(i % 5)})
 		requests[uint64(request.Ref)] = request
 		if i%3 == 0 && len(request.attempts) > 0 {
-			request.AttemptEnded(k.clock, 0, Outcome(i%5), 0.05, true)
+			request.AttemptEnded(proxy.clock, 0, Outcome(i%5), 0.05, true)
 		}
-		k.GossipReceived(k.clock, 2, note(Observation{NameHash: 2, Value: 0.5, Age: 0.01}))
+		proxy.GossipReceived(proxy.clock, 2, gossipOf(Observation{NameHash: 2, Value: 0.5, Age: 0.01}))
 		if request.Done() {
 			delete(requests, uint64(request.Ref))
 		}
 	}
-	k.EndpointsUpdated(k.clock, false, false, []Endpoint{{Index: 0, NameHash: 1, State: Removed}})
-	return k, requests
+	proxy.EndpointsUpdated(proxy.clock, false, false, []Endpoint{{Index: 0, NameHash: 1, State: Removed}})
+	return proxy, requests
 }
 
 // A restored balancer and the original answer the same calls with the same actions.
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	require.Len(t, restored, len(requests))
 	assert.Equal(t, original.CurrentStatuses(), b.CurrentStatuses())
-	copied := &bank{Balancer: b, t: t, clock: original.clock, refs: original.refs}
+	copied := &testProxy{Balancer: b, t: t, clock: original.clock, refs: original.refs}
 	onLostServer := 0
 	for key := range uint64(61) {
 		request := requests[key]
@@ -59,8 +59,8 @@
 	for range 200 {
 		original.clock += 0.02
 		copied.clock = original.clock
-		_, want := original.take(RequestInfo{Key: 3})
-		_, got := copied.take(RequestInfo{Key: 3})
+		_, want := original.arrive(RequestInfo{Key: 3})
+		_, got := copied.arrive(RequestInfo{Key: 3})
 		assert.Equal(t, want, got)
 	}
 	assert.Equal(t, original.Snapshot(original.clock), copied.Snapshot(copied.clock))
@@ -87,8 +87,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k, requests := trafficBeforeCheckpoint(t)
-			c, stored := k.Checkpoint(requests)
+			proxy, requests := trafficBeforeCheckpoint(t)
+			c, stored := proxy.Checkpoint(requests)
 			damage(c, stored)
 			_, _, err := c.Restore(stored)
 			var dangling *CheckpointError
--- /dev/null
+++ b/balance/hedge_test.go
@@ -0,0 +1,67 @@
+package balance
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Danger: an attempt that was lost on its way is never answered, whatever is known of its server.
+func TestHedgedRequest(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		kind   Idempotency
+		beside bool
+		out    int // other attempts
+		want   int // attempts after the wake
+	}{
+		{"replayable", Idempotent, true, 0, 2},
+		{"referenced, in its pod and window", Keyed, true, 0, 2},
+		{"single-use", NonIdempotent, true, 0, 1},
+		{"not allowed", Idempotent, false, 0, 1},
+		{"little room", Idempotent, true, 3, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := deployment(Class{Name: "a", Idempotency: c.kind, DedupScope: DedupPod, DedupWindow: 5})
+			d.HedgingAllowed, d.Proxies = c.beside, 1
+			proxy := startProxy(t, d, 3)
+			for _, s := range proxy.servers {
+				s.limit.value = 2
+			}
+			for range c.out {
+				proxy.arrive(RequestInfo{})
+			}
+			request, _ := proxy.arrive(RequestInfo{})
+			proxy.clock += proxy.overdueAge(request)
+			assert.Equal(t, c.want-1, countSends(request.TimerFired(proxy.clock).Requests))
+			if c.want < 2 {
+				return
+			}
+			assert.NotSame(t, request.attempts[0].server, request.attempts[1].server)
+			actions := request.AttemptEnded(proxy.clock, 0, ConnectionLost, 0.2, false)
+			assert.Empty(t, actions.Requests, "the other may still answer")
+			actions = request.AttemptEnded(proxy.clock, 1, Succeeded, 0.1, true)
+			assert.Empty(t, actions.Requests)
+			assert.True(t, request.Done())
+		})
+	}
+}
+
+// Danger: requests of one class that hang at a server take up its limit, and all others wait.
+func TestOverdueAttemptIsNotInFlight(t *testing.T) {
+	for _, c := range []struct {
+		limit float64
+		out   int
+	}{{1, 0}, {minBindingLimit / 2, 1}} {
+		proxy := startProxy(t, deployment(), 1)
+		request, _ := proxy.arrive(RequestInfo{Deadline: 99})
+		proxy.servers[0].limit.value = c.limit
+		proxy.clock += proxy.overdueAge(request)
+		request.TimerFired(proxy.clock)
+		assert.Equal(t, c.out, proxy.concurrency.inFlight, "in a large bank only the sum binds")
+		assert.Equal(t, c.out, proxy.servers[0].breaker.inFlight)
+		request.AttemptEnded(proxy.clock, 0, TimedOut, 1, true)
+		assert.Zero(t, proxy.concurrency.inFlight, "it is taken off once")
+		assert.Zero(t, proxy.servers[0].breaker.inFlight)
+	}
+}
