--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -199,7 +199,7 @@
 // TimerFired is the balancer's own timer, set by Actions.WakeAt.
 func (b *Balancer) TimerFired(now float64) *Actions {
 	b.begin(now)
-	b.actions.Subscribe = b.endpoints.takeDuePoll(now)
+	b.actions.Subscribe = b.endpoints.takePoll(now)
 	return b.dispatch()
 }
 
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -12,8 +12,8 @@
 		proxy := startProxy(t, deployment(), 5)
 		for i := range 300 {
 			proxy.clock += 0.01
-			request, steps := proxy.arrive(RequestInfo{})
-			all = append(all, steps...)
+			request, actions := proxy.arrive(RequestInfo{})
+			all = append(all, actions...)
 			if len(request.attempts) > 0 {
 				all = append(all, request.AttemptEnded(proxy.clock, 0, Outcome(i%3), 0.05, i%3 == 0).Requests...)
 			}
@@ -23,38 +23,37 @@
 	assert.Equal(t, play(), play())
 }
 
-// Danger: a client that sends slowly would fill the limits of all with attempts at rest, and its server would look
-// slow.
+// A client that sends slowly must not fill the limits with idle attempts, nor make its server look slow.
 func TestStreamedRequestBody(t *testing.T) {
 	proxy := startProxy(t, deployment(), 2)
-	var flowing []*Request
-	for range 20 { // many times the room
-		request, steps := proxy.arrive(RequestInfo{Deadline: 900, Streaming: true})
-		assert.Equal(t, 1, countSends(steps), "they wait for their clients, not for room")
-		flowing = append(flowing, request)
+	var streaming []*Request
+	for range 20 { // many times the capacity
+		request, actions := proxy.arrive(RequestInfo{Deadline: 900, Streaming: true})
+		assert.Equal(t, 1, countSends(actions), "they wait for their clients, not for capacity")
+		streaming = append(streaming, request)
 	}
 	assert.Zero(t, proxy.concurrency.inFlight)
-	_, steps := proxy.arrive(RequestInfo{})
-	assert.Equal(t, 1, countSends(steps), "and take none from others")
+	_, actions := proxy.arrive(RequestInfo{})
+	assert.Equal(t, 1, countSends(actions), "and take none from others")
 	proxy.clock = 30
-	request := flowing[0]
-	actions := request.BodyCompleted(proxy.clock)
+	request := streaming[0]
+	completed := request.BodyCompleted(proxy.clock)
 	assert.Equal(t, 2, proxy.concurrency.inFlight, "from its last byte on it is at work")
-	assert.Greater(t, actions.Requests[0].WakeAt, proxy.clock)
+	assert.Greater(t, completed.Requests[0].WakeAt, proxy.clock)
 	before := proxy.payoffOf(request.attempts[0].server, 0)
 	assert.Empty(t, request.TimerFired(proxy.clock+0.01).Requests, "not overdue: it counts from then")
 	request.AttemptEnded(proxy.clock+0.05, 0, Succeeded, 0.05, true)
 	assert.Equal(t, 1, proxy.concurrency.inFlight)
 	assert.GreaterOrEqual(t, proxy.payoffOf(request.attempts[0].server, 0), before-0.1)
-	flowing[1].AttemptEnded(proxy.clock+0.05, 0, ConnectFailed, 0, false) // its client left it unfinished
-	assert.Equal(t, 1, proxy.concurrency.inFlight, "what took no room gives none back")
+	streaming[1].AttemptEnded(proxy.clock+0.05, 0, ConnectFailed, 0, false) // its client left it unfinished
+	assert.Equal(t, 1, proxy.concurrency.inFlight, "what took no capacity gives none back")
 }
 
 func TestStreamedResponseBelongsToItsAttempt(t *testing.T) {
 	proxy := startProxy(t, deployment(), 6)
 	request, _ := proxy.arrive(RequestInfo{})
 	assert.Empty(t, replies(request.ResponseStarted(0.2, 0).Requests))
-	assert.Empty(t, request.TimerFired(0.999).Requests, "no hard stop for a stream that began")
+	assert.Empty(t, request.TimerFired(0.999).Requests, "no deadline for a stream that began")
 	assert.False(t, request.Done())
 	request.AttemptEnded(5, 0, Succeeded, 5, true)
 	assert.True(t, request.Done())
@@ -64,10 +63,10 @@
 func TestOneAnswerBeforeTheDeadline(t *testing.T) {
 	for _, kind := range []Idempotency{Idempotent, Keyed, NonIdempotent} {
 		proxy := startProxy(t, deployment(Class{Idempotency: kind, DedupScope: DedupPod, DedupWindow: 0.2}), 6)
-		request, steps := proxy.arrive(RequestInfo{Deadline: 0.5})
-		assert.Less(t, steps[0].WakeAt, 0.5)
+		request, arrived := proxy.arrive(RequestInfo{Deadline: 0.5})
+		assert.Less(t, arrived[0].WakeAt, 0.5)
 		given := replies(request.TimerFired(0.1).Requests)
-		given = append(given, replies(request.TimerFired(steps[0].WakeAt).Requests)...)
+		given = append(given, replies(request.TimerFired(arrived[0].WakeAt).Requests)...)
 		require.Len(t, given, 1)
 		for i := range request.attempts {
 			actions := request.AttemptEnded(0.5, i, TimedOut, 0.5, true)
@@ -79,7 +78,7 @@
 		assert.Zero(t, proxy.concurrency.inFlight)
 	}
 	proxy := startProxy(t, deployment(), 6)
-	_, steps := proxy.arrive(RequestInfo{Deadline: answerMargin / 2})
-	assert.Zero(t, countSends(steps), "too late to send at all")
-	assert.Len(t, replies(steps), 1)
+	_, actions := proxy.arrive(RequestInfo{Deadline: answerMargin / 2})
+	assert.Zero(t, countSends(actions), "too late to send at all")
+	assert.Len(t, replies(actions), 1)
 }
--- a/balance/benchmark_test.go
+++ b/balance/benchmark_test.go
@@ -8,7 +8,11 @@
 
 // BenchmarkRequest measures a request that arrives, is sent to one of 20 servers and succeeds.
 func BenchmarkRequest(b *testing.B) {
-	for name, d := range map[string]Deployment{"shared": deployment(), "sidecar": sidecarDeployment(), "health-checks": healthCheckDeployment()} {
+	for name, d := range map[string]Deployment{
+		"shared":        deployment(),
+		"sidecar":       sidecarDeployment(),
+		"health-checks": healthCheckDeployment(),
+	} {
 		b.Run(name, func(b *testing.B) {
 			balancer, err := New(d, 0)
 			require.NoError(b, err)
--- a/balance/breaker_test.go
+++ b/balance/breaker_test.go
@@ -13,14 +13,14 @@
 		after        string
 		want         bool // admitted
 	}{
-		{"too few to judge", "fffff", 0, "", true},
-		{"above the gate", "ffffff", 0, "", false},
-		{"successes before the first failure go uncounted", "hhhhhhhhffffff", 0, "", false},
-		{"half failing is not over half", "fhfhfhfh", 0, "", true},
-		{"no room leaves the row alone", "nnnnnnnnnn", 0, "", true},
-		{"called off counts neither way", "fffffcccc", 0, "", true},
-		{"a success clears", "ffffffh", 0, "", true},
-		{"the next failure pauses again", "ffffffhf", 0, "", false},
+		{"too few results", "fffff", 0, "", true},
+		{"more than half failing", "ffffff", 0, "", false},
+		{"successes before the first failure go uncounted", "ssssssssffffff", 0, "", false},
+		{"half failing is not over half", "fsfsfsfs", 0, "", true},
+		{"a rejection leaves the breaker alone", "rrrrrrrrrr", 0, "", true},
+		{"a canceled attempt counts neither way", "fffffcccc", 0, "", true},
+		{"a success clears", "ffffffs", 0, "", true},
+		{"the next failure pauses again", "ffffffsf", 0, "", false},
 		{"a late answer is no failure", "llllllll", 0, "", true},
 		{"the window resets", "fffff", breakerWindow + 1, "f", true},
 		{"within the window all count", "fffff", breakerWindow - 1, "f", false},
@@ -40,34 +40,35 @@
 
 func TestClassFailingAtOneServerIsPausedThereOnly(t *testing.T) {
 	proxy := startProxy(t, deployment(Class{Name: "good"}, Class{Name: "bad"}), 2)
-	to := func(class int) (used [2]int) {
+	countDraws := func(class int) (used [2]int) {
 		for range 100 {
 			s, _ := proxy.draw(class)
 			used[s.Index]++
 		}
 		return used
 	}
-	request := &Request{balancer: proxy.Balancer, class: &proxy.classes[1], relativeWork: 1, RequestInfo: RequestInfo{Class: 1}}
+	request := proxy.request(RequestInfo{Class: 1})
 	for range minBreakerResults + 1 {
-		proxy.endAttempts(proxy.servers[0], "hhh")
-		proxy.endAttempts(proxy.servers[1], "hhh")
+		proxy.endAttempts(proxy.servers[0], "sss")
+		proxy.endAttempts(proxy.servers[1], "sss")
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[0]}, ServerError, 0)
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[1]}, Succeeded, 0.05)
 	}
-	assert.Positive(t, to(0)[0], "what it does well it goes on doing")
-	assert.Zero(t, to(1)[0])
+	assert.Positive(t, countDraws(0)[0], "what it does well it goes on doing")
+	assert.Zero(t, countDraws(1)[0])
 	proxy.now += breakerCooldown * (1 + cooldownJitter)
-	assert.Positive(t, to(1)[0], "cooled down")
-	proxy.send(&Request{balancer: proxy.Balancer, class: &proxy.classes[1], RequestInfo: RequestInfo{Class: 1}}, proxy.servers[0])
-	assert.Zero(t, to(1)[0], "one at a time")
+	assert.Positive(t, countDraws(1)[0], "cooled down")
+	trial := &Request{balancer: proxy.Balancer, class: &proxy.classes[1], RequestInfo: RequestInfo{Class: 1}}
+	proxy.send(trial, proxy.servers[0])
+	assert.Zero(t, countDraws(1)[0], "one at a time")
 }
 
-// Danger: where most servers fail one class, the fleet's own share of failures would keep each from being paused.
+// Where most servers fail one class, the fleet's own share of failures must not keep each from being paused.
 func TestClassFailingAtMostServersIsPausedThere(t *testing.T) {
 	for _, c := range []struct{ bad, paused int }{{7, 7}, {10, 0}} {
 		proxy := startProxy(t, deployment(), 10)
 		for _, s := range proxy.servers {
-			proxy.endAttempts(s, "fhhh") // opens the row
+			proxy.endAttempts(s, "fsss") // begins the window
 		}
 		proxy.clock += classBreakerWindow + 1
 		for range minBreakerResults + 1 {
@@ -75,7 +76,7 @@
 				if i < c.bad {
 					proxy.endAttempts(s, "f")
 				} else {
-					proxy.endAttempts(s, "h")
+					proxy.endAttempts(s, "s")
 				}
 			}
 		}
@@ -93,7 +94,7 @@
 	proxy := startProxy(t, deployment(), 4)
 	for range 40 {
 		for _, s := range proxy.servers {
-			proxy.endAttempts(s, "fffh") // all fail alike, three in four
+			proxy.endAttempts(s, "fffs") // all fail alike, three in four
 		}
 	}
 	paused := 0
@@ -104,7 +105,7 @@
 	}
 	assert.Zero(t, paused)
 	proxy.endAttempts(proxy.servers[0], "ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff")
-	proxy.endAttempts(proxy.servers[1], "hhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhhh")
+	proxy.endAttempts(proxy.servers[1], "sssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssss")
 	proxy.endAttempts(proxy.servers[0], "f")
 	assert.True(t, proxy.servers[0].breaker.paused, "one that only it fails is paused still")
 }
@@ -112,7 +113,7 @@
 func TestHangingServerIsPausedBeforeTheDeadline(t *testing.T) {
 	proxy := startProxy(t, deployment(), 2)
 	for _, s := range proxy.servers {
-		proxy.endAttempts(s, "hhhhhh")
+		proxy.endAttempts(s, "ssssss")
 		s.limit.value = 20
 	}
 	var hung []*Request
@@ -126,18 +127,24 @@
 	for _, request := range hung {
 		request.TimerFired(0.2)
 	}
-	assert.True(t, proxy.servers[0].breaker.paused, "well before any hard stop")
+	assert.True(t, proxy.servers[0].breaker.paused, "well before any deadline")
 }
 
-// What others tell of their attempts pauses and readmits as own results would, by the share that failed and not by
-// their order.
+// Reported outcomes pause and readmit as own results would, by the share that failed and not by their order.
 func TestReportedOutcomesPauseAndReadmit(t *testing.T) {
 	for _, c := range []struct {
-		honoured, failed, after int // after: successful, told in a second report
-		paused                  bool
-	}{{100, 0, 0, false}, {0, 5, 0, false}, {0, 8, 0, true}, {70, 30, 0, false}, {400, 1600, 0, true}, {10, 90, 1, false}} {
+		succeeded, failed, after int // after: succeeded, in a second report
+		paused                   bool
+	}{
+		{100, 0, 0, false},
+		{0, 5, 0, false},
+		{0, 8, 0, true},
+		{70, 30, 0, false},
+		{400, 1600, 0, true},
+		{10, 90, 1, false},
+	} {
 		proxy := startProxy(t, deployment(), 9)
-		report := []ReportedOutcomes{{0, 0, c.honoured, c.failed}, {77, 0, 5, 5}} // the last is nobody's
+		report := []ReportedOutcomes{{0, 0, c.succeeded, c.failed}, {77, 0, 5, 5}} // the last is of no server
 		for i := 1; i < 9; i++ {
 			report = append(report, ReportedOutcomes{i, 0, 95, 5})
 		}
--- a/balance/checkpoint_test.go
+++ b/balance/checkpoint_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	require.Len(t, restored, len(requests))
 	assert.Equal(t, original.CurrentStatuses(), b.CurrentStatuses())
-	copied := &testProxy{Balancer: b, t: t, clock: original.clock, refs: original.refs}
+	copied := &testProxy{Balancer: b, clock: original.clock, refs: original.refs}
 	onLostServer := 0
 	for key := range uint64(61) {
 		request := requests[key]
@@ -73,7 +73,9 @@
 		"no machine model":           func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.models[0] = nil },
 		"server without a model":     func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].model = nil },
 		"server without an estimate": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].shared[2] = nil },
-		"server without breakers":    func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].classBreakers = nil },
+		"server without breakers": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
+			c.servers[1].classBreakers = nil
+		},
 		"latencies of another":       func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.classes[0].all = nil },
 		"candidate without a server": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.candidates[0].server = nil },
 		"nobody waits":               func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.waiting[0] = nil },
@@ -81,9 +83,12 @@
 		"request of another balancer": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
 			c.waiting[0].balancer = &Checkpoint{}
 		},
-		"request of an unknown class": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.waiting[0].info.Class = 9 },
+		"request of an unknown class": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
+			c.waiting[0].info.Class = 9
+		},
 		"attempt without a server": func(_ *Checkpoint, r map[uint64]*RequestCheckpoint) {
-			r[7] = &RequestCheckpoint{balancer: r[60].balancer, class: r[60].class, attempts: make([]checkpointAttempt, 1)}
+			attempts := make([]checkpointAttempt, 1)
+			r[7] = &RequestCheckpoint{balancer: r[60].balancer, class: r[60].class, attempts: attempts}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -11,22 +11,23 @@
 func TestConcurrencyLimit(t *testing.T) {
 	proxy := startProxy(t, deployment(), 1)
 	s := proxy.servers[0]
-	proxy.endAttempts(s, "nnnnnnnn")
+	proxy.endAttempts(s, "rrrrrrrr")
 	assert.InDelta(t, minLimit/2, s.limit.value, 1e-9, "never shut by its limit alone")
-	// danger: gone at once and using up no room, hundreds a second would pass a room of less than one attempt
-	assert.InDelta(t, -8*proxy.classes[0].medianLatency(), proxy.concurrency.credit, 1e-9, "a leg turned away uses up room as one that was served")
-	proxy.endAttempts(s, "hhhhhhhhhh")
+	// Rejected at once and using up no capacity, hundreds a second would pass a capacity of less than one attempt.
+	used := 8 * proxy.classes[0].medianLatency()
+	assert.InDelta(t, -used, proxy.concurrency.credit, 1e-9, "a rejected attempt uses up capacity like a served one")
+	proxy.endAttempts(s, "ssssssssss")
 	grown := s.limit.value
 	assert.Greater(t, grown, minLimit/2)
 	proxy.concurrency.capacity, proxy.concurrency.credit = 9, 0 // far from binding
 	proxy.endAttempts(s, "llll")
-	assert.Equal(t, grown, s.limit.value, "chance alone is no crowd")
+	assert.Equal(t, grown, s.limit.value, "chance alone is no congestion")
 	proxy.concurrency.capacity = 0
 	proxy.endAttempts(s, "l")
 	assert.Less(t, s.limit.value, grown)
 	proxy.arrive(RequestInfo{})
-	_, steps := proxy.arrive(RequestInfo{})
-	assert.Zero(t, countSends(steps), "held while the backend is at its limit")
+	_, actions := proxy.arrive(RequestInfo{})
+	assert.Zero(t, countSends(actions), "it waits while the server is at its limit")
 }
 
 func TestConcurrencyLimitsGrowAtAQuietProxyOfAFleet(t *testing.T) {
@@ -40,59 +41,65 @@
 		two.AttemptEnded(proxy.clock, 0, Succeeded, 0.05, true)
 	}
 	proxy.arrive(RequestInfo{})
-	assert.Greater(t, proxy.concurrency.capacity, 16*initialLimit/18+0.01, "the leg that ends belongs to what bound")
+	// The attempt that ends belongs to those that bound the limit.
+	assert.Greater(t, proxy.concurrency.capacity, 16*initialLimit/18+0.01)
 }
 
-// A server not heard starts with attempts by its size where peers tell what they see there; a full answer then moves
-// what a proxy of many may have out in all, not the one limit that holds nothing back.
+// In a fleet that gossips, the initial limit of a server follows its cores. A rejection then moves what one proxy of
+// many may have in flight in all, not the one limit that holds nothing back.
 func TestConcurrencyLimitsWithGossip(t *testing.T) {
 	d := sidecarDeployment()
 	d.Proxies = 40
 	proxy := startProxy(t, d, 0)
-	for size, attempts := range map[float64]float64{2: 2 * initialLimitPerCore, 6: 6 * initialLimitPerCore, 0: initialLimit} {
-		assert.InDelta(t, attempts/40, proxy.newServer(0, size).limit.value, 1e-9)
+	attempts := map[float64]float64{2: 2 * initialLimitPerCore, 6: 6 * initialLimitPerCore, 0: initialLimit}
+	for cores, want := range attempts {
+		assert.InDelta(t, want/40, proxy.newServer(0, cores).limit.value, 1e-9)
 	}
-	// danger: a server that rejects early, or is slow by its own nature, would be left idle by what its attempts tell
+	// By its own answers, a server that rejects early, or that is always slow, would be left idle.
 	proxy = startProxy(t, d, 0)
 	proxy.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, Cores: 2}, {Index: 1, NameHash: 2}})
 	proxy.selection.admitted = 2
 	for _, s := range proxy.servers {
-		proxy.endAttempts(s, strings.Repeat("nl", 200))
+		proxy.endAttempts(s, strings.Repeat("rl", 200))
 	}
-	assert.InDelta(t, 2*initialLimitPerCore/40, proxy.servers[0].limit.value, 1e-9, "never under what its cores bear")
-	assert.InDelta(t, minLimit/40, proxy.servers[1].limit.value, 1e-9, "no size told: down to the least")
+	assert.InDelta(t, 2*initialLimitPerCore/40, proxy.servers[0].limit.value, 1e-9, "never under what its cores can take")
+	assert.InDelta(t, minLimit/40, proxy.servers[1].limit.value, 1e-9, "no cores told: down to the minimum")
 	proxy = startProxy(t, d, 10)
 	for _, s := range proxy.servers {
-		proxy.endAttempts(s, strings.Repeat("h", 40)) // all known well
+		proxy.endAttempts(s, strings.Repeat("s", 40)) // all with many results
 	}
 	for _, s := range proxy.servers {
 		s.limit.value = 0.2
 	}
 	proxy.selection.admitted = 10
-	proxy.endAttempts(proxy.servers[0], "nnnnnnnnnn")
+	proxy.endAttempts(proxy.servers[0], "rrrrrrrrrr")
 	one, others := proxy.servers[0].limit.value, proxy.servers[9].limit.value
-	assert.InDelta(t, 2-0.2*(1-math.Pow(gossipRejectionCut, 10)), one+9*others, 0.02, "as much as if it had been that one limit")
+	sum := 2 - 0.2*(1-math.Pow(gossipRejectionCut, 10))
+	assert.InDelta(t, sum, one+9*others, 0.02, "as much as if it had been that one limit")
 	assert.Less(t, others, 0.198)
 }
 
-// Danger: at one proxy of hundreds the first limits, two attempts of all at a server, grew by a few parts in a hundred
-// with each answer, and until servers of many cores were found to bear more, a third of the requests were rejected. A
-// few cuts later they grow as usual.
+// At one proxy of hundreds the initial limits would grow so slowly that a third of the requests were rejected until
+// servers of many cores were found to take more. After a few cuts they grow as usual.
 func TestInitialLimitsOfAFleetGrowFast(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		proxies int
-		peers   bool
+		gossip  bool
 		before  string
 		times   float64 // as fast as usual
 	}{
-		{"a few proxies", 2, false, "h", 1}, {"a fleet", 300, false, "h", initialLimitGrowth / limitGrowth}, {"a small fleet", 8, false, "h", initialLimitGrowth / limitGrowth},
-		{"a fleet that tells", 300, true, "h", 1}, {"once full", 300, false, "hn", initialLimitGrowth / limitGrowth * rejectionCut},
-		{"full a few times", 300, false, "hnnnnn", 1}, {"slow a few times", 300, false, "h" + strings.Repeat("l", 15), 1},
+		{"a few proxies", 2, false, "s", 1},
+		{"a fleet", 300, false, "s", initialLimitGrowth / limitGrowth},
+		{"a small fleet", 8, false, "s", initialLimitGrowth / limitGrowth},
+		{"a fleet that gossips", 300, true, "s", 1},
+		{"rejected once", 300, false, "sr", initialLimitGrowth / limitGrowth * rejectionCut},
+		{"rejected a few times", 300, false, "srrrrr", 1},
+		{"slow a few times", 300, false, "s" + strings.Repeat("l", 15), 1},
 	} {
 		growth := func(usual bool) float64 {
 			d := deployment()
-			d.Proxies, d.Gossip = c.proxies, c.peers
+			d.Proxies, d.Gossip = c.proxies, c.gossip
 			proxy := startProxy(t, d, 4)
 			proxy.endAttempts(proxy.servers[0], c.before)
 			if usual {
@@ -100,8 +107,9 @@
 			}
 			s := proxy.servers[0]
 			was := max(0.2, 1.2*s.limit.minimum)
-			s.limit.value, s.breaker.inFlight, s.scores.shared[ownEstimate].confidence, proxy.selection.admitted = was, 1, 0, 4 // known from the others only
-			proxy.endAttempts(s, "h")
+			s.limit.value, s.breaker.inFlight, proxy.selection.admitted = was, 1, 4
+			s.scores.shared[ownEstimate].confidence = 0 // known from the others only
+			proxy.endAttempts(s, "s")
 			return math.Log(s.limit.value / was)
 		}
 		assert.InDelta(t, c.times, growth(false)/growth(true), 0.1*c.times, c.name)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -25,8 +25,8 @@
 	p.delay = min(2*p.delay, maxPollDelay, max(notificationDeadline/4, minPollDelay))
 }
 
-// takeDuePoll reports, once, whether it is time to poll.
-func (p *endpointPoller) takeDuePoll(now float64) bool {
+// takePoll reports, once, whether it is time to poll.
+func (p *endpointPoller) takePoll(now float64) bool {
 	if now < p.pollAt-timerTolerance {
 		return false
 	}
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -9,54 +9,68 @@
 
 func TestEndpointListUpdates(t *testing.T) {
 	proxy := startProxy(t, deployment(), 3)
-	with := func(i int, state EndpointState, since float64) []Endpoint {
+	entry := func(i int, state EndpointState, startedAt float64) []Endpoint {
 		e := endpointList(3)[i]
-		e.State, e.StartedAt = state, since
+		e.State, e.StartedAt = state, startedAt
 		return []Endpoint{e}
 	}
 	proxy.endAttempts(proxy.servers[1], "ffffff")
-	proxy.EndpointsUpdated(1, false, false, with(0, Draining, 0))
-	proxy.EndpointsUpdated(1, false, false, with(1, Ready, 1))
-	assert.False(t, proxy.servers[1].breaker.tracked, "a restart has a fresh row")
-	assert.True(t, proxy.warmingUp(proxy.servers[1]), "and is cold")
+	proxy.EndpointsUpdated(1, false, false, entry(0, Draining, 0))
+	proxy.EndpointsUpdated(1, false, false, entry(1, Ready, 1))
+	assert.False(t, proxy.servers[1].breaker.tracked, "a restart has a new breaker")
+	assert.True(t, proxy.warmingUp(proxy.servers[1]), "and is warming up")
 	proxy.clock = 1
 	for range 20 {
 		request, _ := proxy.arrive(RequestInfo{})
-		for _, g := range request.attempts {
-			assert.NotZero(t, g.server.Index, "nothing new to a draining backend")
+		for _, a := range request.attempts {
+			assert.NotZero(t, a.server.Index, "nothing new to a draining server")
 		}
 	}
 	proxy.EndpointsUpdated(2, true, false, endpointList(2))
 	assert.Nil(t, proxy.servers[2], "a full list removes what it leaves out")
-	proxy.EndpointsUpdated(2, false, false, with(1, Removed, 1))
+	proxy.EndpointsUpdated(2, false, false, entry(1, Removed, 1))
 	assert.Nil(t, proxy.servers[1])
 }
 
-// Where only a drain binds, a list that loses a server takes none that goes on answering.
+// Where only a drain binds, a server that goes on answering is kept, though the list has lost it. In the strings s and
+// f are results, g means gone, b back, d draining, r gone and restarted, o left out of a full list, w a wait; want is
+// whether the server is sent to and kept.
 func TestAdvisoryRemovalKeepsAServingServer(t *testing.T) {
-	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining} // r: gone, and up since
-	for told, want := range map[string][2]bool{                                 // h and f are attempts' ends, b is back, o left out, w a wait; want: sent to, kept
-		"hg": {true, true}, "ho": {true, true}, "hgbg": {true, true}, "hdg": {}, "hdo": {}, "hd": {false, true}, "g": {},
-		"hffffffg": {false, true}, "hgw": {}, "hgrw": {}} {
-		for _, advice := range []bool{true, false} {
+	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining}
+	startedAt := map[rune]float64{'r': 49.9}
+	for events, want := range map[string][2]bool{
+		"sg":       {true, true},
+		"so":       {true, true},
+		"sgbg":     {true, true},
+		"sdg":      {},
+		"sdo":      {},
+		"sd":       {false, true},
+		"g":        {},
+		"sffffffg": {false, true},
+		"sgw":      {},
+		"sgrw":     {},
+	} {
+		for _, advisory := range []bool{true, false} {
 			proxy := startProxy(t, deployment(), 1)
-			proxy.deployment.RemovalIsAdvisory, proxy.clock = advice, 50
-			for _, x := range told {
-				switch x {
-				case 'h', 'f':
-					proxy.endAttempts(proxy.servers[0], string(x))
+			proxy.deployment.RemovalIsAdvisory, proxy.clock = advisory, 50
+			for _, event := range events {
+				switch event {
+				case 's', 'f':
+					proxy.endAttempts(proxy.servers[0], string(event))
 				case 'w':
 					proxy.clock += removedServerTimeout
 				case 'o':
 					proxy.EndpointsUpdated(proxy.clock, true, false, nil)
 				default:
-					proxy.EndpointsUpdated(proxy.clock, false, false, []Endpoint{{NameHash: 1, State: states[x], StartedAt: map[rune]float64{'r': 49.9}[x]}})
+					changed := Endpoint{NameHash: 1, State: states[event], StartedAt: startedAt[event]}
+					proxy.EndpointsUpdated(proxy.clock, false, false, []Endpoint{changed})
 				}
 			}
 			proxy.now = proxy.clock
 			s, _ := proxy.draw(0)
 			proxy.EndpointsUpdated(proxy.now, false, false, nil)
-			assert.Equal(t, [2]bool{advice && want[0], want[1] && (advice || told == "hd")}, [2]bool{s != nil, proxy.HasEndpoint(0)}, told)
+			kept := want[1] && (advisory || events == "sd")
+			assert.Equal(t, [2]bool{advisory && want[0], kept}, [2]bool{s != nil, proxy.HasEndpoint(0)}, events)
 		}
 	}
 }
@@ -75,22 +89,23 @@
 		assert.False(t, b.TimerFired(actions.WakeAt-0.01).Subscribe)
 		last, now = actions.WakeAt-now, actions.WakeAt
 		assert.True(t, b.TimerFired(now).Subscribe)
-		assert.False(t, b.TimerFired(now+1).Subscribe, "asked once a failure")
+		assert.False(t, b.TimerFired(now+1).Subscribe, "polled once a failure")
 	}
-	assert.Greater(t, last, minPollDelay, "the pauses grow")
+	assert.Greater(t, last, minPollDelay, "the delays grow")
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
-		apart, peers bool
-		price        float64
-		times        int
+		sidecar, gossip bool
+		cost            float64
+		times           int
 	}{{true, true, 0.03, 1}, {true, false, 0.03, 1}, {false, true, 0.03, 1}, {false, false, 0.03, 0}, {true, true, 0, 0}} {
 		proxy, closed := startProxy(t, sidecarDeployment(), 1), 0
-		proxy.deployment.Sidecar, proxy.deployment.Gossip, proxy.deployment.ConnectionCost = c.apart, c.peers, c.price
+		d := &proxy.deployment
+		d.Sidecar, d.Gossip, d.ConnectionCost = c.sidecar, c.gossip, c.cost
 		proxy.serveRequest(func(*Request, *Actions) {})
 		for ended := proxy.clock; proxy.clock < ended+2*maxIdleDuration; proxy.clock += 0.05 {
-			if actions := proxy.Balancer.TimerFired(proxy.clock); len(actions.CloseIdle) > 0 {
+			if actions := proxy.TimerFired(proxy.clock); len(actions.CloseIdle) > 0 {
 				assert.Equal(t, []int{0}, actions.CloseIdle)
 				assert.InDelta(t, ended+maxIdleDuration, proxy.clock, 0.06)
 				closed++
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleet is many balancers before the same servers, the first of which starts anew, cold, at restartAt. Servers take no
-// notice of one another's load: only what is sent to the cold one is counted.
+// fleet is many balancers before the same servers, the first of which restarts at restartAt. The load of servers has no
+// effect on their answers: only what is sent to the restarted one is counted.
 type fleet struct {
 	now            float64
 	events         eventQueue
 	rand           *rand.Rand
-	d              Deployment
+	deployment     Deployment
 	list           []Endpoint
-	slowdown       func(server int) float64 // times that its answers take
-	warmingUpSends []float64                // when the cold server was sent to
+	slowdown       func(server int) float64 // factor on the latency of its answers
+	warmingUpSends []float64                // when the restarted server was sent to
 }
 
 type event struct {
@@ -28,43 +28,44 @@
 
 type eventQueue []event
 
-func (o eventQueue) Len() int { return len(o) }
+// The methods of heap.Interface, by time.
 
-func (o eventQueue) Less(i, j int) bool { return o[i].at < o[j].at }
-
-func (o eventQueue) Swap(i, j int) { o[i], o[j] = o[j], o[i] }
-
-func (o *eventQueue) Push(x any) { *o = append(*o, x.(event)) }
-
-func (o *eventQueue) Pop() any {
-	last := (*o)[len(*o)-1]
-	*o = (*o)[:len(*o)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (f *fleet) after(s float64, what func()) { heap.Push(&f.events, event{f.now + s, what}) }
+// after has an action happen so many seconds from now.
+func (f *fleet) after(seconds float64, action func()) {
+	heap.Push(&f.events, event{f.now + seconds, action})
+}
 
 // fleetMember is one balancer of a fleet. Started again, it knows nothing.
 type fleetMember struct {
 	*fleet
 	balancer *Balancer
 	requests []*Request
-	rate     float64
+	rate     float64 // requests a second
 }
 
 const (
-	restartAt      = 20.0
-	workPerRequest = 0.025
+	restartAt      = 20.0  // s
+	workPerRequest = 0.025 // s, the mean
 )
 
 func (m *fleetMember) start() {
-	d := m.d
+	d := m.deployment
 	d.Seed = m.rand.Uint64()
 	m.balancer, _ = New(d, m.now)
 	m.carryOut(m.balancer.EndpointsUpdated(m.now, true, true, m.list))
 }
 
-// schedule makes a call on the balancer, unless another has its place by then.
+// schedule makes a call on the balancer, unless the member was restarted by then.
 func (m *fleetMember) schedule(at float64, call func() *Actions) {
 	b := m.balancer
 	m.after(at-m.now, func() {
@@ -86,15 +87,17 @@
 		if !s.Send {
 			continue
 		}
-		took, i := workPerRequest*m.rand.ExpFloat64()*m.slowdown(s.Endpoint), len(request.attempts)-1
+		latency, index := workPerRequest*m.rand.ExpFloat64()*m.slowdown(s.Endpoint), len(request.attempts)-1
 		if s.Endpoint == 0 && m.now >= restartAt {
 			m.warmingUpSends = append(m.warmingUpSends, m.now)
 		}
-		how := Succeeded
-		if took >= 1 {
-			how, took = TimedOut, 1
+		outcome := Succeeded
+		if latency >= 1 {
+			outcome, latency = TimedOut, 1
 		}
-		m.schedule(m.now+took, func() *Actions { return request.AttemptEnded(m.now, i, how, took, how == Succeeded) })
+		m.schedule(m.now+latency, func() *Actions {
+			return request.AttemptEnded(m.now, index, outcome, latency, outcome == Succeeded)
+		})
 	}
 }
 
@@ -106,87 +109,125 @@
 	m.carryOut(actions)
 }
 
-// capacityShare is that of its capacity which the cold server has by now.
+// capacityShare is the share of its capacity that the restarted server has by now.
 func (f *fleet) capacityShare() float64 {
-	return f.d.SlowStartFraction + (1-f.d.SlowStartFraction)*(f.now-restartAt)/f.d.SlowStartDuration
+	d := &f.deployment
+	return d.SlowStartFraction + (1-d.SlowStartFraction)*(f.now-restartAt)/d.SlowStartDuration
+}
+
+// newFleet returns so many proxies before servers at full capacity. Their traffic is uneven: a few receive seven times
+// as much as the others.
+func newFleet(proxies, servers int) (*fleet, []*fleetMember) {
+	f := &fleet{
+		rand:     rand.New(rand.NewPCG(1, uint64(proxies))),
+		slowdown: slowerExceptFirst(servers, 1),
+		deployment: Deployment{
+			Proxies:           proxies,
+			MaxAttempts:       3,
+			CancelAllowed:     true,
+			MaxRetryAfter:     1,
+			SlowStartFraction: 0.2,
+			SlowStartDuration: 15,
+			CrashFactor:       3,
+			CrashDuration:     1,
+			Classes:           []Class{{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1}},
+		},
+	}
+	for i := range servers {
+		f.list = append(f.list, Endpoint{Index: i, NameHash: uint64(i + 1)})
+	}
+	var members []*fleetMember
+	for i := range proxies {
+		m := &fleetMember{fleet: f, rate: 0.6 * float64(servers) / workPerRequest / float64(proxies)}
+		if i%9 == 0 {
+			m.rate *= 7
+		}
+		members = append(members, m)
+		m.start()
+		m.after(m.rand.Float64()/m.rate, m.arrive)
+	}
+	return f, members
+}
+
+// restartServer starts the first server anew, which the members hear after different delays.
+func (f *fleet) restartServer(members []*fleetMember) {
+	f.list[0].StartedAt = restartAt
+	for _, m := range members {
+		m.after(0.05*m.rand.Float64(), func() {
+			m.carryOut(m.balancer.EndpointsUpdated(m.now, false, false, f.list[:1]))
+		})
+	}
+}
+
+// run makes all calls until a time.
+func (f *fleet) run(until float64) {
+	for f.now < until {
+		next := heap.Pop(&f.events).(event)
+		f.now = next.at
+		next.action()
+	}
+}
+
+// worstWindow returns what was sent to the server in the window that came closest to what is allowed, or passed it, and
+// the sends over the allowed ones: in any window the settings allow n sends, and 2 roots of n and 2 more by chance.
+func (f *fleet) worstWindow() (sends int, overAllowed float64) {
+	overAllowed = math.Inf(-1)
+	for i, at := range f.warmingUpSends {
+		f.now = at
+		allowed := f.deployment.CrashFactor * f.capacityShare() * f.deployment.CrashDuration / workPerRequest
+		allowed += 2*math.Sqrt(allowed) + 2
+		sent := 0
+		for sent < len(f.warmingUpSends)-i && f.warmingUpSends[i+sent] < at+f.deployment.CrashDuration {
+			sent++
+		}
+		if over := float64(sent) / allowed; over > overAllowed {
+			sends, overAllowed = sent, over
+		}
+	}
+	return sends, overAllowed
 }
 
-// Rule 4 is the whole fleet's: in any window the settings allow N, and 2 roots of N and 2 more by chance.
+// Rule 4 binds the whole fleet, whatever happens while a server is warming up.
 func TestSlowStartBudgetOverTheFleet(t *testing.T) {
-	const servers = 6
-	for name, comes := range map[string]func(f *fleet, all []*fleetMember){
-		"nothing":          func(*fleet, []*fleetMember) {},
-		"a burst":          func(_ *fleet, all []*fleetMember) { multiplyRates(all, 2.5) },
-		"slow warm ones":   func(f *fleet, _ []*fleetMember) { f.slowdown = slowerExceptFirst(1, 8) },
-		"most are dead":    func(f *fleet, _ []*fleetMember) { f.slowdown = slowerExceptFirst(2, 100) },
-		"restarts of most": func(f *fleet, all []*fleetMember) { restartAll(all[len(all)*3/10:]) },
+	for name, incident := range map[string]func(f *fleet, members []*fleetMember){
+		"nothing":              func(*fleet, []*fleetMember) {},
+		"a burst":              func(_ *fleet, members []*fleetMember) { multiplyRates(members, 2.5) },
+		"other servers slow":   func(f *fleet, _ []*fleetMember) { f.slowdown = slowerExceptFirst(1, 8) },
+		"most servers dead":    func(f *fleet, _ []*fleetMember) { f.slowdown = slowerExceptFirst(2, 100) },
+		"most proxies restart": func(_ *fleet, members []*fleetMember) { restartAll(members[len(members)*3/10:]) },
 	} {
-		for _, n := range []int{2, 20, 30, 300} {
-			f := &fleet{rand: rand.New(rand.NewPCG(1, uint64(n))), slowdown: slowerExceptFirst(servers, 1),
-				d: Deployment{Proxies: n, MaxAttempts: 3, CancelAllowed: true, MaxRetryAfter: 1, SlowStartFraction: 0.2, SlowStartDuration: 15, CrashFactor: 3, CrashDuration: 1,
-					Classes: []Class{{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1}}}}
-			for i := range servers {
-				f.list = append(f.list, Endpoint{Index: i, NameHash: uint64(i + 1)})
-			}
-			var all []*fleetMember
-			for i := range n { // uneven: a few see some seven times as much as the others
-				m := &fleetMember{fleet: f, rate: 0.6 * servers / workPerRequest / float64(n)}
-				if i%9 == 0 {
-					m.rate *= 7
-				}
-				all = append(all, m)
-				m.start()
-				m.after(m.rand.Float64()/m.rate, m.arrive)
-			}
-			f.after(restartAt, func() {
-				f.list[0].StartedAt = restartAt
-				for _, m := range all {
-					m.after(0.05*m.rand.Float64(), func() { m.carryOut(m.balancer.EndpointsUpdated(m.now, false, false, f.list[:1])) })
-				}
-			})
-			f.after(restartAt+8, func() { comes(f, all) })
-			for f.now < restartAt+12 {
-				next := heap.Pop(&f.events).(event)
-				f.now = next.at
-				next.action()
-			}
-			worst, most := 0, math.Inf(-1)
-			for i, at := range f.warmingUpSends {
-				f.now = at
-				allowed := f.d.CrashFactor * f.capacityShare() * f.d.CrashDuration / workPerRequest
-				allowed += 2*math.Sqrt(allowed) + 2
-				sent := 0
-				for sent < len(f.warmingUpSends)-i && f.warmingUpSends[i+sent] < at+f.d.CrashDuration {
-					sent++
-				}
-				if over := float64(sent) / allowed; over > most {
-					worst, most = sent, over
-				}
-			}
-			t.Logf("%d proxies, %s: %d at most in a window, %.2f of what is allowed then; %d in all", n, name, worst, most, len(f.warmingUpSends))
-			assert.LessOrEqual(t, most, 1.0, "%d proxies, %s", n, name)
-			assert.NotEmpty(t, f.warmingUpSends, "%d proxies, %s", n, name)
+		for _, proxies := range []int{2, 20, 30, 300} {
+			f, members := newFleet(proxies, 6)
+			f.after(restartAt, func() { f.restartServer(members) })
+			f.after(restartAt+8, func() { incident(f, members) })
+			f.run(restartAt + 12)
+			sends, overAllowed := f.worstWindow()
+			t.Logf("%d proxies, %s: %d at most in a window, %.2f of what is allowed then; %d in all",
+				proxies, name, sends, overAllowed, len(f.warmingUpSends))
+			assert.LessOrEqual(t, overAllowed, 1.0, "%d proxies, %s", proxies, name)
+			assert.NotEmpty(t, f.warmingUpSends, "%d proxies, %s", proxies, name)
 		}
 	}
 }
 
-func slowerExceptFirst(few int, times float64) func(server int) float64 {
+// slowerExceptFirst slows down all servers but the first few.
+func slowerExceptFirst(few int, factor float64) func(server int) float64 {
 	return func(server int) float64 {
 		if server < few {
 			return 1
 		}
-		return times
+		return factor
 	}
 }
 
-func multiplyRates(all []*fleetMember, by float64) {
-	for _, m := range all {
-		m.rate *= by
+func multiplyRates(members []*fleetMember, factor float64) {
+	for _, m := range members {
+		m.rate *= factor
 	}
 }
 
-func restartAll(all []*fleetMember) {
-	for _, m := range all {
+func restartAll(members []*fleetMember) {
+	for _, m := range members {
 		m.after(0.3*m.rand.Float64(), m.start)
 	}
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -10,26 +10,29 @@
 func TestGossipReceived(t *testing.T) {
 	bad := gossipOf(Observation{NameHash: 1, Value: 0})
 	for _, c := range []struct {
-		name  string
-		from  int
-		note  GossipMessage
-		worse int
-	}{ // worse: the server believed to be so by it; -1: none
-		{"of a backend that fails", 2, bad, 0},
-		{"from itself", 1, bad, -1}, {"from outside the bank", 4, bad, -1}, {"from no number", -1, bad, -1}, {"nothing", 2, GossipMessage{}, -1},
+		name    string
+		from    int
+		message GossipMessage
+		worse   int // the server that has the lower payoff by it; -1: none
+	}{
+		{"of a server that fails", 2, bad, 0},
+		{"from itself", 1, bad, -1},
+		{"from outside the fleet", 4, bad, -1},
+		{"from no number", -1, bad, -1},
+		{"nothing", 2, GossipMessage{}, -1},
 		{"too old", 2, gossipOf(Observation{NameHash: 1, Age: observationTimeout}), -1},
-		{"of a backend that is not listed", 2, gossipOf(Observation{NameHash: 77}), -1},
-		{"of a tariff there is not", 2, gossipOf(Observation{NameHash: 1, Class: 9}), -1},
-		{"of a backend before its restart", 2, gossipOf(Observation{NameHash: 3, Age: 1.5}), -1},
-		{"of a backend since its restart", 2, gossipOf(Observation{NameHash: 3, Age: 0.5}), 2},
+		{"of a server that is not listed", 2, gossipOf(Observation{NameHash: 77}), -1},
+		{"of an unknown class", 2, gossipOf(Observation{NameHash: 1, Class: 9}), -1},
+		{"of a server before its restart", 2, gossipOf(Observation{NameHash: 3, Age: 1.5}), -1},
+		{"of a server since its restart", 2, gossipOf(Observation{NameHash: 3, Age: 0.5}), 2},
 	} {
 		proxy := startProxy(t, sidecarDeployment(), 3)
 		proxy.EndpointsUpdated(99, false, false, []Endpoint{{Index: 2, NameHash: 3, StartedAt: 99}})
-		proxy.GossipReceived(100, c.from, c.note)
+		proxy.GossipReceived(100, c.from, c.message)
 		once := proxy.payoffOf(proxy.servers[0], 0)
-		for i := range 9 * len(c.note.Observations) { // the same, told on: its age grows by the way at least
-			c.note.Observations[0].Age += 0.01
-			proxy.GossipReceived(100+0.01*float64(i+1), c.from, c.note)
+		for i := range 9 * len(c.message.Observations) { // the same, passed on: its age grows by the delay at least
+			c.message.Observations[0].Age += 0.01
+			proxy.GossipReceived(100+0.01*float64(i+1), c.from, c.message)
 		}
 		for i, s := range proxy.servers {
 			assert.Equal(t, i == c.worse, proxy.payoffOf(s, 0) < proxy.payoffOf(proxy.servers[1], 0), "%s: %d", c.name, i)
@@ -39,22 +42,26 @@
 	}
 }
 
-// A peer that tells wrong things of every server, all the time, costs less than the draw tells apart: own results win.
+// A peer that tells wrong things of every server, all the time, is outweighed by own results.
 func TestFalseGossipIsOutweighed(t *testing.T) {
 	proxy := startProxy(t, sidecarDeployment(), 3)
 	for range 200 {
 		proxy.clock += 0.1
-		proxy.endAttempts(proxy.servers[0], "hhh")
+		proxy.endAttempts(proxy.servers[0], "sss")
 		proxy.endAttempts(proxy.servers[1], "fff")
-		proxy.GossipReceived(proxy.clock, 2, gossipOf(Observation{NameHash: 1, Value: 0}, Observation{NameHash: 2, Value: 1}, Observation{NameHash: 3, Value: 0}))
+		proxy.GossipReceived(proxy.clock, 2, gossipOf(
+			Observation{NameHash: 1, Value: 0},
+			Observation{NameHash: 2, Value: 1},
+			Observation{NameHash: 3, Value: 0},
+		))
 	}
 	assert.Greater(t, proxy.payoffOf(proxy.servers[0], 0), proxy.payoffOf(proxy.servers[1], 0)+3*temperature)
-	assert.False(t, proxy.servers[0].breaker.paused, "nobody's word pauses a backend")
+	assert.False(t, proxy.servers[0].breaker.paused, "gossip pauses no server")
 	assert.True(t, proxy.servers[1].breaker.paused, "nor readmits one")
 }
 
-// Where neither notes nor probes are allowed, nothing of the new shape is ever ordered, and equal calls are answered
-// by equal orders, whatever else a deployment tells and whatever peers say.
+// Where neither gossip nor health checks are allowed, none is ever ordered, and equal calls return equal actions,
+// whatever else the deployment sets and whatever peers send.
 func TestNoGossipNorHealthChecksWhereNotAllowed(t *testing.T) {
 	play := func(d Deployment) (all [][]RequestAction) {
 		proxy := startProxy(t, d, 6)
@@ -64,24 +71,24 @@
 				require.Empty(t, append(actions.HealthChecks, actions.CloseIdle...))
 				require.Nil(t, actions.Gossip)
 			})
-			require.Empty(t, proxy.Balancer.TimerFired(proxy.clock).CloseIdle)
+			require.Empty(t, proxy.TimerFired(proxy.clock).CloseIdle)
 			proxy.GossipReceived(proxy.clock, 0, gossipOf(Observation{NameHash: 1, Value: 0}))
 		}
 		return all
 	}
-	told := deployment()
-	told.Self, told.Zone, told.GossipCost, told.HealthCheckCost, told.ConnectionCost = 1, 1, 0.01, 0.05, 0.03
-	told.HandshakeCost, told.ServerIdleTimeout = 0.12, 10
-	assert.Equal(t, play(deployment()), play(told))
+	withCosts := deployment()
+	withCosts.Self, withCosts.Zone, withCosts.GossipCost, withCosts.HealthCheckCost = 1, 1, 0.01, 0.05
+	withCosts.ConnectionCost, withCosts.HandshakeCost, withCosts.ServerIdleTimeout = 0.03, 0.12, 10
+	assert.Equal(t, play(deployment()), play(withCosts))
 }
 
 func TestGossipIsSentToOtherProxies(t *testing.T) {
 	proxy := startProxy(t, sidecarDeployment(), 3)
-	to := map[int]int{}
+	sent := map[int]int{} // by peer
 	for range 300 {
 		proxy.serveRequest(func(_ *Request, actions *Actions) {
-			require.NotNil(t, actions.Gossip, "at this price")
-			to[actions.GossipPeer]++
+			require.NotNil(t, actions.Gossip, "at this cost")
+			sent[actions.GossipPeer]++
 			assert.InDelta(t, 10, actions.Gossip.Rate, 1)
 			for i, s := range actions.Gossip.Observations {
 				assert.Less(t, s.Age, observationTimeout)
@@ -89,8 +96,8 @@
 			}
 		})
 	}
-	assert.Len(t, to, 3)
-	assert.Zero(t, to[1], "not to itself")
+	assert.Len(t, sent, 3)
+	assert.Zero(t, sent[1], "not to itself")
 	proxy.deployment.Proxies, proxy.deployment.Self = 1, 0
-	proxy.serveRequest(func(_ *Request, actions *Actions) { assert.Nil(t, actions.Gossip, "alone in its bank") })
+	proxy.serveRequest(func(_ *Request, actions *Actions) { assert.Nil(t, actions.Gossip, "alone in its fleet") })
 }
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -6,29 +6,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Danger: an attempt that was lost on its way is never answered, whatever is known of its server.
+// An attempt that was lost on its way is never answered, whatever is known of its server.
 func TestHedgedRequest(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		kind   Idempotency
-		beside bool
-		out    int // other attempts
-		want   int // attempts after the wake
+		name     string
+		kind     Idempotency
+		allowed  bool
+		inFlight int // other attempts
+		want     int // attempts after the timer
 	}{
-		{"replayable", Idempotent, true, 0, 2},
-		{"referenced, in its pod and window", Keyed, true, 0, 2},
-		{"single-use", NonIdempotent, true, 0, 1},
+		{"idempotent", Idempotent, true, 0, 2},
+		{"keyed, in its pod and window", Keyed, true, 0, 2},
+		{"non-idempotent", NonIdempotent, true, 0, 1},
 		{"not allowed", Idempotent, false, 0, 1},
-		{"little room", Idempotent, true, 3, 1},
+		{"little capacity", Idempotent, true, 3, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deployment(Class{Name: "a", Idempotency: c.kind, DedupScope: DedupPod, DedupWindow: 5})
-			d.HedgingAllowed, d.Proxies = c.beside, 1
+			d.HedgingAllowed, d.Proxies = c.allowed, 1
 			proxy := startProxy(t, d, 3)
 			for _, s := range proxy.servers {
 				s.limit.value = 2
 			}
-			for range c.out {
+			for range c.inFlight {
 				proxy.arrive(RequestInfo{})
 			}
 			request, _ := proxy.arrive(RequestInfo{})
@@ -47,21 +47,21 @@
 	}
 }
 
-// Danger: requests of one class that hang at a server take up its limit, and all others wait.
+// Requests of one class that hang at a server must not take up its limit while all others wait.
 func TestOverdueAttemptIsNotInFlight(t *testing.T) {
 	for _, c := range []struct {
-		limit float64
-		out   int
+		limit    float64
+		inFlight int
 	}{{1, 0}, {minBindingLimit / 2, 1}} {
 		proxy := startProxy(t, deployment(), 1)
 		request, _ := proxy.arrive(RequestInfo{Deadline: 99})
 		proxy.servers[0].limit.value = c.limit
 		proxy.clock += proxy.overdueAge(request)
 		request.TimerFired(proxy.clock)
-		assert.Equal(t, c.out, proxy.concurrency.inFlight, "in a large bank only the sum binds")
-		assert.Equal(t, c.out, proxy.servers[0].breaker.inFlight)
+		assert.Equal(t, c.inFlight, proxy.concurrency.inFlight, "in a large fleet only the sum binds")
+		assert.Equal(t, c.inFlight, proxy.servers[0].breaker.inFlight)
 		request.AttemptEnded(proxy.clock, 0, TimedOut, 1, true)
-		assert.Zero(t, proxy.concurrency.inFlight, "it is taken off once")
+		assert.Zero(t, proxy.concurrency.inFlight, "it is released once")
 		assert.Zero(t, proxy.servers[0].breaker.inFlight)
 	}
 }
--- a/balance/loadreports_test.go
+++ b/balance/loadreports_test.go
@@ -7,29 +7,29 @@
 )
 
 func TestReportedLoadsSteerSelection(t *testing.T) {
-	proxy, to := startProxy(t, healthCheckDeployment(), 4), map[*server]int{}
-	tell := func(reports ...LoadReport) (*server, bool) {
+	proxy, draws := startProxy(t, healthCheckDeployment(), 4), map[*server]int{}
+	drawAfter := func(reports ...LoadReport) (*server, bool) {
 		for i, r := range reports {
 			proxy.HealthChecked(1, i, true, r)
 		}
 		return proxy.draw(0)
 	}
 	for range 200 {
-		s, _ := tell(LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{0, 0.1})
-		to[s]++
+		s, _ := drawAfter(LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{0, 0.1})
+		draws[s]++
 	}
-	assert.Greater(t, to[proxy.servers[3]], 150, "the idle one")
-	s, full := tell(LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1})
-	assert.Nil(t, s, "all hold more than they bear")
-	assert.True(t, full)
+	assert.Greater(t, draws[proxy.servers[3]], 150, "the idle one")
+	s, possible := drawAfter(LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1})
+	assert.Nil(t, s, "all hold more than their capacity")
+	assert.True(t, possible)
 	proxy.TimerFired(1 + loadReportTimeout + 0.1)
 	s, _ = proxy.draw(0)
-	assert.NotNil(t, s, "no report for long: this proxy's own legs count again")
+	assert.NotNil(t, s, "no report for long: this proxy's own attempts count again")
 	proxy = startProxy(t, healthCheckDeployment(), 2)
 	for range 200 {
 		proxy.HealthChecked(9, 0, true, LoadReport{InFlight: 1.5, Utilization: 0.5})
 	}
-	assert.InDelta(t, 3, proxy.servers[1].model.coresOrOne(), 0.01, "alike for its like")
+	assert.InDelta(t, 3, proxy.servers[1].model.coresOrOne(), 0.01, "the same for all servers of a machine model")
 }
 
 func TestHealthChecksOfListedServers(t *testing.T) {
@@ -42,7 +42,7 @@
 		assert.Empty(t, asked(), "nothing is listed")
 	}
 	proxy.EndpointsUpdated(proxy.clock, true, false, endpointList(2))
-	assert.LessOrEqual(t, len(asked()), int(maxHealthChecksPerRequest), "no probes saved up while there was no list")
+	assert.LessOrEqual(t, len(asked()), int(maxHealthChecksPerRequest), "none saved up while there was no list")
 	proxy.EndpointsUpdated(proxy.clock, false, false, []Endpoint{{Index: 0, NameHash: 1, State: Draining}})
 	for range 50 {
 		assert.NotContains(t, asked(), 0, "one that drains is not asked")
@@ -51,7 +51,7 @@
 	proxy.HealthChecked(proxy.clock, 0, false, LoadReport{InFlight: 5, Utilization: 1}) // it failed
 	proxy.HealthChecked(proxy.clock, 0, true, LoadReport{InFlight: -1, Utilization: -1})
 	proxy.HealthChecked(proxy.clock, 1, true, LoadReport{InFlight: 5})  // the server has gone
-	proxy.HealthChecked(proxy.clock, 50, true, LoadReport{InFlight: 5}) // nobody's number
+	proxy.HealthChecked(proxy.clock, 50, true, LoadReport{InFlight: 5}) // no server has this index
 	assert.False(t, proxy.loadsKnown())
 	assert.False(t, proxy.servers[0].breaker.paused)
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -7,28 +7,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Danger: a request whose first two servers are both down goes to and fro between them until it has no attempt left,
-// and one that brings down what takes it would bring down as many servers as it may have attempts.
+// A request whose first two servers are both down must not go to and fro between them until it has no attempt left, and
+// one that crashes servers must not crash as many as it may have attempts.
 func TestRetriesOfARequestAreBounded(t *testing.T) {
 	for _, c := range []struct {
-		kind    Idempotency
-		servers int
-		ends    []Outcome // of its attempts, each as soon as it is sent
-		legs    int
-		want    []Reply
-	}{{Idempotent, 2, []Outcome{ConnectFailed, ConnectFailed}, 2, []Reply{Rejected}}, {Idempotent, 2, []Outcome{ServerRejected, ServerRejected}, 3, nil},
-		{Idempotent, 8, []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, maxLostAttempts, []Reply{Rejected}}, {NonIdempotent, 8, []Outcome{ConnectionLost, ConnectionLost}, 1, []Reply{Failed}},
+		kind     Idempotency
+		servers  int
+		outcomes []Outcome // of its attempts, each as soon as it is sent
+		attempts int
+		want     []Reply
+	}{
+		{Idempotent, 2, []Outcome{ConnectFailed, ConnectFailed}, 2, []Reply{Rejected}},
+		{Idempotent, 2, []Outcome{ServerRejected, ServerRejected}, 3, nil},
+		{Idempotent, 8, []Outcome{ConnectionLost, ConnectionLost, ConnectionLost}, maxLostAttempts, []Reply{Rejected}},
+		{NonIdempotent, 8, []Outcome{ConnectionLost, ConnectionLost}, 1, []Reply{Failed}},
 		{Keyed, 8, []Outcome{ConnectionLost, ServerError, ServerError}, maxLostAttempts, []Reply{Rejected}},
-		{Idempotent, 8, []Outcome{ServerRejected, ConnectFailed, NotSent, ConnectionLost, ConnectionLost, ConnectionLost}, 5, []Reply{Rejected}}} {
+		{Idempotent, 8, []Outcome{
+			ServerRejected, ConnectFailed, NotSent, ConnectionLost, ConnectionLost, ConnectionLost,
+		}, 5, []Reply{Rejected}},
+	} {
 		proxy := startProxy(t, deployment(Class{Idempotency: c.kind, DedupWindow: 5}), c.servers)
 		proxy.deployment.MaxAttempts = 6
-		request, steps := proxy.arrive(RequestInfo{})
-		for i := 0; i < min(len(request.attempts), len(c.ends)); i++ {
-			proxy.concurrency.credit = 9 // there is room for the next
-			steps = append(steps, request.AttemptEnded(proxy.clock, i, c.ends[i], 0, false).Requests...)
+		request, actions := proxy.arrive(RequestInfo{})
+		for i, outcome := range c.outcomes {
+			if i == len(request.attempts) {
+				break
+			}
+			proxy.concurrency.credit = 9 // there is capacity for the next
+			actions = append(actions, request.AttemptEnded(proxy.clock, i, outcome, 0, false).Requests...)
 		}
-		assert.Len(t, request.attempts, c.legs, "%v", c.ends)
-		assert.Equal(t, c.want, replies(steps), "%v", c.ends)
+		assert.Len(t, request.attempts, c.attempts, "%v", c.outcomes)
+		assert.Equal(t, c.want, replies(actions), "%v", c.outcomes)
 	}
 }
 
@@ -41,40 +50,41 @@
 	single := Class{Idempotency: NonIdempotent}
 	for _, c := range []struct {
 		name    string
-		tariff  Class
+		class   Class
 		first   Outcome
 		after   float64
 		servers int // 1: nowhere else to go; 6: two pods of three, two zones
 		same    func(a, b Endpoint) bool
 		want    []Reply // nil: another attempt
 	}{
-		{"replayable, fault", Class{}, ServerError, 0.1, 6, nil, nil},
-		{"replayable, fault, nowhere", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
-		{"single-use, fault", single, ServerError, 0.1, 6, nil, []Reply{Failed}},
-		{"single-use, cut", single, ConnectionLost, 0.1, 6, nil, []Reply{Failed}},
-		{"single-use, too slow", single, TimedOut, 0.1, 6, nil, []Reply{Failed}},
-		{"single-use, called off", single, Canceled, 0.1, 6, nil, []Reply{Failed}},
-		{"single-use, no room", single, ServerRejected, 0.1, 6, nil, nil},
-		{"single-use, no route", single, ConnectFailed, 0.1, 6, nil, nil},
-		{"single-use, never sent, nowhere", single, NotSent, 0.1, 1, nil, []Reply{Rejected}},
-		{"referenced by all, fault", all, ServerError, 0.1, 6, nil, nil},
-		{"referenced by all, fault, window over", all, ServerError, 0.25, 6, nil, []Reply{Failed}},
-		{"referenced by all, fault, nowhere, known when its client comes back", long, ServerError, 0.1, 1, nil, []Reply{Rejected}},
-		{"referenced by all, fault, nowhere, not known any more then", all, ServerError, 0.1, 1, nil, []Reply{Failed}},
-		{"referenced by all, no room, window over", all, ServerRejected, 0.25, 1, nil, []Reply{Rejected}},
-		{"referenced by zone, fault", zone, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Zone == b.Zone }, nil},
-		{"referenced by pod, fault", pod, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Pod == b.Pod }, nil},
-		{"referenced by pod, cut, window over", pod, ConnectionLost, 0.25, 6, nil, []Reply{Failed}},
-		{"referenced by pod, fault, nowhere", pod, ServerError, 0.1, 1, nil, []Reply{Failed}},
-		{"referenced by pod, no room, window over", pod, ServerRejected, 0.2, 6, nil, nil},
+		{"idempotent, server error", Class{}, ServerError, 0.1, 6, nil, nil},
+		{"idempotent, server error, nowhere", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
+		{"non-idempotent, server error", single, ServerError, 0.1, 6, nil, []Reply{Failed}},
+		{"non-idempotent, connection lost", single, ConnectionLost, 0.1, 6, nil, []Reply{Failed}},
+		{"non-idempotent, timeout", single, TimedOut, 0.1, 6, nil, []Reply{Failed}},
+		{"non-idempotent, canceled", single, Canceled, 0.1, 6, nil, []Reply{Failed}},
+		{"non-idempotent, no capacity", single, ServerRejected, 0.1, 6, nil, nil},
+		{"non-idempotent, connect failed", single, ConnectFailed, 0.1, 6, nil, nil},
+		{"non-idempotent, never sent, nowhere", single, NotSent, 0.1, 1, nil, []Reply{Rejected}},
+		{"keyed by all, server error", all, ServerError, 0.1, 6, nil, nil},
+		{"keyed by all, server error, window over", all, ServerError, 0.25, 6, nil, []Reply{Failed}},
+		{"keyed by all, server error, nowhere, known when its client retries",
+			long, ServerError, 0.1, 1, nil, []Reply{Rejected}},
+		{"keyed by all, server error, nowhere, not known any more then", all, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"keyed by all, no capacity, window over", all, ServerRejected, 0.25, 1, nil, []Reply{Rejected}},
+		{"keyed by zone, server error", zone, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Zone == b.Zone }, nil},
+		{"keyed by pod, server error", pod, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Pod == b.Pod }, nil},
+		{"keyed by pod, connection lost, window over", pod, ConnectionLost, 0.25, 6, nil, []Reply{Failed}},
+		{"keyed by pod, server error, nowhere", pod, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"keyed by pod, no capacity, window over", pod, ServerRejected, 0.2, 6, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				d := deployment(c.tariff)
+				d := deployment(c.class)
 				d.Seed, d.MaxRetryAfter = seed, 0.15
 				proxy := startProxy(t, d, c.servers)
-				request, steps := proxy.arrive(RequestInfo{})
-				require.Equal(t, 1, countSends(steps))
+				request, arrived := proxy.arrive(RequestInfo{})
+				require.Equal(t, 1, countSends(arrived))
 				first := request.attempts[0].server.Endpoint
 				proxy.clock = c.after
 				actions := request.AttemptEnded(proxy.clock, 0, c.first, c.after, false)
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -9,24 +9,24 @@
 
 func TestServerSelection(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		heard       []string // by server
-		out         []int
-		least, most float64 // share of server 0
+		name     string
+		results  []string // by server
+		inFlight []int
+		min, max float64 // share of server 0
 	}{
-		{"alike", []string{"hhhh", "hhhh"}, []int{0, 0}, 0.4, 0.6},
-		{"unheard starts at the mean", []string{"hhhh", ""}, []int{0, 0}, 0.4, 0.6},
-		{"failing is drawn seldom", []string{"hhhhhhhh", "ffhhffhh"}, []int{0, 0}, 0.9, 1},
-		{"late is drawn less", []string{"hhhhhhhh", "llllllll"}, []int{0, 0}, 0.9, 1},
-		{"crowded is redrawn", []string{"hhhhhhhh", "ffhhffhh", ""}, []int{5, 0, 0}, 0, 0},
-		{"the least crowded last", []string{"", ""}, []int{3, 4}, 0.4, 1},
+		{"alike", []string{"ssss", "ssss"}, []int{0, 0}, 0.4, 0.6},
+		{"without results it starts at the mean", []string{"ssss", ""}, []int{0, 0}, 0.4, 0.6},
+		{"a failing server is drawn seldom", []string{"ssssssss", "ffssffss"}, []int{0, 0}, 0.9, 1},
+		{"a slow server is drawn less", []string{"ssssssss", "llllllll"}, []int{0, 0}, 0.9, 1},
+		{"a crowded server is redrawn", []string{"ssssssss", "ffssffss", ""}, []int{5, 0, 0}, 0, 0},
+		{"the least crowded at last", []string{"", ""}, []int{3, 4}, 0.4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			proxy := startProxy(t, deployment(), len(c.heard))
+			proxy := startProxy(t, deployment(), len(c.results))
 			for i, s := range proxy.servers {
-				proxy.endAttempts(s, c.heard[i])
-				s.breaker.inFlight, s.limit.value = c.out[i], 99
-				proxy.concurrency.inFlight += c.out[i]
+				proxy.endAttempts(s, c.results[i])
+				s.breaker.inFlight, s.limit.value = c.inFlight[i], 99
+				proxy.concurrency.inFlight += c.inFlight[i]
 			}
 			n := 0
 			for range 500 {
@@ -34,12 +34,23 @@
 					n++
 				}
 			}
-			assert.GreaterOrEqual(t, float64(n)/500, c.least)
-			assert.LessOrEqual(t, float64(n)/500, c.most)
+			assert.GreaterOrEqual(t, float64(n)/500, c.min)
+			assert.LessOrEqual(t, float64(n)/500, c.max)
 		})
 	}
 }
 
+// selectByKey returns the server for a request of a key.
+func selectByKey(proxy *testProxy, key uint64) *server {
+	s, _ := proxy.selectServer(&Request{
+		balancer:    proxy.Balancer,
+		class:       &proxy.classes[0],
+		placement:   key,
+		RequestInfo: RequestInfo{Deadline: 9, Key: key},
+	})
+	return s
+}
+
 func TestKeySelectsTheSameServerAtEveryProxy(t *testing.T) {
 	d := deployment()
 	d.CacheAffinity = true
@@ -48,8 +59,7 @@
 	two := startProxy(t, d, 6)
 	used := map[int]bool{}
 	for key := uint64(1); key <= 40; key++ {
-		a, _ := one.selectServer(&Request{balancer: one.Balancer, class: &one.classes[0], placement: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
-		b, _ := two.selectServer(&Request{balancer: two.Balancer, class: &two.classes[0], placement: key, RequestInfo: RequestInfo{Deadline: 9, Key: key}})
+		a, b := selectByKey(one, key), selectByKey(two, key)
 		assert.Equal(t, a.Index, b.Index)
 		used[a.Index] = true
 	}
@@ -58,8 +68,8 @@
 
 func TestProxyOfAFleetUsesASubsetOfServers(t *testing.T) {
 	for _, c := range []struct {
-		proxies     int
-		least, most int // servers used
+		proxies  int
+		min, max int // servers used
 	}{{2, 60, 60}, {60, 2, 8}} {
 		d := deployment()
 		d.Proxies = c.proxies
@@ -73,13 +83,14 @@
 				used[request.attempts[0].server.Index] = true
 			}
 		}
-		assert.GreaterOrEqual(t, len(used), c.least)
-		assert.LessOrEqual(t, len(used), c.most, "who sees little of all can tell none apart")
+		assert.GreaterOrEqual(t, len(used), c.min)
+		assert.LessOrEqual(t, len(used), c.max, "a proxy that sees little of all can tell none apart")
 	}
 }
 
 func TestPopularKeyIsSpread(t *testing.T) {
-	proxy, used := startProxy(t, Deployment{Classes: deployment().Classes, CacheAffinity: true}, 60), map[uint64]bool{}
+	proxy := startProxy(t, Deployment{Classes: deployment().Classes, CacheAffinity: true}, 60)
+	used := map[uint64]bool{}
 	for range 300 {
 		request, _ := proxy.arrive(RequestInfo{Key: 5})
 		used[request.placement] = true
@@ -91,14 +102,19 @@
 	d := deployment()
 	d.CacheAffinity = true
 	proxy := startProxy(t, d, 6)
-	request := &Request{balancer: proxy.Balancer, class: &proxy.classes[0], placement: 5, RequestInfo: RequestInfo{Deadline: 9, Key: 5}}
+	request := &Request{
+		balancer:    proxy.Balancer,
+		class:       &proxy.classes[0],
+		placement:   5,
+		RequestInfo: RequestInfo{Deadline: 9, Key: 5},
+	}
 	for range keyHomes {
 		s, _ := proxy.selectServer(request)
 		s.breaker.inFlight = 1
 	}
-	s, full := proxy.selectServer(request)
-	assert.Nil(t, s, "a key on every server is warm on none")
-	assert.True(t, full)
+	s, possible := proxy.selectServer(request)
+	assert.Nil(t, s, "a key on every server is cached at none")
+	assert.True(t, possible)
 	proxy.now = keyHomeWaitShare * proxy.classes[0].LatencyObjective
 	s, _ = proxy.selectServer(request)
 	assert.NotNil(t, s, "but it does not wait long")
@@ -107,11 +123,13 @@
 func TestRequestOfMuchWorkGoesToAFastServer(t *testing.T) {
 	proxy := startProxy(t, deployment(), 2)
 	for _, s := range proxy.servers {
-		proxy.endAttempts(s, "hhhhhhhhhh")
+		proxy.endAttempts(s, "ssssssssss")
 	}
 	proxy.servers[0].scores.relativeLatency, proxy.servers[1].scores.relativeLatency = 0.5, 2
 	for range 200 {
-		s, _ := proxy.selectServer(&Request{balancer: proxy.Balancer, class: &proxy.classes[0], relativeWork: 8, RequestInfo: RequestInfo{Deadline: 9}})
+		request := proxy.request(RequestInfo{Deadline: 9})
+		request.relativeWork = 8
+		s, _ := proxy.selectServer(request)
 		assert.Zero(t, s.Index)
 	}
 }
@@ -119,34 +137,40 @@
 func TestBusyProxyUsesALargerSubset(t *testing.T) {
 	d := sidecarDeployment()
 	d.Proxies = 40
-	meet := func(rate float64) int {
+	countServers := func(peerRate float64) int {
 		proxy := startProxy(t, d, 40)
-		met := map[*server]bool{}
+		used := map[*server]bool{}
 		for range 300 {
-			proxy.GossipReceived(proxy.clock, 2, GossipMessage{Rate: rate})
+			proxy.GossipReceived(proxy.clock, 2, GossipMessage{Rate: peerRate})
 			proxy.serveRequest(func(request *Request, _ *Actions) {
 				for i := range request.attempts {
-					met[request.attempts[i].server] = true
+					used[request.attempts[i].server] = true
 				}
 			})
 		}
-		return len(met)
+		return len(used)
 	}
-	assert.Greater(t, meet(1.25), 2*meet(50), "peers' lookups a second; its own are ten")
+	assert.Greater(t, countServers(1.25), 2*countServers(50), "its own rate is ten requests a second")
 }
 
 func TestServersOfAnotherZoneCostMore(t *testing.T) {
-	const paid = zonePenalty / temperature
+	const penalty = zonePenalty / temperature
 	for _, c := range []struct {
-		apart, peers bool
-		zone, out    int     // zone -1: not told; out: attempts at each server, of two that it bears
-		cost         float64 // in the draw; danger: with little room left, servers elsewhere would stand idle
-	}{{true, true, 1, 0, paid + zoneCost}, {false, true, 1, 0, paid + zoneCost}, {false, true, 1, 1, paid}, {false, true, -1, 0, 0},
-		{false, false, 1, 0, 0}} {
+		sidecar, gossip bool
+		zone            int     // -1: not told
+		inFlight        int     // attempts at each server, of two that it can take
+		cost            float64 // in the draw; with little capacity left, servers elsewhere would stay idle
+	}{
+		{true, true, 1, 0, penalty + zoneCost},
+		{false, true, 1, 0, penalty + zoneCost},
+		{false, true, 1, 1, penalty},
+		{false, true, -1, 0, 0},
+		{false, false, 1, 0, 0},
+	} {
 		d, here := sidecarDeployment(), 0
-		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.apart, c.peers, c.zone, 1, 0
-		proxy := startProxy(t, d, 8) // two locations in turn
-		proxy.fillServers(c.out)
+		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.sidecar, c.gossip, c.zone, 1, 0
+		proxy := startProxy(t, d, 8) // two zones in turn
+		proxy.fillServers(c.inFlight)
 		for range 400 {
 			s, _ := proxy.draw(0)
 			here += s.Zone
@@ -155,16 +179,16 @@
 	}
 }
 
-// A connection that would have to be opened costs a server in the draw, as far as opening has a price and there is
-// room.
+// A connection that would have to be opened costs a server in the draw, as far as opening has a cost and there is
+// capacity.
 func TestOpeningAConnectionCosts(t *testing.T) {
-	play := func(price, idle float64, out int) (all []int) {
+	play := func(cost, idleTimeout float64, inFlight int) (all []int) {
 		d := sidecarDeployment()
-		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, price, idle
+		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, cost, idleTimeout
 		proxy := startProxy(t, d, 8)
 		proxy.begin(9)
 		proxy.servers[0].lastUsed = 5
-		proxy.fillServers(out)
+		proxy.fillServers(inFlight)
 		for range 400 {
 			s, _ := proxy.draw(0)
 			all = append(all, s.Index)
@@ -179,17 +203,17 @@
 		}
 		return n
 	}
-	assert.Equal(t, play(0, 0, 0), play(0, 10, 0), "where it costs nothing, orders are as ever")
+	assert.Equal(t, play(0, 0, 0), play(0, 10, 0), "where it costs nothing, the draws are as ever")
 	even, cost := 400.0/8, math.Exp(0.12*connectCost)
 	assert.InDelta(t, 400*cost/(cost+7), first(play(0.12, 10, 0)), 40, "the open one, by what opening costs")
-	assert.InDelta(t, even, first(play(0.12, 10, 1)), 25, "no room to choose: as ever")
+	assert.InDelta(t, even, first(play(0.12, 10, 1)), 25, "no capacity to choose: as ever")
 	assert.InDelta(t, even, first(play(0.12, 3, 0)), 25, "closed for lying idle: as the others")
 }
 
-// Danger: rule 4 rests on nobody's word. Absurd rates bend a proxy's part within bounds, and its slow-start budgets
-// not at all.
+// Rule 4 must not depend on gossip. Absurd rates change a proxy's part of the traffic within bounds, and its slow-start
+// budgets not at all.
 func TestTrafficMultipleIsBounded(t *testing.T) {
-	cold := map[int]bool{}
+	sends := map[int]bool{}
 	for _, rate := range []float64{0, 1e-9, 10, 4095} {
 		proxy := startProxy(t, sidecarDeployment(), 3)
 		for range 100 {
@@ -200,13 +224,14 @@
 		assert.GreaterOrEqual(t, proxy.trafficMultiple(), 1/maxTrafficMultiple)
 		proxy.random, proxy.traffic.interval, proxy.selection.admitted = 1, 0.1, 3
 		s, sent := proxy.newServer(0, 0), 0
+		request := &Request{class: &classState{Class: proxy.classes[0].Class, baseLatency: 0.05}}
 		for s.StartedAt = proxy.now; proxy.now < s.StartedAt+10; proxy.now += 0.02 {
-			if proxy.takeSlowStartBudget(&Request{class: &classState{Class: proxy.classes[0].Class, baseLatency: 0.05}}, s) {
+			if proxy.takeSlowStartBudget(request, s) {
 				sent++
 			}
 		}
 		assert.Positive(t, sent)
-		cold[sent] = true
+		sends[sent] = true
 	}
-	assert.Len(t, cold, 1, "as many, whatever peers told: %v", cold)
+	assert.Len(t, sends, 1, "as many, whatever peers told: %v", sends)
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -9,14 +9,14 @@
 func TestSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fresh bool // this proxy has heard nothing yet
+		fresh bool // this proxy has no results yet
 		work  float64
 	}{{"heavy first burst", false, 0.2}, {"light burst", false, 0.01}, {"a proxy just started", true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deployment()
 			proxy := startProxy(t, d, 2)
 			if !c.fresh {
-				proxy.endAttempts(proxy.servers[0], "hhhhhhhhhhhhhh")
+				proxy.endAttempts(proxy.servers[0], "ssssssssssssss")
 			}
 			proxy.classes[0].meanWork = 0.05
 			list := endpointList(4) // a whole fleet restarted at once
@@ -25,21 +25,21 @@
 			}
 			proxy.EndpointsUpdated(0.001, true, false, list)
 			cost := map[int]float64{}
-			open := map[int]*Request{}
+			requests := map[int]*Request{}
 			for proxy.clock = 0.001; proxy.clock < 2; proxy.clock += 0.01 {
-				request, steps := proxy.arrive(RequestInfo{ExpectedWork: c.work})
-				open[request.Ref] = request
-				for _, s := range steps {
-					if s.Send {
-						cost[s.Endpoint] += open[s.Ref].expectedWork()
-						open[s.Ref].AttemptEnded(proxy.clock, 0, Succeeded, 0.05, true)
+				request, actions := proxy.arrive(RequestInfo{ExpectedWork: c.work})
+				requests[request.Ref] = request
+				for _, action := range actions {
+					if action.Send {
+						cost[action.Endpoint] += requests[action.Ref].expectedWork()
+						requests[action.Ref].AttemptEnded(proxy.clock, 0, Succeeded, 0.05, true)
 					}
 				}
 			}
-			assert.NotEmpty(t, cost, "cold backends are used all the same")
+			assert.NotEmpty(t, cost, "servers that are warming up are used all the same")
 			for _, sum := range cost {
-				part := d.CrashFactor * 2 * (d.SlowStartFraction + 0.1) * d.CrashDuration / float64(d.Proxies)
-				assert.Less(t, sum, part, "two cores' worth at the mean capacity of the window")
+				share := d.CrashFactor * 2 * (d.SlowStartFraction + 0.1) * d.CrashDuration / float64(d.Proxies)
+				assert.Less(t, sum, share, "two cores' worth at the mean capacity of the window")
 			}
 		})
 	}
@@ -50,23 +50,23 @@
 		age, least float64
 	}{{0, 0.25}, {15, 0.4}} { // the larger the budget, the less of it is left for chance
 		const seeds = 10
-		part := 0.0
+		used := 0.0 // share of the budget
 		for seed := range uint64(seeds) {
 			d := deployment()
 			d.Proxies, d.Seed = 300, seed
-			var bank []*testProxy
+			var fleet []*testProxy
 			for range d.Proxies {
 				d.Seed = d.Seed*0x9e3779b97f4a7c15 + 11
 				proxy := startProxy(t, d, 2)
-				proxy.endAttempts(proxy.servers[0], "hhhhhhhhhhhhhh")
+				proxy.endAttempts(proxy.servers[0], "ssssssssssssss")
 				proxy.EndpointsUpdated(c.age, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
-				bank = append(bank, proxy)
+				fleet = append(fleet, proxy)
 			}
 			var sent float64 // in one window, as all of them want to send
 			for now := c.age + 0.01; now < c.age+d.CrashDuration; now += 0.05 {
-				for _, proxy := range bank {
+				for _, proxy := range fleet {
 					proxy.now = now
-					request := &Request{balancer: proxy.Balancer, class: &proxy.classes[0], RequestInfo: RequestInfo{Deadline: 99}, relativeWork: 1}
+					request := proxy.request(RequestInfo{Deadline: 99})
 					if s, _ := proxy.selectServer(request); s != nil && s.Index == 1 {
 						sent += request.expectedWork()
 					}
@@ -74,21 +74,21 @@
 			}
 			budget := d.CrashFactor * (d.SlowStartFraction + (1-d.SlowStartFraction)*c.age/d.SlowStartDuration) * d.CrashDuration
 			assert.Less(t, sent, budget*0.85)
-			part += sent / budget / seeds
+			used += sent / budget / seeds
 		}
-		assert.Greater(t, part, c.least, "it is used all the same, %v s after its start", c.age)
+		assert.Greater(t, used, c.least, "it is used all the same, %v s after its start", c.age)
 	}
 }
 
-// Danger: two processes of one proxy, each with the proxy's whole part of a slow-start budget, push a cold server over
-// together.
+// Two processes of one proxy, each with the proxy's whole part of a slow-start budget, would overload a server that is
+// warming up.
 func TestSlowStartBudgetShare(t *testing.T) {
-	sent := func(part float64) (n int) {
+	countSent := func(share float64) (n int) {
 		d := deployment()
 		d.SlowStartDuration, d.SlowStartFraction = 1000, 0.1
 		proxy := startProxy(t, d, 0)
 		proxy.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, StartedAt: 0.001}})
-		proxy.SetBudgetShare(part)
+		proxy.SetBudgetShare(share)
 		for range 4000 {
 			proxy.clock += 0.01
 			request, _ := proxy.arrive(RequestInfo{})
@@ -101,24 +101,24 @@
 		}
 		return n
 	}
-	whole, half := sent(1), sent(0.5)
+	whole, half := countSent(1), countSent(0.5)
 	assert.Greater(t, half, 0)
 	assert.InDelta(t, 0.5, float64(half)/float64(whole), 0.12, "%d of %d", half, whole)
 }
 
 func TestLoadElsewhereLeavesTheSlowStartBudget(t *testing.T) {
-	for name, crowd := range map[string]int{"calm": 0, "a crowd at the warm one": 120} {
+	for name, slow := range map[string]int{"little load": 0, "overload at the other server": 120} {
 		t.Run(name, func(t *testing.T) {
 			proxy := startProxy(t, deployment(), 2)
 			for range 200 {
-				proxy.endAttempts(proxy.servers[0], "h") // in 0.05 s
+				proxy.endAttempts(proxy.servers[0], "s") // in 0.05 s
 			}
-			for range crowd {
+			for range slow {
 				proxy.endAttempts(proxy.servers[0], "l") // in 0.5 s
 			}
 			proxy.EndpointsUpdated(0, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 			sent := 0
-			request := &Request{balancer: proxy.Balancer, class: &proxy.classes[0], relativeWork: 1}
+			request := proxy.request(RequestInfo{})
 			for proxy.clock = 0; proxy.clock < 10; proxy.clock += 0.01 {
 				proxy.now = proxy.clock
 				if proxy.takeSlowStartBudget(request, proxy.servers[1]) {
--- a/balance/validate_test.go
+++ b/balance/validate_test.go
@@ -8,8 +8,8 @@
 
 func TestInvalidDeploymentsAreRejected(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		bend func(*Deployment)
+		want   string
+		change func(*Deployment)
 	}{
 		{"no classes", func(d *Deployment) { d.Classes = nil }},
 		{"plain: latency objective", func(d *Deployment) { d.Classes[0].LatencyObjective = -1 }},
@@ -19,8 +19,8 @@
 		{"small: quota", func(d *Deployment) { d.Tenants = []Tenant{{"small", -1}} }},
 	} {
 		d := deployment()
-		c.bend(&d)
+		c.change(&d)
 		_, err := New(d, 0)
-		assert.ErrorContains(t, err, c.name)
+		assert.ErrorContains(t, err, c.want)
 	}
 }
--- a/internal/histogram/times.go
+++ b/internal/histogram/times.go
@@ -39,8 +39,8 @@
 	t.n /= 2
 }
 
-// Quantile returns the upper edge, in seconds, of the bin that holds the quantile q, or the given value while too little
-// is known.
+// Quantile returns the upper edge, in seconds, of the bin that holds the quantile q, or the given value while too
+// little is known.
 func (t *Times) Quantile(q, unknown float64) float64 {
 	if t.n < minTimes {
 		return unknown
