--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -114,7 +114,7 @@
 	b.sendGossip()
 	r.priority = b.priority(r)
 	b.traffic.priority += meanSmoothing * (r.priority - b.traffic.priority)
-	b.act(RequestAction{Ref: info.Ref, WakeAt: info.Deadline - answerMargin})
+	b.addAction(RequestAction{Ref: info.Ref, WakeAt: info.Deadline - answerMargin})
 	b.enqueue(r)
 	return r, b.dispatch()
 }
@@ -146,7 +146,7 @@
 		}
 		a.sentAt = now
 		b.acquire(a)
-		b.act(RequestAction{Ref: r.Ref, WakeAt: now + b.overdueAge(r)})
+		b.addAction(RequestAction{Ref: r.Ref, WakeAt: now + b.overdueAge(r)})
 	}
 	return &b.actions
 }
@@ -226,8 +226,10 @@
 	return b
 }
 
-// act adds an action for a request.
-func (b *Balancer) act(action RequestAction) { b.actions.Requests = append(b.actions.Requests, action) }
+// addAction adds an action for a request.
+func (b *Balancer) addAction(action RequestAction) {
+	b.actions.Requests = append(b.actions.Requests, action)
+}
 
 // wakeAt asks for a call at this time, unless an earlier one is asked for.
 func (b *Balancer) wakeAt(at float64) {
--- a/balance/breaker.go
+++ b/balance/breaker.go
@@ -30,48 +30,48 @@
 }
 
 // admits reports whether an attempt may be sent: always, or as a trial after the cooldown, one at a time.
-func (k *breaker) admits(now float64) bool {
-	return !k.paused || now >= k.lastResult+k.cooldown && k.inFlight == 0
+func (br *breaker) admits(now float64) bool {
+	return !br.paused || now >= br.lastResult+br.cooldown && br.inFlight == 0
 }
 
 // onTrial reports whether the breaker is paused, but admits an attempt.
-func (k *breaker) onTrial(now float64) bool { return k.paused && k.admits(now) }
+func (br *breaker) onTrial(now float64) bool { return br.paused && br.admits(now) }
 
 // record counts a result; sharedFailures is the share of failures that servers have in common. Where all fail alike,
 // pausing them all helps nobody, so the bar rises with that share.
-func (k *breaker) record(now float64, ok bool, window, sharedFailures float64, random *pcg.Rand) {
-	if ok && !k.tracked {
+func (br *breaker) record(now float64, ok bool, window, sharedFailures float64, random *pcg.Rand) {
+	if ok && !br.tracked {
 		return
 	}
-	if !k.tracked || now-k.windowStart > window {
-		k.tracked, k.failures, k.results, k.windowStart = true, 0, 0, now
+	if !br.tracked || now-br.windowStart > window {
+		br.tracked, br.failures, br.results, br.windowStart = true, 0, 0, now
 	}
-	k.results++
-	k.lastResult = now
+	br.results++
+	br.lastResult = now
 	if ok {
-		k.paused = false
+		br.paused = false
 		return
 	}
-	k.failures++
+	br.failures++
 	bar := maxFailureShare + (1-maxFailureShare)*sharedFailures
-	if k.results > minBreakerResults && float64(k.failures)/float64(k.results) > bar {
-		k.paused = true
-		k.cooldown = breakerCooldown * (1 + cooldownJitter*random.Float64())
+	if br.results > minBreakerResults && float64(br.failures)/float64(br.results) > bar {
+		br.paused = true
+		br.cooldown = breakerCooldown * (1 + cooldownJitter*random.Float64())
 	}
 }
 
 // recentFailureShare is the share of failures in a window that is not too old.
-func (k *breaker) recentFailureShare(now float64) float64 {
-	if k.results > 0 && now-k.lastResult < breakerWindow {
-		return float64(k.failures) / float64(k.results)
+func (br *breaker) recentFailureShare(now float64) float64 {
+	if br.results > 0 && now-br.lastResult < breakerWindow {
+		return float64(br.failures) / float64(br.results)
 	}
 	return 0
 }
 
 // failureStats are the failures of all servers.
 type failureStats struct {
-	share   float64   // of all results, smoothed
-	byOrder []float64 // scratch of sharedFailures
+	share  float64   // of all results, smoothed
+	shares []float64 // scratch of sharedFailures
 }
 
 // recordResult counts a result in the breakers of a server. A server that fails one class serves the others well, so
@@ -91,13 +91,13 @@
 	if ok {
 		return 0
 	}
-	shares := b.failures.byOrder[:0]
+	shares := b.failures.shares[:0]
 	for _, s := range b.servers {
 		if s != nil && s.State == Ready {
 			shares = append(shares, s.classBreakers[class].recentFailureShare(b.now))
 		}
 	}
-	b.failures.byOrder = shares
+	b.failures.shares = shares
 	if len(shares) == 0 {
 		return 0
 	}
--- a/balance/checkpoint.go
+++ b/balance/checkpoint.go
@@ -84,12 +84,12 @@
 }
 
 type checkpointClass struct {
-	class       Class
-	latencies   histogram.Times
-	unloaded    histogram.Times
-	meanWork    float64
-	baseLatency float64
-	all         *histogram.Times
+	class             Class
+	latencies         histogram.Times
+	unloadedLatencies histogram.Times
+	meanWork          float64
+	baseLatency       float64
+	all               *histogram.Times
 }
 
 type checkpointServer struct {
@@ -97,7 +97,7 @@
 	breaker         checkpointBreaker
 	classBreakers   []checkpointBreaker
 	model           *checkpointModel
-	shared          []*checkpointEstimate
+	general         []*checkpointEstimate
 	byClass         [][]*checkpointEstimate
 	relativeLatency float64
 	lastSuccess     float64
--- a/balance/checkpoint_restore.go
+++ b/balance/checkpoint_restore.go
@@ -132,7 +132,7 @@
 		b.classes = append(b.classes, classState{
 			Class:             stored.class,
 			latencies:         stored.latencies,
-			unloadedLatencies: stored.unloaded,
+			unloadedLatencies: stored.unloadedLatencies,
 			meanWork:          stored.meanWork,
 			baseLatency:       stored.baseLatency,
 			allLatencies:      &b.traffic.latencies,
@@ -206,7 +206,7 @@
 		return s, nil
 	}
 	classes := len(r.checkpoint.classes)
-	if stored.model == nil || len(stored.shared) != sharedCount || len(stored.byClass) != classes+1 ||
+	if stored.model == nil || len(stored.general) != generalEstimates || len(stored.byClass) != classes+1 ||
 		len(stored.classBreakers) != classes || len(stored.observations) != classes+1 {
 		return nil, &CheckpointError{"a server to its classes, its machine model or its estimates"}
 	}
@@ -234,7 +234,7 @@
 
 func (r *checkpointReader) restoreEstimates(s *server, stored *checkpointServer) error {
 	var err error
-	if s.scores.shared, err = r.estimateList(stored.shared); err != nil {
+	if s.scores.general, err = r.estimateList(stored.general); err != nil {
 		return err
 	}
 	for _, list := range stored.byClass {
@@ -258,16 +258,16 @@
 	return list, nil
 }
 
-func (k *checkpointBreaker) breaker() breaker {
+func (stored *checkpointBreaker) breaker() breaker {
 	return breaker{
-		tracked:     k.tracked,
-		paused:      k.paused,
-		failures:    k.failures,
-		results:     k.results,
-		windowStart: k.windowStart,
-		lastResult:  k.lastResult,
-		cooldown:    k.cooldown,
-		inFlight:    k.inFlight,
+		tracked:     stored.tracked,
+		paused:      stored.paused,
+		failures:    stored.failures,
+		results:     stored.results,
+		windowStart: stored.windowStart,
+		lastResult:  stored.lastResult,
+		cooldown:    stored.cooldown,
+		inFlight:    stored.inFlight,
 	}
 }
 
--- a/balance/checkpoint_save.go
+++ b/balance/checkpoint_save.go
@@ -88,14 +88,14 @@
 	}
 }
 
-func (k *classState) checkpoint(all *histogram.Times) checkpointClass {
+func (c *classState) checkpoint(all *histogram.Times) checkpointClass {
 	return checkpointClass{
-		class:       k.Class,
-		latencies:   k.latencies,
-		unloaded:    k.unloadedLatencies,
-		meanWork:    k.meanWork,
-		baseLatency: k.baseLatency,
-		all:         all,
+		class:             c.Class,
+		latencies:         c.latencies,
+		unloadedLatencies: c.unloadedLatencies,
+		meanWork:          c.meanWork,
+		baseLatency:       c.baseLatency,
+		all:               all,
 	}
 }
 
@@ -141,7 +141,7 @@
 		endpoint:        s.Endpoint,
 		breaker:         s.breaker.checkpoint(),
 		model:           w.model(s.model),
-		shared:          w.estimateList(s.scores.shared),
+		general:         w.estimateList(s.scores.general),
 		relativeLatency: s.scores.relativeLatency,
 		lastSuccess:     s.lastSuccess,
 		drained:         s.drained,
@@ -175,16 +175,16 @@
 	return stored
 }
 
-func (k *breaker) checkpoint() checkpointBreaker {
+func (br *breaker) checkpoint() checkpointBreaker {
 	return checkpointBreaker{
-		tracked:     k.tracked,
-		paused:      k.paused,
-		failures:    k.failures,
-		results:     k.results,
-		windowStart: k.windowStart,
-		lastResult:  k.lastResult,
-		cooldown:    k.cooldown,
-		inFlight:    k.inFlight,
+		tracked:     br.tracked,
+		paused:      br.paused,
+		failures:    br.failures,
+		results:     br.results,
+		windowStart: br.windowStart,
+		lastResult:  br.lastResult,
+		cooldown:    br.cooldown,
+		inFlight:    br.inFlight,
 	}
 }
 
--- a/balance/checkpoint_test.go
+++ b/balance/checkpoint_test.go
@@ -72,7 +72,7 @@
 		"no fleet estimate":          func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.fleet = nil },
 		"no machine model":           func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.models[0] = nil },
 		"server without a model":     func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].model = nil },
-		"server without an estimate": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].shared[2] = nil },
+		"server without an estimate": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.servers[1].general[2] = nil },
 		"server without breakers": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
 			c.servers[1].classBreakers = nil
 		},
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -130,7 +130,7 @@
 // heard from the server to learn it alone. A limit too small to hold back an attempt moves with the others only, since
 // it binds by their sum.
 func (b *Balancer) moveLimits(s *server, factor, others float64) {
-	alone := 1 - math.Pow(1-s.scores.shared[ownEstimate].confidence, 2) //nolint:staticcheck // x*x may round otherwise
+	alone := 1 - math.Pow(1-s.scores.general[ownEstimate].confidence, 2) //nolint:staticcheck // x*x may round otherwise
 	own := alone * min(s.limit.value/minBindingLimit, 1)
 	shared := math.Pow(others, 1-alone)
 	b.concurrency.growth *= min(factor, 1)
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -108,7 +108,7 @@
 			s := proxy.servers[0]
 			was := max(0.2, 1.2*s.limit.minimum)
 			s.limit.value, s.breaker.inFlight, proxy.selection.admitted = was, 1, 4
-			s.scores.shared[ownEstimate].confidence = 0 // known from the others only
+			s.scores.general[ownEstimate].confidence = 0 // known from the others only
 			proxy.endAttempts(s, "s")
 			return math.Log(s.limit.value / was)
 		}
--- a/balance/request.go
+++ b/balance/request.go
@@ -59,7 +59,7 @@
 	if r.Streaming { // slow clients would fill a limit with idle attempts
 		b.release(a)
 	}
-	b.act(RequestAction{
+	b.addAction(RequestAction{
 		Ref:      r.Ref,
 		Send:     true,
 		Endpoint: s.Index,
@@ -84,7 +84,7 @@
 	}
 	for i := range r.attempts {
 		if r.attempts[i].inFlight && i != keep && b.deployment.CancelAllowed {
-			b.act(RequestAction{Ref: r.Ref, CancelAttempt: i + 1})
+			b.addAction(RequestAction{Ref: r.Ref, CancelAttempt: i + 1})
 		}
 	}
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -13,7 +13,7 @@
 		b.finish(r, noAttempt)
 	case r.inFlight > 0: // another attempt may still answer
 	case outcome == InvalidRequest: // sent on, it would set back each server in turn
-		b.act(RequestAction{Ref: r.Ref, Reply: Failed})
+		b.addAction(RequestAction{Ref: r.Ref, Reply: Failed})
 		b.finish(r, noAttempt)
 	case r.lostAttempts() >= maxLostAttempts: // a request that crashes servers would crash one after the other
 		b.answerUnserved(r)
@@ -52,7 +52,7 @@
 			reply = Failed
 		}
 	}
-	b.act(RequestAction{Ref: r.Ref, Reply: reply, RetryAfter: retryAfter})
+	b.addAction(RequestAction{Ref: r.Ref, Reply: reply, RetryAfter: retryAfter})
 	b.finish(r, noAttempt)
 }
 
--- a/balance/score.go
+++ b/balance/score.go
@@ -19,9 +19,9 @@
 // The estimates of a server: of the fleet, of its machine model and its own. In a fleet that gossips a fourth one is of
 // a class there.
 const (
-	modelEstimate = 1
-	ownEstimate   = 2
-	sharedCount   = 3
+	modelEstimate    = 1
+	ownEstimate      = 2
+	generalEstimates = 3 // how many there are
 )
 
 // estimate is by how much the payoff of a group of servers differs from what else is known of them. It fades with time.
@@ -59,7 +59,7 @@
 
 // serverScores are what attempts at a server were worth, and what they took.
 type serverScores struct {
-	shared          []*estimate   // see modelEstimate and ownEstimate
+	general         []*estimate   // that bear on all classes; see modelEstimate and ownEstimate
 	byClass         [][]*estimate // that bear on a class, the last on rejections
 	observations    []observation // the last of each class, and of rejections
 	relativeLatency float64       // over the usual for the same work, smoothed
@@ -73,18 +73,18 @@
 
 func (b *Balancer) newServerScores(m *model) serverScores {
 	scores := serverScores{
-		shared:          []*estimate{b.estimates.fleet, &m.estimate, {lifetime: estimateLifetime}},
+		general:         []*estimate{b.estimates.fleet, &m.estimate, {lifetime: estimateLifetime}},
 		observations:    make([]observation, len(b.classes)+1),
 		relativeLatency: 1,
 	}
 	for range b.classes {
-		estimates := scores.shared
+		estimates := scores.general
 		if b.deployment.Gossip {
-			estimates = append(estimates[:sharedCount:sharedCount], &estimate{lifetime: estimateLifetime})
+			estimates = append(estimates[:generalEstimates:generalEstimates], &estimate{lifetime: estimateLifetime})
 		}
 		scores.byClass = append(scores.byClass, estimates)
 	}
-	scores.byClass = append(scores.byClass, scores.shared)
+	scores.byClass = append(scores.byClass, scores.general)
 	return scores
 }
 
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -159,7 +159,7 @@
 // them apart; a request without a key is weighed by what its work takes at this server.
 func (b *Balancer) score(r *Request, s *server, payoff float64) float64 {
 	if b.cacheAffine(r) {
-		common := s.scores.shared[modelEstimate].payoffAt(b.now)
+		common := s.scores.general[modelEstimate].payoffAt(b.now)
 		return common/temperature + (payoff-common)/keyTemperature
 	}
 	extraWork := max(r.relativeWork-1, 0)
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -37,7 +37,7 @@
 }
 
 func (s *server) snapshot(now float64) ServerSnapshot {
-	own := s.scores.shared[ownEstimate]
+	own := s.scores.general[ownEstimate]
 	return ServerSnapshot{
 		NameHash:        s.NameHash,
 		StartedAt:       s.StartedAt,
@@ -76,12 +76,14 @@
 	}
 }
 
-func (l *ServerSnapshot) valid() bool { return l.Limit > 0 && l.RelativeLatency > 0 && l.Age >= 0 }
+func (learned *ServerSnapshot) valid() bool {
+	return learned.Limit > 0 && learned.RelativeLatency > 0 && learned.Age >= 0
+}
 
 func (s *server) restore(now float64, learned *ServerSnapshot) {
 	s.limit.value = max(s.limit.minimum, learned.Limit)
 	s.scores.relativeLatency = learned.RelativeLatency
-	own := s.scores.shared[ownEstimate]
+	own := s.scores.general[ownEstimate]
 	own.payoff = min(max(learned.Payoff, -1), 1)
 	own.confidence = min(max(learned.Confidence, 0), 1)
 	own.updatedAt = now - learned.Age
@@ -90,9 +92,9 @@
 	}
 }
 
-func (k *breaker) restorePause(now float64, learned *ServerSnapshot) {
-	k.tracked, k.paused = true, true
-	k.cooldown = min(learned.PauseRemaining, 2*breakerCooldown)
-	k.lastResult, k.windowStart = now, now
-	k.failures, k.results = learned.Errors, learned.Results
+func (br *breaker) restorePause(now float64, learned *ServerSnapshot) {
+	br.tracked, br.paused = true, true
+	br.cooldown = min(learned.PauseRemaining, 2*breakerCooldown)
+	br.lastResult, br.windowStart = now, now
+	br.failures, br.results = learned.Errors, learned.Results
 }
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -26,8 +26,8 @@
 		assert.Equal(t, old[i].Paused, now[i].Paused, i)
 		assert.InDelta(t, old[i].Limit, now[i].Limit, 1e-9, i)
 		assert.InDelta(t, old[i].Age, now[i].Age, 1e-9, i)
-		payoff := proxy.servers[i].scores.shared[ownEstimate].payoff
-		assert.Equal(t, payoff, next.servers[i].scores.shared[ownEstimate].payoff, i)
+		payoff := proxy.servers[i].scores.general[ownEstimate].payoff
+		assert.Equal(t, payoff, next.servers[i].scores.general[ownEstimate].payoff, i)
 	}
 	assert.Less(t, now[1].Payoff, now[0].Payoff)
 	assert.Equal(t, proxy.classes[0].baseLatency, next.classes[0].baseLatency)
@@ -38,7 +38,7 @@
 	restarted.EndpointsUpdated(20, true, true, list)
 	restarted.Restore(20, snapshot)
 	assert.False(t, restarted.servers[1].breaker.paused, "it has restarted since")
-	assert.Zero(t, restarted.servers[1].scores.shared[ownEstimate].confidence)
+	assert.Zero(t, restarted.servers[1].scores.general[ownEstimate].confidence)
 	assert.Len(t, restarted.ServerStatuses(20), 3)
 
 	later := startProxy(t, deployment(), 4)
@@ -46,7 +46,7 @@
 		snapshot.Servers[i].Age += 60
 	}
 	later.Restore(20, snapshot)
-	assert.InDelta(t, 0, later.servers[1].scores.shared[ownEstimate].payoffAt(20), 0.01, "what is old moves nothing")
+	assert.InDelta(t, 0, later.servers[1].scores.general[ownEstimate].payoffAt(20), 0.01, "what is old moves nothing")
 	later.Restore(20, Snapshot{BaseLatencies: []float64{-1, 7}, Servers: []ServerSnapshot{
 		{NameHash: 1, Limit: -3, RelativeLatency: 1},
 		{NameHash: 99, Limit: 1, RelativeLatency: 1},
--- a/balance/status.go
+++ b/balance/status.go
@@ -36,7 +36,7 @@
 		Trial:     s.breaker.onTrial(b.now),
 		Errors:    s.breaker.failures,
 		Results:   s.breaker.results,
-		Age:       b.now - s.scores.shared[ownEstimate].updatedAt,
+		Age:       b.now - s.scores.general[ownEstimate].updatedAt,
 	}
 }
 
