--- a/controlplane/scripted_test.go
+++ b/controlplane/scripted_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"io"
 	"maps"
 	"net"
 	"slices"
@@ -209,6 +211,19 @@
 	return urls[:]
 }
 
+// streamError returns the status with which the server ended a stream on which Send failed. By gRPC's contract Send
+// returns only io.EOF then, and Recv returns the status, after the messages that arrived before it.
+func streamError[M any](sendErr error, recv func() (M, error)) error {
+	if !errors.Is(sendErr, io.EOF) {
+		return sendErr
+	}
+	for {
+		if _, err := recv(); err != nil {
+			return err
+		}
+	}
+}
+
 func (s *scripted) states(ctx context.Context, client discovery.AggregatedDiscoveryServiceClient) error {
 	st, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
@@ -216,7 +231,7 @@
 	}
 	for _, url := range s.types() {
 		if err := st.Send(&discovery.DiscoveryRequest{Node: s.node(), TypeUrl: url, ResourceNames: s.names(url), VersionInfo: s.world[url]}); err != nil {
-			return err
+			return streamError(err, st.Recv)
 		}
 	}
 	for {
@@ -237,7 +252,7 @@
 		ack.VersionInfo = s.world[m.TypeUrl]
 		if time.Sleep(s.slow); !s.mute {
 			if err := st.Send(ack); err != nil {
-				return err
+				return streamError(err, st.Recv)
 			}
 		}
 	}
@@ -250,7 +265,7 @@
 	}
 	for _, url := range s.types() {
 		if err := st.Send(&discovery.DeltaDiscoveryRequest{Node: s.node(), TypeUrl: url, ResourceNamesSubscribe: s.names(url), InitialResourceVersions: s.version[url]}); err != nil {
-			return err
+			return streamError(err, st.Recv)
 		}
 	}
 	for {
@@ -275,7 +290,7 @@
 		}
 		if time.Sleep(s.slow); !s.mute {
 			if err := st.Send(ack); err != nil {
-				return err
+				return streamError(err, st.Recv)
 			}
 		}
 	}
