--- a/controlplane/drain_bench_test.go
+++ b/controlplane/bench_test.go
@@ -28,40 +28,40 @@
 			}
 			for _, delta := range []bool{true, false} {
 				b.Run(fmt.Sprintf("servers=%d/subscribers=%d/delta=%v", servers, subscribers, delta), func(b *testing.B) {
-					k := open(b, written(""), servers)
-					var all []*scripted
+					k := startService(b, configText(""), servers)
+					var all []*testSubscriber
 					for i := range subscribers {
-						all = append(all, k.subscribe(script{id: fmt.Sprint(i), delta: delta, only: true, lean: true}))
+						all = append(all, k.subscribe(subscriberOptions{id: fmt.Sprint(i), delta: delta, endpointsOnly: true, discard: true}))
 					}
 					for _, s := range all {
-						s.until(30*time.Second, "is told", func() bool { return s.answers > 0 })
+						s.waitUntil(30*time.Second, "is told", func() bool { return s.responseCount > 0 })
 					}
 					var took []time.Duration
-					bytes, used := 0, processor()
+					bytes, used := 0, processorTime()
 					for n := range b.N {
 						var wait sync.WaitGroup
 						seen := make([]int, len(all))
 						for i, s := range all {
 							s.mu.Lock()
-							seen[i] = s.answers
-							bytes -= s.bytes
+							seen[i] = s.responseCount
+							bytes -= s.receivedBytes
 							s.mu.Unlock()
 						}
 						began := time.Now()
 						k.drain(n % servers)
 						for i, s := range all {
-							wait.Go(func() { s.until(30*time.Second, "is told", func() bool { return s.answers > seen[i] }) })
+							wait.Go(func() { s.waitUntil(30*time.Second, "is told", func() bool { return s.responseCount > seen[i] }) })
 						}
 						wait.Wait()
 						took = append(took, time.Since(began))
 						for _, s := range all {
 							s.mu.Lock()
-							bytes += s.bytes
+							bytes += s.receivedBytes
 							s.mu.Unlock()
 						}
 						time.Sleep(50 * time.Millisecond) // acknowledgements
 					}
-					used = processor() - used
+					used = processorTime() - used
 					slices.Sort(took)
 					b.ReportMetric(took[len(took)/2].Seconds()*1000, "median-ms")
 					b.ReportMetric(took[len(took)-1].Seconds()*1000, "worst-ms")
@@ -71,7 +71,7 @@
 						s.stop()
 					}
 					for _, s := range all {
-						<-s.over
+						<-s.done
 					}
 					k.stop()
 				})
@@ -84,49 +84,49 @@
 func BenchmarkSubscriber(b *testing.B) {
 	const many, servers = 1000, 1000
 	for range b.N {
-		k := open(b, written(""), servers)
-		k.see()
-		before := inUse()
+		k := startService(b, configText(""), servers)
+		k.observe()
+		before := memoryInUse()
 		others := exec.Command(os.Args[0], "-test.run", "^TestSubscribersApart$")
-		others.Env = append(os.Environ(), apartVar+"="+k.addr+" "+strconv.Itoa(many))
+		others.Env = append(os.Environ(), subscribersVar+"="+k.addr+" "+strconv.Itoa(many))
 		in, err := others.StdinPipe()
 		require.NoError(b, err)
 		require.NoError(b, others.Start())
 		require.Eventually(b, func() bool {
 			rows := k.Subscribers()
 			for _, r := range rows {
-				if len(r.Holds) == 0 || !r.Holds[0].Newest {
+				if len(r.Resources) == 0 || !r.Resources[0].UpToDate {
 					return false
 				}
 			}
 			return len(rows) == many
 		}, 30*time.Second, 50*time.Millisecond)
 		time.Sleep(time.Second)
-		b.ReportMetric(float64(inUse()-before)/many/1024, "KiB/subscriber")
+		b.ReportMetric(float64(memoryInUse()-before)/many/1024, "KiB/subscriber")
 		in.Close()
 		others.Wait()
 		k.stop()
 	}
 }
 
-const apartVar = "LOCKLOOM_TEST_SUBSCRIBERS"
+const subscribersVar = "LOCKLOOM_TEST_SUBSCRIBERS"
 
-// TestSubscribersApart is the other process of BenchmarkSubscriber; alone it does nothing.
-func TestSubscribersApart(t *testing.T) {
-	addr, n, ok := strings.Cut(os.Getenv(apartVar), " ")
+// TestSubscriberProcess is the other process of BenchmarkSubscriber; alone it does nothing.
+func TestSubscriberProcess(t *testing.T) {
+	addr, n, ok := strings.Cut(os.Getenv(subscribersVar), " ")
 	if !ok {
 		t.Skip("for BenchmarkSubscriber")
 	}
 	many, err := strconv.Atoi(n)
 	require.NoError(t, err)
-	k := &station{t: t, addr: addr}
+	k := &testService{t: t, addr: addr}
 	for i := range many {
-		k.subscribe(script{id: fmt.Sprint(i), delta: i%2 == 0, only: true, lean: true})
+		k.subscribe(subscriberOptions{id: fmt.Sprint(i), delta: i%2 == 0, endpointsOnly: true, discard: true})
 	}
 	io.Copy(io.Discard, os.Stdin) // until it is closed
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	for range 3 { // buffers that wait in a pool to be used again are gone after two
 		runtime.GC()
 	}
@@ -135,35 +135,35 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-func processor() time.Duration {
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
 // 500 subscribers that come back at once, each with what it held, are told what differs and cut nobody.
-func TestAllComeBackAtOnce(t *testing.T) {
+func TestManySubscribersReconnectAtOnce(t *testing.T) {
 	const many = 500
-	k := open(t, written(""), 50)
-	all := make([]*scripted, many)
+	k := startService(t, configText(""), 50)
+	all := make([]*testSubscriber, many)
 	for i := range all {
-		all[i] = k.subscribe(script{id: fmt.Sprint(i), delta: i%2 == 0, only: true})
+		all[i] = k.subscribe(subscriberOptions{id: fmt.Sprint(i), delta: i%2 == 0, endpointsOnly: true})
 	}
 	for _, s := range all {
-		s.until(20*time.Second, "holds all", s.whole)
+		s.waitUntil(20*time.Second, "holds all", s.isComplete)
 	}
 	for _, s := range all {
 		s.close()
 	}
-	next := open(t, written(""), 50)
+	next := startService(t, configText(""), 50)
 	began := time.Now()
 	for i, s := range all {
-		all[i] = next.subscribe(script{id: s.id, delta: s.delta, only: true, from: s})
+		all[i] = next.subscribe(subscriberOptions{id: s.id, delta: s.delta, endpointsOnly: true, resumeFrom: s})
 	}
 	require.Eventually(t, func() bool { return len(next.Subscribers()) == many }, 20*time.Second, 10*time.Millisecond)
 	next.drain(7)
 	for _, s := range all {
-		s.until(20*time.Second, "is told", s.is("s7", core.HealthStatus_DRAINING))
+		s.waitUntil(20*time.Second, "is told", s.hasHealth("s7", core.HealthStatus_DRAINING))
 	}
 	t.Logf("%d back, and told of a drain, after %v", many, time.Since(began))
 }
--- a/controlplane/reports.go
+++ b/controlplane/loadreports.go
@@ -69,7 +69,7 @@
 				sum.rate += float64(begun) / passed.Seconds()
 			}
 			sends[c.ClusterName] = sum
-			r.s.Reported(c.ClusterName, attempts)
+			r.s.OutcomesReported(c.ClusterName, attempts)
 		}
 		r.s.sends(own, sends)
 	}
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -33,14 +33,14 @@
 
 // The types of resources, in the order in which what is added is sent: nothing refers to what comes later.
 const (
-	clusters = iota
-	endpoints
-	listeners
-	routeTables
-	types
+	typeCluster = iota
+	typeEndpoint
+	typeListener
+	typeRoute
+	typeCount
 )
 
-var urls = [types]string{
+var typeURLs = [typeCount]string{
 	"type.googleapis.com/envoy.config.cluster.v3.Cluster",
 	"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
 	"type.googleapis.com/envoy.config.listener.v3.Listener",
@@ -48,20 +48,20 @@
 }
 
 const (
-	allRoutes    = "routes"        // the table with every host
-	poolPrefix   = "pool/"         // listener and table of one pool alone
-	dropCategory = "cold"          // of requests that no server bears
-	millionth    = 1_000_000       // in which shares to drop are told
-	overProvide  = 140             // percent; Envoy's own: a priority with less than 100/140 of its servers well spills over
-	routesMost   = 10_000          // told of one host: expressions are told once for each prefix they go before
-	connectFor   = 1 * time.Second // for a subscriber to open a connection
-	pathField    = ":path"         // by which a matched route is bound to a prefix besides
+	allRoutesName = "routes"        // the table with every host
+	poolPrefix    = "pool/"         // listener and table of one pool alone
+	dropCategory  = "cold"          // of requests that no server bears
+	millionth     = 1_000_000       // in which shares to drop are told
+	overProvide   = 140             // percent; Envoy's own: a priority with less than 100/140 of its servers well spills over
+	routesMost    = 10_000          // told of one host: expressions are told once for each prefix they go before
+	connectFor    = 1 * time.Second // for a subscriber to open a connection
+	pathField     = ":path"         // by which a matched route is bound to a prefix besides
 )
 
-// set is resources of all types by name. It never changes once made.
-type set [types]map[string]*Resource
+// resourceSet is resources of all types by name. It never changes once made.
+type resourceSet [typeCount]map[string]*resource
 
-func (s *set) add(kind int, name string, named bool, m proto.Message) error {
+func (s *resourceSet) add(kind int, name string, named bool, m proto.Message) error {
 	body, err := anypb.New(m)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -72,14 +72,14 @@
 	h := fnv.New64a()
 	h.Write(body.Value)
 	if s[kind] == nil {
-		s[kind] = map[string]*Resource{}
+		s[kind] = map[string]*resource{}
 	}
-	s[kind][name] = &Resource{Name: name, Version: strconv.FormatUint(h.Sum64(), 16), Named: named, Body: body}
+	s[kind][name] = &resource{name: name, version: strconv.FormatUint(h.Sum64(), 16), onDemand: named, body: body}
 	return nil
 }
 
-// fixed are the resources that follow from the operator file alone, with what of it subscribers cannot be told, a line each.
-func fixed(s *config.Config) (out set, left []string, err error) {
+// staticResources are the resources that follow from the operator file alone, with what of it subscribers cannot be told, a line each.
+func staticResources(s *config.Config) (out resourceSet, left []string, err error) {
 	var faults []error
 	note := func(err error) {
 		if err != nil {
@@ -90,7 +90,7 @@
 	self := &core.ConfigSource{ResourceApiVersion: core.ApiVersion_V3, ConfigSourceSpecifier: &core.ConfigSource_Self{Self: &core.SelfConfigSource{}}}
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		note(out.add(clusters, p.Name, false, &cluster.Cluster{
+		note(out.add(typeCluster, p.Name, false, &cluster.Cluster{
 			Name:                 p.Name,
 			ClusterDiscoveryType: &cluster.Cluster_Type{Type: cluster.Cluster_EDS},
 			EdsClusterConfig:     &cluster.Cluster_EdsClusterConfig{EdsConfig: ads},
@@ -103,8 +103,8 @@
 			},
 			LrsServer: self,
 		}))
-		note(out.add(listeners, poolPrefix+p.Name, true, api(poolPrefix+p.Name, ads)))
-		note(out.add(routeTables, poolPrefix+p.Name, false, &route.RouteConfiguration{Name: poolPrefix + p.Name, VirtualHosts: []*route.VirtualHost{{
+		note(out.add(typeListener, poolPrefix+p.Name, true, api(poolPrefix+p.Name, ads)))
+		note(out.add(typeRoute, poolPrefix+p.Name, false, &route.RouteConfiguration{Name: poolPrefix + p.Name, VirtualHosts: []*route.VirtualHost{{
 			Name: "all", Domains: []string{"*"}, Routes: []*route.Route{{
 				Match:  &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: ""}},
 				Action: &route.Route_Route{Route: &route.RouteAction{ClusterSpecifier: &route.RouteAction_Cluster{Cluster: p.Name}}}}}}}}))
@@ -115,11 +115,11 @@
 	t := &teller{setup: s}
 	hosts, err := t.hosts()
 	note(err)
-	note(out.add(routeTables, allRoutes, false, &route.RouteConfiguration{Name: allRoutes, VirtualHosts: hosts}))
+	note(out.add(typeRoute, allRoutesName, false, &route.RouteConfiguration{Name: allRoutesName, VirtualHosts: hosts}))
 	for _, h := range hosts {
 		for _, domain := range h.Domains {
 			if !strings.Contains(domain, "*") {
-				note(out.add(listeners, domain, true, api(allRoutes, ads)))
+				note(out.add(typeListener, domain, true, api(allRoutesName, ads)))
 			}
 		}
 	}
@@ -129,9 +129,9 @@
 		if note(errors.Join(err, err2)); err != nil || err2 != nil {
 			continue
 		}
-		body, err := anypb.New(connections(allRoutes, ads))
+		body, err := anypb.New(connections(allRoutesName, ads))
 		note(err)
-		note(out.add(listeners, "listener/"+l.Address, false, &listener.Listener{Name: "listener/" + l.Address, Address: address(host, uint32(n)),
+		note(out.add(typeListener, "listener/"+l.Address, false, &listener.Listener{Name: "listener/" + l.Address, Address: address(host, uint32(n)),
 			FilterChains: []*listener.FilterChain{{Filters: []*listener.Filter{{Name: "http",
 				ConfigType: &listener.Filter_TypedConfig{TypedConfig: body}}}}}}))
 	}
@@ -157,9 +157,9 @@
 		PortSpecifier: &core.SocketAddress_PortValue{PortValue: port}}}}
 }
 
-// assigned is a pool's assignment, followed by its backups', as a resource. Each server is a locality of its own, named by its sub-zone:
+// loadAssignment is a pool's assignment, followed by its backups', as a resource. Each server is a locality of its own, named by its sub-zone:
 // weights of localities are what every subscriber keeps to, and loads are reported by locality, so by server.
-func assigned(pool string, all []assignment.Assignment) *endpoint.ClusterLoadAssignment {
+func loadAssignment(pool string, all []assignment.Assignment) *endpoint.ClusterLoadAssignment {
 	out := &endpoint.ClusterLoadAssignment{ClusterName: pool, Policy: &endpoint.ClusterLoadAssignment_Policy{
 		OverprovisioningFactor: wrapperspb.UInt32(overProvide)}}
 	next := uint32(0)
@@ -323,7 +323,7 @@
 	return out
 }
 
-// whole matches a whole path by an expression, whatever the query behind it is.
+// isComplete matches a whole path by an expression, whatever the query behind it is.
 func whole(path string) *matcher.StringMatcher {
 	return &matcher.StringMatcher{MatchPattern: &matcher.StringMatcher_SafeRegex{SafeRegex: &matcher.RegexMatcher{Regex: "(?:" + path + `)(\?.*)?`}}}
 }
--- a/controlplane/resources_test.go
+++ b/controlplane/resources_test.go
@@ -19,8 +19,8 @@
 	"lockloom/routes"
 )
 
-// maze is routes of every kind that get into each other's way.
-const maze = `
+// overlappingRoutes is routes of every kind that get into each other's way.
+const overlappingRoutes = `
 [[listener]]
 address = "127.0.0.1:8080"
 [[tariff]]
@@ -103,20 +103,23 @@
 pool = "p"
 `
 
-func setupOf(t testing.TB, text string) *config.Config {
+func parseConfig(t testing.TB, text string) *config.Config {
 	s, faults := config.Read("test.toml", []byte(text))
 	require.Empty(t, faults)
 	return s
 }
 
-// fields are a request's for routes.
-type fields map[string]string
+// headerFields are a request's for routes.
+type headerFields map[string]string
 
-func (f fields) Get(name string) (string, bool) { v, ok := f[strings.ToLower(name)]; return v, ok }
+func (f headerFields) Get(name string) (string, bool) {
+	v, ok := f[strings.ToLower(name)]
+	return v, ok
+}
 
-// chosen is the route that a subscriber would choose by what it is told: the first that matches, in the host that matches best. It is
+// selectRoute is the route that a subscriber would choose by what it is told: the first that matches, in the host that matches best. It is
 // written from the published protocol alone.
-func chosen(table *route.RouteConfiguration, host, method, path, query string, f fields) string {
+func selectRoute(table *route.RouteConfiguration, host, method, path, query string, f headerFields) string {
 	var best *route.VirtualHost
 	grade := 0
 	for _, h := range table.VirtualHosts {
@@ -184,33 +187,33 @@
 	return ""
 }
 
-func tableOf(t testing.TB, s *set, name string) *route.RouteConfiguration {
+func routeTable(t testing.TB, s *resourceSet, name string) *route.RouteConfiguration {
 	out := &route.RouteConfiguration{}
-	require.NoError(t, body(s[routeTables][name]).UnmarshalTo(out))
+	require.NoError(t, body(s[typeRoute][name]).UnmarshalTo(out))
 	return out
 }
 
 // Every subscriber chooses the route that lockloom itself would, though its rule is another: the first match.
-func TestRoutesAreChosenAlike(t *testing.T) {
-	s := setupOf(t, maze)
-	all, left, err := fixed(s)
+func TestSubscribersSelectTheSameRoute(t *testing.T) {
+	s := parseConfig(t, overlappingRoutes)
+	all, left, err := staticResources(s)
 	require.NoError(t, err)
 	assert.Len(t, left, 2, "a room and a limit cannot be told")
-	table := tableOf(t, &all, allRoutes)
+	table := routeTable(t, &all, allRoutesName)
 	met := map[string]int{}
 	for _, host := range []string{"www.example.org", "a.example.org", "example.org", "other"} {
 		for _, method := range []string{"GET", "POST", "PUT", "DELETE"} {
 			for _, path := range []string{"/", "/shop", "/shop/", "/shop/a", "/shop/ab", "/shopping", "/shop/keep", "/shop/keep/x.png", "/shop/x.png", "/shop/x.gif",
 				"/x.png", "/x.png/y", "/v1/x", "/av1/x", "/v2/x.gif", "/v2/.png", "/shop/a/v1/.png"} {
 				for _, query := range []string{"", "x=1", "y=1&x=", "xx=gif"} {
-					for _, f := range []fields{{}, {"x-beta": "yes"}, {"x-beta": "yes and no"}} {
+					for _, f := range []headerFields{{}, {"x-beta": "yes"}, {"x-beta": "yes and no"}} {
 						m, ok := s.RouteTable.Match(&routes.Request{Host: host, Method: method, Path: path, Query: query, Fields: f})
 						want := ""
 						if ok {
 							want = m.Route.Name
 						}
 						met[want]++
-						assert.Equal(t, want, chosen(table, host, method, path, query, f), "%s %s%s?%s %v", method, host, path, query, f)
+						assert.Equal(t, want, selectRoute(table, host, method, path, query, f), "%s %s%s?%s %v", method, host, path, query, f)
 					}
 				}
 			}
@@ -219,27 +222,27 @@
 	assert.Len(t, met, 12, "every route was met: %v", met)
 }
 
-func TestFixed(t *testing.T) {
-	s := setupOf(t, maze)
-	all, _, err := fixed(s)
+func TestStaticResources(t *testing.T) {
+	s := parseConfig(t, overlappingRoutes)
+	all, _, err := staticResources(s)
 	require.NoError(t, err)
 	names := func(kind int, named bool) (out []string) {
 		for name, r := range all[kind] {
-			if r.Named == named {
+			if r.onDemand == named {
 				out = append(out, name)
 			}
 		}
 		slices.Sort(out)
 		return out
 	}
-	assert.Equal(t, []string{"p", "q"}, names(clusters, false))
-	assert.Equal(t, []string{"listener/127.0.0.1:8080"}, names(listeners, false), "those that listen")
-	assert.Equal(t, []string{"pool/p", "pool/q", "www.example.org"}, names(listeners, true), "and those of clients that are no proxies")
+	assert.Equal(t, []string{"p", "q"}, names(typeCluster, false))
+	assert.Equal(t, []string{"listener/127.0.0.1:8080"}, names(typeListener, false), "those that listen")
+	assert.Equal(t, []string{"pool/p", "pool/q", "www.example.org"}, names(typeListener, true), "and those of clients that are no proxies")
 	l := &listener.Listener{}
-	require.NoError(t, body(all[listeners]["pool/q"]).UnmarshalTo(l))
+	require.NoError(t, body(all[typeListener]["pool/q"]).UnmarshalTo(l))
 	assert.NotNil(t, l.ApiListener)
 	by := map[string]*route.Route{}
-	for _, h := range tableOf(t, &all, allRoutes).VirtualHosts {
+	for _, h := range routeTable(t, &all, allRoutesName).VirtualHosts {
 		for _, r := range h.Routes {
 			by[r.Name] = r
 		}
@@ -251,38 +254,38 @@
 	assert.Equal(t, 2.0, by["all"].GetRoute().Timeout.AsDuration().Seconds())
 	assert.EqualValues(t, 750_000, by["shop"].GetRoute().GetWeightedClusters().Clusters[1].Weight.Value)
 	assert.Equal(t, "https", by["host"].GetRedirect().GetSchemeRedirect())
-	again, _, _ := fixed(setupOf(t, maze))
+	again, _, _ := staticResources(parseConfig(t, overlappingRoutes))
 	for kind := range all {
 		for name, r := range all[kind] {
-			assert.Equal(t, r.Version, again[kind][name].Version, "what says the same has the same version")
+			assert.Equal(t, r.version, again[kind][name].version, "what says the same has the same version")
 		}
 	}
-	less := restricted(all, []string{"p"})
-	assert.NotContains(t, less[clusters], "q")
-	assert.NotContains(t, less[listeners], "pool/q")
-	text := fmt.Sprint(proto.MarshalOptions{}.Marshal(tableOf(t, &less, allRoutes)))
-	assert.NotContains(t, tableOf(t, &less, allRoutes).String(), `"q"`, text)
-	assert.Contains(t, tableOf(t, &all, allRoutes).String(), `"q"`)
+	less := restrictToPools(all, []string{"p"})
+	assert.NotContains(t, less[typeCluster], "q")
+	assert.NotContains(t, less[typeListener], "pool/q")
+	text := fmt.Sprint(proto.MarshalOptions{}.Marshal(routeTable(t, &less, allRoutesName)))
+	assert.NotContains(t, routeTable(t, &less, allRoutesName).String(), `"q"`, text)
+	assert.Contains(t, routeTable(t, &all, allRoutesName).String(), `"q"`)
 }
 
 // What subscribers cannot be told is refused with its route, not told by half.
-func TestCannotBeTold(t *testing.T) {
+func TestInexpressibleRoutesAreRejected(t *testing.T) {
 	for route, says := range map[string]string{
 		`regex = "a(b)"` + "\nredirect = { status = 301, to = \"/$1\" }":                      `route "r": redirect to "/$1": captures`,
 		"prefix = \"/\"\nredirect = { status = 301, to = \"http://x/y\", keep = true }":       `route "r": redirect to "http://x/y" with the path`,
 		"prefix = \"/\"\npool = \"p\"\nquery = [{ name = \"x\", value = \"1\", not = true }]": `route "r": query "x"`,
 	} {
-		s := setupOf(t, "[[tariff]]\nname = \"t\"\nhard_stop = 2.0\n[[pool]]\nname = \"p\"\nservers = [\"127.0.0.1:9001\"]\n[[route]]\nname = \"r\"\n"+route)
-		_, _, err := fixed(s)
+		s := parseConfig(t, "[[tariff]]\nname = \"t\"\nhard_stop = 2.0\n[[pool]]\nname = \"p\"\nservers = [\"127.0.0.1:9001\"]\n[[route]]\nname = \"r\"\n"+route)
+		_, _, err := staticResources(s)
 		assert.ErrorContains(t, err, says)
 	}
 }
 
-func TestAssigned(t *testing.T) {
+func TestLoadAssignment(t *testing.T) {
 	server := func(name, zone string, h assignment.Health, weight, priority int) assignment.Server {
 		return assignment.Server{ServerEstimate: assignment.ServerEstimate{Name: name, Zone: zone, Addr: "10.0.0.1:80"}, Health: h, Weight: weight, Priority: priority}
 	}
-	out := assigned("p", []assignment.Assignment{
+	out := loadAssignment("p", []assignment.Assignment{
 		{Drop: .25, Servers: []assignment.Server{server("a", "z", assignment.Healthy, 7000, 0), server("b", "y", assignment.Draining, 1, 1), server("c", "z", assignment.Unhealthy, 1, 0)}},
 		{Servers: []assignment.Server{server("d", "z", assignment.Healthy, 10000, 0)}}})
 	var got []string
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -33,21 +33,21 @@
 const (
 	messageMost     = 1 << 20          // bytes of one request
 	bufferOf        = 4 << 10          // bytes, of a connection's buffers
-	namesMost       = 10_000           // asked for by one stream
+	maxNames        = 10_000           // asked for by one stream
 	streamsMost     = 16               // of one connection
 	subscribersMost = 2_000            // where the file does not say
 	pingAfter       = time.Second      // of silence; the least that gRPC takes
 	pingFor         = time.Second      // for the answer: a connection that is half open ends after both
-	sendFor         = 5 * time.Second  // for a subscriber that does not read to make room
-	ackFor          = 30 * time.Second // for an answer to be acknowledged or refused
+	sendTimeout     = 5 * time.Second  // for a subscriber that does not read to make room
+	ackTimeout      = 30 * time.Second // for an answer to be acknowledged or refused
 	lookEvery       = time.Second      // at who has not
 	stopFor         = time.Second      // for streams to end by themselves
 )
 
 // Service is a control service. Its exported methods may be called by anyone.
 type Service struct {
-	// Reported hears how attempts ended that subscribers sent to a pool: by server successful and failed. Set it before Serve.
-	Reported func(pool string, attempts map[string][2]int)
+	// OutcomesReported hears how attempts ended that subscribers sent to a pool: by server successful and failed. Set it before Serve.
+	OutcomesReported func(pool string, attempts map[string][2]int)
 
 	log  logrus.FieldLogger
 	run  string // tells two runs apart in versions and nonces
@@ -57,12 +57,12 @@
 	inbox inbox
 
 	mu          sync.Mutex
-	setup       *config.Config
+	config      *config.Config
 	terms       assignment.Settings
 	pools       map[string]*assignment.Pool
 	known       map[string]assignment.Snapshot // of pools that were not seen yet since the start
-	fixed       set
-	views       map[viewer]*set
+	fixed       resourceSet
+	views       map[viewer]*resourceSet
 	subscribers map[*subscriber]bool
 	loads       map[*reporter]bool
 
@@ -94,9 +94,9 @@
 	run := make([]byte, 4)
 	rand.Read(run)
 	t.PreferLocalZone = c.PreferLocalZone
-	out := &Service{log: log, run: hex.EncodeToString(run), terms: t, pools: map[string]*assignment.Pool{}, views: map[viewer]*set{},
+	out := &Service{log: log, run: hex.EncodeToString(run), terms: t, pools: map[string]*assignment.Pool{}, views: map[viewer]*resourceSet{},
 		subscribers: map[*subscriber]bool{}, loads: map[*reporter]bool{}, seen: make(chan struct{}), quit: make(chan struct{}), inbox: inbox{kick: make(chan struct{}, 1)},
-		Reported: func(string, map[string][2]int) {}}
+		OutcomesReported: func(string, map[string][2]int) {}}
 	options := []grpc.ServerOption{
 		grpc.ReadBufferSize(bufferOf), grpc.WriteBufferSize(bufferOf), grpc.SharedWriteBuffer(true), // a thousand connections, most of them at rest
 		grpc.MaxRecvMsgSize(messageMost), grpc.MaxConcurrentStreams(streamsMost),
@@ -110,7 +110,7 @@
 		}
 		options = append(options, grpc.Creds(credentials.NewTLS(out.keys.config())))
 	}
-	if err := out.Operate(s); err != nil {
+	if err := out.Reload(s); err != nil {
 		return nil, err
 	}
 	out.known = out.recall()
@@ -121,12 +121,12 @@
 	return out, nil
 }
 
-// Operate tells by another operator file from now on. Address, keys' places and bounds change with the next start.
-func (s *Service) Operate(setup *config.Config) error {
+// Reload tells by another operator file from now on. Address, keys' places and bounds change with the next start.
+func (s *Service) Reload(setup *config.Config) error {
 	if setup.ControlPlane == nil {
 		return errors.New("the operator file has no control table")
 	}
-	f, left, err := fixed(setup)
+	f, left, err := staticResources(setup)
 	if err != nil {
 		return err
 	}
@@ -135,12 +135,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keys != nil && s.setup != nil {
+	if s.keys != nil && s.config != nil {
 		if err := s.keys.load(); err != nil {
 			return err
 		}
 	}
-	s.setup, s.fixed = setup, f
+	s.config, s.fixed = setup, f
 	maps.DeleteFunc(s.pools, func(name string, _ *assignment.Pool) bool {
 		return !slices.ContainsFunc(setup.Pools, func(p config.Pool) bool { return p.Name == name })
 	})
@@ -203,7 +203,7 @@
 	}
 }
 
-// see has the pools settle what is told.
+// observe has the pools settle what is told.
 func (s *Service) see(now float64, sights map[string]assignment.Observation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,7 +257,7 @@
 }
 
 // sees is what a subscriber is told now. The caller holds the lock.
-func (s *Service) sees(v viewer) *set {
+func (s *Service) sees(v viewer) *resourceSet {
 	if s.views[v] == nil {
 		s.views[v] = s.view(v, nil, nil)
 	}
@@ -265,22 +265,22 @@
 }
 
 // view is what one kind of subscribers is told: as before, but for these pools.
-func (s *Service) view(v viewer, old *set, pools []string) *set {
-	var out set
+func (s *Service) view(v viewer, old *resourceSet, pools []string) *resourceSet {
+	var out resourceSet
 	if old != nil {
 		out = *old
-		out[endpoints] = maps.Clone(old[endpoints])
+		out[typeEndpoint] = maps.Clone(old[typeEndpoint])
 	} else {
 		out = s.fixed
 		if v.pools != "" {
-			out = restricted(s.fixed, strings.Split(strings.TrimSuffix(v.pools, "\n"), "\n"))
+			out = restrictToPools(s.fixed, strings.Split(strings.TrimSuffix(v.pools, "\n"), "\n"))
 		}
-		out[endpoints] = nil
+		out[typeEndpoint] = nil
 		pools = slices.Sorted(maps.Keys(s.pools))
 	}
-	for i := range s.setup.Pools {
-		p := &s.setup.Pools[i]
-		if out[clusters][p.Name] == nil || s.pools[p.Name] == nil {
+	for i := range s.config.Pools {
+		p := &s.config.Pools[i]
+		if out[typeCluster][p.Name] == nil || s.pools[p.Name] == nil {
 			continue
 		}
 		var all []assignment.Assignment
@@ -293,7 +293,7 @@
 			}
 		}
 		if touched {
-			if err := out.add(endpoints, p.Name, false, assigned(p.Name, all)); err != nil {
+			if err := out.add(typeEndpoint, p.Name, false, loadAssignment(p.Name, all)); err != nil {
 				s.log.WithError(err).Error("cannot be told")
 			}
 		}
@@ -302,8 +302,8 @@
 }
 
 func (s *Service) pool(name string) *config.Pool {
-	for i := range s.setup.Pools {
-		if p := &s.setup.Pools[i]; p.Name == name {
+	for i := range s.config.Pools {
+		if p := &s.config.Pools[i]; p.Name == name {
 			return p
 		}
 	}
@@ -322,7 +322,7 @@
 func (s *Service) enter(sub *subscriber) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if most := cmp.Or(s.setup.ControlPlane.Subscribers, subscribersMost); len(s.subscribers) >= most {
+	if most := cmp.Or(s.config.ControlPlane.Subscribers, subscribersMost); len(s.subscribers) >= most {
 		return fmt.Errorf("%d subscribers: no more are taken", most)
 	}
 	s.subscribers[sub] = true
@@ -338,7 +338,7 @@
 // allowed are the pools that a subscriber of this certificate may see, as a viewer names them; an error: none.
 func (s *Service) allowed(ctx context.Context) (string, error) {
 	s.mu.Lock()
-	c := s.setup.ControlPlane
+	c := s.config.ControlPlane
 	s.mu.Unlock()
 	if len(c.Allow) == 0 {
 		return "", nil
@@ -352,11 +352,11 @@
 	return "", fmt.Errorf("no subscriber by the name of %q is allowed", names)
 }
 
-// narrowed are the pools that a node is told, of those that it may see.
-func (s *Service) narrowed(pools string, n *core.Node) string {
+// subsetPools are the pools that a node is told, of those that it may see.
+func (s *Service) subsetPools(pools string, n *core.Node) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, sub := range s.setup.ControlPlane.Subsets {
+	for _, sub := range s.config.ControlPlane.Subsets {
 		if sub.Fits(n.GetId(), n.GetCluster(), n.GetLocality().GetZone()) {
 			left := slices.DeleteFunc(slices.Clone(sub.Pools), func(p string) bool { return !among(pools, p) })
 			if len(left) == 0 { // danger: no pools would stand for all
@@ -381,7 +381,7 @@
 	return pools == "" || strings.Contains("\n"+pools, "\n"+name+"\n")
 }
 
-func body(r *Resource) *anypb.Any {
-	b, _ := r.Body.(*anypb.Any)
+func body(r *resource) *anypb.Any {
+	b, _ := r.body.(*anypb.Any)
 	return b
 }
--- a/controlplane/snapshot.go
+++ b/controlplane/snapshot.go
@@ -29,7 +29,7 @@
 // stops snapshots, not the service.
 func (s *Service) keep() {
 	s.mu.Lock()
-	file := s.setup.ControlPlane.SnapshotFile
+	file := s.config.ControlPlane.SnapshotFile
 	all := map[string]assignment.Snapshot{}
 	for name, m := range s.known { // not seen yet: it stays what it was
 		all[name] = m
@@ -41,12 +41,12 @@
 	if file == "" {
 		return
 	}
-	if err := write(file, all); err != nil {
+	if err := writeSnapshotFile(file, all); err != nil {
 		s.log.WithError(err).Error("no snapshot of assignments could be kept")
 	}
 }
 
-func write(file string, all map[string]assignment.Snapshot) error {
+func writeSnapshotFile(file string, all map[string]assignment.Snapshot) error {
 	pools, err := json.Marshal(all)
 	if err != nil {
 		return err
@@ -75,11 +75,11 @@
 
 // recall reads the snapshot, if there is one that can be believed.
 func (s *Service) recall() map[string]assignment.Snapshot {
-	file := s.setup.ControlPlane.SnapshotFile
+	file := s.config.ControlPlane.SnapshotFile
 	if file == "" {
 		return nil
 	}
-	all, err := read(file)
+	all, err := readSnapshotFile(file)
 	switch {
 	case os.IsNotExist(err):
 	case err != nil:
@@ -90,7 +90,7 @@
 	return all
 }
 
-func read(file string) (map[string]assignment.Snapshot, error) {
+func readSnapshotFile(file string) (map[string]assignment.Snapshot, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, err
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Status answers GET /subscribers with Rows in JSON. It is for staff, on loopback.
-func (s *Service) Status(ln net.Listener) error {
+// ServeStatus answers GET /subscribers with Rows in JSON. It is for staff, on loopback.
+func (s *Service) ServeStatus(ln net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /subscribers", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/controlplane/subscriber.go
+++ b/controlplane/subscriber.go
@@ -31,11 +31,11 @@
 	since  time.Time
 	viewer viewer // settled with the first request, before it enters
 
-	mu      sync.Mutex
-	node    *core.Node
-	ledgers [types]*Ledger
-	waits   [types]time.Time // since when answers are unacknowledged; zero: none is
-	detail  string           // of the last refusal
+	mu           sync.Mutex
+	node         *core.Node
+	ledgers      [typeCount]*subscription
+	unackedSince [typeCount]time.Time // since when answers are unacknowledged; zero: none is
+	detail       string               // of the last refusal
 
 	kick   chan struct{}
 	hurry  sync.Mutex
@@ -75,9 +75,9 @@
 		}
 		return &ask{node: r.Node, url: r.TypeUrl, nonce: r.ResponseNonce, version: r.VersionInfo, names: r.ResourceNames,
 			bad: r.ErrorDetail != nil, refused: r.ErrorDetail.GetMessage()}, nil
-	}, func(kind int, version string, a *Answer) error {
-		out := &discovery.DiscoveryResponse{TypeUrl: urls[kind], VersionInfo: version, Nonce: f.s.nonce(a.Nonce)}
-		for _, r := range a.Resources {
+	}, func(kind int, version string, a *response) error {
+		out := &discovery.DiscoveryResponse{TypeUrl: typeURLs[kind], VersionInfo: version, Nonce: f.s.nonce(a.nonce)}
+		for _, r := range a.resources {
 			out.Resources = append(out.Resources, body(r))
 		}
 		return st.Send(out)
@@ -92,16 +92,16 @@
 		}
 		return &ask{node: r.Node, url: r.TypeUrl, nonce: r.ResponseNonce, add: r.ResourceNamesSubscribe, drop: r.ResourceNamesUnsubscribe,
 			holds: r.InitialResourceVersions, bad: r.ErrorDetail != nil, refused: r.ErrorDetail.GetMessage()}, nil
-	}, func(kind int, version string, a *Answer) error {
-		out := &discovery.DeltaDiscoveryResponse{TypeUrl: urls[kind], SystemVersionInfo: version, Nonce: f.s.nonce(a.Nonce), RemovedResources: a.Removed}
-		for _, r := range a.Resources {
-			out.Resources = append(out.Resources, &discovery.Resource{Name: r.Name, Version: f.s.version(r.Version), Resource: body(r)})
+	}, func(kind int, version string, a *response) error {
+		out := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURLs[kind], SystemVersionInfo: version, Nonce: f.s.nonce(a.nonce), RemovedResources: a.removedNames}
+		for _, r := range a.resources {
+			out.Resources = append(out.Resources, &discovery.Resource{Name: r.name, Version: f.s.version(r.version), Resource: body(r)})
 		}
 		return st.Send(out)
 	})
 }
 
-// version is a version as it is told: what follows from the content, and the run.
+// versions is a version as it is told: what follows from the content, and the run.
 func (s *Service) version(of string) string { return of + "-" + s.run }
 
 // content is the part of a told version that follows from the content, whichever run told it.
@@ -113,7 +113,7 @@
 func (s *Service) nonce(n uint64) string { return strconv.FormatUint(n, 10) + "-" + s.run }
 
 // subscribe serves one stream.
-func (s *Service) subscribe(ctx context.Context, delta bool, recv func() (*ask, error), send func(kind int, version string, a *Answer) error) error {
+func (s *Service) subscribe(ctx context.Context, delta bool, recv func() (*ask, error), send func(kind int, version string, a *response) error) error {
 	pools, err := s.allowed(ctx)
 	if err != nil {
 		return status.Error(codes.PermissionDenied, err.Error())
@@ -123,7 +123,7 @@
 		return err
 	}
 	sub := &subscriber{s: s, delta: delta, since: time.Now(), kick: make(chan struct{}, 1), node: first.node,
-		viewer: viewer{zone: first.node.GetLocality().GetZone(), pools: s.narrowed(pools, first.node)}}
+		viewer: viewer{zone: first.node.GetLocality().GetZone(), pools: s.subsetPools(pools, first.node)}}
 	if p, ok := peer.FromContext(ctx); ok {
 		sub.peer = p.Addr.String()
 	}
@@ -165,8 +165,8 @@
 			}
 		case <-sub.kick:
 		case <-look.C:
-			if kind, late := sub.late(); late {
-				return status.Errorf(codes.Aborted, "%s: nothing acknowledged for %v", urls[kind], ackFor)
+			if kind, late := sub.overdueAck(); late {
+				return status.Errorf(codes.Aborted, "%s: nothing acknowledged for %v", typeURLs[kind], ackTimeout)
 			}
 		case <-ended:
 			return nil
@@ -181,9 +181,9 @@
 	}
 }
 
-// take takes in a request.
+// accept takes in a request.
 func (sub *subscriber) take(a *ask) error {
-	kind := slices.Index(urls[:], a.url)
+	kind := slices.Index(typeURLs[:], a.url)
 	if kind < 0 { // nothing of that type is told
 		return nil
 	}
@@ -193,7 +193,7 @@
 	l := sub.ledgers[kind]
 	begins := l == nil
 	if begins {
-		l = NewLedger(sub.delta, kind == clusters || kind == listeners)
+		l = newSubscription(sub.delta, kind == typeCluster || kind == typeListener)
 		sub.ledgers[kind] = l
 	}
 	latest := true
@@ -201,15 +201,15 @@
 		number, _ := strconv.ParseUint(n, 10, 64)
 		if a.bad {
 			var changed []string
-			changed, latest = l.Refused(number)
+			changed, latest = l.nack(number)
 			sub.detail = a.refused
-			sub.s.log.WithFields(logrus.Fields{"subscriber": sub.node.GetId(), "type": urls[kind], "changed": changed, "detail": a.refused}).
+			sub.s.log.WithFields(logrus.Fields{"subscriber": sub.node.GetId(), "type": typeURLs[kind], "changed": changed, "detail": a.refused}).
 				Warn("refused: the last good version stands there")
 		} else {
-			latest = l.Acked(number)
+			latest = l.ack(number)
 		}
-		if l.Out() == 0 {
-			sub.waits[kind] = time.Time{}
+		if l.outstandingCount() == 0 {
+			sub.unackedSince[kind] = time.Time{}
 		}
 	}
 	switch {
@@ -219,26 +219,26 @@
 			for name, version := range a.holds {
 				holds[name] = content(version)
 			}
-			l.Holds(holds)
-			if len(a.add) == 0 && l.Whole { // as older subscribers ask for all
+			l.setInitialVersions(holds)
+			if len(a.add) == 0 && l.fullState { // as older subscribers ask for all
 				a.add = []string{"*"}
 			}
 		}
-		l.Change(a.add, a.drop)
+		l.updateNames(a.add, a.drop)
 	case latest: // what was asked for before the last answer came will be asked for again
-		l.Ask(len(a.names) == 0 && l.Whole || slices.Contains(a.names, "*"), slices.DeleteFunc(slices.Clone(a.names), func(n string) bool { return n == "*" }))
-		if begins && a.version != "" && content(a.version) == l.Version(current[kind]) {
-			l.HoldsAll(current[kind])
+		l.setNames(len(a.names) == 0 && l.fullState || slices.Contains(a.names, "*"), slices.DeleteFunc(slices.Clone(a.names), func(n string) bool { return n == "*" }))
+		if begins && a.version != "" && content(a.version) == l.currentVersion(current[kind]) {
+			l.setInitialState(current[kind])
 		}
 	}
-	if l.Wants() > namesMost {
-		return status.Errorf(codes.InvalidArgument, "%s: more than %d names", a.url, namesMost)
+	if l.nameCount() > maxNames {
+		return status.Errorf(codes.InvalidArgument, "%s: more than %d names", a.url, maxNames)
 	}
 	return nil
 }
 
 // current is what this subscriber is to hold.
-func (sub *subscriber) current() *set {
+func (sub *subscriber) current() *resourceSet {
 	sub.s.mu.Lock()
 	defer sub.s.mu.Unlock()
 	return sub.s.sees(sub.viewer)
@@ -246,33 +246,33 @@
 
 // tell sends what there is to send: what is added in an order in which nothing refers to what comes later, and what is taken away once
 // nothing refers to it any more. Danger: a cluster that goes before the routes to it fails what they still send there.
-func (sub *subscriber) tell(ctx context.Context, send func(kind int, version string, a *Answer) error) error {
+func (sub *subscriber) tell(ctx context.Context, send func(kind int, version string, a *response) error) error {
 	sub.hurry.Lock()
 	urgent := sub.urgent
 	sub.urgent = false
 	sub.hurry.Unlock()
 	current := sub.current()
-	for _, kind := range []int{clusters, endpoints, listeners, routeTables, clusters, endpoints} {
+	for _, kind := range []int{typeCluster, typeEndpoint, typeListener, typeRoute, typeCluster, typeEndpoint} {
 		sub.mu.Lock()
 		l := sub.ledgers[kind]
 		if l == nil {
 			sub.mu.Unlock()
 			continue
 		}
-		keep := kind < listeners && (sub.out(listeners) || sub.out(routeTables) || sub.ahead(current))
-		a := l.Next(current[kind], urgent && kind == endpoints, keep)
+		keep := kind < typeListener && (sub.out(typeListener) || sub.out(typeRoute) || sub.ahead(current))
+		a := l.nextResponse(current[kind], urgent && kind == typeEndpoint, keep)
 		version := ""
 		if a != nil {
-			version = sub.s.version(l.Told(current[kind]))
-			if sub.waits[kind].IsZero() {
-				sub.waits[kind] = time.Now()
+			version = sub.s.version(l.sentVersion(current[kind]))
+			if sub.unackedSince[kind].IsZero() {
+				sub.unackedSince[kind] = time.Now()
 			}
 		}
 		sub.mu.Unlock()
 		if a == nil {
 			continue
 		}
-		if err := within(ctx, func() error { return send(kind, version, a) }); err != nil {
+		if err := sendWithTimeout(ctx, func() error { return send(kind, version, a) }); err != nil {
 			return err
 		}
 	}
@@ -280,119 +280,119 @@
 }
 
 func (sub *subscriber) out(kind int) bool {
-	return sub.ledgers[kind] != nil && sub.ledgers[kind].Out() > 0
+	return sub.ledgers[kind] != nil && sub.ledgers[kind].outstandingCount() > 0
 }
 
 // ahead tells whether listeners or routes are yet to be told.
-func (sub *subscriber) ahead(current *set) bool {
-	for _, kind := range []int{listeners, routeTables} {
-		if l := sub.ledgers[kind]; l != nil && len(l.Refuses(current[kind])) == 0 && l.Told(current[kind]) != l.Version(current[kind]) {
+func (sub *subscriber) ahead(current *resourceSet) bool {
+	for _, kind := range []int{typeListener, typeRoute} {
+		if l := sub.ledgers[kind]; l != nil && len(l.nackedNames(current[kind])) == 0 && l.sentVersion(current[kind]) != l.currentVersion(current[kind]) {
 			return true
 		}
 	}
 	return false
 }
 
-// within has a send end in time. Danger: a subscriber that does not read would keep the newest from itself, and its stream for ever.
-func within(ctx context.Context, send func() error) error {
+// sendWithTimeout has a send end in time. Danger: a subscriber that does not read would keep the newest from itself, and its stream for ever.
+func sendWithTimeout(ctx context.Context, send func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- send() }()
-	timer := time.NewTimer(sendFor)
+	timer := time.NewTimer(sendTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-done:
 		return err
 	case <-timer.C:
-		return status.Errorf(codes.Aborted, "nothing read for %v", sendFor)
+		return status.Errorf(codes.Aborted, "nothing read for %v", sendTimeout)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// late tells whether the subscriber has left an answer unacknowledged for too long.
-func (sub *subscriber) late() (kind int, late bool) {
+// overdueAck tells whether the subscriber has left an answer unacknowledged for too long.
+func (sub *subscriber) overdueAck() (kind int, late bool) {
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
-	for kind, since := range sub.waits {
-		if !since.IsZero() && time.Since(since) > ackFor {
+	for kind, since := range sub.unackedSince {
+		if !since.IsZero() && time.Since(since) > ackTimeout {
 			return kind, true
 		}
 	}
 	return 0, false
 }
 
-// Row is what a subscriber holds, for those who ask.
-type Row struct {
-	ID      string    `json:"id"`
-	Cluster string    `json:"cluster,omitempty"`
-	Zone    string    `json:"zone,omitempty"`
-	Peer    string    `json:"peer"`
-	Way     string    `json:"way"` // delta, or world
-	Since   time.Time `json:"since"`
-	Holds   []Held    `json:"holds"`
-	Detail  string    `json:"detail,omitempty"` // of its last refusal
+// SubscriberStatus is what a subscriber holds, for those who ask.
+type SubscriberStatus struct {
+	ID          string           `json:"id"`
+	Cluster     string           `json:"cluster,omitempty"`
+	Zone        string           `json:"zone,omitempty"`
+	Peer        string           `json:"peer"`
+	Protocol    string           `json:"way"` // delta, or world
+	ConnectedAt time.Time        `json:"since"`
+	Resources   []ResourceStatus `json:"holds"`
+	NackDetail  string           `json:"detail,omitempty"` // of its last refusal
 }
 
-// Held is what it holds of one type.
-type Held struct {
-	Type     string   `json:"type"`
-	Names    int      `json:"names"` // asked for; -1: all
-	Version  string   `json:"version"`
-	Newest   bool     `json:"newest"`
-	Waits    float64  `json:"waits"` // s for an acknowledgement
-	Refused  []string `json:"refused,omitempty"`
-	Refusals int      `json:"refusals"`
+// ResourceStatus is what it holds of one type.
+type ResourceStatus struct {
+	Type           string   `json:"type"`
+	NameCount      int      `json:"names"` // asked for; -1: all
+	Version        string   `json:"version"`
+	UpToDate       bool     `json:"newest"`
+	UnackedSeconds float64  `json:"waits"` // s for an acknowledgement
+	Nacked         []string `json:"refused,omitempty"`
+	NackCount      int      `json:"refusals"`
 }
 
-var short = [types]string{"clusters", "endpoints", "listeners", "routes"}
+var typeNames = [typeCount]string{"clusters", "endpoints", "listeners", "routes"}
 
 // Subscribers tells who holds what, by id.
-func (s *Service) Subscribers() []Row {
+func (s *Service) Subscribers() []SubscriberStatus {
 	s.mu.Lock()
 	all := slices.Collect(maps.Keys(s.subscribers))
 	s.mu.Unlock()
-	rows := make([]Row, 0, len(all))
+	rows := make([]SubscriberStatus, 0, len(all))
 	for _, sub := range all {
 		current := sub.current()
 		sub.mu.Lock()
-		r := Row{ID: sub.node.GetId(), Cluster: sub.node.GetCluster(), Zone: sub.viewer.zone, Peer: sub.peer, Way: "world", Since: sub.since, Detail: sub.detail}
+		r := SubscriberStatus{ID: sub.node.GetId(), Cluster: sub.node.GetCluster(), Zone: sub.viewer.zone, Peer: sub.peer, Protocol: "world", ConnectedAt: sub.since, NackDetail: sub.detail}
 		if sub.delta {
-			r.Way = "delta"
+			r.Protocol = "delta"
 		}
 		for kind, l := range sub.ledgers {
 			if l == nil {
 				continue
 			}
-			h := Held{Type: short[kind], Names: l.Wants(), Version: l.Told(current[kind]), Refused: l.Refuses(current[kind]), Refusals: l.Refusals}
-			h.Newest = l.Out() == 0 && h.Version == l.Version(current[kind])
-			if w := sub.waits[kind]; !w.IsZero() {
-				h.Waits = time.Since(w).Seconds()
+			h := ResourceStatus{Type: typeNames[kind], NameCount: l.nameCount(), Version: l.sentVersion(current[kind]), Nacked: l.nackedNames(current[kind]), NackCount: l.nackCount}
+			h.UpToDate = l.outstandingCount() == 0 && h.Version == l.currentVersion(current[kind])
+			if w := sub.unackedSince[kind]; !w.IsZero() {
+				h.UnackedSeconds = time.Since(w).Seconds()
 			}
-			r.Holds = append(r.Holds, h)
+			r.Resources = append(r.Resources, h)
 		}
 		sub.mu.Unlock()
 		rows = append(rows, r)
 	}
-	slices.SortFunc(rows, func(a, b Row) int { return strings.Compare(a.ID+a.Peer, b.ID+b.Peer) })
+	slices.SortFunc(rows, func(a, b SubscriberStatus) int { return strings.Compare(a.ID+a.Peer, b.ID+b.Peer) })
 	return rows
 }
 
-// restricted is what is left of the fixed resources for a subscriber that may see these pools.
-func restricted(all set, pools []string) set {
-	var out set
+// restrictToPools is what is left of the fixed resources for a subscriber that may see these pools.
+func restrictToPools(all resourceSet, pools []string) resourceSet {
+	var out resourceSet
 	for kind := range all {
 		out[kind] = maps.Clone(all[kind])
 	}
-	for name := range all[clusters] {
+	for name := range all[typeCluster] {
 		if !slices.Contains(pools, name) {
-			delete(out[clusters], name)
-			delete(out[listeners], poolPrefix+name)
-			delete(out[routeTables], poolPrefix+name)
+			delete(out[typeCluster], name)
+			delete(out[typeListener], poolPrefix+name)
+			delete(out[typeRoute], poolPrefix+name)
 		}
 	}
-	if r := all[routeTables][allRoutes]; r != nil {
+	if r := all[typeRoute][allRoutesName]; r != nil {
 		if table := without(body(r), pools); table != nil {
-			out.add(routeTables, allRoutes, r.Named, table)
+			out.add(typeRoute, allRoutesName, r.onDemand, table)
 		}
 	}
 	return out
--- a/controlplane/keys.go
+++ b/controlplane/tls.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/peer"
 )
 
-// keys are the service's own certificate and the authority that its subscribers' are of. Loaded again they hold for new connections;
+// credentials are the service's own certificate and the authority that its subscribers' are of. Loaded again they hold for new connections;
 // streams that there are go on.
 type keys struct {
 	certificate, key, authority string
--- a/controlplane/keys_test.go
+++ b/controlplane/tls_test.go
@@ -59,7 +59,7 @@
 	return cert, key
 }
 
-// keys are a subscriber's.
+// credentials are a subscriber's.
 func (a *authority) keys(name string) credentials.TransportCredentials {
 	a.make(name, a)
 	pair, err := tls.LoadX509KeyPair(filepath.Join(a.dir, name+".pem"), filepath.Join(a.dir, name+".key"))
@@ -70,30 +70,30 @@
 }
 
 // Who subscribes is known by its certificate, and sees what it may. Keys may change under streams that go on.
-func TestKeys(t *testing.T) {
+func TestCertificatesDecideVisiblePoolsAndReload(t *testing.T) {
 	a := newAuthority(t)
 	a.make("control", a)
 	file := func(name string) string { return filepath.Join(a.dir, name) }
-	k := open(t, written(fmt.Sprintf("certificate = %q\nkey = %q\nauthority = %q\n[[control.allow]]\nname = \"edge-*\"\npools = [\"q\"]\n[[control.allow]]\nname = \"all\"\n",
-		file("control.pem"), file("control.key"), file("authority.pem"))+two), 2)
+	k := startService(t, configText(fmt.Sprintf("certificate = %q\nkey = %q\nauthority = %q\n[[control.allow]]\nname = \"edge-*\"\npools = [\"q\"]\n[[control.allow]]\nname = \"all\"\n",
+		file("control.pem"), file("control.key"), file("authority.pem"))+secondPool), 2)
 	k.mu.Lock()
-	k.sights["q"] = sight(2)
+	k.observations["q"] = observationOf(2)
 	k.mu.Unlock()
-	k.see()
+	k.observe()
 	both := []string{"p", "q"}
-	all := k.subscribe(script{delta: true, pools: both, keys: a.keys("all")})
-	all.until(3*time.Second, "sees both", func() bool { return len(all.holds[urls[endpoints]]) == 2 })
-	edge := k.subscribe(script{delta: true, pools: both, keys: a.keys("edge-7")})
-	edge.until(3*time.Second, "sees what it may", edge.whole)
+	all := k.subscribe(subscriberOptions{delta: true, pools: both, credentials: a.keys("all")})
+	all.waitUntil(3*time.Second, "sees both", func() bool { return len(all.resources[typeURLs[typeEndpoint]]) == 2 })
+	edge := k.subscribe(subscriberOptions{delta: true, pools: both, credentials: a.keys("edge-7")})
+	edge.waitUntil(3*time.Second, "sees what it may", edge.isComplete)
 	time.Sleep(100 * time.Millisecond)
 	edge.mu.Lock()
-	assert.Len(t, edge.holds[urls[endpoints]], 1)
-	assert.Contains(t, edge.holds[urls[clusters]], "q")
-	assert.NotContains(t, fmt.Sprint(edge.holds[urls[routeTables]]), `cluster:"p"`)
+	assert.Len(t, edge.resources[typeURLs[typeEndpoint]], 1)
+	assert.Contains(t, edge.resources[typeURLs[typeCluster]], "q")
+	assert.NotContains(t, fmt.Sprint(edge.resources[typeURLs[typeRoute]]), `cluster:"p"`)
 	edge.mu.Unlock()
 	for what, keys := range map[string]credentials.TransportCredentials{"not allowed": a.keys("else"), "of another authority": newAuthority(t).keys("all"), "without": nil} {
-		s := k.subscribe(script{keys: keys})
-		<-s.over
+		s := k.subscribe(subscriberOptions{credentials: keys})
+		<-s.done
 		assert.Error(t, s.err, what)
 	}
 	served := func() string {
@@ -104,11 +104,11 @@
 	}
 	before := served()
 	a.make("control", a)
-	require.NoError(t, k.Operate(k.setup))
+	require.NoError(t, k.Reload(k.config))
 	assert.NotEqual(t, before, served())
 	k.drain(0)
-	all.until(soon, "goes on", all.is("s0", core.HealthStatus_DRAINING))
+	all.waitUntil(maxDrainDelay, "goes on", all.hasHealth("s0", core.HealthStatus_DRAINING))
 	require.NoError(t, os.WriteFile(file("control.key"), []byte("no key"), 0o600))
-	assert.ErrorContains(t, k.Operate(k.setup), "certificate and key")
+	assert.ErrorContains(t, k.Reload(k.config), "certificate and key")
 	assert.NotEqual(t, before, served(), "what held before still holds")
 }
--- a/internal/cli/controlplanecmd/controlplanecmd.go
+++ b/internal/cli/controlplanecmd/controlplanecmd.go
@@ -66,7 +66,7 @@
 // Operate takes in another operator file. A capture changes with the next start, or by its address.
 func (f *fronts) Operate(s *proxy.Config) error {
 	if f.control != nil {
-		return f.control.Operate(s)
+		return f.control.Reload(s)
 	}
 	return nil
 }
@@ -106,10 +106,10 @@
 		return err
 	}
 	f.control = service
-	service.Reported = p.OutcomesReported
+	service.OutcomesReported = p.OutcomesReported
 	p.OnEstimates(service.Update)
 	if s.ControlPlane.Status != "" {
-		if err := f.open("control", "status", s.ControlPlane.Status, service.Status); err != nil {
+		if err := f.open("control", "status", s.ControlPlane.Status, service.ServeStatus); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/ctlcmd/subscribers.go
+++ b/internal/cli/ctlcmd/subscribers.go
@@ -42,7 +42,7 @@
 			if answer.StatusCode != http.StatusOK {
 				return fmt.Errorf("%s: %s", words[0], answer.Status)
 			}
-			var rows []controlplane.Row
+			var rows []controlplane.SubscriberStatus
 			if err := json.NewDecoder(io.LimitReader(answer.Body, rowsMost)).Decode(&rows); err != nil {
 				return fmt.Errorf("%s: %w", words[0], err)
 			}
@@ -50,25 +50,25 @@
 		})
 }
 
-func table(out io.Writer, rows []controlplane.Row) error {
+func table(out io.Writer, rows []controlplane.SubscriberStatus) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SUBSCRIBER\tZONE\tWAY\tSINCE\tTYPE\tNAMES\tVERSION\tSTATE")
 	for _, r := range rows {
-		for _, h := range r.Holds {
+		for _, h := range r.Resources {
 			state := "newest"
 			switch {
-			case len(h.Refused) > 0:
-				state = fmt.Sprintf("refuses %s: %s", strings.Join(h.Refused, ", "), r.Detail)
-			case h.Waits > 0:
-				state = fmt.Sprintf("unacknowledged for %.1f s", h.Waits)
-			case !h.Newest:
+			case len(h.Nacked) > 0:
+				state = fmt.Sprintf("refuses %s: %s", strings.Join(h.Nacked, ", "), r.NackDetail)
+			case h.UnackedSeconds > 0:
+				state = fmt.Sprintf("unacknowledged for %.1f s", h.UnackedSeconds)
+			case !h.UpToDate:
 				state = "behind"
 			}
-			names := fmt.Sprint(h.Names)
-			if h.Names < 0 {
+			names := fmt.Sprint(h.NameCount)
+			if h.NameCount < 0 {
 				names = "all"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Way, r.Since.Format(time.TimeOnly), h.Type, names, h.Version, state)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Protocol, r.ConnectedAt.Format(time.TimeOnly), h.Type, names, h.Version, state)
 		}
 	}
 	return w.Flush()
