--- a/controlplane/loadreports.go
+++ b/controlplane/loadreports.go
@@ -3,85 +3,130 @@
 import (
 	"time"
 
-	load "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
+	endpoint "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	loadstats "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
 const (
-	reportEvery = time.Second // of a subscriber's load reports
-	reportsMost = 3           // of them missing, and its load counts no more
-	countMost   = 1 << 30     // attempts in one report: more cannot be
+	loadReportInterval = time.Second
+	loadReportTimeout  = 3 * loadReportInterval // after which a silent subscriber's load no longer counts
+	maxReportedCount   = 1 << 30                // attempts in one report: more are impossible
 )
 
-// reports is the published service of load reports.
-type reports struct {
-	load.UnimplementedLoadReportingServiceServer
-	s *Service
+// loadReportServer is the published gRPC service for load reports.
+type loadReportServer struct {
+	loadstats.UnimplementedLoadReportingServiceServer
+	service *Service
 }
 
-// reporter is one stream of them.
-type reporter struct{ sends map[string]sent } // by pool, as of the last report
+// loadReporter is one stream of load reports. Service.mu guards it.
+type loadReporter struct {
+	loads map[string]poolLoad // by pool, as of the last report
+}
 
-// sent is what a subscriber sends to a pool.
-type sent struct{ holds, rate float64 } // requests in work; begun a second
+// poolLoad is what subscribers send to a pool.
+type poolLoad struct {
+	inFlight float64 // requests
+	rate     float64 // requests begun per second
+}
 
-// StreamLoadStats takes in what a subscriber tells of the attempts that it sent. A server is told as a locality of its own, so what is
-// reported of a locality is a server's. Danger: a subscriber that reports what it may not see could have others' servers paused.
-func (r reports) StreamLoadStats(st load.LoadReportingService_StreamLoadStatsServer) error {
-	pools, err := r.s.allowed(st.Context())
+func (l *poolLoad) add(other poolLoad) {
+	l.inFlight += other.inFlight
+	l.rate += other.rate
+}
+
+// StreamLoadStats takes in the load reports of a subscriber. A server is sent as a locality of its own, so the load of
+// a locality is that of a server. Reports of pools that the subscriber may not see are ignored: by them it could have
+// the servers of others paused.
+func (l loadReportServer) StreamLoadStats(stream loadstats.LoadReportingService_StreamLoadStatsServer) error {
+	allowed, err := l.service.allowedPools(stream.Context())
 	if err != nil {
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
-	if _, err := st.Recv(); err != nil {
+	if _, err := stream.Recv(); err != nil {
 		return err
 	}
-	if err := st.Send(&load.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(reportEvery)}); err != nil {
+	err = stream.Send(&loadstats.LoadStatsResponse{
+		SendAllClusters:       true,
+		LoadReportingInterval: durationpb.New(loadReportInterval),
+	})
+	if err != nil {
 		return err
 	}
-	own := &reporter{}
-	defer r.s.sends(own, nil)
-	silent := time.AfterFunc(reportsMost*reportEvery, func() { r.s.sends(own, nil) })
-	defer silent.Stop()
+	reporter := &loadReporter{}
+	forget := func() { l.service.setReportedLoads(reporter, nil) }
+	defer forget()
+	silence := time.AfterFunc(loadReportTimeout, forget)
+	defer silence.Stop()
 	for {
-		in, err := st.Recv()
+		report, err := stream.Recv()
 		if err != nil {
-			return nil // it has gone
+			return nil // the subscriber has ended the stream
 		}
-		silent.Reset(reportsMost * reportEvery)
-		sends := map[string]sent{}
-		for _, c := range in.ClusterStats {
-			if !among(pools, c.ClusterName) {
-				continue
-			}
-			attempts := map[string][2]int{}
-			sum, begun := sends[c.ClusterName], uint64(0)
-			for _, l := range c.UpstreamLocalityStats {
-				sum.holds += float64(min(l.TotalRequestsInProgress, countMost))
-				begun += min(l.TotalIssuedRequests, countMost)
-				n := attempts[l.Locality.GetSubZone()]
-				n[0] += int(min(l.TotalSuccessfulRequests, countMost))
-				n[1] += int(min(l.TotalErrorRequests, countMost))
-				attempts[l.Locality.GetSubZone()] = n
-			}
-			if passed := c.LoadReportInterval.AsDuration(); passed > 0 {
-				sum.rate += float64(begun) / passed.Seconds()
-			}
-			sends[c.ClusterName] = sum
-			r.s.OutcomesReported(c.ClusterName, attempts)
+		silence.Reset(loadReportTimeout)
+		l.service.setReportedLoads(reporter, l.service.handleReport(report, allowed))
+	}
+}
+
+// handleReport passes on the outcomes of a report and returns its loads by pool.
+func (s *Service) handleReport(report *loadstats.LoadStatsRequest, allowed poolFilter) map[string]poolLoad {
+	loads := map[string]poolLoad{}
+	for _, stats := range report.ClusterStats {
+		if !allowed.includes(stats.ClusterName) {
+			continue
 		}
-		r.s.sends(own, sends)
+		load := loads[stats.ClusterName]
+		load.add(clusterLoad(stats))
+		loads[stats.ClusterName] = load
+		s.OutcomesReported(stats.ClusterName, clusterOutcomes(stats))
+	}
+	return loads
+}
+
+func clusterLoad(stats *endpoint.ClusterStats) (load poolLoad) {
+	begun := uint64(0)
+	for _, locality := range stats.UpstreamLocalityStats {
+		load.inFlight += float64(min(locality.TotalRequestsInProgress, maxReportedCount))
+		begun += min(locality.TotalIssuedRequests, maxReportedCount)
+	}
+	if elapsed := stats.LoadReportInterval.AsDuration(); elapsed > 0 {
+		load.rate = float64(begun) / elapsed.Seconds()
 	}
+	return load
 }
 
-// sends notes what a subscriber sends; nil: nothing is known of it any more.
-func (s *Service) sends(r *reporter, sends map[string]sent) {
+// clusterOutcomes returns by server how many attempts succeeded and failed.
+func clusterOutcomes(stats *endpoint.ClusterStats) map[string][2]int {
+	outcomes := map[string][2]int{}
+	for _, locality := range stats.UpstreamLocalityStats {
+		server := locality.Locality.GetSubZone()
+		counts := outcomes[server]
+		counts[0] += int(min(locality.TotalSuccessfulRequests, maxReportedCount))
+		counts[1] += int(min(locality.TotalErrorRequests, maxReportedCount))
+		outcomes[server] = counts
+	}
+	return outcomes
+}
+
+// setReportedLoads notes what a subscriber sends; nil: it is unknown.
+func (s *Service) setReportedLoads(reporter *loadReporter, loads map[string]poolLoad) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.sends = sends; sends == nil {
-		delete(s.loads, r)
+	reporter.loads = loads
+	if loads == nil {
+		delete(s.reporters, reporter)
 	} else {
-		s.loads[r] = true
+		s.reporters[reporter] = true
+	}
+}
+
+// reportedLoad returns what all subscribers together send to a pool. The caller holds the lock.
+func (s *Service) reportedLoad(pool string) (load poolLoad) {
+	for reporter := range s.reporters {
+		load.add(reporter.loads[pool])
 	}
+	return load
 }
--- a/controlplane/resources_test.go
+++ b/controlplane/resources_test.go
@@ -189,7 +189,7 @@
 
 func routeTable(t testing.TB, s *resourceSet, name string) *route.RouteConfiguration {
 	out := &route.RouteConfiguration{}
-	require.NoError(t, body(s[typeRoute][name]).UnmarshalTo(out))
+	require.NoError(t, s[typeRoute][name].body.UnmarshalTo(out))
 	return out
 }
 
@@ -226,7 +226,7 @@
 	s := parseConfig(t, overlappingRoutes)
 	all, _, err := staticResources(s)
 	require.NoError(t, err)
-	names := func(kind int, named bool) (out []string) {
+	names := func(kind resourceType, named bool) (out []string) {
 		for name, r := range all[kind] {
 			if r.onDemand == named {
 				out = append(out, name)
@@ -239,7 +239,7 @@
 	assert.Equal(t, []string{"listener/127.0.0.1:8080"}, names(typeListener, false), "those that listen")
 	assert.Equal(t, []string{"pool/p", "pool/q", "www.example.org"}, names(typeListener, true), "and those of clients that are no proxies")
 	l := &listener.Listener{}
-	require.NoError(t, body(all[typeListener]["pool/q"]).UnmarshalTo(l))
+	require.NoError(t, all[typeListener]["pool/q"].body.UnmarshalTo(l))
 	assert.NotNil(t, l.ApiListener)
 	by := map[string]*route.Route{}
 	for _, h := range routeTable(t, &all, allRoutesName).VirtualHosts {
--- /dev/null
+++ b/controlplane/routematch.go
@@ -0,0 +1,186 @@
+package controlplane
+
+import (
+	"fmt"
+	"regexp"
+	"slices"
+	"strings"
+
+	route "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
+	matcher "github.com/envoyproxy/go-control-plane/envoy/type/matcher/v3"
+
+	"lockloom/internal/config"
+)
+
+// The pseudo-headers by which routes match the method and, in addition to their own path, the path.
+const (
+	methodHeader = ":method"
+	pathHeader   = ":path"
+)
+
+// routesByMatch holds the routes of one host by how they match the path.
+type routesByMatch struct {
+	exact    []*config.Route
+	prefixes []*prefixRoute
+	regexes  []*config.Route // not nested in a prefix
+}
+
+// prefixRoute is a route by prefix, with the regexes that are tried before it.
+type prefixRoute struct {
+	*config.Route
+	path          string
+	nestedRegexes []*config.Route
+	parent        *prefixRoute
+}
+
+// add adds routes that are nested in a parent; nil: in none.
+func (r *routesByMatch) add(configured []*config.Route, parent *prefixRoute) {
+	for _, one := range configured {
+		switch {
+		case one.Exact != "":
+			r.exact = append(r.exact, one)
+		case one.Regex != "" && parent != nil:
+			parent.nestedRegexes = append(parent.nestedRegexes, one)
+		case one.Regex != "":
+			r.regexes = append(r.regexes, one)
+		default:
+			prefix := newPrefixRoute(one, parent)
+			r.add(nestedRoutes(one), prefix)
+			r.prefixes = append(r.prefixes, prefix)
+		}
+	}
+}
+
+func nestedRoutes(configured *config.Route) []*config.Route {
+	nested := make([]*config.Route, len(configured.Routes))
+	for i := range configured.Routes {
+		nested[i] = &configured.Routes[i]
+	}
+	return nested
+}
+
+func newPrefixRoute(configured *config.Route, parent *prefixRoute) *prefixRoute {
+	path := configured.Prefix + configured.Under // one of them is empty
+	if configured.Under != "" && configured.Under != "/" {
+		path = strings.TrimSuffix(configured.Under, "/")
+	}
+	return &prefixRoute{Route: configured, path: path, parent: parent}
+}
+
+// matches returns the matches of a prefix. One that ends with a segment of the path has two, which every subscriber
+// understands.
+func (p *prefixRoute) matches() []*route.RouteMatch {
+	if p.Under == "" || p.path == "/" {
+		return []*route.RouteMatch{prefixMatch(p.path)}
+	}
+	return []*route.RouteMatch{exactMatch(p.path), prefixMatch(p.path + "/")}
+}
+
+func exactMatch(path string) *route.RouteMatch {
+	return &route.RouteMatch{PathSpecifier: &route.RouteMatch_Path{Path: path}}
+}
+
+func prefixMatch(path string) *route.RouteMatch {
+	return &route.RouteMatch{PathSpecifier: &route.RouteMatch_Prefix{Prefix: path}}
+}
+
+func regexMatch(expr string) *route.RouteMatch {
+	return &route.RouteMatch{PathSpecifier: &route.RouteMatch_SafeRegex{
+		SafeRegex: &matcher.RegexMatcher{Regex: unanchored(expr)},
+	}}
+}
+
+// pathCondition returns the condition that the path matches an exact path or a prefix, as a match by header.
+func pathCondition(match *route.RouteMatch) *route.HeaderMatcher {
+	if exact := match.GetPath(); exact != "" {
+		return headerMatch(pathHeader, wholePath(regexp.QuoteMeta(exact)))
+	}
+	return headerMatch(pathHeader, &matcher.StringMatcher{
+		MatchPattern: &matcher.StringMatcher_Prefix{Prefix: match.GetPrefix()},
+	})
+}
+
+// pathContains returns the condition that a regex matches somewhere in the path, as a match by header.
+func pathContains(expr string) *route.HeaderMatcher {
+	return headerMatch(pathHeader, wholePath("[^?]*?(?:"+expr+")[^?]*"))
+}
+
+// wholePath matches a whole path by a regex, whatever its query is.
+func wholePath(expr string) *matcher.StringMatcher {
+	return regexString("(?:" + expr + `)(\?.*)?`)
+}
+
+// unanchored returns a regex that matches the whole of a string where expr matches some part of it: here an expression
+// matches anywhere, and at subscribers it has to match the whole.
+func unanchored(expr string) string { return ".*?(?:" + expr + ").*" }
+
+func headerMatch(name string, value *matcher.StringMatcher) *route.HeaderMatcher {
+	return &route.HeaderMatcher{
+		Name:                 name,
+		HeaderMatchSpecifier: &route.HeaderMatcher_StringMatch{StringMatch: value},
+	}
+}
+
+func regexString(expr string) *matcher.StringMatcher {
+	return &matcher.StringMatcher{MatchPattern: &matcher.StringMatcher_SafeRegex{
+		SafeRegex: &matcher.RegexMatcher{Regex: expr},
+	}}
+}
+
+// addConditions adds a route's conditions on the method, header fields and the query to a match.
+func (t *routeTranslator) addConditions(configured *config.Route, match *route.RouteMatch) {
+	if len(configured.Methods) > 0 {
+		match.Headers = append(match.Headers, methodCondition(configured.Methods))
+	}
+	for _, field := range configured.Fields {
+		match.Headers = append(match.Headers, fieldCondition(field))
+	}
+	for _, parameter := range configured.Query {
+		if parameter.Negate {
+			t.errs = append(t.errs, fmt.Errorf("route %q: query %q: a negated condition cannot be expressed for subscribers",
+				configured.Name, parameter.Name))
+			continue
+		}
+		match.QueryParameters = append(match.QueryParameters, queryCondition(parameter))
+	}
+}
+
+func methodCondition(methods []string) *route.HeaderMatcher {
+	quoted := slices.Clone(methods)
+	for i := range quoted {
+		quoted[i] = regexp.QuoteMeta(quoted[i])
+	}
+	return headerMatch(methodHeader, regexString(strings.Join(quoted, "|")))
+}
+
+func fieldCondition(condition config.Condition) *route.HeaderMatcher {
+	field := &route.HeaderMatcher{
+		Name:                 strings.ToLower(condition.Name),
+		InvertMatch:          condition.Negate,
+		HeaderMatchSpecifier: &route.HeaderMatcher_PresentMatch{PresentMatch: true},
+	}
+	if condition.Value != "" {
+		field.HeaderMatchSpecifier = &route.HeaderMatcher_StringMatch{StringMatch: conditionValue(condition)}
+	}
+	return field
+}
+
+func queryCondition(condition config.Condition) *route.QueryParameterMatcher {
+	parameter := &route.QueryParameterMatcher{
+		Name:                         condition.Name,
+		QueryParameterMatchSpecifier: &route.QueryParameterMatcher_PresentMatch{PresentMatch: true},
+	}
+	if condition.Value != "" {
+		parameter.QueryParameterMatchSpecifier = &route.QueryParameterMatcher_StringMatch{
+			StringMatch: conditionValue(condition),
+		}
+	}
+	return parameter
+}
+
+func conditionValue(condition config.Condition) *matcher.StringMatcher {
+	if condition.Regex {
+		return regexString(unanchored(condition.Value))
+	}
+	return &matcher.StringMatcher{MatchPattern: &matcher.StringMatcher_Exact{Exact: condition.Value}}
+}
--- /dev/null
+++ b/controlplane/routes.go
@@ -0,0 +1,280 @@
+package controlplane
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	route "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
+	"google.golang.org/protobuf/types/known/anypb"
+	"google.golang.org/protobuf/types/known/durationpb"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"lockloom/internal/config"
+	"lockloom/limits"
+)
+
+// maxHostRoutes bounds the routes sent for one host: a regex is sent once for each prefix that it goes before.
+const maxHostRoutes = 10_000
+
+// The conditions of a retry policy: those under which a request never ran at the server, and those under which it may
+// have run.
+const (
+	retryNeverRan = "connect-failure,refused-stream"
+	retryMayRun   = ",5xx,reset"
+)
+
+// poolRouteTable returns the route table that leads all requests to one pool.
+func poolRouteTable(name, pool string) *route.RouteConfiguration {
+	return &route.RouteConfiguration{
+		Name: name,
+		VirtualHosts: []*route.VirtualHost{{
+			Name:    "all",
+			Domains: []string{"*"},
+			Routes: []*route.Route{{
+				Match: prefixMatch(""),
+				Action: &route.Route_Route{Route: &route.RouteAction{
+					ClusterSpecifier: &route.RouteAction_Cluster{Cluster: pool},
+				}},
+			}},
+		}},
+	}
+}
+
+// restrictRoutes returns a route table without the routes to other pools than these; nil where it cannot be decoded.
+func restrictRoutes(table *anypb.Any, pools []string) *route.RouteConfiguration {
+	restricted := &route.RouteConfiguration{}
+	if table.UnmarshalTo(restricted) != nil {
+		return nil
+	}
+	isHidden := func(r *route.Route) bool {
+		action := r.GetRoute()
+		if cluster := action.GetCluster(); cluster != "" && !slices.Contains(pools, cluster) {
+			return true
+		}
+		return slices.ContainsFunc(action.GetWeightedClusters().GetClusters(),
+			func(c *route.WeightedCluster_ClusterWeight) bool { return !slices.Contains(pools, c.Name) })
+	}
+	for _, host := range restricted.VirtualHosts {
+		host.Routes = slices.DeleteFunc(host.Routes, isHidden)
+	}
+	return restricted
+}
+
+// routeTranslator translates the configured routes to those of subscribers, of which the first that matches wins.
+type routeTranslator struct {
+	config   *config.Config
+	warnings []string // of settings that subscribers do not receive
+	errs     []error
+}
+
+// virtualHosts returns the virtual hosts, in the order in which the configuration first names them.
+func (t *routeTranslator) virtualHosts() ([]*route.VirtualHost, error) {
+	routesOf := map[string][]*config.Route{}
+	var order []string
+	for i := range t.config.Routes {
+		configured := &t.config.Routes[i]
+		names := configured.Hosts
+		if len(names) == 0 {
+			names = []string{"*"}
+		}
+		for _, name := range names {
+			if routesOf[name] == nil {
+				order = append(order, name)
+			}
+			routesOf[name] = append(routesOf[name], configured)
+		}
+	}
+	var hosts []*route.VirtualHost
+	for _, name := range order {
+		host := &route.VirtualHost{
+			Name:    name,
+			Domains: []string{strings.ToLower(name)},
+			Routes:  t.hostRoutes(routesOf[name]),
+		}
+		if len(host.Routes) > maxHostRoutes {
+			t.errs = append(t.errs, fmt.Errorf("host %q: %d routes to send, %d at most: a regex is sent once for each prefix",
+				name, len(host.Routes), maxHostRoutes))
+		}
+		hosts = append(hosts, host)
+	}
+	return hosts, errors.Join(t.errs...)
+}
+
+// hostRoutes orders one host's routes so that the first match is the route that package routes selects: exact paths;
+// then prefixes, the longest first, each preceded by the regexes that are tried before it, limited to the same prefix;
+// then the regexes alone.
+func (t *routeTranslator) hostRoutes(configured []*config.Route) (translated []*route.Route) {
+	var sorted routesByMatch
+	sorted.add(configured, nil)
+	for _, exact := range sorted.exact {
+		translated = append(translated, t.translate(exact, exactMatch(exact.Exact))...)
+	}
+	slices.SortStableFunc(sorted.prefixes, func(a, b *prefixRoute) int { return len(b.path) - len(a.path) })
+	for _, prefix := range sorted.prefixes {
+		for _, match := range prefix.matches() {
+			if !prefix.Final {
+				translated = append(translated, t.regexesBefore(prefix, match, sorted.regexes)...)
+			}
+			translated = append(translated, t.translate(prefix.Route, match)...)
+		}
+	}
+	return append(translated, t.regexRoutes(sorted.regexes, &route.RouteMatch{})...)
+}
+
+// regexesBefore returns the regex routes that are tried before a prefix, limited to it: those nested in it and in its
+// parents, and those at the top.
+func (t *routeTranslator) regexesBefore(
+	prefix *prefixRoute, match *route.RouteMatch, regexes []*config.Route,
+) (translated []*route.Route) {
+	conditions := &route.RouteMatch{}
+	t.addConditions(prefix.Route, conditions)
+	conditions.Headers = append(conditions.Headers, pathCondition(match))
+	for parent := prefix; parent != nil; parent = parent.parent {
+		translated = append(translated, t.regexRoutes(parent.nestedRegexes, conditions)...)
+	}
+	return append(translated, t.regexRoutes(regexes, conditions)...)
+}
+
+// regexRoutes returns regex routes under further conditions. Those nested in a route precede it, limited to its match.
+func (t *routeTranslator) regexRoutes(
+	configured []*config.Route, conditions *route.RouteMatch,
+) (translated []*route.Route) {
+	for _, regexRoute := range configured {
+		match := regexMatch(regexRoute.Regex)
+		match.Headers = slices.Clone(conditions.Headers)
+		match.QueryParameters = slices.Clone(conditions.QueryParameters)
+		for i := range regexRoute.Routes {
+			nested := &route.RouteMatch{QueryParameters: slices.Clone(conditions.QueryParameters)}
+			nested.Headers = append(slices.Clone(conditions.Headers), pathContains(regexRoute.Regex))
+			t.addConditions(regexRoute, nested)
+			translated = append(translated, t.regexRoutes([]*config.Route{&regexRoute.Routes[i]}, nested)...)
+		}
+		translated = append(translated, t.translate(regexRoute, match)...)
+	}
+	return translated
+}
+
+// translate returns a route with its conditions added to a match; none where it cannot be expressed.
+func (t *routeTranslator) translate(configured *config.Route, match *route.RouteMatch) []*route.Route {
+	t.addConditions(configured, match)
+	translated := &route.Route{Name: configured.Name, Match: match}
+	if err := t.setAction(translated, configured); err != nil {
+		t.reportOnce(fmt.Errorf("route %q: %w", configured.Name, err))
+		return nil
+	}
+	if len(configured.Limits) > 0 {
+		warning := fmt.Sprintf("route %q: limits are not sent: subscribers enforce none", configured.Name)
+		if !slices.Contains(t.warnings, warning) {
+			t.warnings = append(t.warnings, warning)
+		}
+	}
+	return []*route.Route{translated}
+}
+
+// reportOnce reports an error once for all hosts and prefixes.
+func (t *routeTranslator) reportOnce(err error) {
+	if !slices.ContainsFunc(t.errs, func(reported error) bool { return reported.Error() == err.Error() }) {
+		t.errs = append(t.errs, err)
+	}
+}
+
+// setAction sets what a route does with a request.
+func (t *routeTranslator) setAction(translated *route.Route, configured *config.Route) error {
+	switch {
+	case configured.Redirect != nil:
+		redirect, err := redirectAction(configured.Redirect)
+		if err != nil {
+			return err
+		}
+		translated.Action = &route.Route_Redirect{Redirect: redirect}
+	case configured.Response != nil:
+		setDirectResponse(translated, configured.Response)
+	default:
+		action, err := t.routeAction(configured)
+		if err != nil {
+			return err
+		}
+		translated.Action = &route.Route_Route{Route: action}
+	}
+	return nil
+}
+
+func setDirectResponse(translated *route.Route, configured *config.FixedResponse) {
+	translated.Action = &route.Route_DirectResponse{DirectResponse: &route.DirectResponseAction{
+		Status: uint32(configured.Status),
+		Body:   &core.DataSource{Specifier: &core.DataSource_InlineString{InlineString: configured.Body}},
+	}}
+	if configured.Type == "" {
+		return
+	}
+	translated.ResponseHeadersToAdd = []*core.HeaderValueOption{{
+		Header:       &core.HeaderValue{Key: "content-type", Value: configured.Type},
+		AppendAction: core.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD,
+	}}
+}
+
+// routeAction returns where a route's requests go, and how.
+func (t *routeTranslator) routeAction(configured *config.Route) (*route.RouteAction, error) {
+	action := &route.RouteAction{}
+	if configured.Pool != "" {
+		action.ClusterSpecifier = &route.RouteAction_Cluster{Cluster: configured.Pool}
+	} else {
+		action.ClusterSpecifier = &route.RouteAction_WeightedClusters{WeightedClusters: weightedClusters(configured.Split)}
+	}
+	if err := setRewrite(action, configured); err != nil {
+		return nil, err
+	}
+	t.setDeadline(action, configured.Class)
+	action.RetryPolicy = t.retryPolicy(configured)
+	return action, nil
+}
+
+func weightedClusters(split []config.WeightedPool) *route.WeightedCluster {
+	sum := 0.0
+	for _, pool := range split {
+		sum += pool.Weight
+	}
+	clusters := &route.WeightedCluster{}
+	for _, pool := range split {
+		clusters.Clusters = append(clusters.Clusters, &route.WeightedCluster_ClusterWeight{
+			Name:   pool.Pool,
+			Weight: wrapperspb.UInt32(uint32(pool.Weight/sum*millionth + .5)),
+		})
+	}
+	return clusters
+}
+
+// setDeadline sets the deadline of a request class, for requests and for streams.
+func (t *routeTranslator) setDeadline(action *route.RouteAction, className string) {
+	for i := range t.config.Classes {
+		class := &t.config.Classes[i]
+		if class.Name != className {
+			continue
+		}
+		action.Timeout = durationpb.New(time.Duration(class.Deadline * float64(time.Second)))
+		action.MaxStreamDuration = &route.RouteAction_MaxStreamDuration{MaxStreamDuration: action.Timeout}
+	}
+}
+
+// retryPolicy returns when a subscriber sends a request again; nil: never. A request that may have run is only sent
+// again where all methods of the route may run twice.
+func (t *routeTranslator) retryPolicy(configured *config.Route) *route.RetryPolicy {
+	rule := t.config.RetryRule(configured)
+	retries := uint32(1)
+	if rule.MaxAttempts > 0 {
+		retries = uint32(rule.MaxAttempts - 1)
+	}
+	if retries == 0 {
+		return nil
+	}
+	policy := &route.RetryPolicy{RetryOn: retryNeverRan, NumRetries: wrapperspb.UInt32(retries)}
+	mayNotRunTwice := func(method string) bool { return rule.SafetyOf(method, false) != limits.RetryAlways }
+	if len(configured.Methods) > 0 && !slices.ContainsFunc(configured.Methods, mayNotRunTwice) {
+		policy.RetryOn += retryMayRun
+	}
+	return policy
+}
--- a/controlplane/service_test.go
+++ b/controlplane/service_test.go
@@ -207,7 +207,7 @@
 		"changed": strings.Replace(string(whole), `"s1"`, `"s7"`, 1)} {
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		k := startService(t, with, 4)
-		assert.Contains(t, fmt.Sprint(k.log.AllEntries()[0].Message), "passed over", what)
+		assert.Contains(t, fmt.Sprint(k.log.AllEntries()[0].Message), "ignored", what)
 		assert.Contains(t, fmt.Sprint(k.log.AllEntries()[0].Data["error"]), file, what)
 		k.stop()
 	}
@@ -274,7 +274,7 @@
 		assert.Contains(t, s.resources[typeURLs[typeCluster]], "q")
 		s.mu.Unlock()
 	}
-	assert.Equal(t, "q\n", k.subsetPools("q\nr\n", &core.Node{Id: "shop-1", Locality: &core.Locality{Zone: "a"}}))
+	assert.Equal(t, poolFilter("q\n"), k.subsetPools("q\nr\n", &core.Node{Id: "shop-1", Locality: &core.Locality{Zone: "a"}}))
 }
 
 // Weights and zones: what a pool's assignment says reaches each kind of subscriber.
--- a/controlplane/snapshot.go
+++ b/controlplane/snapshot.go
@@ -3,8 +3,11 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/crc32"
+	"io/fs"
+	"maps"
 	"os"
 	"path/filepath"
 	"time"
@@ -13,81 +16,87 @@
 )
 
 const (
-	keepEvery  = 2 * time.Second
-	keptFormat = 1
-	keptMost   = 64 << 20 // bytes of a snapshot that is read
+	snapshotInterval = 2 * time.Second
+	snapshotFormat   = 1
+	maxSnapshotSize  = 64 << 20 // bytes
 )
 
-// kept is a snapshot: what was told of each pool, for a service that starts after this one.
-type kept struct {
+// snapshotFile is the form of a snapshot: the state of each pool, for a service that starts after this one.
+type snapshotFile struct {
 	Format int             `json:"format"`
 	Sum    uint32          `json:"sum"` // CRC-32 (IEEE) of Pools as written
 	Pools  json.RawMessage `json:"pools"`
 }
 
-// keep writes a snapshot: aside, synced and renamed, so that a torn one is never found under the name. A disk that is full or fails
-// stops snapshots, not the service.
-func (s *Service) keep() {
+// writeSnapshot writes a snapshot if the operator file names a file for it. A disk that is full or fails stops
+// snapshots, not the service.
+func (s *Service) writeSnapshot() {
 	s.mu.Lock()
 	file := s.config.ControlPlane.SnapshotFile
-	all := map[string]assignment.Snapshot{}
-	for name, m := range s.known { // not seen yet: it stays what it was
-		all[name] = m
-	}
-	for name, p := range s.pools {
-		all[name] = p.Snapshot()
+	pools := map[string]assignment.Snapshot{}
+	maps.Copy(pools, s.pools.restored) // what was not observed yet stays as it was
+	for name, pool := range s.pools.assigned {
+		pools[name] = pool.Snapshot()
 	}
 	s.mu.Unlock()
 	if file == "" {
 		return
 	}
-	if err := writeSnapshotFile(file, all); err != nil {
-		s.log.WithError(err).Error("no snapshot of assignments could be kept")
+	if err := writeSnapshotFile(file, pools); err != nil {
+		s.log.WithError(err).Error("snapshot not written")
 	}
 }
 
-func writeSnapshotFile(file string, all map[string]assignment.Snapshot) error {
-	pools, err := json.Marshal(all)
+// writeSnapshotFile writes a temporary file, syncs and renames it, so that the file is never found incomplete.
+func writeSnapshotFile(file string, pools map[string]assignment.Snapshot) error {
+	encoded, err := json.Marshal(pools)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(kept{keptFormat, crc32.ChecksumIEEE(pools), pools})
+	text, err := json.Marshal(snapshotFile{snapshotFormat, crc32.ChecksumIEEE(encoded), encoded})
 	if err != nil {
 		return err
 	}
-	aside, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
+	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(aside.Name()) // nothing, once renamed
-	_, err = aside.Write(text)
-	if err == nil {
-		err = aside.Sync()
+	if err := writeAndSync(temporary, text); err != nil {
+		return errors.Join(err, os.Remove(temporary.Name()))
 	}
-	if shut := aside.Close(); err == nil {
-		err = shut
+	if err := os.Rename(temporary.Name(), file); err != nil {
+		return errors.Join(err, os.Remove(temporary.Name()))
 	}
+	return nil
+}
+
+// writeAndSync writes a file and closes it.
+func writeAndSync(file *os.File, text []byte) error {
+	_, err := file.Write(text)
 	if err == nil {
-		err = os.Rename(aside.Name(), file)
+		err = file.Sync()
+	}
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
-// recall reads the snapshot, if there is one that can be believed.
-func (s *Service) recall() map[string]assignment.Snapshot {
+// readSnapshot reads the snapshot; nil: there is none, or it is not valid.
+func (s *Service) readSnapshot() map[string]assignment.Snapshot {
 	file := s.config.ControlPlane.SnapshotFile
 	if file == "" {
 		return nil
 	}
-	all, err := readSnapshotFile(file)
+	pools, err := readSnapshotFile(file)
 	switch {
-	case os.IsNotExist(err):
+	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
-		s.log.WithError(err).Error("the snapshot of assignments is passed over")
+		s.log.WithError(err).Error("snapshot ignored")
 	default:
-		s.log.WithField("pools", len(all)).Info("assignments are as another run left them")
+		s.log.WithField("pools", len(pools)).Info("snapshot restored")
 	}
-	return all
+	return pools
 }
 
 func readSnapshotFile(file string) (map[string]assignment.Snapshot, error) {
@@ -95,26 +104,33 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > keptMost {
-		return nil, fmt.Errorf("%s: %d bytes: %d at most", file, info.Size(), keptMost)
+	if info.Size() > maxSnapshotSize {
+		return nil, fmt.Errorf("%s: %d bytes: %d at most", file, info.Size(), maxSnapshotSize)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	var k kept
-	if err := json.Unmarshal(text, &k); err != nil {
+	pools, err := decodeSnapshot(text)
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if k.Format != keptFormat {
-		return nil, fmt.Errorf("%s: format %d, not %d", file, k.Format, keptFormat)
+	return pools, nil
+}
+
+func decodeSnapshot(text []byte) (pools map[string]assignment.Snapshot, err error) {
+	var content snapshotFile
+	if err := json.Unmarshal(text, &content); err != nil {
+		return nil, err
 	}
-	if crc32.ChecksumIEEE(bytes.TrimSpace(k.Pools)) != k.Sum {
-		return nil, fmt.Errorf("%s: its sum does not fit: it was changed or torn", file)
+	if content.Format != snapshotFormat {
+		return nil, fmt.Errorf("format %d, not %d", content.Format, snapshotFormat)
 	}
-	var all map[string]assignment.Snapshot
-	if err := json.Unmarshal(k.Pools, &all); err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+	if crc32.ChecksumIEEE(bytes.TrimSpace(content.Pools)) != content.Sum {
+		return nil, errors.New("checksum mismatch: the file was changed or is incomplete")
+	}
+	if err := json.Unmarshal(content.Pools, &pools); err != nil {
+		return nil, err
 	}
-	return all, nil
+	return pools, nil
 }
--- a/controlplane/subscription.go
+++ b/controlplane/subscription.go
@@ -8,284 +8,341 @@
 	"strconv"
 )
 
-// resource is one thing that subscribers are told. Its version follows from its content alone, so that two runs of the service, or two
-// services, that say the same give it the same. It never changes.
-type resource struct {
-	name, version string
-	onDemand      bool // told only to those who ask for it by name
-	body          any  // the ledger never looks inside
-}
+// maxOutstanding bounds the responses of one subscription whose content is remembered until they are acknowledged.
+const maxOutstanding = 8
+
+// wildcard is the name that stands for all resources of a type but those sent on demand only.
+const wildcard = "*"
 
 // response is one message to a subscriber.
 type response struct {
-	nonce        uint64
-	resources    []*resource
-	removedNames []string // of a subscriber that is told differences
-	changed      []*resource
-	removed      []string
+	nonce     uint64
+	resources []*resource
+	removed   []string    // names that are gone; sent in the delta protocol only
+	changed   []*resource // those of resources that the subscriber was not sent in this version before
 }
 
-const maxOutstanding = 8 // answers on their way to one subscriber of which it is remembered what they say
+// mentions reports whether a response changes or removes a resource.
+func (r *response) mentions(name string) bool {
+	return slices.Contains(r.removed, name) ||
+		slices.ContainsFunc(r.changed, func(changed *resource) bool { return changed.name == name })
+}
 
-// subscription is what one subscriber holds of one type of resources: the state machine of a subscription, in both of the protocol's ways,
-// differences and state of the world. It does no input or output and never waits: Next says what to send now, if anything. What is
-// newest is looked up then, so there is no queue. Make one with newSubscription.
+// subscription is the state of one subscriber for one type of resource: the names it subscribed to, the versions sent
+// and acknowledged, and the responses outstanding. It covers both variants of the protocol, delta and state of the
+// world. It does no input or output and never waits: nextResponse returns what to send now, if anything. It looks up
+// the current resources then, so there is no queue. The caller serializes all calls.
 type subscription struct {
-	delta     bool // server differences
-	fullState bool // told the state of the world in which what is missing is removed: listeners and clusters
+	delta bool // the delta protocol, in which responses contain differences
+	// fullState is set for listeners and clusters. In the state of the world protocol their responses contain all
+	// resources, and the subscriber removes those that are missing.
+	fullState bool
 
-	wildcard    bool
-	subscribed  map[string]bool
-	sent        map[string]*resource // as the last answers say, acknowledged or not; nil: told that it is not there
-	acked       map[string]*resource // as acknowledged last
-	nacked      map[string]string    // by name the version that is not sent again
-	suspects    map[string]bool      // changed in an answer of several that was refused, or taken from it: sent one at a time
-	outstanding []*response          // on their way, oldest first
+	wildcard   bool
+	subscribed map[string]bool      // by name
+	sent       map[string]*resource // as of the last response, acknowledged or not; nil: sent as not existing
+	acked      map[string]*resource // as acknowledged last
+	nacked     map[string]string    // by name the version that is not sent again
+	// suspects were changed by a response that was nacked and that changed others too. They are sent one at a time, to
+	// learn which one the subscriber does not accept.
+	suspects    map[string]bool
+	outstanding []*response // neither acknowledged nor nacked, oldest first
 	lastNonce   uint64
-	confirmed   bool // it has acknowledged an answer of this stream, or said that it holds all: what it holds is known
-	nackCount   int  // answers refused so far
+	// confirmed is set once the subscriber has acknowledged a response of this stream, or stated that it has the
+	// current state: only then is it known what it has.
+	confirmed bool
+	nackCount int
 }
 
-// newSubscription is that of a subscriber that holds nothing.
-func newSubscription(delta, whole bool) *subscription {
-	return &subscription{delta: delta, fullState: whole, subscribed: map[string]bool{}, sent: map[string]*resource{}, acked: map[string]*resource{},
-		nacked: map[string]string{}, suspects: map[string]bool{}}
+// newSubscription returns the state of a subscriber that has no resources.
+func newSubscription(delta, fullState bool) *subscription {
+	return &subscription{
+		delta:      delta,
+		fullState:  fullState,
+		subscribed: map[string]bool{},
+		sent:       map[string]*resource{},
+		acked:      map[string]*resource{},
+		nacked:     map[string]string{},
+		suspects:   map[string]bool{},
+	}
 }
 
-// setNames sets what is asked for: names, or all that are not told by name only.
-func (l *subscription) setNames(wild bool, names []string) {
-	l.wildcard = wild
-	l.subscribed = make(map[string]bool, len(names))
+// setNames sets what is subscribed to, as the state of the world protocol does: names, or all by the wildcard.
+func (s *subscription) setNames(all bool, names []string) {
+	s.wildcard = all
+	s.subscribed = make(map[string]bool, len(names))
 	for _, name := range names {
-		l.subscribed[name] = true
+		s.subscribed[name] = true
 	}
-	l.dropUnsubscribed()
+	s.dropUnsubscribed()
 }
 
-// updateNames adds and takes away names, as differences do; "*" is all.
-func (l *subscription) updateNames(add, drop []string) {
-	for _, name := range add {
-		if l.wildcard = l.wildcard || name == "*"; name != "*" {
-			l.subscribed[name] = true
-			if l.sent[name] == nil { // asked for again, it is told again, though it was told that it is not there
-				delete(l.sent, name)
-			}
+// updateNames adds and removes names, as the delta protocol does.
+func (s *subscription) updateNames(subscribe, unsubscribe []string) {
+	for _, name := range subscribe {
+		if name == wildcard {
+			s.wildcard = true
+			continue
+		}
+		s.subscribed[name] = true
+		if s.sent[name] == nil { // subscribed to again, it is answered again even if it still does not exist
+			delete(s.sent, name)
 		}
 	}
-	for _, name := range drop {
-		l.wildcard = l.wildcard && name != "*"
-		delete(l.subscribed, name)
+	for _, name := range unsubscribe {
+		s.wildcard = s.wildcard && name != wildcard
+		delete(s.subscribed, name)
 	}
-	l.dropUnsubscribed()
+	s.dropUnsubscribed()
 }
 
-// clearReceived drops what is kept of names that nobody asks for any more.
-func (l *subscription) dropUnsubscribed() {
-	if l.wildcard {
+// dropUnsubscribed drops the state of names that are not subscribed to any more.
+func (s *subscription) dropUnsubscribed() {
+	if s.wildcard {
 		return
 	}
-	for name := range l.sent {
-		if !l.subscribed[name] {
-			delete(l.sent, name)
-			delete(l.acked, name)
-			delete(l.nacked, name)
-			delete(l.suspects, name)
+	for name := range s.sent {
+		if !s.subscribed[name] {
+			delete(s.sent, name)
+			delete(s.acked, name)
+			delete(s.nacked, name)
+			delete(s.suspects, name)
 		}
 	}
 }
 
-// nameCount is how many names are asked for; -1 stands for all.
-func (l *subscription) nameCount() int {
-	if l.wildcard {
+// nameCount returns how many names are subscribed to; -1 stands for all.
+func (s *subscription) nameCount() int {
+	if s.wildcard {
 		return -1
 	}
-	return len(l.subscribed)
+	return len(s.subscribed)
 }
 
-// setInitialVersions takes in what a subscriber says that it holds since another stream: versions by name.
-func (l *subscription) setInitialVersions(versions map[string]string) {
+// setInitialVersions takes in the versions by name that a subscriber has from an earlier stream.
+func (s *subscription) setInitialVersions(versions map[string]string) {
 	for name, version := range versions {
-		l.sent[name] = &resource{name: name, version: version}
-		l.acked[name] = l.sent[name]
+		s.sent[name] = &resource{name: name, version: version}
+		s.acked[name] = s.sent[name]
 	}
 }
 
-// setInitialState takes in that it holds all it asks for as they are now.
-func (l *subscription) setInitialState(current map[string]*resource) {
-	l.confirmed = true
-	for _, name := range l.relevantNames(current) {
+// setInitialState takes in that the subscriber has all current resources that it subscribed to.
+func (s *subscription) setInitialState(current map[string]*resource) {
+	s.confirmed = true
+	for _, name := range s.relevantNames(current) {
 		if r := current[name]; r != nil {
-			l.sent[name], l.acked[name] = r, r
+			s.sent[name], s.acked[name] = r, r
 		}
 	}
 }
 
-// relevantNames are those asked for, and those told that may have to be taken back.
-func (l *subscription) relevantNames(current map[string]*resource) []string {
-	all := maps.Clone(l.subscribed)
-	if l.wildcard {
+// relevantNames returns the names subscribed to and those sent that may have to be removed, in order.
+func (s *subscription) relevantNames(current map[string]*resource) []string {
+	relevant := maps.Clone(s.subscribed)
+	if s.wildcard {
 		for name, r := range current {
-			all[name] = all[name] || !r.onDemand
+			relevant[name] = relevant[name] || !r.onDemand
 		}
-		for name := range l.sent {
-			all[name] = true
+		for name := range s.sent {
+			relevant[name] = true
 		}
 	}
-	maps.DeleteFunc(all, func(_ string, asked bool) bool { return !asked })
-	return slices.Sorted(maps.Keys(all))
+	maps.DeleteFunc(relevant, func(_ string, isRelevant bool) bool { return !isRelevant })
+	return slices.Sorted(maps.Keys(relevant))
 }
 
-// currentVersion is that of all that is asked for as it is now; Told that of what the subscriber was told. In the state of the world a
-// subscriber names the latter when it comes back.
-func (l *subscription) currentVersion(current map[string]*resource) string {
-	return l.versionOf(current, current)
+// currentVersion returns the version of all that is subscribed to as it is now.
+func (s *subscription) currentVersion(current map[string]*resource) string {
+	return s.versionOf(current, current)
 }
 
-// sentVersion is the version of what the answers so far come to.
-func (l *subscription) sentVersion(current map[string]*resource) string {
-	return l.versionOf(current, l.sent)
+// sentVersion returns the version of what the subscriber was sent so far. In the state of the world protocol a
+// subscriber that reconnects states it.
+func (s *subscription) sentVersion(current map[string]*resource) string {
+	return s.versionOf(current, s.sent)
 }
 
-func (l *subscription) versionOf(current, of map[string]*resource) string {
-	h := fnv.New64a()
-	for _, name := range l.relevantNames(current) {
-		if r := of[name]; r != nil {
-			h.Write([]byte(r.name + "\x00" + r.version + "\x00"))
+// versionOf returns a hash of the names and versions of the relevant resources in a set. It follows from them alone, so
+// that every run of the control plane gives the same content the same version.
+func (s *subscription) versionOf(current, resources map[string]*resource) string {
+	hash := fnv.New64a()
+	for _, name := range s.relevantNames(current) {
+		if r := resources[name]; r != nil {
+			hash.Write([]byte(r.name + "\x00" + r.version + "\x00"))
 		}
 	}
-	return strconv.FormatUint(h.Sum64(), 16)
+	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// nextResponse is what to send now; nil: nothing. An answer waits until the one before is acknowledged or refused; an urgent one does not, but
-// of listeners and clusters, of which none is and whose answers say all, so that what of two was refused could not be told.
-// With keep nothing is taken back yet: what still refers to it is replaced first.
-func (l *subscription) nextResponse(current map[string]*resource, urgent, keep bool) *response {
-	if len(l.outstanding) > 0 && (!urgent || l.fullState) {
+// nextResponse returns what to send now; nil: nothing. A response waits until the one before is acknowledged or nacked.
+// An urgent one does not, except for listeners and clusters: none of them is urgent, and their responses contain all
+// resources, so that it could not be known which part of two responses was nacked. With keepRemoved no resource is
+// removed yet, because others still refer to it.
+func (s *subscription) nextResponse(current map[string]*resource, urgent, keepRemoved bool) *response {
+	if len(s.outstanding) > 0 && (!urgent || s.fullState) {
 		return nil
 	}
-	a := &response{}
-	var alone *resource
-	for _, name := range l.relevantNames(current) {
-		now, was := current[name], l.sent[name]
-		_, told := l.sent[name]
-		switch {
-		case now == nil && (!told || was != nil && !keep):
-			a.removed = append(a.removed, name)
-		case now == nil || was != nil && was.version == now.version && !l.suspects[name] || l.nacked[name] == now.version:
-		case l.suspects[name] && !urgent:
-			alone = cmp.Or(alone, now)
-		default:
-			a.changed = append(a.changed, now)
-		}
+	next := s.changes(current, urgent, keepRemoved)
+	for _, name := range next.removed {
+		s.sent[name] = nil
 	}
-	if len(a.changed) == 0 && alone != nil {
-		a.changed = append(a.changed, alone)
+	canSendRemoved := s.delta || s.fullState
+	if len(next.changed) == 0 && (len(next.removed) == 0 || !canSendRemoved) {
+		return nil
 	}
-	for _, name := range a.removed {
-		l.sent[name] = nil
+	for _, r := range next.changed {
+		s.sent[r.name] = r
 	}
-	if len(a.changed) == 0 && (len(a.removed) == 0 || !l.delta && !l.fullState) { // the latter has no words for it
-		return nil
+	next.resources = next.changed
+	if s.fullState && !s.delta {
+		next.resources = s.allSent()
 	}
-	for _, r := range a.changed {
-		l.sent[r.name] = r
+	s.lastNonce++
+	next.nonce = s.lastNonce
+	s.outstanding = append(s.outstanding, next)
+	if len(s.outstanding) > maxOutstanding { // one that never acknowledges must receive urgent changes all the same
+		s.outstanding = s.outstanding[1:]
 	}
-	a.resources, a.removedNames = a.changed, a.removed
-	if l.fullState && !l.delta {
-		a.resources = nil
-		for _, name := range slices.Sorted(maps.Keys(l.sent)) {
-			if r := l.sent[name]; r != nil {
-				a.resources = append(a.resources, r)
+	return next
+}
+
+// changes returns a response with what changed since the last one, without its nonce and resources.
+func (s *subscription) changes(current map[string]*resource, urgent, keepRemoved bool) *response {
+	next := &response{}
+	var suspect *resource // the first that may be sent alone
+	for _, name := range s.relevantNames(current) {
+		now, before := current[name], s.sent[name]
+		_, wasSent := s.sent[name]
+		switch {
+		case now == nil:
+			if !wasSent || before != nil && !keepRemoved {
+				next.removed = append(next.removed, name)
 			}
+		case before != nil && before.version == now.version && !s.suspects[name]:
+		case s.nacked[name] == now.version:
+		case s.suspects[name] && !urgent:
+			suspect = cmp.Or(suspect, now)
+		default:
+			next.changed = append(next.changed, now)
 		}
 	}
-	l.lastNonce++
-	a.nonce = l.lastNonce
-	if l.outstanding = append(l.outstanding, a); len(l.outstanding) > maxOutstanding { // danger: one that reads and never acknowledges must hear of drains all the same
-		l.outstanding = l.outstanding[1:]
+	if len(next.changed) == 0 && suspect != nil {
+		next.changed = append(next.changed, suspect)
 	}
-	return a
+	return next
 }
 
-// ack takes in that an answer was taken over. It tells whether that was the last one sent.
-func (l *subscription) ack(nonce uint64) (latest bool) {
-	if a := l.takeOutstanding(nonce); a != nil {
-		if !l.confirmed { // danger: until now one could be refused for what had to stand beside it
-			clear(l.nacked)
+// allSent returns all resources that the subscriber is to have, ordered by name.
+func (s *subscription) allSent() (resources []*resource) {
+	for _, name := range slices.Sorted(maps.Keys(s.sent)) {
+		if r := s.sent[name]; r != nil {
+			resources = append(resources, r)
 		}
-		l.confirmed = true
-		for _, r := range a.resources {
-			if !l.wildcard && !l.subscribed[r.name] {
-				continue
-			}
-			l.acked[r.name] = r
-			delete(l.suspects, r.name)
-			if !l.sentLater(a, r.name) {
-				l.sent[r.name] = r
-			}
+	}
+	return resources
+}
+
+// ack takes in that a response was acknowledged. It reports whether that was the last one sent.
+func (s *subscription) ack(nonce uint64) (latest bool) {
+	acked := s.takeOutstanding(nonce)
+	if acked == nil {
+		return nonce == s.lastNonce
+	}
+	if !s.confirmed { // until now a resource could be nacked for what had to be sent beside it
+		clear(s.nacked)
+	}
+	s.confirmed = true
+	for _, r := range acked.resources {
+		if !s.wildcard && !s.subscribed[r.name] {
+			continue
 		}
-		for _, name := range a.removed {
-			delete(l.acked, name)
+		s.acked[r.name] = r
+		delete(s.suspects, r.name)
+		if !s.sentLater(acked, r.name) {
+			s.sent[r.name] = r
 		}
 	}
-	return nonce == l.lastNonce
+	for _, name := range acked.removed {
+		delete(s.acked, name)
+	}
+	return nonce == s.lastNonce
 }
 
-// nack takes in that an answer was refused, and tells what of it changed. The last good version stands: what was refused alone is
-// not sent again, what was refused among others is sent alone. Danger: one bad resource would keep all others from a subscriber.
-func (l *subscription) nack(nonce uint64) (changed []string, latest bool) {
-	a := l.takeOutstanding(nonce)
-	if a == nil {
-		return nil, nonce == l.lastNonce
-	}
-	l.nackCount++
-	for _, r := range a.changed {
+// nack takes in that a response was nacked and returns the names that it changed. The last acknowledged versions stay
+// in force. A resource that was changed alone is not sent again in this version; those changed together are sent one at
+// a time, since one bad resource would otherwise keep all others from the subscriber.
+func (s *subscription) nack(nonce uint64) (changed []string, latest bool) {
+	nacked := s.takeOutstanding(nonce)
+	if nacked == nil {
+		return nil, nonce == s.lastNonce
+	}
+	s.nackCount++
+	for _, r := range nacked.changed {
 		changed = append(changed, r.name)
-		if len(a.changed) == 1 {
-			l.nacked[r.name] = r.version // one that was a suspect stays so: what the subscriber took before is not known
+		if len(nacked.changed) == 1 {
+			// A suspect stays one: which version the subscriber accepted before is not known.
+			s.nacked[r.name] = r.version
 		} else {
-			l.suspects[r.name] = true
+			s.suspects[r.name] = true
 		}
-		switch good := l.acked[r.name]; {
-		case l.sentLater(a, r.name):
-		case good != nil:
-			l.sent[r.name] = good
-		case l.delta || !l.fullState || l.confirmed: // danger: left out of an answer that says all, what it holds from another stream is removed
-			delete(l.sent, r.name)
+		if !s.sentLater(nacked, r.name) {
+			s.revertSent(r.name)
 		}
 	}
-	for _, name := range a.removed { // it may have been refused for what changed beside it
-		if r, told := l.sent[name]; told && r == nil && len(a.changed) > 0 {
-			delete(l.sent, name)
+	if len(nacked.changed) > 0 { // the removals may have been nacked for what changed beside them
+		s.resendRemovals(nacked.removed)
+	}
+	return changed, nonce == s.lastNonce
+}
+
+// revertSent notes that the subscriber has the version of a resource that it acknowledged last.
+func (s *subscription) revertSent(name string) {
+	if acked := s.acked[name]; acked != nil {
+		s.sent[name] = acked
+		return
+	}
+	// Where a response contains all resources, a subscriber removes what it has from an earlier stream if the resource is
+	// left out; so it stays in until it is known what the subscriber has.
+	if s.delta || !s.fullState || s.confirmed {
+		delete(s.sent, name)
+	}
+}
+
+// resendRemovals forgets that names were sent as removed.
+func (s *subscription) resendRemovals(names []string) {
+	for _, name := range names {
+		if r, wasSent := s.sent[name]; wasSent && r == nil {
+			delete(s.sent, name)
 		}
 	}
-	return changed, nonce == l.lastNonce
 }
 
-// sentLater tells whether an answer that is on its way yet says more of a name than this one.
-func (l *subscription) sentLater(a *response, name string) bool {
-	return slices.ContainsFunc(l.outstanding, func(o *response) bool {
-		return o.nonce > a.nonce && (slices.Contains(o.removed, name) || slices.ContainsFunc(o.changed, func(r *resource) bool { return r.name == name }))
+// sentLater reports whether an outstanding response that was sent after this one mentions a name.
+func (s *subscription) sentLater(earlier *response, name string) bool {
+	return slices.ContainsFunc(s.outstanding, func(r *response) bool {
+		return r.nonce > earlier.nonce && r.mentions(name)
 	})
 }
 
-func (l *subscription) takeOutstanding(nonce uint64) *response {
-	i := slices.IndexFunc(l.outstanding, func(a *response) bool { return a.nonce == nonce })
+// takeOutstanding removes a response from the outstanding ones and returns it; nil if it is not among them.
+func (s *subscription) takeOutstanding(nonce uint64) *response {
+	i := slices.IndexFunc(s.outstanding, func(r *response) bool { return r.nonce == nonce })
 	if i < 0 {
 		return nil
 	}
-	a := l.outstanding[i]
-	l.outstanding = slices.Delete(l.outstanding, i, i+1)
-	return a
+	taken := s.outstanding[i]
+	s.outstanding = slices.Delete(s.outstanding, i, i+1)
+	return taken
 }
 
-// outstandingCount is how many answers are neither acknowledged nor refused.
-func (l *subscription) outstandingCount() int { return len(l.outstanding) }
+// outstandingCount returns how many responses are neither acknowledged nor nacked.
+func (s *subscription) outstandingCount() int { return len(s.outstanding) }
 
-// nackedNames are the names of which the subscriber keeps an older version than there is, or none.
-func (l *subscription) nackedNames(current map[string]*resource) (names []string) {
-	for _, name := range slices.Sorted(maps.Keys(l.nacked)) {
-		if r := current[name]; r != nil && r.version == l.nacked[name] {
+// nackedNames returns the names whose current version the subscriber nacked: it keeps an older one, or none.
+func (s *subscription) nackedNames(current map[string]*resource) (names []string) {
+	for _, name := range slices.Sorted(maps.Keys(s.nacked)) {
+		if r := current[name]; r != nil && r.version == s.nacked[name] {
 			names = append(names, name)
 		}
 	}
--- a/controlplane/subscription_test.go
+++ b/controlplane/subscription_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	if w.delta {
-		for _, name := range a.removedNames {
+		for _, name := range a.removed {
 			delete(next, name)
 		}
 	}
@@ -235,12 +235,12 @@
 	l.updateNames([]string{"y", "z"}, nil)
 	a = l.nextResponse(current, false, false)
 	assert.Equal(t, []string{"y"}, names(a))
-	assert.Equal(t, []string{"z"}, a.removedNames, "asked for, and there is none")
+	assert.Equal(t, []string{"z"}, a.removed, "asked for, and there is none")
 	l.ack(a.nonce)
 	assert.Nil(t, l.nextResponse(current, false, false))
 	delete(current, "x")
 	assert.Nil(t, l.nextResponse(current, false, true), "kept for now")
-	assert.Equal(t, []string{"x"}, l.nextResponse(current, false, false).removedNames)
+	assert.Equal(t, []string{"x"}, l.nextResponse(current, false, false).removed)
 	l.updateNames(nil, []string{"*", "y"})
 	assert.Equal(t, 1, l.nameCount())
 }
--- a/controlplane/tls.go
+++ b/controlplane/tls.go
@@ -13,37 +13,46 @@
 	"google.golang.org/grpc/peer"
 )
 
-// credentials are the service's own certificate and the authority that its subscribers' are of. Loaded again they hold for new connections;
-// streams that there are go on.
-type keys struct {
-	certificate, key, authority string
-	now                         atomic.Pointer[tls.Config]
+// certificates are the service's own certificate and key, and the authority of the subscribers' certificates. Once
+// loaded again they apply to new connections; existing streams go on.
+type certificates struct {
+	certificateFile, keyFile, authorityFile string // PEM
+
+	current atomic.Pointer[tls.Config]
 }
 
-func (k *keys) load() error {
-	pair, err := tls.LoadX509KeyPair(k.certificate, k.key)
+// load reads the files. After an error the previous certificates stay in force.
+func (c *certificates) load() error {
+	pair, err := tls.LoadX509KeyPair(c.certificateFile, c.keyFile)
 	if err != nil {
 		return fmt.Errorf("control: certificate and key: %w", err)
 	}
-	text, err := os.ReadFile(k.authority)
+	pem, err := os.ReadFile(c.authorityFile)
 	if err != nil {
 		return fmt.Errorf("control: authority: %w", err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return errors.New("control: authority: " + k.authority + ": no certificate in it")
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(pem) {
+		return errors.New("control: authority: " + c.authorityFile + ": no certificate in it")
 	}
-	k.now.Store(&tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}, Certificates: []tls.Certificate{pair},
-		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool})
+	c.current.Store(&tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		NextProtos:   []string{"h2"},
+		Certificates: []tls.Certificate{pair},
+		ClientAuth:   tls.RequireAndVerifyClientCert,
+		ClientCAs:    authorities,
+	})
 	return nil
 }
 
-func (k *keys) config() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return k.now.Load(), nil }}
+// tlsConfig returns settings by which each new connection uses the certificates loaded last.
+func (c *certificates) tlsConfig() *tls.Config {
+	current := func(*tls.ClientHelloInfo) (*tls.Config, error) { return c.current.Load(), nil }
+	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: current}
 }
 
-// namesOf are the names in a subscriber's certificate, which was verified.
-func namesOf(ctx context.Context) (names []string) {
+// certificateNames returns the URIs and DNS names in the verified certificate of a stream's subscriber.
+func certificateNames(ctx context.Context) (names []string) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return nil
@@ -52,9 +61,9 @@
 	if !ok || len(info.State.VerifiedChains) == 0 {
 		return nil
 	}
-	own := info.State.VerifiedChains[0][0]
-	for _, u := range own.URIs {
-		names = append(names, u.String())
+	leaf := info.State.VerifiedChains[0][0]
+	for _, uri := range leaf.URIs {
+		names = append(names, uri.String())
 	}
-	return append(names, own.DNSNames...)
+	return append(names, leaf.DNSNames...)
 }
