--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -25,6 +25,7 @@
 	Draining
 )
 
+// String returns the health in lower case.
 func (h Health) String() string { return [...]string{"healthy", "unhealthy", "draining"}[h] }
 
 // Settings configure a Pool.
