--- a/lifecycle/idset.go
+++ b/lifecycle/idset.go
@@ -1,36 +1,41 @@
 package lifecycle
 
-// IDSet remembers the marks of the ids that were ever listed, so that a call for one that never was is told so. Of more than its
-// bound the first are forgotten: a call for such a one is told that it was never listed.
+// IDSet remembers the hashes of the server ids that the endpoint list ever named, so that an admin call for an unknown
+// id can be rejected. It is bounded: when full, it forgets the hash that was added first, and a call for that server is
+// rejected as unknown.
 type IDSet struct {
-	most int
-	have map[uint64]bool
-	ring []uint64
-	next int
+	capacity int
+	members  map[uint64]bool
+	ring     []uint64 // in the order of adding, the oldest at position oldest once it is full
+	oldest   int
 }
 
-// NewIDSet remembers so many.
-func NewIDSet(most int) *IDSet { return &IDSet{most: most, have: map[uint64]bool{}} }
+// NewIDSet returns an empty set of at most capacity hashes.
+func NewIDSet(capacity int) *IDSet {
+	return &IDSet{capacity: capacity, members: map[uint64]bool{}}
+}
 
-// Add remembers one.
-func (s *IDSet) Add(mark uint64) {
+// Add adds a hash; one that is in the set keeps its place.
+func (s *IDSet) Add(hash uint64) {
 	switch {
-	case s.have[mark]:
+	case s.members[hash]:
 		return
-	case len(s.ring) < s.most:
-		s.ring = append(s.ring, mark)
+	case len(s.ring) < s.capacity:
+		s.ring = append(s.ring, hash)
 	default:
-		delete(s.have, s.ring[s.next])
-		s.ring[s.next] = mark
-		s.next = (s.next + 1) % s.most
+		delete(s.members, s.ring[s.oldest])
+		s.ring[s.oldest] = hash
+		s.oldest = (s.oldest + 1) % s.capacity
 	}
-	s.have[mark] = true
+	s.members[hash] = true
 }
 
-// Has tells whether one is remembered.
-func (s *IDSet) Has(mark uint64) bool { return s.have[mark] }
+// Has reports whether a hash is in the set.
+func (s *IDSet) Has(hash uint64) bool { return s.members[hash] }
 
-// All are the remembered ones, the first first.
+// All returns the hashes in the order of adding, nil if there are none.
 func (s *IDSet) All() []uint64 {
-	return append(append([]uint64(nil), s.ring[s.next:]...), s.ring[:s.next]...)
+	var all []uint64
+	all = append(all, s.ring[s.oldest:]...)
+	return append(all, s.ring[:s.oldest]...)
 }
