--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -9,71 +9,92 @@
 	"lockloom/balance"
 )
 
+// MaxBytes is the length of the longest message that a platform passes on.
+const MaxBytes = 256
+
+// MaxObservations is how many observations a message holds.
+const MaxObservations = (MaxBytes - headerBytes) / observationBytes
+
 const (
-	version   = 1
-	headBytes = 3
-	bytesEach = 7
-	MaxBytes  = 256 // the longest note that a platform passes on
-	perSecond = 50  // units of an age
-	load      = 255 // in the place of a class
-	whole     = 100 // units of a payoff of 1
-	sixteenth = 16
+	formatVersion    = 1
+	headerBytes      = 3
+	observationBytes = 7
+	loadReportClass  = 255 // in the place of a class
+
+	rateUnitsPerRequest = 16  // of a request a second
+	ageUnitsPerSecond   = 50  // one is 20 ms
+	payoffUnits         = 100 // of a payoff of 1
 )
 
-// MaxObservations is how many sights a note holds.
-const MaxObservations = (MaxBytes - headBytes) / bytesEach
+// Encode encodes a message. Observations beyond MaxObservations are left out.
+func Encode(message balance.GossipMessage) []byte {
+	rate := uint16(clamp(message.Rate*rateUnitsPerRequest, math.MaxUint16))
+	data := binary.BigEndian.AppendUint16([]byte{formatVersion}, rate)
+	count := min(len(message.Observations), MaxObservations)
+	for _, observation := range message.Observations[:count] {
+		data = appendObservation(data, observation)
+	}
+	return data
+}
 
-// Encode writes a note. What does not fit in it is left out, from the end.
-func Encode(n balance.GossipMessage) []byte {
-	out := binary.BigEndian.AppendUint16([]byte{version}, uint16(bound(n.Rate*sixteenth, math.MaxUint16)))
-	for _, s := range n.Observations[:min(len(n.Observations), MaxObservations)] {
-		class, value := byte(load), s.Value
-		if s.Class >= 0 {
-			class, value = byte(bound(float64(s.Class), load-1)), bound(s.Value, 1)*whole
-		}
-		out = binary.BigEndian.AppendUint32(out, s.NameHash)
-		out = append(out, class, byte(bound(math.Ceil(s.Age*perSecond), 255)), byte(bound(value+0.5, 255)))
+// appendObservation rounds the age up, so that an observation never looks newer than it is.
+func appendObservation(data []byte, observation balance.Observation) []byte {
+	class, value := byte(loadReportClass), observation.Value
+	if observation.Class >= 0 {
+		class = byte(clamp(float64(observation.Class), loadReportClass-1))
+		value = clamp(observation.Value, 1) * payoffUnits
 	}
-	return out
+	age := byte(clamp(math.Ceil(observation.Age*ageUnitsPerSecond), math.MaxUint8))
+	data = binary.BigEndian.AppendUint32(data, observation.NameHash)
+	return append(data, class, age, byte(clamp(value+0.5, math.MaxUint8)))
 }
 
-// Decode reads a note.
+// Decode decodes a message.
 func Decode(data []byte) (balance.GossipMessage, error) {
 	switch {
-	case len(data) < headBytes || len(data) > MaxBytes || (len(data)-headBytes)%bytesEach != 0:
-		return balance.GossipMessage{}, fmt.Errorf("note of %d bytes", len(data))
-	case data[0] != version:
-		return balance.GossipMessage{}, fmt.Errorf("note of version %d, not %d", data[0], version)
+	case len(data) < headerBytes || len(data) > MaxBytes || (len(data)-headerBytes)%observationBytes != 0:
+		return balance.GossipMessage{}, fmt.Errorf("gossip message of %d bytes", len(data))
+	case data[0] != formatVersion:
+		return balance.GossipMessage{}, fmt.Errorf("gossip message of version %d, not %d", data[0], formatVersion)
+	}
+	message := balance.GossipMessage{Rate: float64(binary.BigEndian.Uint16(data[1:])) / rateUnitsPerRequest}
+	for rest := data[headerBytes:]; len(rest) > 0; rest = rest[observationBytes:] {
+		message.Observations = append(message.Observations, decodeObservation(rest))
+	}
+	return message, nil
+}
+
+func decodeObservation(data []byte) balance.Observation {
+	observation := balance.Observation{
+		NameHash: binary.BigEndian.Uint32(data),
+		Class:    int(data[4]),
+		Age:      float64(data[5]) / ageUnitsPerSecond,
+		Value:    float64(data[6]),
 	}
-	n := balance.GossipMessage{Rate: float64(binary.BigEndian.Uint16(data[1:])) / sixteenth}
-	for rest := data[headBytes:]; len(rest) > 0; rest = rest[bytesEach:] {
-		s := balance.Observation{NameHash: binary.BigEndian.Uint32(rest), Class: int(rest[4]), Age: float64(rest[5]) / perSecond,
-			Value: float64(rest[6])}
-		if s.Class == load {
-			s.Class = -1
-		} else {
-			s.Value = min(s.Value/whole, 1)
-		}
-		n.Observations = append(n.Observations, s)
+	if observation.Class == loadReportClass {
+		observation.Class = -1
+	} else {
+		observation.Value = min(observation.Value/payoffUnits, 1)
 	}
-	return n, nil
+	return observation
 }
 
-// ToHex and FromHex are the same in hex digits.
-func ToHex(n balance.GossipMessage) string { return hex.EncodeToString(Encode(n)) }
+// ToHex encodes a message in hexadecimal digits.
+func ToHex(message balance.GossipMessage) string { return hex.EncodeToString(Encode(message)) }
 
+// FromHex decodes a message in hexadecimal digits.
 func FromHex(text string) (balance.GossipMessage, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
-		return balance.GossipMessage{}, fmt.Errorf("note: %w", err)
+		return balance.GossipMessage{}, fmt.Errorf("gossip message: %w", err)
 	}
 	return Decode(data)
 }
 
-// bound keeps x between 0 and most; no number is 0.
-func bound(x, most float64) float64 {
+// clamp returns x between 0 and limit; NaN becomes 0.
+func clamp(x, limit float64) float64 {
 	if !(x > 0) {
 		return 0
 	}
-	return min(x, most)
+	return min(x, limit)
 }
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -11,89 +11,98 @@
 	"lockloom/balance"
 )
 
-const numberBytes = 2
+const numberBytes = 2 // of the sender's number, before the message
 
-// Link is this proxy's end of it.
+// Link is one proxy's end of the gossip transport. Its methods are safe for concurrent use.
 type Link struct {
-	Sent, Received, Dropped atomic.Int64 // notes; the last came and were not taken in
+	Sent     atomic.Int64 // messages
+	Received atomic.Int64 // messages that were handled
+	Dropped  atomic.Int64 // datagrams that were not
 
 	self  int
 	conn  *net.UDPConn
-	bank  map[int]netip.AddrPort
-	ended chan struct{}
+	peers map[int]netip.AddrPort // by number in the fleet
+	ended chan struct{}          // closed once nothing more is received
 }
 
-// Open listens for notes of a fleet, by number; heard gets each, on a goroutine of its own, until Close.
-func Open(listen string, self int, bank map[int]string, heard func(from int, n balance.GossipMessage)) (*Link, error) {
-	l := &Link{self: self, bank: map[int]netip.AddrPort{}, ended: make(chan struct{})}
-	for i, addr := range bank {
-		at, err := netip.ParseAddrPort(addr)
+// Open listens for the messages of the fleet's other proxies, whose addresses are given by number. Until Close, a
+// goroutine of the link calls handle with each message, one after the other. The addresses are IP addresses and ports.
+func Open(
+	listen string, self int, peers map[int]string, handle func(from int, message balance.GossipMessage),
+) (*Link, error) {
+	link := &Link{self: self, peers: map[int]netip.AddrPort{}, ended: make(chan struct{})}
+	for number, addr := range peers {
+		peer, err := netip.ParseAddrPort(addr)
 		if err != nil {
-			return nil, fmt.Errorf("peer %d: %w", i, err)
+			return nil, fmt.Errorf("peer %d: %w", number, err)
 		}
-		l.bank[i] = at
+		link.peers[number] = peer
 	}
-	at, err := netip.ParseAddrPort(listen)
+	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	if l.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(at)); err != nil {
+	if link.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr)); err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	go l.hear(heard)
-	return l, nil
+	go link.receive(handle)
+	return link, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the link receives.
 func (l *Link) Addr() string { return l.conn.LocalAddr().String() }
 
-// Send sends a note to one peer. Nothing tells whether it came.
-func (l *Link) Send(to int, n balance.GossipMessage) {
-	at, ok := l.bank[to]
-	if !ok {
+// Send sends a message to one peer. Nothing tells whether it is received; a number that is nobody's is ignored.
+func (l *Link) Send(to int, message balance.GossipMessage) {
+	peer, known := l.peers[to]
+	if !known {
 		return
 	}
-	data := append(binary.BigEndian.AppendUint16(nil, uint16(l.self)), Encode(n)...)
-	if _, err := l.conn.WriteToUDPAddrPort(data, at); err == nil { // else a full buffer, or a peer that is gone: as if lost on its way
-		l.Sent.Add(1)
+	datagram := binary.BigEndian.AppendUint16(nil, uint16(l.self))
+	datagram = append(datagram, Encode(message)...)
+	if _, err := l.conn.WriteToUDPAddrPort(datagram, peer); err != nil {
+		return // a full buffer, or a peer that is gone: as if it were lost on its way
 	}
+	l.Sent.Add(1)
 }
 
-// Close ends it; nothing is heard after that.
+// Close closes the link and waits until no message is handled any more.
 func (l *Link) Close() {
-	l.conn.Close()
+	_ = l.conn.Close() // fails only if it is closed already
 	<-l.ended
 }
 
-func (l *Link) hear(heard func(int, balance.GossipMessage)) {
+// receive handles datagrams until the link is closed.
+func (l *Link) receive(handle func(int, balance.GossipMessage)) {
 	defer close(l.ended)
-	buf := make([]byte, numberBytes+MaxBytes+1) // one more, so that a longer one is seen to be too long
+	buffer := make([]byte, numberBytes+MaxBytes+1) // one more, so that a longer datagram is seen to be too long
 	for {
-		size, from, err := l.conn.ReadFromUDPAddrPort(buf)
+		size, from, err := l.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // danger: on some systems a peer that is gone shows as an error of the next read
+			continue // on some systems a peer that is gone shows as an error of the next read
 		}
-		number, n, err := l.read(buf[:size], from)
+		number, message, err := l.decode(buffer[:size], from)
 		if err != nil {
 			l.Dropped.Add(1)
 			continue
 		}
 		l.Received.Add(1)
-		heard(number, n)
+		handle(number, message)
 	}
 }
 
-func (l *Link) read(data []byte, from netip.AddrPort) (int, balance.GossipMessage, error) {
-	if len(data) < numberBytes {
-		return 0, balance.GossipMessage{}, fmt.Errorf("datagram of %d bytes", len(data))
+func (l *Link) decode(datagram []byte, from netip.AddrPort) (int, balance.GossipMessage, error) {
+	if len(datagram) < numberBytes {
+		return 0, balance.GossipMessage{}, fmt.Errorf("datagram of %d bytes", len(datagram))
 	}
-	number := int(binary.BigEndian.Uint16(data))
-	if at, ok := l.bank[number]; !ok || at.Port() != from.Port() || at.Addr().Unmap() != from.Addr().Unmap() {
+	number := int(binary.BigEndian.Uint16(datagram))
+	peer, known := l.peers[number]
+	if !known || peer.Port() != from.Port() || peer.Addr().Unmap() != from.Addr().Unmap() {
 		return 0, balance.GossipMessage{}, fmt.Errorf("no peer %d at %s", number, from)
 	}
-	n, err := Decode(data[numberBytes:])
-	return number, n, err
+	message, err := Decode(datagram[numberBytes:])
+	return number, message, err
 }
--- a/internal/gossip/link_test.go
+++ b/internal/gossip/link_test.go
@@ -12,68 +12,81 @@
 	"lockloom/balance"
 )
 
-// pair is two proxies' links, of which the first tells, and what the second hears.
-func pair(t *testing.T) (one, two *Link, heard chan balance.GossipMessage) {
-	heard = make(chan balance.GossipMessage, 10)
-	one, err := Open("127.0.0.1:0", 0, nil, nil)
+// openPair opens the links of two proxies, and returns the messages that the receiver handles.
+func openPair(t *testing.T) (sender, receiver *Link, received chan balance.GossipMessage) {
+	t.Helper()
+	received = make(chan balance.GossipMessage, 10)
+	sender, err := Open("127.0.0.1:0", 0, nil, nil)
 	require.NoError(t, err)
-	two, err = Open("127.0.0.1:0", 1, map[int]string{0: one.Addr()}, func(from int, n balance.GossipMessage) {
+	handle := func(from int, message balance.GossipMessage) {
 		assert.Zero(t, from)
-		heard <- n
-	})
+		received <- message
+	}
+	receiver, err = Open("127.0.0.1:0", 1, map[int]string{0: sender.Addr()}, handle)
 	require.NoError(t, err)
-	one.bank[1] = netip.MustParseAddrPort(two.Addr())
-	t.Cleanup(one.Close)
-	t.Cleanup(two.Close)
-	return one, two, heard
+	sender.peers[1] = netip.MustParseAddrPort(receiver.Addr())
+	t.Cleanup(sender.Close)
+	t.Cleanup(receiver.Close)
+	return sender, receiver, received
 }
 
-func TestOnlyAPeersNotesAreHeard(t *testing.T) {
-	one, two, heard := pair(t)
-	stranger, err := net.Dial("udp", two.Addr())
+func TestOnlyPeersMessagesAreHandled(t *testing.T) {
+	sender, receiver, received := openPair(t)
+	stranger, err := net.Dial("udp", receiver.Addr())
 	require.NoError(t, err)
 	defer stranger.Close()
-	peer := func(data []byte) (int, error) { return one.conn.WriteToUDPAddrPort(data, one.bank[1]) }
-	note := Encode(balance.GossipMessage{Rate: 1})
+	sendAsPeer := func(data []byte) (int, error) {
+		return sender.conn.WriteToUDPAddrPort(data, sender.peers[1])
+	}
+	encoded := Encode(balance.GossipMessage{Rate: 1})
 	for i, c := range []struct {
 		name string
-		from func([]byte) (int, error)
+		send func([]byte) (int, error)
 		data []byte
 	}{
 		{"nothing", stranger.Write, nil},
 		{"no number", stranger.Write, []byte{0}},
-		{"a stranger under a peer's number", stranger.Write, append([]byte{0, 0}, note...)},
-		{"garbage from a peer", peer, []byte{0, 0, 9, 9, 9}},
-		{"too long from a peer", peer, make([]byte, 2000)},
-		{"under the number of who hears it", peer, append([]byte{0, 1}, note...)},
+		{"a stranger under a peer's number", stranger.Write, append([]byte{0, 0}, encoded...)},
+		{"garbage from a peer", sendAsPeer, []byte{0, 0, 9, 9, 9}},
+		{"too long from a peer", sendAsPeer, make([]byte, 2000)},
+		{"under the receiver's own number", sendAsPeer, append([]byte{0, 1}, encoded...)},
 	} {
-		_, err := c.from(c.data)
+		_, err := c.send(c.data)
 		require.NoError(t, err, c.name)
-		assert.Eventually(t, func() bool { return two.Dropped.Load() == int64(i+1) }, 5*time.Second, time.Millisecond, c.name)
+		dropped := func() bool { return receiver.Dropped.Load() == int64(i+1) }
+		assert.Eventually(t, dropped, 5*time.Second, time.Millisecond, c.name)
 	}
-	assert.Empty(t, heard)
-	n := balance.GossipMessage{Rate: 2, Observations: []balance.Observation{{NameHash: 7, Class: 1, Age: 0.1}}}
-	one.Send(5, n) // a number that is nobody's
-	one.Send(1, n)
-	assert.Eventually(t, func() bool { return len(heard) > 0 }, 5*time.Second, time.Millisecond)
-	assert.Equal(t, n, <-heard)
-	assert.EqualValues(t, 1, one.Sent.Load())
+	assert.Empty(t, received)
+	message := balance.GossipMessage{Rate: 2, Observations: []balance.Observation{{NameHash: 7, Class: 1, Age: 0.1}}}
+	sender.Send(5, message) // a number that is nobody's
+	sender.Send(1, message)
+	assert.Eventually(t, func() bool { return len(received) > 0 }, 5*time.Second, time.Millisecond)
+	assert.Equal(t, message, <-received)
+	assert.EqualValues(t, 1, sender.Sent.Load())
 }
 
-func TestAPeerThatIsGone(t *testing.T) {
-	one, two, _ := pair(t)
-	two.Close()
-	one.Send(1, balance.GossipMessage{})
-	again, err := Open(two.Addr(), 1, map[int]string{0: one.Addr()}, func(int, balance.GossipMessage) {})
+func TestPeerThatIsGoneAndComesBack(t *testing.T) {
+	sender, receiver, _ := openPair(t)
+	receiver.Close()
+	sender.Send(1, balance.GossipMessage{})
+	peers := map[int]string{0: sender.Addr()}
+	again, err := Open(receiver.Addr(), 1, peers, func(int, balance.GossipMessage) {})
 	require.NoError(t, err, "its address is free again")
 	t.Cleanup(again.Close)
-	assert.Eventually(t, func() bool { one.Send(1, balance.GossipMessage{}); return again.Received.Load() > 0 }, 5*time.Second, time.Millisecond)
-	one.Close()
-	sent := one.Sent.Load()
-	one.Send(1, balance.GossipMessage{})
-	assert.Equal(t, sent, one.Sent.Load(), "what could not be written")
-	assert.Zero(t, one.Dropped.Load(), "nothing came that was not taken in")
-	_, err = Open("localhost:7100", 0, nil, nil)
+	received := func() bool {
+		sender.Send(1, balance.GossipMessage{})
+		return again.Received.Load() > 0
+	}
+	assert.Eventually(t, received, 5*time.Second, time.Millisecond)
+	sender.Close()
+	sent := sender.Sent.Load()
+	sender.Send(1, balance.GossipMessage{})
+	assert.Equal(t, sent, sender.Sent.Load(), "what could not be written")
+	assert.Zero(t, sender.Dropped.Load(), "nothing came that was not handled")
+}
+
+func TestOpenErrors(t *testing.T) {
+	_, err := Open("localhost:7100", 0, nil, nil)
 	assert.ErrorContains(t, err, "peers: ")
 	_, err = Open("127.0.0.1:0", 0, map[int]string{3: "nowhere"}, nil)
 	assert.ErrorContains(t, err, "peer 3: ")
