--- /dev/null
+++ b/internal/settings/loadreport.go
@@ -0,0 +1,39 @@
+package settings
+
+import (
+	"strconv"
+	"strings"
+
+	"lockloom/balance"
+)
+
+// The published fields of a load report that the decisions use.
+const (
+	inFlightField    = "outstanding"
+	utilizationField = "utilization"
+)
+
+const (
+	notReported    = -1
+	maxLoadReading = 1e6 // a greater number is a fault, not a load
+)
+
+// ParseLoadReport parses a load report of the form "name:value,name:value". Unknown fields, and values that are no
+// plausible numbers, are skipped; what is not reported is -1.
+func ParseLoadReport(text string) balance.LoadReport {
+	report := balance.LoadReport{InFlight: notReported, Utilization: notReported}
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(field, ":")
+		reading, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		if err != nil || !(reading >= 0) || reading > maxLoadReading {
+			continue
+		}
+		switch strings.TrimSpace(name) {
+		case inFlightField:
+			report.InFlight = reading
+		case utilizationField:
+			report.Utilization = reading
+		}
+	}
+	return report
+}
--- a/internal/settings/registry.go
+++ b/internal/settings/registry.go
@@ -6,108 +6,135 @@
 	"lockloom/balance"
 )
 
-// Entry is a server with its names; Register.Backend settles Index, Mark, Zone and Model.
+const unknown = -1
+
+// Entry is a server with the names that an endpoint list gives it. Registry.Endpoint sets the embedded Index, NameHash,
+// Zone and Model from them.
 type Entry struct {
 	balance.Endpoint
 	Name, ZoneName, ModelName string
 }
 
-// NewRegistry numbers names. A server keeps its number until it is forgotten, all others as long as the register lives.
+// Registry gives names the numbers by which the decisions know them. A server keeps its number until it is forgotten,
+// and every other name as long as the registry lives. It is not safe for concurrent use.
 type Registry struct {
-	tariffs, customers, zones, backends, models map[string]int
-	names                                       []string // of servers; empty where the number is free
-	free                                        []int    // numbers of forgotten servers
+	classes map[string]int
+	tenants map[string]int
+	zones   map[string]int
+	models  map[string]int
+	servers serverNumbers
 }
 
-// NewRegistry has the deployment's classes, tenants and zones in their order.
-func (f Settings) NewRegistry() *Registry {
-	r := &Registry{tariffs: map[string]int{}, customers: map[string]int{}, zones: map[string]int{},
-		backends: map[string]int{}, models: map[string]int{}}
-	for i, t := range f.Classes {
-		r.tariffs[t.Name] = i
+// NewRegistry returns a registry in which the deployment's classes, tenants and zones have numbers in their order.
+func (s Settings) NewRegistry() *Registry {
+	registry := &Registry{
+		classes: map[string]int{},
+		tenants: map[string]int{},
+		zones:   map[string]int{},
+		models:  map[string]int{},
+		servers: serverNumbers{byName: map[string]int{}},
+	}
+	for i, class := range s.Classes {
+		registry.classes[class.Name] = i
 	}
-	for i, c := range f.Tenants {
-		r.customers[c.Name] = i
+	for i, tenant := range s.Tenants {
+		registry.tenants[tenant.Name] = i
 	}
-	for i, z := range f.Zones {
-		r.zones[z] = i
+	for i, zone := range s.Zones {
+		registry.zones[zone] = i
 	}
-	return r
+	return registry
 }
 
-// Class is a class's number, and whether there is such a class.
+// Class returns a class's number, and whether there is such a class.
 func (r *Registry) Class(name string) (int, bool) {
-	i, ok := r.tariffs[name]
-	return i, ok
+	number, ok := r.classes[name]
+	return number, ok
+}
+
+// Tenant returns a tenant's number, or -1 for one that is unknown.
+func (r *Registry) Tenant(name string) int { return numberOf(r.tenants, name) }
+
+// Endpoint returns an entry as the decisions take it, and numbers its server if it has no number yet.
+func (r *Registry) Endpoint(entry Entry) balance.Endpoint {
+	endpoint := entry.Endpoint
+	endpoint.NameHash = NameHash(entry.Name)
+	endpoint.Zone = numberOf(r.zones, entry.ZoneName)
+	endpoint.Index = r.servers.number(entry.Name)
+	endpoint.Model = assignNumber(r.models, entry.ModelName)
+	return endpoint
+}
+
+// Forget frees a server's number for another. Without it, servers under ever new names would grow the registry, and
+// every loop over the numbers, without bound.
+func (r *Registry) Forget(index int) { r.servers.forget(index) }
+
+// Size returns the number above the highest that was ever in use.
+func (r *Registry) Size() int { return len(r.servers.names) }
+
+// Find returns the number of a server's name, and whether it has one.
+func (r *Registry) Find(name string) (int, bool) {
+	number, ok := r.servers.byName[name]
+	return number, ok
 }
 
-// Tenant is a tenant's number, or -1 for one that is not known.
-func (r *Registry) Tenant(name string) int { return find(r.customers, name) }
+// Name returns a server's name.
+func (r *Registry) Name(index int) string { return r.servers.names[index] }
 
-// Endpoint is an entry as the decisions take it.
-func (r *Registry) Endpoint(e Entry) balance.Endpoint {
-	b := e.Endpoint
-	b.NameHash, b.Zone = NameHash(e.Name), find(r.zones, e.ZoneName)
-	b.Index, b.Model = r.backend(e.Name), number(r.models, e.ModelName)
-	return b
+// serverNumbers numbers servers by name; numbers are used again.
+type serverNumbers struct {
+	byName map[string]int
+	names  []string // by number, empty where it is free
+	free   []int
 }
 
-func (r *Registry) backend(name string) int {
-	i, ok := r.backends[name]
+func (s *serverNumbers) number(name string) int {
+	number, ok := s.byName[name]
 	if ok {
-		return i
+		return number
 	}
-	if n := len(r.free); n > 0 {
-		i, r.free = r.free[n-1], r.free[:n-1]
-		r.names[i] = name
+	if count := len(s.free); count > 0 {
+		number = s.free[count-1]
+		s.free = s.free[:count-1]
+		s.names[number] = name
 	} else {
-		i, r.names = len(r.names), append(r.names, name)
+		number = len(s.names)
+		s.names = append(s.names, name)
 	}
-	r.backends[name] = i
-	return i
+	s.byName[name] = number
+	return number
 }
 
-// Forget frees a server's number for another. Danger: servers under ever new names would fill the memory, and
-// make every walk over them longer.
-func (r *Registry) Forget(index int) {
-	delete(r.backends, r.names[index])
-	r.names[index], r.free = "", append(r.free, index)
+func (s *serverNumbers) forget(number int) {
+	delete(s.byName, s.names[number])
+	s.names[number] = ""
+	s.free = append(s.free, number)
 }
 
-// Size is how many numbers were given out at once, most.
-func (r *Registry) Size() int { return len(r.names) }
-
-// Find is the number of a server's name, and whether it has one.
-func (r *Registry) Find(name string) (int, bool) {
-	i, ok := r.backends[name]
-	return i, ok
-}
-
-// Name is that of a server.
-func (r *Registry) Name(index int) string { return r.names[index] }
-
-func find(numbers map[string]int, name string) int {
-	if i, ok := numbers[name]; ok {
-		return i
+// numberOf returns a name's number, or -1 if it has none.
+func numberOf(numbers map[string]int, name string) int {
+	if number, ok := numbers[name]; ok {
+		return number
 	}
-	return -1
+	return unknown
 }
 
-func number(numbers map[string]int, name string) int {
-	i, ok := numbers[name]
+// assignNumber returns a name's number, the next if it has none yet.
+func assignNumber(numbers map[string]int, name string) int {
+	number, ok := numbers[name]
 	if !ok {
-		i = len(numbers)
-		numbers[name] = i
+		number = len(numbers)
+		numbers[name] = number
 	}
-	return i
+	return number
 }
 
-// NameHash is the mark of a name or key, alike at every proxy; no name has none.
-func NameHash(s string) uint64 {
-	if s == "" {
+// NameHash returns the hash by which all proxies know a name or key; that of the empty name is 0.
+func NameHash(name string) uint64 {
+	if name == "" {
 		return 0
 	}
-	f := fnv.New64a()
-	f.Write([]byte(s))
-	return f.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return hash.Sum64()
 }
