--- /dev/null
+++ b/routes/condition.go
@@ -0,0 +1,55 @@
+package routes
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"strings"
+)
+
+// condition is a Condition ready to match.
+type condition struct {
+	Condition
+	expression *regexp.Regexp // nil unless Regex
+}
+
+func compileConditions(list []Condition) ([]condition, error) {
+	var compiled []condition
+	for _, written := range list {
+		c := condition{Condition: written}
+		if written.Name == "" {
+			return nil, errors.New("without a name")
+		}
+		if written.Regex {
+			var err error
+			if c.expression, err = regexp.Compile(written.Value); err != nil {
+				return nil, fmt.Errorf("%s: expression: %w", written.Name, err)
+			}
+		}
+		compiled = append(compiled, c)
+	}
+	return compiled, nil
+}
+
+func (c *condition) matches(value string, present bool) bool {
+	matches := present
+	switch {
+	case c.expression != nil:
+		matches = present && c.expression.MatchString(value)
+	case c.Value != "":
+		matches = present && value == c.Value
+	}
+	return matches != c.Negate
+}
+
+// queryParameter returns the first parameter of a name in a query, as it is written there.
+func queryParameter(query, name string) (string, bool) {
+	for query != "" {
+		var parameter string
+		parameter, query, _ = strings.Cut(query, "&")
+		if key, value, _ := strings.Cut(parameter, "="); key == name {
+			return value, true
+		}
+	}
+	return "", false
+}
--- a/routes/failover.go
+++ b/routes/failover.go
@@ -1,23 +1,30 @@
 package routes
 
-// Failover decides whether a pool's backup serves for it: once the pool has had no server admitted for After, until it has had
-// one for Until. Danger: without the second time a pool at the edge would hand its requests to and fro.
+// Failover decides whether a pool's backup serves for it: from when the pool has had no server admitted for
+// ActivateAfter, until it has had one for RecoverAfter. The second delay keeps a pool that comes and goes from sending
+// its requests to and fro.
 type Failover struct {
-	ActivateAfter, RecoverAfter float64 // s
+	ActivateAfter float64 // seconds
+	RecoverAfter  float64 // seconds
 
-	serves  bool
-	changed float64 // since when the pool has been as it is
-	was     bool    // it had a server admitted then
-	began   bool
+	active   bool
+	observed bool    // Active was called
+	admitted bool    // the pool had a server admitted at the last call
+	since    float64 // when that changed
 }
 
-// Active takes in whether the pool has a server admitted, and tells whether its backup is to serve now.
-func (s *Failover) Active(now float64, admitted bool) bool {
-	if !s.began || admitted != s.was {
-		s.began, s.was, s.changed = true, admitted, now
+// Active records whether the pool has a server admitted now, and reports whether its backup is to serve. The time is in
+// seconds.
+func (f *Failover) Active(now float64, admitted bool) bool {
+	if !f.observed || admitted != f.admitted {
+		f.observed, f.admitted, f.since = true, admitted, now
 	}
-	if lasted := now - s.changed; !s.serves && !admitted && lasted >= s.ActivateAfter || s.serves && admitted && lasted >= s.RecoverAfter {
-		s.serves = !s.serves
+	lasted := now - f.since
+	switch {
+	case !f.active && !admitted && lasted >= f.ActivateAfter:
+		f.active = true
+	case f.active && admitted && lasted >= f.RecoverAfter:
+		f.active = false
 	}
-	return s.serves
+	return f.active
 }
--- a/routes/path.go
+++ b/routes/path.go
@@ -5,80 +5,98 @@
 	"strings"
 )
 
-// PathError is a path that cannot be taken: two programs could read it in two ways.
+// PathError says why a path or target is rejected: two programs could read it in two ways.
 type PathError struct{ Path, Why string }
 
 func (e *PathError) Error() string { return fmt.Sprintf("path %.80q: %s", e.Path, e.Why) }
 
-// NormalizePath is the one form of a path, by which routes match and in which it goes on. What is an unreserved character
-// (RFC 3986, 2.3) stands as itself, every other escape with upper-case digits, and a byte above 0x7e as its escape.
-// An escaped slash stays escaped: it is no slash. Several slashes are one. Dot segments are resolved. A path that climbs above
-// its root, has a raw control character, backslash, space, '#' or '?', a malformed escape or one of a null, or a dot
-// segment with parameters ("..;x") or behind an escaped slash is refused. Normal(Normal(p)) is Normal(p). It returns p itself, without
-// allocation, where p is in this form already.
-func NormalizePath(p string) (string, error) {
-	if p == "" || p[0] != '/' {
-		return "", &PathError{p, "it does not begin with a slash"}
+// NormalizePath returns the one form of a path, by which routes match and in which it is forwarded. An unreserved
+// character (RFC 3986, 2.3) stands as itself, every other escape has upper-case digits, and a byte above 0x7e is
+// escaped. An escaped slash stays escaped: it is no slash. Several slashes are one. Dot segments are resolved.
+//
+// It returns a *PathError for a path that climbs above its root, has a raw control character, backslash, space, '#' or
+// '?', a malformed escape or one of a null, or a dot segment with parameters ("..;x") or behind an escaped slash.
+//
+// A normal path is its own normal form; for one it returns the path itself and does not allocate.
+func NormalizePath(path string) (string, error) {
+	if path == "" || path[0] != '/' {
+		return "", &PathError{path, "it does not begin with a slash"}
 	}
-	if plain(p) {
-		return p, nil
+	if isPlain(path) {
+		return path, nil
 	}
-	text, err := escapes(p)
+	escaped, err := normalizeEscapes(path)
 	if err != nil {
 		return "", err
 	}
-	out := make([]byte, 0, len(text)+1)
-	var starts []int // of segments in out, each behind its slash
-	for rest := text[1:]; ; {
-		segment, more, slash := strings.Cut(rest, "/")
-		bare, _, parameters := strings.Cut(segment, ";")
-		if hidden(segment) {
-			return "", &PathError{p, "a dot segment behind an escaped slash or backslash"}
+	normal := pathBuilder{path: make([]byte, 0, len(escaped)+1)}
+	for rest, more := escaped[1:], true; more; {
+		var segment string
+		segment, rest, more = strings.Cut(rest, "/")
+		if why := normal.add(segment, !more); why != "" {
+			return "", &PathError{path, why}
 		}
-		switch {
-		case parameters && (bare == "." || bare == ".."): // danger: some servers drop the parameters and climb
-			return "", &PathError{p, "a dot segment with parameters"}
-		case segment == "..":
-			if len(starts) == 0 {
-				return "", &PathError{p, "it climbs above its root"}
-			}
-			out, starts = out[:starts[len(starts)-1]], starts[:len(starts)-1]
-		case segment != "" && segment != ".":
-			starts = append(starts, len(out))
-			out = append(append(out, '/'), segment...)
-		}
-		if !slash {
-			if segment == "" || segment == "." || segment == ".." { // it ended in a slash, or as if
-				out = append(out, '/')
-			}
-			return string(out), nil
+	}
+	return string(normal.path), nil
+}
+
+// pathBuilder resolves the segments of a path.
+type pathBuilder struct {
+	path   []byte
+	starts []int // of segments in path, each at its slash
+}
+
+// add adds a segment, and returns why it is rejected if it is.
+func (b *pathBuilder) add(segment string, last bool) (why string) {
+	if hasHiddenDotSegment(segment) {
+		return "a dot segment behind an escaped slash or backslash"
+	}
+	bare, _, parameters := strings.Cut(segment, ";")
+	switch {
+	case parameters && isDotSegment(bare): // some servers drop the parameters and climb
+		return "a dot segment with parameters"
+	case segment == "..":
+		if len(b.starts) == 0 {
+			return "it climbs above its root"
 		}
-		rest = more
+		parent := len(b.starts) - 1
+		b.path, b.starts = b.path[:b.starts[parent]], b.starts[:parent]
+	case segment != "" && segment != ".":
+		b.starts = append(b.starts, len(b.path))
+		b.path = append(b.path, '/')
+		b.path = append(b.path, segment...)
 	}
+	if last && (segment == "" || isDotSegment(segment)) { // the path ends in a slash, or as if it did
+		b.path = append(b.path, '/')
+	}
+	return ""
 }
 
-// hidden tells whether a segment has a dot segment between escaped slashes or backslashes. Danger: a server that takes those
-// for slashes climbs by it.
-func hidden(segment string) bool {
+func isDotSegment(segment string) bool { return segment == "." || segment == ".." }
+
+// hasHiddenDotSegment reports whether a segment has a dot segment between escaped slashes or backslashes: a server that
+// takes those for slashes climbs by it.
+func hasHiddenDotSegment(segment string) bool {
 	if !strings.Contains(segment, "%2F") && !strings.Contains(segment, "%5C") {
 		return false
 	}
 	for part := range strings.SplitSeq(strings.ReplaceAll(segment, "%5C", "%2F"), "%2F") {
-		if bare, _, _ := strings.Cut(part, ";"); bare == "." || bare == ".." {
+		if bare, _, _ := strings.Cut(part, ";"); isDotSegment(bare) {
 			return true
 		}
 	}
 	return false
 }
 
-// plain tells whether a path is in the normal form already.
-func plain(p string) bool {
-	for i := 0; i < len(p); i++ {
-		c := p[i]
+// isPlain reports whether a path is certainly in the normal form. One with a segment that begins with a dot, for
+// example, is looked at more closely.
+func isPlain(path string) bool {
+	for i := range len(path) {
+		c := path[i]
 		switch {
 		case c == '/':
-			if i+1 < len(p) && (p[i+1] == '/' || p[i+1] == '.') {
-				return false // perhaps a dot segment: looked at more closely
+			if i+1 < len(path) && (path[i+1] == '/' || path[i+1] == '.') {
+				return false
 			}
 		case c == '%' || c <= ' ' || c >= 0x7f || c == '\\' || c == '#' || c == '?':
 			return false
@@ -87,40 +105,60 @@
 	return true
 }
 
-// escapes brings each character to its one form.
-func escapes(p string) (string, error) {
-	const hex = "0123456789ABCDEF"
-	out := make([]byte, 0, len(p)+8)
-	for i := 0; i < len(p); i++ {
-		switch c := p[i]; {
+// normalizeEscapes brings each character to its one form.
+func normalizeEscapes(path string) (string, error) {
+	const fewEscapes = 8 // bytes by which escapes make most paths longer, at the most
+	normal := make([]byte, 0, len(path)+fewEscapes)
+	for i := 0; i < len(path); i++ {
+		switch c := path[i]; {
 		case c < ' ' || c == 0x7f:
-			return "", &PathError{p, "a control character"}
+			return "", &PathError{path, "a control character"}
 		case c == ' ' || c == '\\' || c == '#' || c == '?':
-			return "", &PathError{p, fmt.Sprintf("a raw %q", c)}
+			return "", &PathError{path, fmt.Sprintf("a raw %q", c)}
 		case c > 0x7f:
-			out = append(out, '%', hex[c>>4], hex[c&15])
+			normal = appendEscape(normal, c)
 		case c != '%':
-			out = append(out, c)
+			normal = append(normal, c)
 		default:
-			if i+2 >= len(p) || digit(p[i+1]) < 0 || digit(p[i+2]) < 0 {
-				return "", &PathError{p, "a malformed escape"}
+			c, ok := parseEscape(path[i:])
+			if !ok {
+				return "", &PathError{path, "a malformed escape"}
 			}
-			c = byte(digit(p[i+1])<<4 | digit(p[i+2]))
-			i += 2
-			switch {
-			case c == 0:
-				return "", &PathError{p, "an escaped null"}
-			case unreserved(c):
-				out = append(out, c)
-			default:
-				out = append(out, '%', hex[c>>4], hex[c&15])
+			if c == 0 {
+				return "", &PathError{path, "an escaped null"}
 			}
+			if isUnreserved(c) {
+				normal = append(normal, c)
+			} else {
+				normal = appendEscape(normal, c)
+			}
+			i += escapeBytes - 1
 		}
 	}
-	return string(out), nil
+	return string(normal), nil
+}
+
+const escapeBytes = len("%00")
+
+// parseEscape returns the character of the escape that a text begins with.
+func parseEscape(text string) (c byte, ok bool) {
+	if len(text) < escapeBytes {
+		return 0, false
+	}
+	high, low := hexValue(text[1]), hexValue(text[2])
+	if high < 0 || low < 0 {
+		return 0, false
+	}
+	return byte(high<<4 | low), true
 }
 
-func digit(c byte) int {
+func appendEscape(path []byte, c byte) []byte {
+	const digits = "0123456789ABCDEF"
+	return append(path, '%', digits[c>>4], digits[c&15])
+}
+
+// hexValue returns the value of a hexadecimal digit, or -1.
+func hexValue(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
 		return int(c - '0')
@@ -132,48 +170,7 @@
 	return -1
 }
 
-func unreserved(c byte) bool {
-	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~'
-}
-
-// ParseTarget takes a request's target apart: origin form, or absolute form, whose authority then stands for Host. Danger: a
-// target that names another host than Host is one request for two readers, so the caller must refuse what differs.
-func ParseTarget(target string) (host, path, query string, err error) {
-	if i := strings.Index(target, "://"); i > 0 && !strings.HasPrefix(target, "/") {
-		scheme := strings.ToLower(target[:i])
-		if scheme != "http" && scheme != "https" {
-			return "", "", "", &PathError{target, "a scheme that is not served"}
-		}
-		rest := target[i+3:]
-		end := strings.IndexAny(rest, "/?#")
-		if end < 0 {
-			end = len(rest)
-		}
-		if host = rest[:end]; host == "" || strings.Contains(host, "@") {
-			return "", "", "", &PathError{target, "no plain authority"}
-		}
-		if target = rest[end:]; target == "" || target[0] == '?' {
-			target = "/" + target
-		}
-	}
-	path, query, _ = strings.Cut(target, "?")
-	if strings.ContainsRune(query, '#') {
-		return "", "", "", &PathError{target, "a fragment"}
-	}
-	path, err = NormalizePath(path)
-	return host, path, query, err
-}
-
-// NormalizeHost is the one form of a host's name: lower case, without port and without the root's dot.
-func NormalizeHost(host string) string {
-	if strings.HasPrefix(host, "[") { // an address of IPv6
-		if end := strings.IndexByte(host, ']'); end > 0 {
-			return strings.ToLower(host[:end+1])
-		}
-		return strings.ToLower(host)
-	}
-	if i := strings.LastIndexByte(host, ':'); i >= 0 {
-		host = host[:i]
-	}
-	return strings.ToLower(strings.TrimSuffix(host, "."))
+func isUnreserved(c byte) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	return letter || c >= '0' && c <= '9' || c == '-' || c == '.' || c == '_' || c == '~'
 }
--- a/routes/tree.go
+++ b/routes/tree.go
@@ -5,56 +5,70 @@
 	"sort"
 )
 
-// tree finds the longest of many prefixes: a radix tree in which each node with routes knows the next shorter one.
+// tree finds the longest of many prefixes. It is a radix tree in which each node with routes knows the one of the next
+// shorter prefix.
 type tree struct{ root node }
 
 type node struct {
 	text   string // from the node above to here
-	kids   []kid  // by the first byte of their texts
+	edges  []edge // sorted by their first byte
 	routes []*compiled
 	up     *node // the nearest above with routes
 }
 
-// kid is a node below, and the first byte of its text beside it: a step down touches no node that is not on the way.
-type kid struct {
+// edge leads to a node below. The first byte of the node's text stands beside the pointer, so that a search touches no
+// node that is not on its way.
+type edge struct {
 	first byte
 	node  *node
 }
 
-// add puts a route at its prefix.
-func (t *tree) add(prefix string, c *compiled) {
+// add adds a route at its prefix.
+func (t *tree) add(prefix string, route *compiled) {
 	n := &t.root
-	for {
-		if prefix == "" {
-			fresh := n.routes == nil
-			if n.routes = append(n.routes, c); fresh {
-				n.link(n)
-			}
-			return
-		}
-		i := sort.Search(len(n.kids), func(i int) bool { return n.kids[i].first >= prefix[0] })
-		if i == len(n.kids) || n.kids[i].first != prefix[0] {
-			child := &node{text: prefix, up: n.nearest()}
-			n.kids = slices.Insert(n.kids, i, kid{prefix[0], child})
-			n, prefix = child, ""
-			continue
-		}
-		child := n.kids[i].node
-		common := 0
-		for common < len(child.text) && common < len(prefix) && child.text[common] == prefix[common] {
-			common++
-		}
-		if common < len(child.text) { // it parts within this child's text
-			middle := &node{text: child.text[:common], kids: []kid{{child.text[common], child}}, up: child.up}
-			child.text = child.text[common:]
-			n.kids[i].node = middle
-			child = middle
-		}
-		n, prefix = child, prefix[common:]
+	for prefix != "" {
+		n, prefix = n.descend(prefix)
+	}
+	first := n.routes == nil
+	n.routes = append(n.routes, route)
+	if first {
+		n.linkBelow(n)
+	}
+}
+
+// descend returns the node below on the way to a prefix, made if there is none, and the rest of the prefix.
+func (n *node) descend(prefix string) (*node, string) {
+	i := sort.Search(len(n.edges), func(i int) bool { return n.edges[i].first >= prefix[0] })
+	if i == len(n.edges) || n.edges[i].first != prefix[0] {
+		leaf := &node{text: prefix, up: n.nearest()}
+		n.edges = slices.Insert(n.edges, i, edge{prefix[0], leaf})
+		return leaf, ""
+	}
+	child := n.edges[i].node
+	common := commonPrefix(child.text, prefix)
+	if common < len(child.text) {
+		child = child.split(common)
+		n.edges[i].node = child
+	}
+	return child, prefix[common:]
+}
+
+// split inserts a node above this one after so many bytes of its text, and returns it.
+func (n *node) split(length int) *node {
+	middle := &node{text: n.text[:length], edges: []edge{{n.text[length], n}}, up: n.up}
+	n.text = n.text[length:]
+	return middle
+}
+
+func commonPrefix(a, b string) int {
+	length := 0
+	for length < len(a) && length < len(b) && a[length] == b[length] {
+		length++
 	}
+	return length
 }
 
-// nearest is this node or the nearest above that has routes.
+// nearest returns this node if it has routes, or the nearest above that has.
 func (n *node) nearest() *node {
 	if n.routes != nil {
 		return n
@@ -62,17 +76,17 @@
 	return n.up
 }
 
-// link tells all below a node that is the first with routes on their way up.
-func (n *node) link(to *node) {
-	for _, c := range n.kids {
-		c.node.up = to
-		if c.node.routes == nil {
-			c.node.link(to)
+// linkBelow makes a node the nearest with routes of all below this one that have none between.
+func (n *node) linkBelow(nearest *node) {
+	for _, e := range n.edges {
+		e.node.up = nearest
+		if e.node.routes == nil {
+			e.node.linkBelow(nearest)
 		}
 	}
 }
 
-// longest is the node of the longest prefix of a path that has routes.
+// longest returns the node of the longest prefix of a path that has routes; nil: none.
 func (t *tree) longest(path string) *node {
 	n := &t.root
 	best := n
@@ -83,19 +97,8 @@
 		if path == "" {
 			break
 		}
-		lo, hi := 0, len(n.kids)
-		for lo < hi {
-			if mid := (lo + hi) / 2; n.kids[mid].first < path[0] {
-				lo = mid + 1
-			} else {
-				hi = mid
-			}
-		}
-		if lo == len(n.kids) || n.kids[lo].first != path[0] {
-			break
-		}
-		child := n.kids[lo].node
-		if len(path) < len(child.text) || path[:len(child.text)] != child.text {
+		child := n.child(path[0])
+		if child == nil || len(path) < len(child.text) || path[:len(child.text)] != child.text {
 			break
 		}
 		n, path = child, path[len(child.text):]
@@ -105,3 +108,19 @@
 	}
 	return best
 }
+
+// child returns the node below whose text begins with a byte; nil: none.
+func (n *node) child(first byte) *node {
+	low, high := 0, len(n.edges)
+	for low < high {
+		if middle := (low + high) / 2; n.edges[middle].first < first {
+			low = middle + 1
+		} else {
+			high = middle
+		}
+	}
+	if low == len(n.edges) || n.edges[low].first != first {
+		return nil
+	}
+	return n.edges[low].node
+}
