--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,12 +20,12 @@
 	}{
 		{Request{Method: "GET", Target: "/a//b/../c?x=1", Host: "Example.org:80"},
 			[]string{`host "example.org", method GET, path "/a/c", query "x=1"`, "images (regex", "does not match", "met: longest prefix",
-				"route pages", "limit everybody by all: 2000 in hand", "pool pages, weight 1", "tariff page: replayable",
+				"route pages", "limit everybody by all: 2000 in hand", "pool pages, weight 1", "tariff page: idempotent",
 				"retry rule careful: 0.1 of", "goes on as GET /a/c"}},
 		{Request{Method: "POST", Target: "http://example.org/sign/7", Host: "example.org"},
-			[]string{"route signing", "limit each-address by address: 20 a second, 40 at once", "pool signatures", "tariff sign: single-use", "POST /v2/sign/7"}},
-		{Request{Method: "POST", Target: "/sign", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff sign: referenced", "POST /v2/sign"}},
-		{Request{Method: "POST", Target: "/page", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff page: single-use"}}, // no server knows it
+			[]string{"route signing", "limit each-address by address: 20 a second, 40 at once", "pool signatures", "tariff sign: non-idempotent", "POST /v2/sign/7"}},
+		{Request{Method: "POST", Target: "/sign", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff sign: keyed", "POST /v2/sign"}},
+		{Request{Method: "POST", Target: "/page", Fields: map[string]string{"idempotency-key": "k"}}, []string{"tariff page: non-idempotent"}}, // no server knows it
 		{Request{Method: "GET", Target: "/sign"}, []string{"method GET is not among POST", "route pages"}},
 		{Request{Method: "GET", Target: "/sign/a.gif"}, []string{"met: expression", "pool pages, weight 9", "pool spare, weight 1", "retry rule plain"}},
 		{Request{Method: "GET", Target: "/x?y", Host: "a.old.example.org"}, []string{"redirect 301 to https://new.example.org/x?y"}},
--- /dev/null
+++ b/limits/fair_test.go
@@ -0,0 +1,39 @@
+package limits
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// With capacity left a route may have it all; once it is short, each route that requests it comes to its quota.
+func TestRoutesComeToTheirQuotas(t *testing.T) {
+	limiter := NewFairLimiter(100, []float64{1, 1, 2})
+	for range 90 {
+		assert.True(t, limiter.Acquire(0, 0))
+	}
+	assert.True(t, limiter.Acquire(0, 1) && limiter.Acquire(0, 2), "the others come to theirs")
+	assert.False(t, limiter.Acquire(0, 0), "beyond its quota of a pool that is nearly full")
+	inFlight := [3]int{90, 1, 1}
+	release := func(route int) {
+		if inFlight[route] > 0 {
+			limiter.Release(route)
+			inFlight[route]--
+		}
+	}
+	for now := 0.0; now < 10; now += .01 { // the first route's end one at a time, all three routes request more
+		release(0)
+		for route := range 3 {
+			if limiter.Acquire(now, route) {
+				inFlight[route]++
+			}
+		}
+		if int(now*100)%2 == 0 {
+			release(1)
+			release(2)
+		}
+		assert.LessOrEqual(t, inFlight[0]+inFlight[1]+inFlight[2], 100)
+	}
+	assert.InDelta(t, 25, inFlight[1], 8)
+	assert.InDelta(t, 50, inFlight[2], 10)
+}
--- a/limits/overload.go
+++ b/limits/overload.go
@@ -1,183 +1,190 @@
 package limits
 
-import (
-	"container/heap"
-	"math"
-	"slices"
-)
+import "math"
 
-// Every constant of the strain, times in seconds.
 const (
-	strainBurst  = 0.75  // of its latency objective: a request that waited longer for its turn would be late
-	strainStands = 0.1   // a queue that has not been empty for so long is told as one that stands
-	strainTurns  = 2     // of so many turns one is for who is to be rejected, where there is somebody
-	lineSlack    = 64    // turns that are over and still stand in the line of all that came, beside as many as wait
-	strainSmooth = 0.02  // of the mean times of attempts replaced by one
-	strainIdle   = 0.001 // of an attempt's time that is spent here in any case
-	lagDevs      = 4.0   // mean deviations over the mean of an attempt's time that is spent here
-	lagMost      = 0.1
-	slackMost    = 4.0 // times longer that attempts are out than their servers have them, at the most
+	maxWaitFraction  = 0.75 // of its latency objective that a request may wait; later it would be answered late
+	standingDelay    = 0.1  // seconds for which a queue must not have been empty to be a standing queue
+	rejectInterval   = 2    // of so many turns, one is for a request that is to be rejected, if there is one
+	gradesPerDoubled = 2    // grades of priority weight from one weight to its double
+	minWeight        = 1e-9 // of a request, so that its logarithm is finite
 )
 
-// Overload holds back what has come for a core that is behind. A few requests at a time are in its hands, from their reading to their
-// being sent or rejected; further ones wait for their turn, which costs nothing, so that answers, which come behind none of them,
-// are soon passed on. The one worth most for its work goes first; among those worth as much, that of the tenant who had least
-// lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). Who has waited too long to be answered in time is rejected, and
-// has turns for that: rejected all at once, clients that come again at once take up the whole core with it. It says too how much
-// longer attempts are out than their servers have them. All times are in seconds. It is not safe for concurrent use.
+// Overload holds back requests while this core is overloaded. Few requests at a time are in work, from their reading to
+// their being forwarded or rejected; further ones wait in a queue, which costs nothing, so that responses, which do not
+// stand behind them, are soon relayed.
+//
+// The request of the greatest priority weight for its work goes first; among equals, that of the tenant who was served
+// least lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). A request that has waited too long to be
+// answered in time is rejected, but in turns of its own: rejected all at once, clients that retry at once would take up
+// the whole core. It also measures how much longer attempts take here than at their servers.
+//
+// All times are in seconds.
 type Overload struct {
-	Admitted, Queued, Rejected int // counted
-
-	hands     int // in this core's hands
-	most      int
-	turn      int
-	queue     turns
-	line      []*Waiter // the same as they came, with some that have had their turn
-	since     float64   // the queue was empty last; +Inf: it is
-	clock     float64   // fair queueing's
-	customers []float64 // their clocks; the first is of nobody known
-	waited    float64   // what the last one that passed had waited
-
-	away, legs float64 // mean time of attempts at their servers; how many
-	here, dev  float64 // and spent here, and by how much that differs from its mean
+	Admitted, Queued, Rejected int // requests, since the start
+
+	inWork    int
+	maxInWork int
+	dispatch  int // turns so far
+	queue     waitQueue
+	tenants   fairClock
+	lastWait  float64 // of the request that was admitted last
+	delays    attemptDelays
 }
 
 // Waiter is a request that waits for its turn.
 type Waiter struct {
 	Owner any // the caller's
-	grade int // by worth, in steps of half as much again
-	tag   float64
-	came  float64
-	last  float64 // when it is too late to pass
-	place int     // in the queue; -1: it had its turn
-}
 
-// NewOverload begins where so many requests are in hand at the most, with so many tenants.
-func NewOverload(most, tenants int) *Overload {
-	return &Overload{most: max(most, 1), since: math.Inf(1), customers: make([]float64, tenants+1)}
+	grade       int     // of its priority weight, in steps of a factor of the root of 2
+	finishTag   float64 // of fair queueing
+	arrivedAt   float64
+	latestStart float64 // when it is too late to be admitted
+	heapIndex   int     // -1: it had its turn
 }
 
-// RequestArrived tells of a request that came to this machine at a time, is late past its latency objective, in seconds from then, and is worth so much
-// for its work; tenant -1: none known. Where its turn has come at once it returns no turn, and whether it passes; else that is told
-// later, by Give. Whether it passed or was refused, Done is to be called.
-func (s *Overload) RequestArrived(now, came, due, worth float64, tenant int, of any) (passes bool, waits *Waiter) {
-	who := tenant + 1
-	if who < 0 || who >= len(s.customers) {
-		who = 0
+// NewOverload returns an overload queue for so many requests in work at once and so many tenants.
+func NewOverload(maxInWork, tenants int) *Overload {
+	return &Overload{
+		maxInWork: max(maxInWork, 1),
+		queue:     newWaitQueue(),
+		tenants:   newFairClock(tenants),
 	}
-	s.customers[who] = max(s.customers[who], s.clock) + 1
-	t := &Waiter{Owner: of, grade: int(math.Floor(2 * math.Log2(max(worth, 1e-9)))), tag: s.customers[who], came: came, last: came + strainBurst*due}
-	if s.hands < s.most && len(s.queue) == 0 {
-		return s.pass(now, t), nil
+}
+
+// RequestArrived records a request that reached this machine at arrivedAt, with its class's latency objective, its
+// priority weight for its work, and its tenant's number, or -1 for one that is unknown. If its turn comes at once there
+// is no waiter, and admitted is the decision; else Dispatch gives the decision later, with the waiter, whose Owner is
+// owner. After either decision RequestDone is to be called.
+func (o *Overload) RequestArrived(
+	now, arrivedAt, latencyObjective, weight float64, tenant int, owner any,
+) (admitted bool, waiter *Waiter) {
+	waiter = &Waiter{
+		Owner:       owner,
+		grade:       int(math.Floor(gradesPerDoubled * math.Log2(max(weight, minWeight)))),
+		finishTag:   o.tenants.tag(tenant),
+		arrivedAt:   arrivedAt,
+		latestStart: arrivedAt + maxWaitFraction*latencyObjective,
 	}
-	if len(s.queue) == 0 {
-		s.since, s.line = now, s.line[:0]
+	if o.inWork < o.maxInWork && o.queue.empty() {
+		return o.decide(now, waiter), nil
 	}
-	s.Queued++
-	heap.Push(&s.queue, t)
-	s.line = append(s.line, t)
-	return false, t
+	o.Queued++
+	o.queue.add(now, waiter)
+	return false, waiter
 }
 
-// pass gives one its turn.
-func (s *Overload) pass(now float64, t *Waiter) bool {
-	s.hands++
-	if now > t.last {
-		s.Rejected++
+// decide gives a request its turn.
+func (o *Overload) decide(now float64, waiter *Waiter) (admitted bool) {
+	o.inWork++
+	if now > waiter.latestStart {
+		o.Rejected++
 		return false
 	}
-	s.Admitted++
-	s.clock = max(s.clock, t.tag-1)
-	s.waited = now - t.came
+	o.Admitted++
+	o.tenants.started(waiter.finishTag)
+	o.lastWait = now - waiter.arrivedAt
 	return true
 }
 
-// RequestDone tells that one is out of this core's hands; whether others wait for their turn, which Give gives them.
-func (s *Overload) RequestDone() (more bool) {
-	s.hands--
-	return len(s.queue) > 0
+// RequestDone records that a request is no longer in work, and reports whether others wait for Dispatch.
+func (o *Overload) RequestDone() (waiting bool) {
+	o.inWork--
+	return !o.queue.empty()
 }
 
-// Dispatch tells by a call whose turn has come and whether it passes, as many as may be in hand. It returns whether there were any and
-// more wait. It is to be called when answers that have come were passed on.
-func (s *Overload) Dispatch(now float64, tell func(t *Waiter, passes bool)) (more bool) {
-	given := false
-	for len(s.queue) > 0 && s.hands < s.most {
-		t := s.queue[0]
-		if s.turn++; s.turn%strainTurns == 0 {
-			if old := s.oldest(); now > old.last {
-				t = old
-			}
-		}
-		heap.Remove(&s.queue, t.place)
-		tell(t, s.pass(now, t))
-		given = true
+// Dispatch calls decided with each waiter whose turn has come and whether it is admitted, until as many as may be are
+// in work. It reports whether there were any and more wait. It is to be called when the responses that have come are
+// relayed.
+func (o *Overload) Dispatch(now float64, decided func(waiter *Waiter, admitted bool)) (more bool) {
+	dispatched := false
+	for !o.queue.empty() && o.inWork < o.maxInWork {
+		waiter := o.next(now)
+		o.queue.remove(waiter)
+		decided(waiter, o.decide(now, waiter))
+		dispatched = true
 	}
-	if len(s.queue) == 0 {
-		s.since = math.Inf(1)
+	if o.queue.empty() {
+		o.queue.nonEmptySince = math.Inf(1)
 	}
-	return given && len(s.queue) > 0
+	return dispatched && !o.queue.empty()
 }
 
-// oldest is the one that has waited longest; there is one.
-func (s *Overload) oldest() *Waiter {
-	n := 0
-	for s.line[n].place < 0 {
-		n++
-	}
-	if s.line = s.line[n:]; len(s.line) > lineSlack+2*len(s.queue) {
-		s.line = slices.DeleteFunc(s.line, func(t *Waiter) bool { return t.place < 0 })
+// next returns the waiter whose turn it is.
+func (o *Overload) next(now float64) *Waiter {
+	o.dispatch++
+	if o.dispatch%rejectInterval == 0 {
+		if oldest := o.queue.oldest(); now > oldest.latestStart {
+			return oldest
+		}
 	}
-	return s.line[0]
+	return o.queue.first()
 }
 
-// QueueStatus is what the last one that passed had waited, and whether a queue stands.
-func (s *Overload) QueueStatus(now float64) (waited float64, stands bool) {
-	return s.waited, now-s.since > strainStands
+// QueueStatus returns how long the request that was admitted last had waited, and whether there is a standing queue.
+func (o *Overload) QueueStatus(now float64) (lastWait float64, standing bool) {
+	return o.lastWait, now-o.queue.nonEmptySince > standingDelay
 }
 
-// AttemptMeasured tells how long an attempt was out, and how much of that its server had it.
-func (s *Overload) AttemptMeasured(out, away float64) {
-	s.legs++
-	part := max(strainSmooth, 1/s.legs)
-	s.away += part * (away - s.away)
-	s.dev += part * (math.Abs(out-away-s.here) - s.dev)
-	s.here += part * (out - away - s.here)
+// AttemptMeasured records how long an attempt took, and how much of that its server had it.
+func (o *Overload) AttemptMeasured(total, atServer float64) { o.delays.observe(total, atServer) }
+
+// DelayFactor returns how many times longer attempts take than their servers have them, from 1.
+func (o *Overload) DelayFactor() float64 { return o.delays.factor() }
+
+// Lag returns the time that, in all likelihood, an attempt spends here at the most.
+func (o *Overload) Lag() float64 { return o.delays.lag() }
+
+// fairClock is start-time fair queueing's virtual time, in requests.
+type fairClock struct {
+	now     float64
+	tenants []float64 // the finish tag of each tenant's last request; the first is of all unknown ones
 }
 
-// DelayFactor is how much longer attempts are out than their servers have them, from 1.
-func (s *Overload) DelayFactor() float64 {
-	return min(1+max(s.here-strainIdle, 0)/max(s.away, strainIdle/4), slackMost)
+func newFairClock(tenants int) fairClock { return fairClock{tenants: make([]float64, tenants+1)} }
+
+// tag returns the tag of a tenant's next request.
+func (c *fairClock) tag(tenant int) float64 {
+	index := tenant + 1
+	if index < 0 || index >= len(c.tenants) {
+		index = 0
+	}
+	c.tenants[index] = max(c.tenants[index], c.now) + 1
+	return c.tenants[index]
 }
 
-// Lag is what an attempt spends here at the most, in all likelihood; the reasoning is that of TCP's time-outs (RFC 6298).
-func (s *Overload) Lag() float64 { return min(max(s.here+lagDevs*s.dev-strainIdle, 0), lagMost) }
+// started records that the request with a tag is admitted.
+func (c *fairClock) started(tag float64) { c.now = max(c.now, tag-1) }
 
-// turns is a heap, whoever goes first at its top.
-type turns []*Waiter
+const (
+	delaySmoothing   = 0.02  // the weight of one attempt in the mean times
+	unavoidableDelay = 0.001 // seconds of an attempt that are spent here in any case
+	lagDeviations    = 4.0   // mean deviations over the mean; the reasoning is that of TCP's time-outs (RFC 6298)
+	maxLag           = 0.1   // seconds
+	maxDelayFactor   = 4.0
+)
 
-func (t turns) Len() int { return len(t) }
-func (t turns) Less(i, j int) bool {
-	if t[i].grade != t[j].grade {
-		return t[i].grade > t[j].grade
-	}
-	return t[i].tag < t[j].tag
+// attemptDelays is how long attempts are at their servers and here, in seconds.
+type attemptDelays struct {
+	attempts  float64
+	atServer  float64 // mean
+	here      float64 // mean
+	deviation float64 // mean, of the time here from its mean
 }
-func (t turns) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].place, t[j].place = i, j
+
+func (d *attemptDelays) observe(total, atServer float64) {
+	d.attempts++
+	weight := max(delaySmoothing, 1/d.attempts)
+	d.atServer += weight * (atServer - d.atServer)
+	d.deviation += weight * (math.Abs(total-atServer-d.here) - d.deviation)
+	d.here += weight * (total - atServer - d.here)
 }
-func (t *turns) Push(x any) {
-	turn := x.(*Waiter)
-	turn.place = len(*t)
-	*t = append(*t, turn)
+
+func (d *attemptDelays) factor() float64 {
+	const minAtServer = unavoidableDelay / 4
+	return min(1+max(d.here-unavoidableDelay, 0)/max(d.atServer, minAtServer), maxDelayFactor)
 }
-func (t *turns) Pop() any {
-	old := *t
-	n := len(old) - 1
-	turn := old[n]
-	turn.place = -1
-	old[n] = nil
-	*t = old[:n]
-	return turn
+
+func (d *attemptDelays) lag() float64 {
+	return min(max(d.here+lagDeviations*d.deviation-unavoidableDelay, 0), maxLag)
 }
--- a/limits/overload_test.go
+++ b/limits/overload_test.go
@@ -8,192 +8,221 @@
 	"pgregory.net/rapid"
 )
 
-// told are the verdicts of turns, by what they are of.
-type told struct {
-	of     any
-	passes bool
+// decision is one that Dispatch gave, by the waiter's owner.
+type decision struct {
+	owner    any
+	admitted bool
 }
 
-func give(s *Overload, now float64) (all []told) {
-	s.Dispatch(now, func(t *Waiter, passes bool) { all = append(all, told{t.Owner, passes}) })
-	return all
+func dispatch(overload *Overload, now float64) (decisions []decision) {
+	overload.Dispatch(now, func(waiter *Waiter, admitted bool) {
+		decisions = append(decisions, decision{waiter.Owner, admitted})
+	})
+	return decisions
 }
 
-// come has so many requests alike come.
-func (s *Overload) come(n int, now, due float64, tenant int, of any) {
-	for range n {
-		s.RequestArrived(now, now, due, 1, tenant, of)
+// arrive has so many requests alike arrive.
+func arrive(overload *Overload, count int, now, latencyObjective float64, tenant int, owner any) {
+	for range count {
+		overload.RequestArrived(now, now, latencyObjective, 1, tenant, owner)
 	}
 }
 
-func TestTurns(t *testing.T) {
-	s := NewOverload(2, 3)
+func TestDispatchOrder(t *testing.T) {
+	overload := NewOverload(2, 3)
 	for range 2 {
-		passes, waits := s.RequestArrived(10, 10, 0.1, 1, -1, nil)
-		assert.True(t, passes)
-		assert.Nil(t, waits)
+		admitted, waiter := overload.RequestArrived(10, 10, 0.1, 1, -1, nil)
+		assert.True(t, admitted)
+		assert.Nil(t, waiter)
 	}
-	for i, worth := range []float64{1, 5, 1, 10} {
-		passes, waits := s.RequestArrived(10, 10, 0.1, worth, 0, i)
-		assert.False(t, passes)
-		assert.NotNil(t, waits, "both hands are full")
+	for i, weight := range []float64{1, 5, 1, 10} {
+		admitted, waiter := overload.RequestArrived(10, 10, 0.1, weight, 0, i)
+		assert.False(t, admitted)
+		assert.NotNil(t, waiter, "as many as may be are in work")
 	}
-	assert.Empty(t, give(s, 10))
-	assert.True(t, s.RequestDone())
-	assert.Equal(t, []told{{3, true}}, give(s, 10.01), "worth most")
-	assert.True(t, s.RequestDone())
-	assert.Equal(t, []told{{1, true}}, give(s, 10.02))
-	assert.True(t, s.RequestDone())
-	assert.Equal(t, []told{{0, true}}, give(s, 10.03), "came first")
-	assert.True(t, s.RequestDone())
-	assert.Equal(t, []told{{2, false}}, give(s, 10.08), "it would be late")
-	_, stands := s.QueueStatus(10.2)
-	assert.False(t, stands, "nobody waits any more")
-	assert.False(t, s.RequestDone())
-	assert.Equal(t, [3]int{5, 4, 1}, [3]int{s.Admitted, s.Queued, s.Rejected})
-
-	passes, waits := s.RequestArrived(20, 19.9, 0.1, 1, 0, nil)
-	assert.False(t, passes, "it waited elsewhere until too late")
-	assert.Nil(t, waits)
+	assert.Empty(t, dispatch(overload, 10))
+	assert.True(t, overload.RequestDone())
+	assert.Equal(t, []decision{{3, true}}, dispatch(overload, 10.01), "the greatest weight")
+	assert.True(t, overload.RequestDone())
+	assert.Equal(t, []decision{{1, true}}, dispatch(overload, 10.02))
+	assert.True(t, overload.RequestDone())
+	assert.Equal(t, []decision{{0, true}}, dispatch(overload, 10.03), "arrived first")
+	assert.True(t, overload.RequestDone())
+	assert.Equal(t, []decision{{2, false}}, dispatch(overload, 10.08), "it would be answered late")
+	_, standing := overload.QueueStatus(10.2)
+	assert.False(t, standing, "nobody waits any more")
+	assert.False(t, overload.RequestDone())
+	assert.Equal(t, [3]int{5, 4, 1}, [3]int{overload.Admitted, overload.Queued, overload.Rejected})
+
+	admitted, waiter := overload.RequestArrived(20, 19.9, 0.1, 1, 0, nil)
+	assert.False(t, admitted, "it waited elsewhere until too late")
+	assert.Nil(t, waiter)
 }
 
-// Danger: with the best always first, those that are late would hold their clients until these give up, which costs more than to
-// tell them; with all of them told at once, they would come again and take up the core.
-func TestLateHaveTurns(t *testing.T) {
-	s := NewOverload(1, 0)
-	s.come(1, 0, 0.1, -1, "first")
-	s.come(4, 0, 0.1, -1, "late")
-	s.come(8, 0.07, 0.1, -1, "new")
-	now, late, passed := 0.08, 0, 0
+// With the greatest weight always first, late requests would wait until their clients give up, which costs more than to
+// reject them; rejected all at once, their clients would retry and take up the core.
+func TestLateRequestsAreRejectedInTurns(t *testing.T) {
+	overload := NewOverload(1, 0)
+	arrive(overload, 1, 0, 0.1, -1, "first")
+	arrive(overload, 4, 0, 0.1, -1, "late")
+	arrive(overload, 8, 0.07, 0.1, -1, "new")
+	now, rejected, admitted := 0.08, 0, 0
 	for range 8 {
-		s.RequestDone()
-		for _, v := range give(s, now) {
-			assert.Equal(t, v.of == "new", v.passes)
-			if v.passes {
-				passed++
+		overload.RequestDone()
+		for _, decision := range dispatch(overload, now) {
+			assert.Equal(t, decision.owner == "new", decision.admitted)
+			if decision.admitted {
+				admitted++
 			} else {
-				late++
+				rejected++
 			}
 		}
 		now += 0.001
 	}
-	assert.Equal(t, 4, late)
-	assert.Equal(t, 4, passed)
+	assert.Equal(t, 4, rejected)
+	assert.Equal(t, 4, admitted)
 }
 
-// A tenant that floods has its part and no more, as long as others ask.
-func TestCustomersInTurn(t *testing.T) {
-	s := NewOverload(1, 2)
-	s.come(1, 0, 10, 1, nil)
-	s.come(90, 0, 10, 0, "flood")
-	s.come(10, 0, 10, 1, "few")
+// A tenant that floods has its quota and no more, as long as others have requests.
+func TestTenantsAreServedFairly(t *testing.T) {
+	overload := NewOverload(1, 2)
+	arrive(overload, 1, 0, 10, 1, nil)
+	arrive(overload, 90, 0, 10, 0, "flood")
+	arrive(overload, 10, 0, 10, 1, "few")
 	few := 0
 	for range 24 {
-		s.RequestDone()
-		if give(s, 0.01)[0].of == "few" {
+		overload.RequestDone()
+		if dispatch(overload, 0.01)[0].owner == "few" {
 			few++
 		}
 	}
 	assert.Equal(t, 10, few, "among the first two dozen")
 	for _, tenant := range []int{-7, 2, 99} { // unknown ones count as one
-		s.RequestArrived(0, 0, 10, 1, tenant, nil)
+		overload.RequestArrived(0, 0, 10, 1, tenant, nil)
 	}
 }
 
-func TestSlack(t *testing.T) {
+func TestDelayFactorAndLag(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		out, away  float64
-		slack, lag float64
+		name            string
+		total, atServer float64
+		factor, lag     float64
 	}{
 		{"nothing waits here", 0.0204, 0.02, 1, 0},
 		{"servers are slow", 0.5005, 0.5, 1, 0},
 		{"as long here as there", 0.021, 0.01, 2, 0.01},
-		{"far longer here", 0.5, 0.01, slackMost, lagMost},
+		{"far longer here", 0.5, 0.01, maxDelayFactor, maxLag},
 		{"no time at the server", 0.002, 0, 4, 0.001},
 	} {
-		s := NewOverload(1, 0)
-		assert.Equal(t, 1.0, s.DelayFactor())
+		overload := NewOverload(1, 0)
+		assert.Equal(t, 1.0, overload.DelayFactor())
 		for range 500 {
-			s.AttemptMeasured(c.out, c.away)
+			overload.AttemptMeasured(c.total, c.atServer)
 		}
-		assert.InDelta(t, c.slack, s.DelayFactor(), 0.01, c.name)
-		assert.InDelta(t, c.lag, s.Lag(), 0.001, c.name)
+		assert.InDelta(t, c.factor, overload.DelayFactor(), 0.01, c.name)
+		assert.InDelta(t, c.lag, overload.Lag(), 0.001, c.name)
 	}
-	s := NewOverload(1, 0)
+	overload := NewOverload(1, 0)
 	for i := range 500 {
-		s.AttemptMeasured(0.01+0.02*float64(i%2), 0.01)
+		overload.AttemptMeasured(0.01+0.02*float64(i%2), 0.01)
 	}
-	assert.Greater(t, s.Lag(), 0.02, "some wait here for that long, though on the mean they don't")
+	assert.Greater(t, overload.Lag(), 0.02, "some wait here for that long, though on the mean they don't")
+}
+
+// overloadModel is an Overload, and the requests that it must account for.
+type overloadModel struct {
+	t         *rapid.T
+	overload  *Overload
+	maxInWork int
+	now       float64
+	inWork    int
+	waiting   map[int]modelRequest // by their owner
+}
+
+type modelRequest struct{ weight, latestStart float64 }
+
+func (m *overloadModel) arrive(owner int) {
+	const latencyObjective = 0.1
+	arrivedAt := m.now - rapid.Float64Range(0, 0.1).Draw(m.t, "waited")
+	weight := math.Pow(4, float64(rapid.IntRange(0, 3).Draw(m.t, "weight")))
+	request := modelRequest{weight, arrivedAt + maxWaitFraction*latencyObjective}
+	tenant := rapid.IntRange(-1, 2).Draw(m.t, "tenant")
+	admitted, waiter := m.overload.RequestArrived(m.now, arrivedAt, latencyObjective, weight, tenant, owner)
+	if waiter != nil {
+		m.waiting[owner] = request
+		return
+	}
+	assert.Empty(m.t, m.waiting, "nobody goes before those who wait")
+	m.decided(request, admitted)
+}
+
+func (m *overloadModel) decided(request modelRequest, admitted bool) {
+	m.inWork++
+	assert.Equal(m.t, m.now <= request.latestStart, admitted)
+	assert.LessOrEqual(m.t, m.inWork, m.maxInWork)
+}
+
+func (m *overloadModel) done() {
+	if m.inWork > 0 {
+		m.inWork--
+		assert.Equal(m.t, len(m.waiting) > 0, m.overload.RequestDone())
+	}
+}
+
+func (m *overloadModel) dispatch() {
+	m.overload.Dispatch(m.now, func(waiter *Waiter, admitted bool) {
+		owner := waiter.Owner.(int)
+		request, waits := m.waiting[owner]
+		assert.True(m.t, waits, "one decision")
+		delete(m.waiting, owner)
+		m.decided(request, admitted)
+		for _, other := range m.waiting {
+			assert.False(m.t, admitted && other.weight > request.weight)
+		}
+	})
+	assert.False(m.t, m.inWork < m.maxInWork && len(m.waiting) > 0, "another could be in work")
 }
 
-// Whatever comes in whatever order: no more in hand than may be, one verdict each, none that is late passes, and of those that pass
-// at one time none is worth less than one that goes on waiting.
-func TestStrainHolds(t *testing.T) {
-	rapid.Check(t, func(r *rapid.T) {
-		most := rapid.IntRange(1, 4).Draw(r, "most")
-		s := NewOverload(most, 2)
-		type one struct{ worth, last float64 }
-		now, hands := 0.0, 0
-		waiting := map[int]one{}
-		verdict := func(i int, o one, passes bool) {
-			hands++
-			assert.Equal(r, now <= o.last, passes)
-			assert.LessOrEqual(r, hands, most)
+// Whatever comes in whatever order: no more in work than may be, one decision for each request, none that is late is
+// admitted, and of those admitted at one time none has a smaller weight than one that goes on waiting.
+func TestOverloadInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		maxInWork := rapid.IntRange(1, 4).Draw(t, "maxInWork")
+		model := &overloadModel{
+			t: t, overload: NewOverload(maxInWork, 2), maxInWork: maxInWork, waiting: map[int]modelRequest{},
 		}
-		for i := range rapid.IntRange(1, 120).Draw(r, "calls") {
-			now += rapid.Float64Range(0, 0.02).Draw(r, "pause")
-			switch rapid.IntRange(0, 2).Draw(r, "call") {
+		for i := range rapid.IntRange(1, 120).Draw(t, "calls") {
+			model.now += rapid.Float64Range(0, 0.02).Draw(t, "pause")
+			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
-				came := now - rapid.Float64Range(0, 0.1).Draw(r, "waited")
-				o := one{math.Pow(4, float64(rapid.IntRange(0, 3).Draw(r, "worth"))), came + strainBurst*0.1}
-				passes, waits := s.RequestArrived(now, came, 0.1, o.worth, rapid.IntRange(-1, 2).Draw(r, "customer"), i)
-				if waits == nil {
-					assert.Empty(r, waiting, "nobody goes before those who wait")
-					verdict(i, o, passes)
-				} else {
-					waiting[i] = o
-				}
+				model.arrive(i)
 			case 1:
-				if hands > 0 {
-					hands--
-					assert.Equal(r, len(waiting) > 0, s.RequestDone())
-				}
+				model.done()
 			case 2:
-				s.Dispatch(now, func(t *Waiter, passes bool) {
-					i := t.Owner.(int)
-					o, there := waiting[i]
-					assert.True(r, there, "one verdict")
-					delete(waiting, i)
-					verdict(i, o, passes)
-					for _, other := range waiting {
-						assert.False(r, passes && other.worth > o.worth)
-					}
-				})
-				assert.False(r, hands < most && len(waiting) > 0, "a hand is free")
+				model.dispatch()
 			}
 		}
 	})
 }
 
-func BenchmarkStrain(b *testing.B) {
+func BenchmarkOverload(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		queue int
+		name    string
+		waiting int
 	}{{"nobody waits", 0}, {"500 wait", 500}} {
 		b.Run(c.name, func(b *testing.B) {
-			s := NewOverload(1, 20)
-			for i := range c.queue + 1 {
-				s.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
+			overload := NewOverload(1, 20)
+			for i := range c.waiting + 1 {
+				overload.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
 			}
-			if c.queue == 0 {
-				s.RequestDone()
+			if c.waiting == 0 {
+				overload.RequestDone()
 			}
 			b.ReportAllocs()
-			for i := 0; i < b.N; i++ {
-				s.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
-				s.RequestDone()
-				s.Dispatch(0, func(*Waiter, bool) {})
+			for i := range b.N {
+				overload.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
+				overload.RequestDone()
+				overload.Dispatch(0, func(*Waiter, bool) {})
 			}
 		})
 	}
--- /dev/null
+++ b/limits/ratetable_test.go
@@ -0,0 +1,83 @@
+package limits
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+)
+
+// Under more keys than it remembers a limit stays within its bound, and forgets first the keys that are idle.
+func TestIdleKeysAreForgottenFirst(t *testing.T) {
+	limits := newLimits(t, Limit{Rate: 1, Burst: 1, MaxKeys: 1000})
+	for key := range uint64(1_000_000) {
+		_, rejection := limits.Acquire(float64(key)*.01, []LimitKey{{0, key}})
+		assert.Nil(t, rejection)
+	}
+	remembered, forgotten := limits.KeyCounts(0)
+	assert.Equal(t, 1000, remembered)
+	assert.Less(t, forgotten, 10_000, "nearly each that was forgotten was idle, so nothing was lost")
+	before := forgotten
+	for key := range uint64(2000) {
+		limits.Acquire(20_000, []LimitKey{{0, key}})
+	}
+	_, forgotten = limits.KeyCounts(0)
+	assert.GreaterOrEqual(t, forgotten-before, 1000, "these were not, and it is counted")
+	_, rejection := limits.Acquire(20_000, []LimitKey{{0, 1999}})
+	assert.NotNil(t, rejection)
+}
+
+// The table against a map: what it remembers is right, whatever comes and is forgotten.
+func TestRateTableAgainstMap(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		table := &rateTable{interval: 1, maxKeys: rapid.IntRange(1, 40).Draw(t, "maxKeys")}
+		fullAt, now := map[uint64]float64{}, 1.0
+		for range rapid.IntRange(1, 300).Draw(t, "calls") {
+			key := rapid.Uint64Range(0, 60).Draw(t, "key")
+			key *= rapid.SampledFrom([]uint64{1, 1 << 40}).Draw(t, "spread")
+			now += rapid.SampledFrom([]float64{0, .1, 2}).Draw(t, "pause")
+			retryAfter := table.take(now, key)
+			before, known := fullAt[key]
+			if retryAfter > 0 && (!known || math.Abs(before-now-retryAfter) > 1e-6) {
+				t.Fatalf("key %d at %v: rejected for %v, full at %v", key, now, retryAfter, before)
+			}
+			if retryAfter == 0 {
+				fullAt[key] = max(before, now) + 1
+			}
+			checkTable(t, table)
+			for known := range fullAt { // a key that is forgotten begins anew
+				if !contains(table, known) {
+					delete(fullAt, known)
+				}
+			}
+		}
+	})
+}
+
+// checkTable checks the table's bound and count, and that each key is found.
+func checkTable(t *rapid.T, table *rateTable) {
+	if table.count > table.maxKeys {
+		t.Fatalf("%d keys of %d", table.count, table.maxKeys)
+	}
+	count := 0
+	for _, entry := range table.entries {
+		if entry.key == 0 {
+			continue
+		}
+		count++
+		if table.find(entry.key).key != entry.key {
+			t.Fatalf("key %d is not found", entry.key)
+		}
+	}
+	if count != table.count {
+		t.Fatalf("%d keys, counted %d", count, table.count)
+	}
+}
+
+func contains(table *rateTable, key uint64) bool {
+	if key == 0 {
+		key = keyZero
+	}
+	return table.find(key).key == key
+}
