--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -4,31 +4,38 @@
 type Capture struct {
 	Dir           string  `toml:"dir"`
 	On            bool    `toml:"on"`         // from the start
-	Address       string  `toml:"address"`    // where staff turn it on and off; empty: nowhere
+	Address       string  `toml:"address"`    // where operators turn it on and off; empty: nowhere
 	TotalMB       int     `toml:"total_mb"`   // of all files of this proxy there; 0: 256
 	SegmentMB     int     `toml:"segment_mb"` // of calls, before they are compressed; 0: 8
-	Age           float64 `toml:"age"`        // s, of a segment; 0: 60
-	RingMB        int     `toml:"ring_mb"`    // kept in memory until it is asked for or a trigger fires; 0: all goes to files at once
-	RejectedShare float64 `toml:"dismissed"`  // share of a second's requests whose dismissal is a trigger; 0: none is
+	Age           float64 `toml:"age"`        // of a segment, in seconds; 0: 60
+	RingMB        int     `toml:"ring_mb"`    // cached in memory until it is requested or a trigger fires; 0: files only
+	RejectedShare float64 `toml:"dismissed"`  // the fraction of a second's requests whose rejection is a trigger; 0: none
 }
 
-func (r *reader) capture() {
-	c := r.Capture
-	if c == nil {
+const (
+	maxTotalMB   = 1e6
+	maxSegmentMB = 1e3
+	maxRingMB    = 1e4
+)
+
+func (r *reader) checkCapture() {
+	capture := r.file.Capture
+	if capture == nil {
 		return
 	}
-	if c.Dir == "" {
-		r.fault("capture", 0, "dir", "missing")
+	table := r.table("capture", 0)
+	if capture.Dir == "" {
+		table.fail("dir", "missing")
 	}
-	if c.Address != "" {
-		r.loopback("capture", "address", c.Address)
+	if capture.Address != "" {
+		table.checkLoopback("address", capture.Address)
 	}
-	r.within("capture", 0, "total_mb", float64(c.TotalMB), 0, 1e6)
-	r.within("capture", 0, "segment_mb", float64(c.SegmentMB), 0, 1e3)
-	r.within("capture", 0, "ring_mb", float64(c.RingMB), 0, 1e4)
-	r.within("capture", 0, "age", c.Age, 0, secsMost)
-	r.within("capture", 0, "dismissed", c.RejectedShare, 0, 1)
-	if c.RejectedShare > 0 && c.RingMB == 0 {
-		r.fault("capture", 0, "dismissed", "it is a trigger for what is kept in memory: ring_mb is 0")
+	table.checkRange("total_mb", float64(capture.TotalMB), 0, maxTotalMB)
+	table.checkRange("segment_mb", float64(capture.SegmentMB), 0, maxSegmentMB)
+	table.checkRange("ring_mb", float64(capture.RingMB), 0, maxRingMB)
+	table.checkRange("age", capture.Age, 0, maxSeconds)
+	table.checkRange("dismissed", capture.RejectedShare, 0, 1)
+	if capture.RejectedShare > 0 && capture.RingMB == 0 {
+		table.fail("dismissed", "it is a trigger for what is kept in memory: ring_mb is 0")
 	}
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -1,26 +1,23 @@
 package config
 
-import (
-	"net"
-	"strings"
-)
+import "strings"
 
-// ControlPlane is what a control service needs to know; see package control.
+// ControlPlane is the configuration of a control plane; see package controlplane.
 type ControlPlane struct {
 	Address         string   `toml:"address"`     // where subscribers connect
-	Status          string   `toml:"status"`      // where staff ask who holds what; empty: nowhere
+	Status          string   `toml:"status"`      // where operators see what subscribers have; empty: nowhere
 	PreferLocalZone bool     `toml:"local"`       // subscribers keep to their own zone while it has a healthy server
-	SnapshotFile    string   `toml:"memory"`      // the file of snapshots; empty: none
-	Subscribers     int      `toml:"subscribers"` // at most; 0: the service's own bound
+	SnapshotFile    string   `toml:"memory"`      // empty: none
+	Subscribers     int      `toml:"subscribers"` // the most at once; 0: the service's own bound
 	Certificate     string   `toml:"certificate"` // PEM files, all or none
 	Key             string   `toml:"key"`
 	Authority       string   `toml:"authority"` // of the subscribers' certificates
 	Allow           []Allow  `toml:"allow"`     // subscribers by the names in their certificates; none: all that have one
-	Subsets         []Subset `toml:"subset"`    // what subscribers are told by what they say of themselves
+	Subsets         []Subset `toml:"subset"`    // what some subscribers receive
 }
 
-// Subset narrows what some subscribers are told. It keeps nobody out: a node says of itself what it likes. Each of the first three may end
-// with a star; empty, it fits all.
+// Subset narrows what some subscribers receive. It keeps nobody out: a node names itself as it likes. Each of the first
+// three may end with a star; empty, it matches all.
 type Subset struct {
 	Node    string   `toml:"node"` // the node's id
 	Cluster string   `toml:"cluster"`
@@ -28,71 +25,88 @@
 	Pools   []string `toml:"pools"`
 }
 
-// Fits tells whether a node is meant.
+// Fits reports whether the subset is for a node.
 func (s *Subset) Fits(node, cluster, zone string) bool {
-	return (s.Node == "" || fits(s.Node, node)) && (s.Cluster == "" || fits(s.Cluster, cluster)) && (s.Zone == "" || fits(s.Zone, zone))
+	return (s.Node == "" || matchesPattern(s.Node, node)) &&
+		(s.Cluster == "" || matchesPattern(s.Cluster, cluster)) &&
+		(s.Zone == "" || matchesPattern(s.Zone, zone))
 }
 
-// Allow lets subscribers see pools.
+// Allow lets subscribers receive pools.
 type Allow struct {
 	Name  string   `toml:"name"`  // a DNS name or URI; with a star at its end, all that begin so
 	Pools []string `toml:"pools"` // empty: all
 }
 
-// Fits tells whether a name in a certificate is meant.
-func (a *Allow) Fits(name string) bool { return fits(a.Name, name) }
+// Fits reports whether a name in a certificate is allowed.
+func (a *Allow) Fits(name string) bool { return matchesPattern(a.Name, name) }
 
-func fits(pattern, name string) bool {
-	if begin, all := strings.CutSuffix(pattern, "*"); all {
-		return strings.HasPrefix(name, begin)
+func matchesPattern(pattern, name string) bool {
+	if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
+		return strings.HasPrefix(name, prefix)
 	}
 	return name == pattern
 }
 
-// loopback checks an address behind which nobody is asked who he is.
-func (r *reader) loopback(table, field, address string) {
-	host, _, err := net.SplitHostPort(address)
-	if ip := net.ParseIP(host); err != nil {
-		r.fault(table, 0, field, "%v", err)
-	} else if host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		r.fault(table, 0, field, "%s: it must be of the loopback: nobody is asked who he is there", address)
-	}
-}
+const maxSubscribers = 1e6
 
-func (r *reader) control() {
-	c := r.ControlPlane
-	if c == nil {
+func (r *reader) checkControlPlane() {
+	control := r.file.ControlPlane
+	if control == nil {
 		return
 	}
-	if c.Certificate == "" {
-		r.loopback("control", "address", c.Address)
-	} else if _, _, err := net.SplitHostPort(c.Address); err != nil {
-		r.fault("control", 0, "address", "%v", err)
+	table := r.table("control", 0)
+	if control.Certificate == "" {
+		table.checkLoopback("address", control.Address)
+	} else {
+		table.checkAddress("address", control.Address)
 	}
-	if c.Status != "" {
-		r.loopback("control", "status", c.Status)
+	if control.Status != "" {
+		table.checkLoopback("status", control.Status)
 	}
-	if n := len(strings.Fields(strings.Join([]string{c.Certificate, c.Key, c.Authority}, " "))); n != 0 && (c.Certificate == "" || c.Key == "" || c.Authority == "") {
-		r.fault("control", 0, "certificate", "certificate, key and authority go together")
+	if some, all := control.certificates(); some && !all {
+		table.fail("certificate", "certificate, key and authority go together")
 	}
-	r.within("control", 0, "subscribers", float64(c.Subscribers), 0, 1e6)
-	if len(c.Allow) > 0 && c.Certificate == "" {
-		r.fault("control", 0, "allow", "without certificates nobody has a name")
+	table.checkRange("subscribers", float64(control.Subscribers), 0, maxSubscribers)
+	if len(control.Allow) > 0 && control.Certificate == "" {
+		table.fail("allow", "without certificates nobody has a name")
 	}
-	for i, a := range c.Allow {
-		if a.Name == "" {
-			r.fault("control.allow", i+1, "name", "missing")
-		}
-		for _, pool := range a.Pools {
-			r.known("control.allow", i+1, "pools", "pool", pool, r.poolNames())
-		}
+	r.checkAllow(control.Allow)
+	r.checkSubsets(control.Subsets)
+}
+
+// certificates reports whether some and whether all of the certificate files are set.
+func (c *ControlPlane) certificates() (some, all bool) {
+	all = true
+	for _, file := range []string{c.Certificate, c.Key, c.Authority} {
+		some = some || strings.TrimSpace(file) != ""
+		all = all && file != ""
 	}
-	for i, s := range c.Subsets {
-		if len(s.Pools) == 0 {
-			r.fault("control.subset", i+1, "pools", "missing")
+	return some, all
+}
+
+func (r *reader) checkAllow(list []Allow) {
+	for i, allow := range list {
+		table := r.table("control.allow", i+1)
+		if allow.Name == "" {
+			table.fail("name", "missing")
 		}
-		for _, pool := range s.Pools {
-			r.known("control.subset", i+1, "pools", "pool", pool, r.poolNames())
+		table.checkPools(allow.Pools)
+	}
+}
+
+func (r *reader) checkSubsets(list []Subset) {
+	for i, subset := range list {
+		table := r.table("control.subset", i+1)
+		if len(subset.Pools) == 0 {
+			table.fail("pools", "missing")
 		}
+		table.checkPools(subset.Pools)
+	}
+}
+
+func (t table) checkPools(pools []string) {
+	for _, pool := range pools {
+		t.checkKnown("pools", "pool", pool, t.reader.file.poolNames())
 	}
 }
--- /dev/null
+++ b/internal/config/controlplane_test.go
@@ -0,0 +1,84 @@
+package config
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// minimalFile is the least that a file must have beside the tables under test.
+const minimalFile = `
+[[tariff]]
+name = "t"
+hard_stop = 1.0
+[[pool]]
+name = "p"
+[[route]]
+name = "r"
+prefix = "/"
+pool = "p"
+`
+
+// checkTable checks the first error of a file that begins with a table; empty: there is none.
+func checkTable(t *testing.T, header, table, want string) {
+	t.Helper()
+	_, errs := Read("f.toml", []byte(header+"\n"+table+minimalFile))
+	if want == "" {
+		assert.Empty(t, errs, table)
+	} else if assert.NotEmpty(t, errs, table) {
+		assert.Contains(t, errs[0].Error(), want, table)
+	}
+}
+
+func TestControlPlaneErrors(t *testing.T) {
+	const (
+		address      = "address = \"127.0.0.1:1\"\n"
+		certificates = "certificate = \"c\"\nkey = \"k\"\nauthority = \"a\"\n"
+	)
+	for _, c := range []struct{ table, want string }{
+		{address, ""},
+		{`address = "[::1]:1"` + "\nstatus = \"localhost:2\"", ""},
+		{`address = "0.0.0.0:1"` + "\n" + certificates + "[[control.allow]]\nname = \"edge-*\"\npools = [\"p\"]", ""},
+		{`address = "1"`, "f.toml:2:1: control: address: address 1: missing port"},
+		{`address = "0.0.0.0:1"`, "f.toml:2:1: control: address: 0.0.0.0:1: it must be of the loopback"},
+		{
+			`address = "0.0.0.0:1"` + "\nstatus = \"0.0.0.0:2\"\n" + certificates,
+			"f.toml:3:1: control: status: 0.0.0.0:2: it must be of the loopback",
+		},
+		{address + `key = "k"`, "f.toml:1:1: control: certificate: certificate, key and authority go together"},
+		{address + "subscribers = -1", "f.toml:3:1: control: subscribers: -1"},
+		{address + "[[control.allow]]\nname = \"x\"", "control: allow: without certificates nobody has a name"},
+		{
+			address + certificates + "[[control.allow]]\npools = [\"q\"]",
+			"f.toml:6:1: control.allow: name: missing",
+		},
+		{
+			address + certificates + "[[control.allow]]\nname = \"x\"\npools = [\"q\"]",
+			`f.toml:8:1: control.allow: pools: no pool "q"`,
+		},
+		{address + "[[control.subset]]\nnode = \"x\"", "f.toml:3:1: control.subset: pools: missing"},
+		{`addresz = "127.0.0.1:1"`, "f.toml:2:1: control.addresz: no such field: address?"},
+	} {
+		checkTable(t, "[control]", c.table, c.want)
+	}
+}
+
+func TestCaptureErrors(t *testing.T) {
+	for table, want := range map[string]string{
+		"dir = \"x\"\nring_mb = 9\ndismissed = 0.1\naddress = \"127.0.0.1:1\"": "",
+		"on = true":                             "f.toml:1:1: capture: dir: missing",
+		"dir = \"x\"\naddress = \"10.0.0.1:1\"": "f.toml:3:1: capture: address: 10.0.0.1:1: it must be of the loopback",
+		"dir = \"x\"\ndismissed = 0.1":          "f.toml:3:1: capture: dismissed: it is a trigger",
+		"dir = \"x\"\ntotal_mb = -1":            "f.toml:3:1: capture: total_mb: -1",
+		"dir = \"x\"\nring = 1":                 "f.toml:3:1: capture.ring: no such field",
+	} {
+		checkTable(t, "[capture]", table, want)
+	}
+}
+
+func TestAllowedNames(t *testing.T) {
+	allow := Allow{Name: "edge-*"}
+	assert.True(t, allow.Fits("edge-1") && !allow.Fits("core-1") && !allow.Fits("edge"))
+	allow.Name = "one"
+	assert.True(t, allow.Fits("one") && !allow.Fits("one-1"))
+}
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -15,83 +15,127 @@
 	Fields               map[string]string // by lower-case name
 }
 
-// Get is a field of it.
-func (a *Request) Get(name string) (string, bool) {
-	v, ok := a.Fields[strings.ToLower(name)]
-	return v, ok
+// Get returns a header field of the request, and whether it has it.
+func (r *Request) Get(name string) (string, bool) {
+	value, present := r.Fields[strings.ToLower(name)]
+	return value, present
 }
 
-// Explain says what a request would meet, and why not what else was asked.
-func (s *Config) Explain(w io.Writer, a *Request) error {
-	host, path, query, err := routes.ParseTarget(a.Target)
-	if err != nil {
-		fmt.Fprintf(w, "refused with 400: %v\n", err)
-		return nil
+// Explain writes which route, limits, pool, class and retry rule a request would meet, and why not other routes. The
+// error is the writer's.
+func (c *Config) Explain(w io.Writer, request *Request) error {
+	p := &printer{w: w}
+	c.explain(p, request)
+	return p.err
+}
+
+// printer writes lines until the first error, which it keeps.
+type printer struct {
+	w   io.Writer
+	err error
+}
+
+func (p *printer) printf(format string, args ...any) {
+	if p.err == nil {
+		_, p.err = fmt.Fprintf(p.w, format+"\n", args...)
 	}
-	if host == "" {
-		host = a.Host
-	} else if a.Host != "" && routes.NormalizeHost(a.Host) != routes.NormalizeHost(host) {
-		fmt.Fprintf(w, "refused with 400: the target is for %s, Host says %s\n", host, a.Host)
-		return nil
+}
+
+func (c *Config) explain(p *printer, request *Request) {
+	normal, err := normalize(request)
+	if err != nil {
+		p.printf("rejected with 400: %v", err)
+		return
 	}
-	q := routes.Request{Host: routes.NormalizeHost(host), Method: a.Method, Path: path, Query: query, Fields: a}
-	m, ok, asked := s.RouteTable.Explain(&q)
-	fmt.Fprintf(w, "host %q, method %s, path %q, query %q\n", q.Host, q.Method, q.Path, q.Query)
-	for _, y := range asked {
-		fmt.Fprintf(w, "  route %s (%s %s): %s\n", y.Route.Name, y.Route.Kind, y.Route.Path, y.Reason)
+	match, ok, considered := c.RouteTable.Explain(&normal)
+	p.printf("host %q, method %s, path %q, query %q", normal.Host, normal.Method, normal.Path, normal.Query)
+	for _, other := range considered {
+		p.printf("  route %s (%s %s): %s", other.Route.Name, other.Route.Kind, other.Route.Path, other.Reason)
 	}
 	if !ok {
-		fmt.Fprintln(w, "no route: answered with 404")
-		return nil
-	}
-	terms, act := s.RouteConfig(m.Route), &m.Route.Action
-	fmt.Fprintf(w, "route %s\n", m.Route.Name)
-	for _, name := range terms.Limits {
-		for _, l := range s.File.Limits {
-			if l.Name == name {
-				fmt.Fprintf(w, "limit %s by %s: %s\n", l.Name, l.By, l.said())
-			}
-		}
+		p.printf("no route: answered with 404")
+		return
 	}
+	route, action := c.RouteConfig(match.Route), &match.Route.Action
+	p.printf("route %s", match.Route.Name)
+	c.explainLimits(p, route)
 	switch {
-	case act.Redirect != nil:
-		fmt.Fprintf(w, "redirect %d to %s\n", act.Redirect.Status, m.Location(query))
-		return nil
-	case act.Response != nil:
-		fmt.Fprintf(w, "answer %d, %d bytes\n", act.Response.Status, len(act.Response.Body))
-		return nil
+	case action.Redirect != nil:
+		p.printf("redirect %d to %s", action.Redirect.Status, match.Location(normal.Query))
+	case action.Response != nil:
+		p.printf("answer %d, %d bytes", action.Response.Status, len(action.Response.Body))
+	default:
+		c.explainForwarding(p, request, &match, route)
 	}
-	onward, err := m.UpstreamPath()
+}
+
+// normalize returns a request as routes match it; an error says why it would be rejected.
+func normalize(request *Request) (routes.Request, error) {
+	host, path, query, err := routes.ParseTarget(request.Target)
 	if err != nil {
-		fmt.Fprintf(w, "refused with 400: rewritten: %v\n", err)
-		return nil
+		return routes.Request{}, err
 	}
-	for _, p := range act.Pools {
-		fmt.Fprintf(w, "pool %s, weight %g\n", p.Pool, p.Weight)
+	if host == "" {
+		host = request.Host
+	} else if request.Host != "" && routes.NormalizeHost(request.Host) != routes.NormalizeHost(host) {
+		return routes.Request{}, fmt.Errorf("the target is for %s, Host says %s", host, request.Host)
 	}
-	_, marked := a.Get("Idempotency-Key")
-	rule := s.RetryRule(terms)
-	for _, t := range s.Classes {
-		if t.Name == terms.Class {
-			kind := rule.SafetyOf(a.Method, marked)
-			if kind == limits.RetryKeyed && t.DedupWindow == 0 { // no server knows the mark
-				kind = limits.RetryNever
+	return routes.Request{
+		Host:   routes.NormalizeHost(host),
+		Method: request.Method,
+		Path:   path,
+		Query:  query,
+		Fields: request,
+	}, nil
+}
+
+func (c *Config) explainLimits(p *printer, route *Route) {
+	for _, name := range route.Limits {
+		for _, limit := range c.File.Limits {
+			if limit.Name == name {
+				p.printf("limit %s by %s: %s", limit.Name, limit.By, limit.describe())
 			}
-			fmt.Fprintf(w, "tariff %s: %s, due in %g s, hard stop %g s, value %g\n", t.Name, kind, t.LatencyObjective, t.Deadline, t.PriorityWeight)
 		}
 	}
-	fmt.Fprintf(w, "retry rule %s: %g of recent first legs may be sent again\n", rule.Name, rule.BudgetRatio)
-	_, err = fmt.Fprintf(w, "goes on as %s %s\n", a.Method, onward)
-	return err
 }
 
-func (l *Limit) said() string {
-	var list []string
+func (l *Limit) describe() string {
+	var bounds []string
 	if l.Rate > 0 {
-		list = append(list, fmt.Sprintf("%g a second, %g at once", l.Rate, max(l.Burst, 1)))
+		bounds = append(bounds, fmt.Sprintf("%g a second, %g at once", l.Rate, max(l.Burst, 1)))
 	}
 	if l.Concurrency > 0 {
-		list = append(list, fmt.Sprintf("%d in hand", l.Concurrency))
+		bounds = append(bounds, fmt.Sprintf("%d in flight", l.Concurrency))
+	}
+	return strings.Join(bounds, ", ")
+}
+
+func (c *Config) explainForwarding(p *printer, request *Request, match *routes.Match, route *Route) {
+	path, err := match.UpstreamPath()
+	if err != nil {
+		p.printf("rejected with 400: rewritten: %v", err)
+		return
+	}
+	for _, pool := range match.Route.Action.Pools {
+		p.printf("pool %s, weight %g", pool.Pool, pool.Weight)
+	}
+	rule := c.RetryRule(route)
+	for _, class := range c.Classes {
+		if class.Name == route.Class {
+			p.printf("class %s: %s, latency objective %g s, deadline %g s, priority weight %g", class.Name,
+				retrySafety(rule, request, class), class.LatencyObjective, class.Deadline, class.PriorityWeight)
+		}
+	}
+	p.printf("retry rule %s: %g of recent first attempts may be retried", rule.Name, rule.BudgetRatio)
+	p.printf("forwarded as %s %s", request.Method, path)
+}
+
+// retrySafety returns how a request of a class may be retried. Without a window, no server knows its idempotency key.
+func retrySafety(rule *limits.RetryRule, request *Request, class Class) limits.RetrySafety {
+	_, hasKey := request.Get("Idempotency-Key")
+	safety := rule.SafetyOf(request.Method, hasKey)
+	if safety == limits.RetryKeyed && class.DedupWindow == 0 {
+		return limits.RetryNever
 	}
-	return strings.Join(list, ", ")
+	return safety
 }
