--- a/internal/poller/round.go
+++ b/internal/poller/round.go
@@ -10,62 +10,68 @@
 	"golang.org/x/sys/unix"
 )
 
-// roundMost is how long a round may last.
-const roundMost = 2 * time.Millisecond
+const maxRoundDuration = 2 * time.Millisecond
 
-// Round lets a goroutine go on only when the runtime has looked for what is ready on all connections again. Danger: on a core that is
-// behind, it looks when nobody else can go on, or every 10 ms; work that always begets more work has it look seldom, and what has come
-// by then waits behind that work. It belongs to one goroutine.
+// Round lets a goroutine continue only when the runtime has polled all connections again. An overloaded program polls
+// when no goroutine can run, or every 10 ms; work that always begets more work makes it poll seldom, and what has come
+// by then waits behind that work. A Round belongs to one goroutine.
 type Round struct {
-	file  *os.File // nil: only those that can go on now go first
-	raw   syscall.RawConn
-	first bool
-	take  func(fd uintptr) bool
+	file    *os.File // an eventfd; nil: there is none, and Next only yields to those that can run now
+	raw     syscall.RawConn
+	written bool // in this round
+	read    func(fd uintptr) bool
 }
 
-// NewRound makes one; Close ends it.
+// NewRound returns a round; Close ends it.
 func NewRound() *Round {
-	r := &Round{}
+	round := &Round{}
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
-		return r
+		return round
 	}
 	file := os.NewFile(uintptr(fd), "round")
-	if r.raw, err = file.SyscallConn(); err != nil {
-		file.Close()
-		return r
+	if round.raw, err = file.SyscallConn(); err != nil {
+		closeUnused(file)
+		return round
 	}
-	r.file = file
+	round.file = file
 	one := binary.NativeEndian.AppendUint64(nil, 1)
-	got := make([]byte, 8)
-	r.take = func(fd uintptr) bool {
-		if r.first { // danger: written any sooner, the runtime may have seen it before this goroutine waits for that
-			r.first = false
-			unix.Write(int(fd), one)
+	counter := make([]byte, 8)
+	// The first call in a round writes, so that the runtime's next poll has it called again: written before, the
+	// runtime might have seen the event before this goroutine waits for it. Should either system call fail, the
+	// deadline in Next ends the round.
+	round.read = func(fd uintptr) bool {
+		if !round.written {
+			round.written = true
+			_, _ = unix.Write(int(fd), one)
 			return false
 		}
-		unix.Read(int(fd), got)
+		_, _ = unix.Read(int(fd), counter)
 		return true
 	}
-	return r
+	return round
 }
 
-// Next waits for the next round.
+// Next waits for the next round, 2 ms at the most.
 func (r *Round) Next() {
 	if r.file == nil {
 		runtime.Gosched()
 		return
 	}
-	r.first = true
-	r.file.SetReadDeadline(time.Now().Add(roundMost)) // danger: see Set.Works
-	if r.raw.Read(r.take) != nil {
+	r.written = false
+	// The deadline is for systems on which the event never comes; see Set.Works.
+	if err := r.file.SetReadDeadline(time.Now().Add(maxRoundDuration)); err != nil {
+		runtime.Gosched()
+		return
+	}
+	if err := r.raw.Read(r.read); err != nil {
 		runtime.Gosched()
 	}
 }
 
-// Close ends it. A call of Next under way returns.
+// Close ends the round. A call of Next under way returns.
 func (r *Round) Close() {
 	if r.file != nil {
-		r.file.Close()
+		closeUnused(r.file)
 	}
 }
--- /dev/null
+++ b/internal/poller/set_test.go
@@ -0,0 +1,209 @@
+package poller
+
+import (
+	"io"
+	"net"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const testTimeout = 5 * time.Second
+
+func connect(tb testing.TB, listener net.Listener) (server, client net.Conn) {
+	tb.Helper()
+	client, err := net.Dial("tcp", listener.Addr().String())
+	require.NoError(tb, err)
+	server, err = listener.Accept()
+	require.NoError(tb, err)
+	tb.Cleanup(func() {
+		server.Close()
+		client.Close()
+	})
+	return server, client
+}
+
+func newSet(tb testing.TB) (*Set, net.Listener) {
+	tb.Helper()
+	set := &Set{}
+	tb.Cleanup(set.Close)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(tb, err)
+	tb.Cleanup(func() { listener.Close() })
+	return set, listener
+}
+
+func write(tb testing.TB, conn net.Conn, text string) {
+	tb.Helper()
+	_, err := io.WriteString(conn, text)
+	require.NoError(tb, err)
+}
+
+// receive waits for a wake.
+func receive(woken chan int) (int, bool) {
+	select {
+	case i := <-woken:
+		return i, true
+	case <-time.After(testTimeout):
+		return 0, false
+	}
+}
+
+func TestWaitIsWokenOncePerBegin(t *testing.T) {
+	set, listener := newSet(t)
+	server, client := connect(t, listener)
+	const wokenByBytes, wokenByEnd = 1, 2
+	woken := make(chan int, 10)
+	wait := set.Add(server, func(ended bool) {
+		woken <- wokenByBytes
+		if ended {
+			woken <- wokenByEnd
+		}
+	})
+	assert.False(t, set.Works(), "nobody was woken yet")
+	write(t, client, "early") // before it waits
+	assert.NoError(t, wait.Begin())
+	_, ok := receive(woken)
+	require.True(t, ok)
+	assert.True(t, set.Works())
+	write(t, client, "more")
+	time.Sleep(20 * time.Millisecond)
+	assert.Empty(t, woken, "once for each time that it waits")
+	assert.NoError(t, wait.Begin()) // what it was woken for was not read
+	_, ok = receive(woken)
+	require.True(t, ok)
+	_, err := server.Read(make([]byte, 100))
+	require.NoError(t, err)
+	assert.NoError(t, wait.Begin())
+	time.Sleep(20 * time.Millisecond)
+	assert.Empty(t, woken, "there is nothing to read")
+	client.Close()
+	_, ok = receive(woken)
+	assert.True(t, ok, "the peer's end")
+	got, ok := receive(woken)
+	assert.True(t, ok && got == wokenByEnd, "and that it has ended")
+	wait.Forget()
+	server.Close()
+	assert.Error(t, wait.Begin())
+}
+
+// The descriptor of a connection that was closed is given to another, which must be woken for itself.
+func TestDescriptorsAreUsedAgain(t *testing.T) {
+	set, listener := newSet(t)
+	woken := make(chan int, 10)
+	for i := range 20 {
+		server, client := connect(t, listener)
+		wait := set.Add(server, func(bool) { woken <- i })
+		assert.NoError(t, wait.Begin())
+		write(t, client, "x")
+		got, ok := receive(woken)
+		require.True(t, ok)
+		assert.Equal(t, i, got)
+		if i%2 == 0 {
+			wait.Forget()
+		}
+		server.Close()
+		client.Close()
+	}
+}
+
+func TestManyConnections(t *testing.T) {
+	const rounds, connections = 10, 10 * maxWakes
+	set, listener := newSet(t)
+	var echoing sync.WaitGroup
+	var clients []net.Conn
+	for range connections {
+		server, client := connect(t, listener)
+		woken := make(chan struct{}, 1)
+		wait := set.Add(server, func(bool) { woken <- struct{}{} })
+		echoing.Go(func() {
+			for range rounds {
+				if !assert.NoError(t, wait.Begin()) {
+					return
+				}
+				<-woken
+				echoByte(t, server)
+			}
+		})
+		clients = append(clients, client)
+	}
+	for i := range rounds {
+		sent := byte(i)
+		for _, client := range clients {
+			_, err := client.Write([]byte{sent})
+			require.NoError(t, err)
+		}
+		for _, client := range clients {
+			received := make([]byte, 1)
+			client.SetReadDeadline(time.Now().Add(testTimeout))
+			_, err := io.ReadFull(client, received)
+			require.NoError(t, err)
+			require.Equal(t, sent, received[0])
+		}
+	}
+	echoing.Wait()
+}
+
+func echoByte(t *testing.T, conn net.Conn) {
+	t.Helper()
+	received := make([]byte, 1)
+	_, err := conn.Read(received)
+	assert.NoError(t, err)
+	_, err = conn.Write(received)
+	assert.NoError(t, err)
+}
+
+// On one core, not all connections with bytes are made ready before any of them is served.
+func TestFewAreMadeReadyAtOnce(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
+	set, listener := newSet(t)
+	const connections = 8 * maxWakes
+	var ready, maxReady atomic.Int64
+	var waits []*Wait
+	var served sync.WaitGroup
+	for range connections {
+		server, client := connect(t, listener)
+		write(t, client, "x")
+		woken := make(chan struct{}, 1)
+		waits = append(waits, set.Add(server, func(bool) {
+			maxReady.Store(max(maxReady.Load(), ready.Add(1)))
+			woken <- struct{}{}
+		}))
+		served.Go(func() {
+			<-woken
+			ready.Add(-1)
+		})
+	}
+	for _, wait := range waits {
+		require.NoError(t, wait.Begin())
+	}
+	served.Wait()
+	assert.LessOrEqual(t, maxReady.Load(), int64(3*maxWakes))
+}
+
+// Where the runtime never reports that a round has begun, Next returns all the same.
+func TestRoundsEnd(t *testing.T) {
+	round := NewRound()
+	for range 3 {
+		round.Next()
+	}
+	round.read = func(uintptr) bool { return false } // nothing ever comes
+	began := time.Now()
+	round.Next()
+	assert.GreaterOrEqual(t, time.Since(began), maxRoundDuration)
+	round.Close()
+	round.Next()
+	(&Round{}).Next()
+}
+
+func TestOnlySocketsCanWait(t *testing.T) {
+	set, _ := newSet(t)
+	server, _ := net.Pipe()
+	assert.Nil(t, set.Add(server, nil))
+	set.Close()
+}
