--- a/internal/recvtime/recvtime_test.go
+++ b/internal/recvtime/recvtime_test.go
@@ -12,132 +12,155 @@
 	"golang.org/x/sys/unix"
 )
 
-// stamps waits until the system stamps what comes: the first socket to ask for it has it begin soon after.
-func stamps(t testing.TB, r *Reader, theirs net.Conn) {
-	require.Eventually(t, func() bool {
-		io.WriteString(theirs, "x")
-		r.Read(make([]byte, 1))
-		return !r.Received().IsZero()
-	}, 10*time.Second, time.Millisecond)
+// waitForTimestamps waits until the system stamps what comes: it begins soon after the first socket asks for it.
+func waitForTimestamps(tb testing.TB, reader *Reader, client net.Conn) {
+	tb.Helper()
+	stamped := func() bool {
+		write(tb, client, "x")
+		_, err := reader.Read(make([]byte, 1))
+		return err == nil && !reader.Received().IsZero()
+	}
+	require.Eventually(tb, stamped, 10*time.Second, time.Millisecond)
+}
+
+func connect(tb testing.TB) (server, client net.Conn) {
+	tb.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(tb, err)
+	defer listener.Close()
+	client, err = net.Dial("tcp", listener.Addr().String())
+	require.NoError(tb, err)
+	server, err = listener.Accept()
+	require.NoError(tb, err)
+	tb.Cleanup(func() {
+		server.Close()
+		client.Close()
+	})
+	return server, client
 }
 
-func pair(t testing.TB) (ours, theirs net.Conn) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	theirs, err = net.Dial("tcp", ln.Addr().String())
-	require.NoError(t, err)
-	ours, err = ln.Accept()
-	require.NoError(t, err)
-	t.Cleanup(func() { ours.Close(); theirs.Close() })
-	return ours, theirs
+func write(tb testing.TB, conn net.Conn, text string) {
+	tb.Helper()
+	_, err := io.WriteString(conn, text)
+	assert.NoError(tb, err)
 }
 
-// Danger: the time in which bytes wait for this program, which is busy, would be taken for the other side's.
-func TestReceived(t *testing.T) {
-	ours, theirs := pair(t)
-	r := NewReader(ours)
-	assert.Zero(t, r.Received())
-	stamps(t, r, theirs)
+// The time in which bytes wait for this program, while it is busy, is not counted as the peer's.
+func TestReceivedIsBeforeTheRead(t *testing.T) {
+	server, client := connect(t)
+	reader := NewReader(server)
+	assert.Zero(t, reader.Received())
+	waitForTimestamps(t, reader, client)
 	before := time.Now()
-	io.WriteString(theirs, "hello")
+	write(t, client, "hello")
 	after := time.Now()
 	time.Sleep(50 * time.Millisecond) // busy with other things
-	buf := make([]byte, 10)
-	n, err := r.Read(buf)
+	buffer := make([]byte, 10)
+	n, err := reader.Read(buffer)
 	assert.NoError(t, err)
-	assert.Equal(t, "hello", string(buf[:n]))
-	assert.WithinRange(t, r.Received(), before.Add(-time.Millisecond), after.Add(time.Millisecond))
+	assert.Equal(t, "hello", string(buffer[:n]))
+	assert.WithinRange(t, reader.Received(), before.Add(-time.Millisecond), after.Add(time.Millisecond))
 
 	go func() {
 		time.Sleep(10 * time.Millisecond)
-		io.WriteString(theirs, "more")
+		write(t, client, "more")
 	}()
-	n, err = r.Read(buf) // waits for it
+	n, err = reader.Read(buffer) // waits for it
 	assert.NoError(t, err)
-	assert.Equal(t, "more", string(buf[:n]))
-	theirs.Close()
-	_, err = r.Read(buf)
+	assert.Equal(t, "more", string(buffer[:n]))
+	client.Close()
+	_, err = reader.Read(buffer)
 	assert.Equal(t, io.EOF, err)
-	_, err = r.Read(buf)
+	_, err = reader.Read(buffer)
 	assert.Equal(t, io.EOF, err)
 }
 
-// Danger: an answer that came in time is taken for none because this program was held up until after its deadline.
-func TestPastDeadline(t *testing.T) {
-	ours, theirs := pair(t)
-	r := NewReader(ours)
-	io.WriteString(theirs, "in time")
+// A response that came in time is read, although this program was held up until after its deadline.
+func TestReadPastDeadline(t *testing.T) {
+	server, client := connect(t)
+	reader := NewReader(server)
+	write(t, client, "in time")
 	time.Sleep(10 * time.Millisecond)
-	ours.SetReadDeadline(time.Unix(1, 0))
-	buf := make([]byte, 10)
-	n, err := r.Read(buf)
+	server.SetReadDeadline(time.Unix(1, 0))
+	buffer := make([]byte, 10)
+	n, err := reader.Read(buffer)
 	assert.NoError(t, err)
-	assert.Equal(t, "in time", string(buf[:n]))
-	_, err = r.Read(buf)
+	assert.Equal(t, "in time", string(buffer[:n]))
+	_, err = reader.Read(buffer)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	ours.Close()
-	_, err = r.Read(buf)
+	server.Close()
+	_, err = reader.Read(buffer)
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-func TestNoSocket(t *testing.T) {
-	ours, theirs := net.Pipe()
-	r := NewReader(ours)
-	go io.WriteString(theirs, "hello")
-	n, err := r.Read(make([]byte, 10))
+func TestReadWithoutSocket(t *testing.T) {
+	server, client := net.Pipe()
+	reader := NewReader(server)
+	go write(t, client, "hello")
+	n, err := reader.Read(make([]byte, 10))
 	assert.NoError(t, err)
 	assert.Equal(t, 5, n)
-	assert.Zero(t, r.Received())
+	assert.Zero(t, reader.Received())
 }
 
 func TestReset(t *testing.T) {
-	one, other := pair(t)
-	r := NewReader(one)
-	stamps(t, r, other)
-	two, _ := pair(t)
-	r.Reset(two)
-	assert.Zero(t, r.Received())
-	two.Close()
-	_, err := r.Read(make([]byte, 1))
+	first, client := connect(t)
+	reader := NewReader(first)
+	waitForTimestamps(t, reader, client)
+	second, _ := connect(t)
+	reader.Reset(second)
+	assert.Zero(t, reader.Received())
+	second.Close()
+	_, err := reader.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// Danger: a clock that was set between a stamp and its reading would tell waits of hours, or of less than nothing.
-func TestClockSet(t *testing.T) {
+// A clock that was set between a timestamp and its reading would show waits of hours, or below zero.
+func TestReceiveTimeWhenTheClockIsSet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name   string
 		before time.Duration // now
 		known  bool
-	}{{"just now", 0, true}, {"a while ago", time.Second, true}, {"set forward", time.Hour, false}, {"set back", -time.Millisecond, false}} {
-		at := now.Add(-c.before)
-		got := when(unix.NsecToTimespec(at.UnixNano()), now)
-		assert.Equal(t, c.known, !got.IsZero(), c.name)
+	}{
+		{"just now", 0, true},
+		{"a while ago", time.Second, true},
+		{"set forward", time.Hour, false},
+		{"set back", -time.Millisecond, false},
+	} {
+		stamp := unix.NsecToTimespec(now.Add(-c.before).UnixNano())
+		received := receiveTime(stamp, now)
+		assert.Equal(t, c.known, !received.IsZero(), c.name)
 		if c.known {
-			assert.Equal(t, c.before, now.Sub(got), c.name)
+			assert.Equal(t, c.before, now.Sub(received), c.name)
 		}
 	}
 }
 
-// BenchmarkRead tells what a read costs with times and without.
+// BenchmarkRead measures a read with receive times and without.
 func BenchmarkRead(b *testing.B) {
 	for _, c := range []struct {
-		name string
-		from func(nc net.Conn) io.Reader
-	}{{"plain", func(nc net.Conn) io.Reader { return nc }}, {"stamped", func(nc net.Conn) io.Reader { return NewReader(nc) }}} {
+		name   string
+		reader func(conn net.Conn) io.Reader
+	}{
+		{"plain", func(conn net.Conn) io.Reader { return conn }},
+		{"stamped", func(conn net.Conn) io.Reader { return NewReader(conn) }},
+	} {
 		b.Run(c.name, func(b *testing.B) {
-			ours, theirs := pair(b)
-			from, one := c.from(ours), make([]byte, 1)
+			server, client := connect(b)
+			reader, one := c.reader(server), make([]byte, 1)
 			chunk := make([]byte, 1<<10)
 			b.ReportAllocs()
-			for i := 0; i < b.N; i++ {
+			for i := range b.N {
 				if i%len(chunk) == 0 {
 					b.StopTimer()
-					theirs.Write(chunk)
+					_, err := client.Write(chunk)
+					require.NoError(b, err)
 					b.StartTimer()
 				}
-				from.Read(one)
+				if _, err := reader.Read(one); err != nil {
+					b.Fatal(err)
+				}
 			}
 		})
 	}
