--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy is a TCP relay on loopback that plants faults between two programs: bytes that are late or come at a trickle,
-// connections that are cut or half open, and an address that refuses. Tests and rigs use it; it never enters a proxy's program.
+// Package faultproxy is a TCP relay on loopback that plants faults between two programs: bytes that are late or come
+// slowly, connections that are cut or half open, and an address that refuses connections. Tests and simulations use it;
+// it never enters a proxy's program.
 package faultproxy
 
 import (
@@ -8,70 +9,75 @@
 	"time"
 )
 
-// Fault is what befalls the bytes of all connections from now on. At rest they pass.
+// Fault is what happens to the bytes of all connections from now on. Those of the zero value pass.
 type Fault struct {
-	Delay  time.Duration // before each piece is passed on
-	Pace   int           // bytes a second at most, in each direction; 0: no bound
-	Silent bool          // nothing is passed on, and nobody is told: half open
-	Refuse bool          // connections are cut as they come
+	Delay  time.Duration // before each piece is relayed
+	Pace   int           // the most bytes a second, in each direction; 0: no bound
+	Silent bool          // nothing is relayed, and neither side is notified: half open
+	Refuse bool          // connections are closed as soon as they are accepted
 }
 
 const (
-	pieceMost = 32 << 10              // bytes passed on at once
-	lookEvery = 10 * time.Millisecond // whether silence is over
-	pieces    = 100                   // a second, where there is a pace
+	maxPieceBytes       = 32 << 10 // relayed at once
+	silenceInterval     = 10 * time.Millisecond
+	pacePiecesPerSecond = 100 // while there is a pace
 )
 
-// Relay is one. Its methods may be called by anyone.
+// Relay is a relay to one address. Its methods are safe for concurrent use.
 type Relay struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	fault Fault
-	conns map[net.Conn]bool
-	over  chan struct{}
-	work  sync.WaitGroup
+	listener net.Listener
+	target   string
+	mu       sync.Mutex
+	fault    Fault
+	conns    map[net.Conn]bool // of both sides
+	closed   chan struct{}
+	work     sync.WaitGroup
 }
 
-// Open relays what connects to a new address on loopback to another.
-func Open(to string) (*Relay, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// Open starts a relay from a new address on loopback to a target. Its goroutines end with Close.
+func Open(target string) (*Relay, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{ln: ln, to: to, conns: map[net.Conn]bool{}, over: make(chan struct{})}
-	r.work.Go(r.accept)
-	return r, nil
+	relay := &Relay{
+		listener: listener,
+		target:   target,
+		conns:    map[net.Conn]bool{},
+		closed:   make(chan struct{}),
+	}
+	relay.work.Go(relay.accept)
+	return relay, nil
 }
 
-// Addr is where to connect.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+// Addr returns the address that the relay accepts connections on.
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set plants a fault in place of the one before.
-func (r *Relay) Set(f Fault) {
+// Set plants a fault in the place of the one before.
+func (r *Relay) Set(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = f
+	r.fault = fault
 }
 
-// Cut ends all connections that there are.
+// Cut closes all connections that there are.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c := range r.conns {
-		c.Close()
+	for conn := range r.conns {
+		conn.Close()
 	}
 }
 
-// Close ends it.
+// Close closes the relay and waits for its goroutines. It is to be called once.
 func (r *Relay) Close() {
-	close(r.over)
-	r.ln.Close()
+	close(r.closed)
+	r.listener.Close()
 	r.Cut()
 	r.work.Wait()
 }
 
-func (r *Relay) now() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -79,61 +85,81 @@
 
 func (r *Relay) accept() {
 	for {
-		in, err := r.ln.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if r.now().Refuse {
-			in.Close()
+		if r.currentFault().Refuse {
+			client.Close()
 			continue
 		}
-		out, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			in.Close()
+			client.Close()
 			continue
 		}
 		r.mu.Lock()
-		r.conns[in], r.conns[out] = true, true
+		r.conns[client], r.conns[server] = true, true
 		r.mu.Unlock()
-		r.work.Go(func() { r.pass(in, out) })
-		r.work.Go(func() { r.pass(out, in) })
+		r.work.Go(func() { r.relay(client, server) })
+		r.work.Go(func() { r.relay(server, client) })
 	}
 }
 
-// pass brings bytes one way until an end closes.
-func (r *Relay) pass(from, to net.Conn) {
-	defer func() {
-		from.Close()
-		to.Close()
-		r.mu.Lock()
-		delete(r.conns, from)
-		delete(r.conns, to)
-		r.mu.Unlock()
-	}()
-	buf := make([]byte, pieceMost)
+// relay relays bytes one way until either side closes, and closes both.
+func (r *Relay) relay(from, to net.Conn) {
+	defer r.remove(from, to)
+	buffer := make([]byte, maxPieceBytes)
 	for {
-		most := len(buf)
-		if pace := r.now().Pace; pace > 0 {
-			most = min(max(pace/pieces, 1), most)
-		}
-		n, err := from.Read(buf[:most])
+		n, err := from.Read(buffer[:r.pieceBytes()])
 		if err != nil {
 			return
 		}
-		f := r.now()
-		for ; f.Silent; f = r.now() {
-			select {
-			case <-r.over:
-				return
-			case <-time.After(lookEvery):
-			}
+		fault, ok := r.waitWhileSilent()
+		if !ok {
+			return
 		}
-		if f.Pace > 0 {
-			time.Sleep(time.Duration(n) * time.Second / time.Duration(f.Pace))
+		if fault.Pace > 0 {
+			time.Sleep(time.Duration(n) * time.Second / time.Duration(fault.Pace))
 		}
-		time.Sleep(f.Delay)
-		if _, err := to.Write(buf[:n]); err != nil {
+		time.Sleep(fault.Delay)
+		if _, err := to.Write(buffer[:n]); err != nil {
 			return
 		}
 	}
 }
+
+func (r *Relay) remove(conns ...net.Conn) {
+	for _, conn := range conns {
+		conn.Close()
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, conn := range conns {
+		delete(r.conns, conn)
+	}
+}
+
+// pieceBytes returns how many bytes are read at once.
+func (r *Relay) pieceBytes() int {
+	pace := r.currentFault().Pace
+	if pace <= 0 {
+		return maxPieceBytes
+	}
+	return min(max(pace/pacePiecesPerSecond, 1), maxPieceBytes)
+}
+
+// waitWhileSilent waits while the fault is Silent and returns the next; false: the relay was closed meanwhile.
+func (r *Relay) waitWhileSilent() (Fault, bool) {
+	for {
+		fault := r.currentFault()
+		if !fault.Silent {
+			return fault, true
+		}
+		select {
+		case <-r.closed:
+			return Fault{}, false
+		case <-time.After(silenceInterval):
+		}
+	}
+}
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -11,61 +11,75 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo gives back what it gets.
-func echo(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+const testTimeout = 5 * time.Second
+
+// startEchoServer starts a server that sends back what it receives.
+func startEchoServer(t *testing.T) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); io.Copy(c, c) }()
+			go echo(conn)
 		}
 	}()
-	return ln.Addr().String()
+	return listener.Addr().String()
+}
+
+func echo(conn net.Conn) {
+	defer conn.Close()
+	_, _ = io.Copy(conn, conn) // the client sees whether it worked
+}
+
+func dial(t *testing.T, relay *Relay) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", relay.Addr())
+	require.NoError(t, err)
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// roundTrip sends a text and waits for its echo.
+func roundTrip(conn net.Conn, text string, timeout time.Duration) (time.Duration, error) {
+	began := time.Now()
+	conn.SetDeadline(began.Add(timeout))
+	if _, err := io.WriteString(conn, text); err != nil {
+		return 0, err
+	}
+	_, err := io.ReadFull(conn, make([]byte, len(text)))
+	return time.Since(began), err
 }
 
 func TestFaults(t *testing.T) {
-	r, err := Open(echo(t))
+	relay, err := Open(startEchoServer(t))
 	require.NoError(t, err)
-	t.Cleanup(r.Close)
+	t.Cleanup(relay.Close)
 	text := strings.Repeat("x", 2000)
-	ask := func(c net.Conn, wait time.Duration) (took time.Duration, err error) {
-		began := time.Now()
-		io.WriteString(c, text)
-		c.SetReadDeadline(began.Add(wait))
-		_, err = io.ReadFull(c, make([]byte, len(text)))
-		return time.Since(began), err
-	}
-	dial := func() net.Conn {
-		c, err := net.Dial("tcp", r.Addr())
-		require.NoError(t, err)
-		t.Cleanup(func() { c.Close() })
-		return c
-	}
-	c := dial()
-	_, err = ask(c, 5*time.Second)
+	conn := dial(t, relay)
+	_, err = roundTrip(conn, text, testTimeout)
 	assert.NoError(t, err)
-	for _, f := range []Fault{{Delay: 50 * time.Millisecond}, {Pace: 20_000}} {
-		r.Set(f)
-		took, err := ask(c, 5*time.Second)
+	for _, fault := range []Fault{{Delay: 50 * time.Millisecond}, {Pace: 20_000}} {
+		relay.Set(fault)
+		duration, err := roundTrip(conn, text, testTimeout)
 		assert.NoError(t, err)
-		assert.Greater(t, took, 90*time.Millisecond, "%+v, both ways", f)
+		assert.Greater(t, duration, 90*time.Millisecond, "%+v, both ways", fault)
 	}
-	r.Set(Fault{Silent: true})
-	_, err = ask(c, 100*time.Millisecond)
+	relay.Set(Fault{Silent: true})
+	_, err = roundTrip(conn, text, 100*time.Millisecond)
 	assert.ErrorContains(t, err, "timeout")
-	r.Set(Fault{})
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	_, err = io.ReadFull(c, make([]byte, len(text)))
+	relay.Set(Fault{})
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	_, err = io.ReadFull(conn, make([]byte, len(text)))
 	assert.NoError(t, err, "what was held back comes after all")
-	r.Cut()
-	_, err = ask(c, 5*time.Second)
+	relay.Cut()
+	_, err = roundTrip(conn, text, testTimeout)
 	assert.Error(t, err)
-	r.Set(Fault{Refuse: true})
-	_, err = ask(dial(), 5*time.Second)
+	relay.Set(Fault{Refuse: true})
+	_, err = roundTrip(dial(t, relay), text, testTimeout)
 	assert.Error(t, err)
 }
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Asserted says whether a broken invariant ends the program.
+// Asserted reports whether a broken invariant ends the program.
 const Asserted = true
 
 func fail(name string) { panic("does not hold: " + name) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant checks what must hold. With the build tag debug a broken one ends the program; without it
-// a broken one is counted, and the counts are for the log.
+// Package invariant checks what must always hold. With the build tag debug a broken invariant ends the program; without
+// it, it is counted, and the counts are logged.
 package invariant
 
 import (
@@ -7,20 +7,21 @@
 	"sync"
 )
 
+// The broken invariants since the start, by name.
 var (
 	mu     sync.Mutex
 	broken = map[string]int{}
 )
 
-// Holds checks one; the name says what must hold.
-func Holds(ok bool, name string) bool {
-	if !ok {
+// Holds checks an invariant and returns whether it holds. The name says what must hold.
+func Holds(holds bool, name string) bool {
+	if !holds {
 		fail(name)
 	}
-	return ok
+	return holds
 }
 
-// Broken tells how often each was broken since the start.
+// Broken returns how often each invariant was found broken since the start. It may be called concurrently.
 func Broken() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
