--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,13 +1,22 @@
 package admin
 
 import (
-	"net/http"
 	"net/url"
 	"strings"
 
 	"lockloom/internal/http1"
 )
 
+// Those of net/http would bring that package into the platform's program, which does without it.
+const (
+	methodGet = "GET"
+	methodPut = "PUT"
+
+	statusBadRequest       = 400
+	statusNotFound         = 404
+	statusMethodNotAllowed = 405
+)
+
 // Action is what a call asks for.
 type Action uint8
 
@@ -44,9 +53,9 @@
 // Method returns the HTTP method of the call.
 func (c Call) Method() string {
 	if c.Action == Ready {
-		return http.MethodGet
+		return methodGet
 	}
-	return http.MethodPut
+	return methodPut
 }
 
 // Path returns the HTTP path of the call.
@@ -65,12 +74,12 @@
 	}
 	if string(head.Method) != call.Method() {
 		return Call{}, &http1.Error{
-			Status: http.StatusMethodNotAllowed,
+			Status: statusMethodNotAllowed,
 			Text:   "this call is made with " + call.Method(),
 		}
 	}
 	if head.Length > 0 || head.Chunked {
-		return Call{}, &http1.Error{Status: http.StatusBadRequest, Text: "a call has no body"}
+		return Call{}, &http1.Error{Status: statusBadRequest, Text: "a call has no body"}
 	}
 	return call, nil
 }
@@ -88,11 +97,11 @@
 		action = Enable
 	}
 	if !aboutServer || name != action.String() {
-		return Call{}, &http1.Error{Status: http.StatusNotFound, Text: "no such call"}
+		return Call{}, &http1.Error{Status: statusNotFound, Text: "no such call"}
 	}
 	id, err := url.PathUnescape(escapedID)
 	if err != nil || id == "" {
-		return Call{}, &http1.Error{Status: http.StatusBadRequest, Text: "malformed id of a backend"}
+		return Call{}, &http1.Error{Status: statusBadRequest, Text: "malformed id of a backend"}
 	}
 	return Call{Action: action, ID: id}, nil
 }
