--- /dev/null
+++ b/internal/discovery/call.go
@@ -0,0 +1,109 @@
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+
+	"lockloom/internal/discovery/notification"
+	"lockloom/internal/http1"
+	"lockloom/internal/recvtime"
+)
+
+const (
+	dialTimeout  = time.Second // to an agent on the same machine
+	maxListBytes = 4 << 20     // of a list: some ten thousand endpoints
+)
+
+// call is one call for the list, with a goroutine of its own. It delivers events until its end, which is the last one.
+type call struct {
+	stop    context.CancelFunc
+	watch   *Watch // of which only Addr and Dial are read here
+	version int64  // from which on it follows the list
+	events  chan<- event
+}
+
+// run makes the call and delivers its events until it or the context ends.
+func (c *call) run(ctx context.Context) {
+	deliver := func(e event) {
+		e.from = c
+		select {
+		case c.events <- e:
+		case <-ctx.Done():
+		}
+	}
+	result, err := c.follow(ctx, deliver)
+	deliver(event{err: err, result: result})
+}
+
+// follow connects, asks for the list and delivers its events. It returns how and why the call ended.
+func (c *call) follow(ctx context.Context, deliver func(event)) (notification.CallResult, error) {
+	conn, err := c.dial(ctx)
+	if err != nil {
+		return notification.Refused, err
+	}
+	defer conn.Close()
+	closeWithContext := context.AfterFunc(ctx, func() { conn.Close() })
+	defer closeWithContext()
+	conn.SetDeadline(time.Now().Add(toDuration(notification.ResponseTimeout)))
+	request := fmt.Appendf(nil, "GET /discovery/hosts?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+		c.version, c.watch.Addr)
+	if _, err := conn.Write(request); err != nil {
+		return notification.Refused, err
+	}
+	source := recvtime.NewReader(conn)
+	response := http1.NewReader(source)
+	head, err := response.Response()
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return notification.NoResponse, err
+	case err != nil:
+		return notification.Refused, err
+	case head.Status != 200 || !head.Chunked:
+		return notification.Rejected, fmt.Errorf("no stream: status %d", head.Status)
+	}
+	objects := &objectReader{source: response.Rest(), conn: conn}
+	return notification.Broken, readLists(objects, receiveTime(source), deliver)
+}
+
+func (c *call) dial(ctx context.Context) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	return c.watch.Dial(ctx, c.watch.Addr)
+}
+
+// readLists delivers the lists and heartbeats of a stream, and returns why the stream ended. A malformed list ends it:
+// the list as it was stays in force.
+func readLists(objects *objectReader, receivedAt func() time.Time, deliver func(event)) error {
+	objects.onGap = func() { deliver(event{receivedAt: receivedAt()}) }
+	scanner := bufio.NewScanner(objects)
+	scanner.Buffer(nil, maxListBytes)
+	scanner.Split(objects.split)
+	for scanner.Scan() {
+		var list List
+		if err := json.Unmarshal(scanner.Bytes(), &list); err != nil {
+			return fmt.Errorf("malformed list: %w", err)
+		}
+		deliver(event{receivedAt: receivedAt(), list: &list})
+	}
+	if err := scanner.Err(); err != nil {
+		return err
+	}
+	return errors.New("ended by discovery")
+}
+
+// receiveTime returns a function that says when the bytes read last reached this machine: an overloaded process may
+// read them much later. Where the system cannot tell, it is now.
+func receiveTime(source *recvtime.Reader) func() time.Time {
+	return func() time.Time {
+		if at := source.Received(); !at.IsZero() {
+			return at
+		}
+		return time.Now()
+	}
+}
