--- /dev/null
+++ b/internal/upstream/outcome_test.go
@@ -0,0 +1,226 @@
+package upstream
+
+import (
+	"io"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/balance"
+)
+
+// What a response, or its failure, proves.
+func TestOutcomeOfResponse(t *testing.T) {
+	const noBody = "Content-Length: 0\r\n\r\n"
+	for _, c := range []struct {
+		name, response string
+		ends           bool // the server closes after it
+		want           balance.Outcome
+		reused         bool // the connection is used again
+	}{
+		{"successful", okResponse, false, balance.Succeeded, true},
+		{"successful to the close", "HTTP/1.1 200 OK\r\n\r\nok", true, balance.Succeeded, false},
+		{"successful and closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false,
+			balance.Succeeded, false},
+		{"more than one response", okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false,
+			balance.Succeeded, false},
+		{"error", "HTTP/1.1 500 x\r\n" + noBody, false, balance.ServerError, true},
+		{"rejected", "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\n" + noBody, false, balance.ServerRejected, true},
+		{"rejected late", "HTTP/1.1 504 x\r\nx-never-ran: 1\r\n" + noBody, false, balance.ServerRejected, true},
+		{"503 that may have run", "HTTP/1.1 503 x\r\n" + noBody, false, balance.ServerError, true},
+		{"never ran, but of no such status", "HTTP/1.1 500 x\r\nX-Never-Ran: 1\r\n" + noBody, false,
+			balance.ServerError, true},
+		{"invalid request", "HTTP/1.1 404 x\r\n" + noBody, false, balance.InvalidRequest, true},
+		{"too many requests", "HTTP/1.1 429 x\r\n" + noBody, false, balance.ServerError, true},
+		{"other success", "HTTP/1.1 206 x\r\n" + noBody, false, balance.ServerError, true},
+		{"reset", "", true, balance.ConnectionLost, false},
+		{"cut within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", true, balance.ConnectionLost, false},
+		{"malformed", "what?\r\n\r\n", false, balance.ConnectionLost, false},
+		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n", false, balance.ConnectionLost, false},
+		{"silent", "", false, balance.TimedOut, false},
+		{"silent within the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", false, balance.TimedOut, false},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			p := newTestPool()
+			_, got := p.attempt(0)
+			end := <-p.ends
+			readRequest(t, end)
+			respond(end, c.response)
+			if c.ends {
+				end.Close()
+			}
+			p.settle()
+			if c.want == balance.TimedOut {
+				assert.Empty(t, *got, c.name)
+				time.Sleep(time.Second)
+				p.settle()
+			}
+			if assert.Len(t, *got, 1, c.name) {
+				r := (*got)[0]
+				assert.Equal(t, c.want, r.Outcome, c.name)
+				if c.want == balance.Succeeded {
+					assert.Equal(t, "ok", string(r.Body), c.name)
+				}
+				if c.response == okResponse {
+					assert.Equal(t, "X-Kept: 1\r\n", string(r.Fields))
+				}
+			}
+			assert.Equal(t, c.reused, p.Total() == 1, c.name)
+			p.Close()
+			p.settle()
+			assert.Zero(t, p.Total(), c.name)
+			end.Close()
+		})
+	}
+}
+
+// A large response that does not stream takes only memory that was reserved for it.
+func TestLargeResponseIsStoredInReservedMemory(t *testing.T) {
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	for _, c := range []struct {
+		name, head string
+		size       int
+		freeMemory int64
+		want       balance.Outcome
+	}{
+		{"enough memory", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 400000, balance.Succeeded},
+		{"too little memory", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 399999, balance.ConnectionLost},
+		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 399999, 1 << 30, balance.ConnectionLost},
+		{"too large in any case", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 400000, 1 << 40,
+			balance.ConnectionLost},
+		{"chunks", chunked + "61a80\r\n", 400000, maxReservedBytes, balance.Succeeded},
+		{"chunks without memory", chunked + "61a80\r\n", 400000, 0, balance.ConnectionLost},
+		{"chunks without end", chunked + "ffffff\r\n", 2 * maxReservedBytes, 1 << 30, balance.ConnectionLost},
+		{"to the close", "HTTP/1.1 200 OK\r\n\r\n", 400000, maxReservedBytes, balance.Succeeded},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			p := newTestPool()
+			p.freeMemory = c.freeMemory
+			_, got := p.attempt(0)
+			end := <-p.ends
+			readRequest(t, end)
+			respond(end, c.head)
+			respond(end, strings.Repeat("x", c.size))
+			if strings.HasPrefix(c.head, chunked) && c.want == balance.Succeeded {
+				respond(end, "\r\n0\r\n\r\n")
+			}
+			end.Close()
+			p.settle()
+			if assert.Len(t, *got, 1, c.name) {
+				r := (*got)[0]
+				assert.Equal(t, c.want, r.Outcome, c.name)
+				if c.want == balance.Succeeded {
+					assert.Len(t, r.Body, c.size, c.name)
+					assert.Equal(t, c.freeMemory-p.freeMemory, r.ReservedBytes, "whoever gets it gives it back: %s", c.name)
+				}
+			}
+			p.Close()
+			p.settle()
+		})
+	}
+}
+
+func TestRequestThatIsNotCompleteNeverRan(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		set  func(*testPool)
+		cut  bool // the server reads a part of the request, then closes
+		want balance.Outcome
+	}{
+		{"refused", func(p *testPool) { p.refuses = true }, false, balance.ConnectFailed},
+		{"never open", func(p *testPool) { p.hangs = true }, false, balance.ConnectFailed},
+		{"broken before the last byte", func(*testPool) {}, true, balance.ConnectFailed},
+		{"not read in time", func(*testPool) {}, false, balance.ConnectFailed},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			p := newTestPool()
+			c.set(p)
+			began := time.Now()
+			_, got := p.attempt(0)
+			if c.cut {
+				end := <-p.ends
+				_, err := io.ReadFull(end, make([]byte, 5))
+				assert.NoError(t, err)
+				end.Close()
+			}
+			p.settle()
+			time.Sleep(75 * time.Millisecond)
+			p.settle()
+			if len(*got) == 0 {
+				time.Sleep(time.Second)
+				p.settle()
+			}
+			if assert.Len(t, *got, 1, c.name) {
+				assert.Equal(t, c.want, (*got)[0].Outcome, c.name)
+			}
+			if c.name == "never open" {
+				assert.Equal(t, p.ConnectTimeout, (*got)[0].EndedAt.Sub(began))
+			}
+			assert.Zero(t, p.Total())
+		})
+	}
+}
+
+// A response that comes while its request is still being written does not wait for a body that nobody reads. A 200
+// cannot be the response to it: a server begins with the last byte.
+func TestResponseBeforeRequestIsWritten(t *testing.T) {
+	for _, c := range []struct {
+		response string
+		want     balance.Outcome
+	}{
+		{"HTTP/1.1 503 too many connections\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balance.ServerRejected},
+		{"HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n", balance.ServerError},
+		{okResponse, balance.ConnectFailed},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			p := newTestPool()
+			began := time.Now()
+			_, got := p.attempt(0)
+			end := <-p.ends
+			synctest.Wait() // until its writer waits for the server, which reads nothing
+			respond(end, c.response)
+			time.Sleep(2 * lateWriteTimeout)
+			p.settle()
+			if assert.Len(t, *got, 1) {
+				assert.Equal(t, c.want, (*got)[0].Outcome)
+				assert.Equal(t, began, (*got)[0].EndedAt)
+			}
+			assert.Zero(t, p.Total())
+		})
+	}
+}
+
+// A late response to a canceled attempt does not reach the next request on its connection.
+func TestCancel(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := newTestPool()
+		ex, got := p.attempt(0)
+		<-p.ends
+		p.settle() // nothing of it is read: its last byte is not written
+		p.Cancel(ex)
+		p.settle()
+		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
+
+		ex, got = p.attempt(0)
+		end := <-p.ends
+		readRequest(t, end)
+		p.Cancel(ex)
+		p.Cancel(ex)
+		p.settle()
+		assert.Equal(t, balance.Canceled, (*got)[0].Outcome)
+		_, err := end.Write([]byte(okResponse))
+		assert.Error(t, err)
+		assert.Zero(t, p.Total())
+
+		p.hangs = true
+		ex, got = p.attempt(0)
+		p.settle()
+		p.Cancel(ex)
+		time.Sleep(p.ConnectTimeout)
+		p.settle()
+		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
+	})
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream keeps the connections to servers. A Pool belongs to one goroutine, its owner; what its
-// connections have to tell comes back to that goroutine.
+// Package upstream keeps the connections to servers and sends requests over them. A Pool belongs to one goroutine, its
+// owner: only the owner calls its methods, and the results of exchanges are reported on that goroutine.
 //
-// Nothing is ever sent again from here: each exchange is written once at most, and its result says what that
-// proves.
+// Nothing is sent twice from here: each exchange is written once at most, and its Outcome says what that proves; see
+// outcome.go.
 package upstream
 
 import (
@@ -13,191 +13,210 @@
 	"time"
 )
 
-// Pool hands out connections, the one idle for longest first: what a server sends behind an answer, or its closing, has
-// come by then.
+// Pool hands out connections, of a server's idle ones the longest idle first: what a server sends after a response, or
+// its close, has arrived by then.
 type Pool struct {
-	ConnectTimeout time.Duration          // a connection that is not up by then never comes up
-	IdleTimeout    time.Duration          // one idle for so long is closed
-	MaxConnections int                    // connections at once, those being opened included
-	ReserveMemory  func(bytes int64) bool // asks for room for a large answer; who gets its Result gives back what it holds
-
-	Opened, Retired, Lost, Full int // counted
-
-	dial     func(ctx context.Context, addr string) (net.Conn, error)
-	post     func(func()) // runs a function on the owner's goroutine
-	shut     atomic.Bool  // no connection is kept any more
-	came     func()       // nil but in tests: bytes have come on a connection, and are not looked at yet
-	backends []*backend   // by index
-	total    int
-}
-
-// server is where one server listens and the connections to it that are idle, the last used last.
-type backend struct {
-	addr    string
-	started float64
-	era     int // a connection of an earlier one is not used again
-	idle    []*conn
-	open    int          // connections, idle or not
-	until   atomic.Int64 // nothing is written to it from then on, in Unix nanoseconds; 0: no such bound
-}
-
-// New makes a pool whose connections are opened by dial and report through post.
+	ConnectTimeout time.Duration          // a connection that is not open by then has failed
+	IdleTimeout    time.Duration          // a connection that is idle for so long is closed
+	MaxConnections int                    // at once, those that are being opened included
+	ReserveMemory  func(bytes int64) bool // asks for memory for a large response; called by any goroutine
+	Counters
+
+	dial    func(ctx context.Context, addr string) (net.Conn, error)
+	post    func(func()) // runs a function on the owner's goroutine
+	closed  atomic.Bool  // no connection is kept any more
+	onBytes func()       // nil but in tests: called when bytes have come, before it is decided what they are
+	servers []*server    // by index
+	total   int          // connections
+}
+
+// Counters count since the pool was made.
+type Counters struct {
+	Opened  int // connections that were begun to be opened
+	Retired int // idle connections that were closed here
+	Lost    int // idle connections that their server closed
+	Full    int // exchanges that were not sent because of MaxConnections
+}
+
+// server is where one server listens, and the connections to it.
+type server struct {
+	addr       string
+	startedAt  float64
+	generation int           // a connection of an earlier one is not used again
+	idle       []*connection // the last used last
+	open       int           // connections, idle or not
+	stopsAt    atomic.Int64  // nothing is written to it from then on, in Unix nanoseconds; 0: no such bound
+}
+
+// New returns a pool without servers. dial opens its connections, and post runs a function on the owner's goroutine;
+// dial is called by any goroutine, and so is post.
 func New(dial func(ctx context.Context, addr string) (net.Conn, error), post func(func())) *Pool {
 	return &Pool{dial: dial, post: post}
 }
 
-// SetEndpoint says where a server listens. What is idle to it is closed where it moved or began anew.
+// SetEndpoint sets where a server listens and when it started. Idle connections to it are closed if either has changed.
 func (p *Pool) SetEndpoint(index int, addr string, started float64) {
-	for len(p.backends) <= index {
-		p.backends = append(p.backends, &backend{})
+	for len(p.servers) <= index {
+		p.servers = append(p.servers, &server{})
 	}
-	b := p.backends[index]
-	if b.addr != addr || b.started != started {
-		b.addr, b.started = addr, started
+	s := p.servers[index]
+	if s.addr != addr || s.startedAt != started {
+		s.addr = addr
+		s.startedAt = started
 		p.CloseIdle(index)
 	}
 }
 
-// CloseIdle ends the idle connections of a server; those in use end with their exchange.
+// CloseIdle closes the idle connections to a server; those in use are closed when their exchange ends.
 func (p *Pool) CloseIdle(index int) {
-	b := p.backends[index]
-	b.era++
-	for _, c := range b.idle {
+	s := p.servers[index]
+	s.generation++
+	for _, c := range s.idle {
 		p.retire(c)
 	}
-	b.idle = b.idle[:0]
+	s.idle = s.idle[:0]
 }
 
-// StopSendingAt sets from when on nothing is written to a server; zero: no such bound. Danger: an attempt that was ordered in time may be on
-// a connection that is being opened for longer than a drain's grace.
+// StopSendingAt sets from when on nothing is written to a server; zero: no such bound. An attempt that was ordered in
+// time may be on a connection that takes longer to open than a drain's grace.
 func (p *Pool) StopSendingAt(index int, at time.Time) {
 	if at.IsZero() {
-		p.backends[index].until.Store(0)
+		p.servers[index].stopsAt.Store(0)
 	} else {
-		p.backends[index].until.Store(at.UnixNano())
+		p.servers[index].stopsAt.Store(at.UnixNano())
 	}
 }
 
-// shut says whether nothing may be written to it any more.
-func (b *backend) shut() bool {
-	until := b.until.Load()
-	return until != 0 && time.Now().UnixNano() > until
+// sendingStopped reports whether nothing may be written to a server any more. It is safe for concurrent use.
+func (s *server) sendingStopped() bool {
+	stopsAt := s.stopsAt.Load()
+	return stopsAt != 0 && time.Now().UnixNano() > stopsAt
 }
 
-// Remove forgets a server, whose index may be given to another. What is in use ends with its exchange.
+// Remove forgets a server, whose index may be given to another. Connections in use are closed when their exchange ends.
 func (p *Pool) Remove(index int) {
 	p.CloseIdle(index)
-	p.backends[index] = &backend{}
+	p.servers[index] = &server{}
 }
 
-// Send starts an exchange on an idle connection or a new one. It is false where there may be no more: nothing
-// was sent then, and nothing will be reported.
+// Send starts an exchange on an idle connection or a new one. It returns false if there may be no more connections:
+// nothing was sent then, and nothing will be reported.
 func (p *Pool) Send(index int, ex *Exchange) bool {
-	b, now := p.backends[index], time.Now()
-	ex.wrote = make(chan struct{})
-	for len(b.idle) > 0 {
-		c := b.idle[0]
-		b.idle = slices.Delete(b.idle, 0, 1)
-		if now.Sub(c.since) >= p.IdleTimeout { // danger: a request to a connection that is being closed ends as a reset
-			p.retire(c)
-		} else if c.begin(ex) {
-			return true
-		}
+	s := p.servers[index]
+	ex.written = make(chan struct{})
+	if p.sendOnIdle(s, ex) {
+		return true
 	}
-	if p.total >= p.MaxConnections && !p.spare() {
+	if p.total >= p.MaxConnections && !p.retireLongestIdle() {
 		p.Full++
 		return false
 	}
 	p.total++
-	b.open++
+	s.open++
 	p.Opened++
-	c := &conn{pool: p, to: b, era: b.era, jobs: make(chan *Exchange, 1), ex: ex}
+	c := &connection{pool: p, server: s, generation: s.generation, requests: make(chan *Exchange, 1), current: ex}
 	ex.conn = c
-	go c.run(ex, b.addr)
+	go c.run(ex, s.addr)
 	return true
 }
 
-// Cancel gives an exchange up. It is still reported.
-func (p *Pool) Cancel(ex *Exchange) { ex.conn.callOff(ex) }
+// sendOnIdle starts an exchange on an idle connection, and returns false if there is none. One that was idle for too
+// long is not used: if its server is closing it, the request would end in a reset.
+func (p *Pool) sendOnIdle(s *server, ex *Exchange) bool {
+	now := time.Now()
+	for len(s.idle) > 0 {
+		c := s.idle[0]
+		s.idle = slices.Delete(s.idle, 0, 1)
+		if now.Sub(c.idleSince) >= p.IdleTimeout {
+			p.retire(c)
+		} else if c.begin(ex) {
+			return true
+		}
+	}
+	return false
+}
+
+// Cancel gives an exchange up and closes its connection. It is still reported.
+func (p *Pool) Cancel(ex *Exchange) { ex.conn.cancel(ex) }
 
-// DiscardResponse has an exchange that is not being written yet end as never sent; any other goes on.
+// DiscardResponse has an exchange whose writing has not begun end as not sent; any other goes on.
 func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.withhold(ex) }
 
-// CloseExpired closes what was idle for too long.
+// CloseExpired closes connections that were idle for too long.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
-	for _, b := range p.backends {
+	for _, s := range p.servers {
 		n := 0
-		for n < len(b.idle) && now.Sub(b.idle[n].since) >= p.IdleTimeout {
-			p.retire(b.idle[n])
+		for n < len(s.idle) && now.Sub(s.idle[n].idleSince) >= p.IdleTimeout {
+			p.retire(s.idle[n])
 			n++
 		}
-		b.idle = slices.Delete(b.idle, 0, n)
+		s.idle = slices.Delete(s.idle, 0, n)
 	}
 }
 
-// Close closes what is idle; what is in use ends with its exchange.
+// Close closes idle connections; those in use are closed when their exchange ends.
 func (p *Pool) Close() {
-	p.shut.Store(true)
-	for i := range p.backends {
+	p.closed.Store(true)
+	for i := range p.servers {
 		p.CloseIdle(i)
 	}
 }
 
-// SetMaxConnections sets how many connections there may be at once; what is idle over that is closed.
-func (p *Pool) SetMaxConnections(most int) {
-	p.MaxConnections = max(most, 1)
-	for over := p.total - p.MaxConnections; over > 0 && p.spare(); over-- {
+// SetMaxConnections sets how many connections there may be at once. Idle ones in excess are closed.
+func (p *Pool) SetMaxConnections(maxConnections int) {
+	p.MaxConnections = max(maxConnections, 1)
+	for excess := p.total - p.MaxConnections; excess > 0 && p.retireLongestIdle(); excess-- {
 	}
 }
 
-// Total is how many connections there are.
+// Total returns how many connections there are, those that are being opened included.
 func (p *Pool) Total() int { return p.total }
 
-// InFlight is how many connections to a server carry an exchange, or are opened for one.
-func (p *Pool) InFlight(index int) int { return p.backends[index].open - len(p.backends[index].idle) }
+// InFlight returns how many connections to a server carry an exchange, or are opened for one.
+func (p *Pool) InFlight(index int) int { return p.servers[index].open - len(p.servers[index].idle) }
 
-// spare closes the connection that was idle for longest, to make room for another.
-func (p *Pool) spare() bool {
-	var oldest *backend
-	for _, b := range p.backends {
-		if len(b.idle) > 0 && (oldest == nil || b.idle[0].since.Before(oldest.idle[0].since)) {
-			oldest = b
+// retireLongestIdle closes the connection that was idle for longest, and returns false if none is idle.
+func (p *Pool) retireLongestIdle() bool {
+	var longest *server
+	for _, s := range p.servers {
+		if len(s.idle) > 0 && (longest == nil || s.idle[0].idleSince.Before(longest.idle[0].idleSince)) {
+			longest = s
 		}
 	}
-	if oldest == nil {
+	if longest == nil {
 		return false
 	}
-	p.retire(oldest.idle[0])
-	oldest.idle = slices.Delete(oldest.idle, 0, 1)
+	p.retire(longest.idle[0])
+	longest.idle = slices.Delete(longest.idle, 0, 1)
 	return true
 }
 
-// retire closes an idle connection; its reader tells when it is gone.
-func (p *Pool) retire(c *conn) {
+// retire closes an idle connection. Its reader posts its end.
+func (p *Pool) retire(c *connection) {
 	p.Retired++
-	c.nc.Close()
+	c.netConn.Close()
 }
 
-// rest takes back a connection whose exchange is over, unless it has ended meanwhile.
-func (p *Pool) rest(c *conn) {
+// putIdle takes back a connection whose exchange is over, unless it has ended meanwhile.
+func (p *Pool) putIdle(c *connection) {
 	c.mu.Lock()
-	dead := c.dead
+	closed := c.closed
 	c.mu.Unlock()
-	if dead || c.era != c.to.era || p.shut.Load() {
+	if closed || c.generation != c.server.generation || p.closed.Load() {
 		p.retire(c)
 		return
 	}
-	c.since = time.Now()
-	c.to.idle = append(c.to.idle, c)
+	c.idleSince = time.Now()
+	c.server.idle = append(c.server.idle, c)
 }
 
 // forget drops a connection that has ended.
-func (p *Pool) forget(c *conn) {
+func (p *Pool) forget(c *connection) {
 	p.total--
-	c.to.open--
-	if i := slices.Index(c.to.idle, c); i >= 0 {
-		c.to.idle = slices.Delete(c.to.idle, i, i+1)
+	c.server.open--
+	if i := slices.Index(c.server.idle, c); i >= 0 {
+		c.server.idle = slices.Delete(c.server.idle, i, i+1)
 		p.Lost++
 	}
 }
