--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,67 +6,79 @@
 	"sync"
 )
 
-// gatherMost is the bytes of a message whose parts are copied into one buffer: cheaper than having the system gather them.
-const gatherMost = 4 << 10
-
-var gathered = sync.Pool{New: func() any { b := make([]byte, 0, gatherMost); return &b }}
-
-// reasons are the words after a status that this project sends; they mean nothing to a program.
-var reasons = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 417: "Expectation Failed",
-	431: "Request Header Fields Too Large", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable"}
+// maxCopiedBytes is the size of the largest message whose parts are copied into one buffer, which costs less than a
+// gathered write by the system.
+const maxCopiedBytes = 4 << 10
+
+// copyBuffers are buffers of maxCopiedBytes.
+var copyBuffers = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, maxCopiedBytes)
+	return &buffer
+}}
+
+// reasonPhrases are those of the statuses that this project sends.
+var reasonPhrases = map[int]string{
+	100: "Continue",
+	200: "OK",
+	400: "Bad Request",
+	404: "Not Found",
+	405: "Method Not Allowed",
+	408: "Request Timeout",
+	409: "Conflict",
+	413: "Content Too Large",
+	417: "Expectation Failed",
+	431: "Request Header Fields Too Large",
+	501: "Not Implemented",
+	502: "Bad Gateway",
+	503: "Service Unavailable",
+}
 
-// hop are the fields that concern one connection only, or that a writer settles anew.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
-	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+// hopByHopFields concern one connection only, or are written anew for each.
+var hopByHopFields = []string{
+	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer",
+	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
+}
 
-// Write writes the parts of a message in one gathered write. It is nil only where the last byte is written.
+// Write writes the parts of a message together. It returns nil only if the last byte is written.
 func Write(conn net.Conn, parts ...[]byte) error {
 	_, err := WriteCounted(conn, parts...)
 	return err
 }
 
-// WriteCounted is Write that tells how many bytes may have gone out.
+// WriteCounted is like Write, and also returns how many bytes may have gone out.
 func WriteCounted(conn net.Conn, parts ...[]byte) (int64, error) {
 	size := 0
 	for _, part := range parts {
 		size += len(part)
 	}
-	if size > 0 && size <= gatherMost {
-		buf := gathered.Get().(*[]byte)
-		defer gathered.Put(buf)
-		out := (*buf)[:0]
+	if size > 0 && size <= maxCopiedBytes {
+		buffer := copyBuffers.Get().(*[]byte)
+		defer copyBuffers.Put(buffer)
+		out := (*buffer)[:0]
 		for _, part := range parts {
 			out = append(out, part...)
 		}
 		n, err := conn.Write(out)
 		return int64(n), err
 	}
-	bufs := make(net.Buffers, 0, len(parts))
+	buffers := make(net.Buffers, 0, len(parts))
 	for _, part := range parts {
-		if len(part) > 0 { // an empty one is a write of its own where there is no gathering
-			bufs = append(bufs, part)
+		if len(part) > 0 { // an empty one would be a write of its own on a connection without gathered writes
+			buffers = append(buffers, part)
 		}
 	}
-	return bufs.WriteTo(conn)
+	return buffers.WriteTo(conn)
 }
 
-// AppendForwardedFields appends those fields of a head that go on, but for the left-out ones.
-func AppendForwardedFields(out []byte, h *Head, left ...string) []byte {
-	named := h.Get("Connection") // fields that it names concern this connection too
-next:
+// AppendForwardedFields appends the fields of a head that are forwarded: all but hop-by-hop ones and those that are
+// excluded by name.
+func AppendForwardedFields(out []byte, h *Head, excluded ...string) []byte {
+	connectionOptions := h.Get("Connection") // fields that it names are hop-by-hop too
 	for _, f := range h.Fields {
-		for _, name := range hop {
-			if is(f.Name, name) {
-				continue next
-			}
-		}
-		for _, name := range left {
-			if is(f.Name, name) {
-				continue next
-			}
+		if hasAnyName(f.Name, hopByHopFields) || hasAnyName(f.Name, excluded) {
+			continue
 		}
-		if named != nil && lists(named, f.Name) {
+		if connectionOptions != nil && listContains(connectionOptions, f.Name) {
 			continue
 		}
 		out = AppendField(out, f.Name, f.Value)
@@ -74,6 +86,16 @@
 	return out
 }
 
+// hasAnyName reports whether a field's name is one of these, in whatever case.
+func hasAnyName(name []byte, names []string) bool {
+	for _, want := range names {
+		if hasName(name, want) {
+			return true
+		}
+	}
+	return false
+}
+
 // AppendField appends a field's line.
 func AppendField[N, V string | []byte](out []byte, name N, value V) []byte {
 	out = append(out, name...)
@@ -95,22 +117,22 @@
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
-	out = append(out, reasons[status]...)
+	out = append(out, reasonPhrases[status]...)
 	return append(out, "\r\n"...)
 }
 
-// AppendLength appends the length of a body.
+// AppendLength appends the Content-Length of a body of n bytes.
 func AppendLength(out []byte, n int) []byte {
 	out = append(out, "Content-Length: "...)
 	out = strconv.AppendInt(out, int64(n), 10)
 	return append(out, "\r\n"...)
 }
 
-// Chunked writes a body in chunks, a chunk a write; Close writes its end.
+// Chunked writes a body in chunks, a chunk for each write; Close writes its end and leaves the connection open.
 type Chunked struct{ Conn net.Conn }
 
 func (c Chunked) Write(p []byte) (int, error) {
-	if len(p) == 0 { // it would end the body
+	if len(p) == 0 { // an empty chunk would end the body
 		return 0, nil
 	}
 	head := append(strconv.AppendInt(make([]byte, 0, 20), int64(len(p)), 16), "\r\n"...)
@@ -120,5 +142,7 @@
 // Close ends the body.
 func (c Chunked) Close() error { return Write(c.Conn, []byte("0\r\n\r\n")) }
 
-// AppendSeconds appends a time in seconds with three decimals.
-func AppendSeconds(out []byte, s float64) []byte { return strconv.AppendFloat(out, s, 'f', 3, 64) }
+// AppendSeconds appends a duration in seconds with three decimals.
+func AppendSeconds(out []byte, seconds float64) []byte {
+	return strconv.AppendFloat(out, seconds, 'f', 3, 64)
+}
