--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -5,145 +5,140 @@
 	"io"
 
 	"lockloom/balance"
-	"lockloom/internal/gossip"
 	"lockloom/internal/settings"
 	"lockloom/internal/simwire"
 )
 
-// host keeps the instances of this process apart; they share nothing but the clock.
+// host is the simwire.Receiver of this process. It keeps the instances apart, which share nothing but the clock.
 type host struct {
-	w         *simwire.Writer
-	now       float64
-	number    string
+	reply     *reply
+	now       float64 // s
+	batch     string  // its number
 	instances map[int]*instance
-	at        int // the instance spoken of
-	written   int // the instance last written of, -1 for none in this reply
+	selected  int // the instance that calls are for; noInstance: none
 }
 
-// instance is one balancer with the names the bench knows things by.
-type instance struct {
-	b       *balance.Balancer
-	names   *settings.Registry
-	lookups map[string]int
-	slots   []slot // by Arrival.Ref; a timer's label is one more, that of the balancer's own is 0
-	free    []int
-}
+// fieldError is an error in a field of a message.
+type fieldError struct{ field, problem string }
 
-type slot struct {
-	id     string
-	lookup *balance.Request
-}
+func (e *fieldError) Error() string { return e.field + ": " + e.problem }
 
 func newHost(out io.Writer) *host {
-	return &host{w: simwire.NewWriter(out), instances: map[int]*instance{}, at: -1, written: -1}
+	return &host{reply: newReply(out), instances: map[int]*instance{}, selected: noInstance}
 }
 
-func (h *host) Batch(now float64, number string) {
-	h.now, h.number, h.at, h.written = now, number, -1, -1
+func (h *host) BatchStarted(now float64, number string) {
+	h.now = now
+	h.batch = number
+	h.selected = noInstance
+	h.reply.begin()
 }
 
-func (h *host) Finish() error { return h.w.Ready(h.number) }
+func (h *host) BatchEnded() error { return h.reply.end(h.batch) }
 
-func (h *host) Instance(n int) error {
-	h.at = n
+func (h *host) InstanceSelected(number int) error {
+	h.selected = number
 	return nil
 }
 
-func (h *host) Launched(f settings.Settings) error {
-	if h.at < 0 {
-		return fmt.Errorf("Proxy: no instance named")
+func (h *host) InstanceLaunched(launched settings.Settings) error {
+	if h.selected < 0 {
+		return &fieldError{"Proxy", "no instance named"}
 	}
-	b, err := balance.New(f.Deployment, h.now)
+	balancer, err := balance.New(launched.Deployment, h.now)
 	if err != nil {
 		return err
 	}
-	h.instances[h.at] = &instance{b: b, names: f.NewRegistry(), lookups: map[string]int{}}
+	h.instances[h.selected] = newInstance(balancer, launched.NewRegistry())
 	return nil
 }
 
-func (h *host) Stopped() error {
+func (h *host) InstanceStopped() error {
 	_, err := h.instance()
-	delete(h.instances, h.at)
+	delete(h.instances, h.selected)
 	return err
 }
 
-func (h *host) Listed(kind simwire.ListKind, entries []settings.Entry) error {
+func (h *host) EndpointsListed(kind simwire.ListKind, entries []settings.Entry) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
 	if kind == simwire.PollFailed {
-		return h.decide(in, in.b.PollFailed)
+		return h.decide(in, in.balancer.PollFailed)
 	}
-	list := make([]balance.Endpoint, len(entries))
+	endpoints := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
-		list[i] = in.names.Endpoint(e)
+		endpoints[i] = in.names.Endpoint(e)
 	}
-	full, first := kind != simwire.Changes, kind == simwire.CachedList
-	return h.decide(in, func(now float64) *balance.Actions { return in.b.EndpointsUpdated(now, full, first, list) })
+	full := kind != simwire.Changes
+	first := kind == simwire.CachedList
+	return h.decide(in, func(now float64) *balance.Actions {
+		return in.balancer.EndpointsUpdated(now, full, first, endpoints)
+	})
 }
 
-func (h *host) Order(o simwire.RequestOrder) error {
+func (h *host) RequestArrived(r simwire.Request) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	a := o.RequestInfo
+	info := r.RequestInfo
 	var ok bool
-	if a.Class, ok = in.names.Class(o.ClassName); !ok {
-		return fmt.Errorf("Class: unknown: %q", o.ClassName)
+	if info.Class, ok = in.names.Class(r.ClassName); !ok {
+		return &fieldError{"Class", fmt.Sprintf("unknown: %q", r.ClassName)}
 	}
-	a.Tenant, a.Key = in.names.Tenant(o.TenantName), settings.NameHash(o.KeyName)
-	if _, ok = in.lookups[o.ID]; ok {
-		return fmt.Errorf("Job: used before: %q", o.ID)
+	info.Tenant = in.names.Tenant(r.TenantName)
+	info.Key = settings.NameHash(r.KeyName)
+	if in.has(r.ID) {
+		return &fieldError{"Job", fmt.Sprintf("used before: %q", r.ID)}
 	}
-	if n := len(in.free); n > 0 {
-		a.Ref, in.free = in.free[n-1], in.free[:n-1]
-	} else {
-		a.Ref = len(in.slots)
-		in.slots = append(in.slots, slot{})
-	}
-	in.lookups[o.ID] = a.Ref
-	in.slots[a.Ref].id = o.ID
+	info.Ref = in.add(r.ID)
 	return h.decide(in, func(now float64) *balance.Actions {
-		l, orders := in.b.RequestArrived(now, a)
-		in.slots[a.Ref].lookup = l
-		return orders
+		request, actions := in.balancer.RequestArrived(now, info)
+		in.slots[info.Ref].request = request
+		return actions
 	})
 }
 
-func (h *host) Started(id string, attempt int) error {
-	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ResponseStarted(now, attempt) })
+func (h *host) ResponseStarted(requestID string, attempt int) error {
+	return h.decideOn(requestID, func(r *balance.Request, now float64) *balance.Actions {
+		return r.ResponseStarted(now, attempt)
+	})
 }
 
-func (h *host) Ended(e simwire.End) error {
-	return h.tell(e.ID, func(l *balance.Request, now float64) *balance.Actions {
-		return l.AttemptEnded(now, e.Leg, e.Outcome, e.Latency, e.Over)
+func (h *host) AttemptEnded(a simwire.Attempt) error {
+	return h.decideOn(a.RequestID, func(r *balance.Request, now float64) *balance.Actions {
+		return r.AttemptEnded(now, a.Number, a.Outcome, a.Latency, a.Over)
 	})
 }
 
-func (h *host) Left(id string) error {
-	return h.tell(id, func(l *balance.Request, now float64) *balance.Actions { return l.ClientDisconnected(now) })
+func (h *host) ClientDisconnected(requestID string) error {
+	return h.decideOn(requestID, func(r *balance.Request, now float64) *balance.Actions {
+		return r.ClientDisconnected(now)
+	})
 }
 
-func (h *host) Fired(label int) error {
+func (h *host) TimerFired(label int) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	if label == 0 {
-		return h.decide(in, in.b.TimerFired)
+	if label == balancerTimer {
+		return h.decide(in, in.balancer.TimerFired)
 	}
-	if label < 0 || label > len(in.slots) {
-		return fmt.Errorf("Label: never set: %d", label)
+	ref := refOfTimer(label)
+	if ref < 0 || ref >= len(in.slots) {
+		return &fieldError{"Label", fmt.Sprintf("never set: %d", label)}
 	}
-	if l := in.slots[label-1].lookup; l != nil { // a slot's later request may hear its earlier one's timer
-		return h.decide(in, l.TimerFired)
+	request := in.slots[ref].request
+	if request == nil {
+		return nil
 	}
-	return nil
+	return h.decide(in, request.TimerFired) // perhaps of an earlier request in the slot, which does no harm
 }
 
-func (h *host) Probed(server string, ok bool, r balance.LoadReport) error {
+func (h *host) HealthChecked(server string, ok bool, report balance.LoadReport) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
@@ -152,105 +147,58 @@
 	if !known {
 		return nil
 	}
-	return h.decide(in, func(now float64) *balance.Actions { return in.b.HealthChecked(now, index, ok, r) })
+	return h.decide(in, func(now float64) *balance.Actions {
+		return in.balancer.HealthChecked(now, index, ok, report)
+	})
 }
 
-func (h *host) Heard(from int, n balance.GossipMessage) error {
+func (h *host) GossipReceived(from int, message balance.GossipMessage) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	return h.decide(in, func(now float64) *balance.Actions { return in.b.GossipReceived(now, from, n) })
+	return h.decide(in, func(now float64) *balance.Actions {
+		return in.balancer.GossipReceived(now, from, message)
+	})
 }
 
+// instance returns the selected instance.
 func (h *host) instance() (*instance, error) {
-	in, ok := h.instances[h.at]
+	in, ok := h.instances[h.selected]
 	if !ok {
-		return nil, fmt.Errorf("Proxy: unknown instance %d", h.at)
+		return nil, &fieldError{"Proxy", fmt.Sprintf("unknown instance %d", h.selected)}
 	}
 	return in, nil
 }
 
-// tell calls a request that is still kept; of one that has wholly ended there is nothing to say.
-func (h *host) tell(id string, call func(*balance.Request, float64) *balance.Actions) error {
+// decideOn makes one call on a request. One that has ended is unknown by now, and gets none.
+func (h *host) decideOn(requestID string, call func(*balance.Request, float64) *balance.Actions) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
 	}
-	ref, ok := in.lookups[id]
+	ref, ok := in.refs[requestID]
 	if !ok {
 		return nil
 	}
-	l := in.slots[ref].lookup
-	err = h.decide(in, func(now float64) *balance.Actions { return call(l, now) })
+	request := in.slots[ref].request
+	err = h.decide(in, func(now float64) *balance.Actions { return call(request, now) })
 	in.release(ref)
 	return err
 }
 
-// decide makes one call on the decisions and writes what they order.
+// decide makes one call on the decisions and writes the actions that it returns. If the decisions panic, the simulator
+// is told so.
 func (h *host) decide(in *instance, call func(now float64) *balance.Actions) error {
 	defer func() {
-		if p := recover(); p != nil {
-			h.context()
-			h.w.Broken(fmt.Sprint(p))
+		if failure := recover(); failure != nil {
+			h.reply.failed(h.selected, failure)
 		}
 	}()
-	o := call(h.now)
-	if len(o.Requests) > 0 || len(o.HealthChecks) > 0 || len(o.CloseIdle) > 0 || o.Gossip != nil || o.Subscribe || o.WakeAt > 0 {
-		h.context()
-	}
-	for _, i := range o.CloseIdle { // before a send, which then opens anew
-		h.w.HangUp(in.names.Name(i))
-	}
-	for _, i := range o.HealthChecks {
-		h.w.Probe(in.names.Name(i))
-	}
-	if o.Gossip != nil {
-		h.w.Tell(o.GossipPeer, gossip.ToHex(*o.Gossip))
-	}
-	for i := range o.Requests {
-		s := &o.Requests[i]
-		id := in.slots[s.Ref].id
-		if s.Send {
-			h.w.Send(id, in.names.Name(s.Endpoint), s.Deadline)
-		}
-		if s.CancelAttempt > 0 {
-			h.w.CallOff(id, s.CancelAttempt-1)
-		}
-		switch s.Reply {
-		case balance.Rejected:
-			h.w.Dismiss(id, s.RetryAfter)
-		case balance.Failed:
-			h.w.Forfeit(id)
-		}
-		if s.WakeAt > 0 {
-			h.w.Wake(max(0, s.WakeAt-h.now), s.Ref+1)
-		}
-	}
-	if o.Subscribe {
-		h.w.Subscribe()
-	}
-	if o.WakeAt > 0 {
-		h.w.Wake(max(0, o.WakeAt-h.now), 0)
-	}
-	for i := range o.Requests { // free what has wholly ended
-		in.release(o.Requests[i].Ref)
+	actions := call(h.now)
+	h.reply.write(h.selected, in, h.now, actions)
+	for i := range actions.Requests {
+		in.release(actions.Requests[i].Ref)
 	}
 	return nil
 }
-
-func (in *instance) release(ref int) {
-	s := &in.slots[ref]
-	if s.lookup != nil && s.lookup.Done() {
-		delete(in.lookups, s.id)
-		*s = slot{}
-		in.free = append(in.free, ref)
-	}
-}
-
-func (h *host) context() {
-	if h.written != h.at {
-		h.w.Instance(h.at)
-		h.written = h.at
-	}
-}
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -9,18 +9,20 @@
 	"lockloom/internal/simwire"
 )
 
+// launch launches an instance with one server.
 const launch = "launch Prng=5 Profiles.count=1 Profiles.0.Name=a Profiles.0.Effect=retryable " +
 	"Profiles.0.DueTimeMs=300 Profiles.0.HardStopMs=1000 Profiles.0.Value=1 ReplicasOfMe=1 " +
 	"Ceilings.MaxLegs=3 Discovery=subscribe ObjectiveMix.Whole=1 Zones=z Zone=z New.Thing=9\n" +
 	"page List=0 NodesList=1\nentry Backend=10.0.0.1:7000 Az=z StageState=Ready Heft=1\nview Revision=1 How=C List=0\n"
 
+// play returns what a host replies to input.
 func play(in string) (string, error) {
 	var out strings.Builder
 	err := simwire.Read(strings.NewReader(in), newHost(&out))
 	return out.String(), err
 }
 
-func TestExchange(t *testing.T) {
+func TestRequestIsAnsweredOnTheWire(t *testing.T) {
 	out, err := play("sync MomentMs=0 frame=1\ngo\nsync MomentMs=5.5 frame=2\ninstance Proxy=3\n" + launch +
 		"order Job=j1 Class=a DeadlineMs=900\ngo\n" +
 		"sync MomentMs=20 frame=3\ninstance Proxy=3\nfinished Job=j1 Leg=0 LatencyMs=14 Status=pass " +
@@ -32,7 +34,7 @@
 		"ready frame=3\nready frame=4\n", out)
 }
 
-func TestBadInput(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	begin := "sync MomentMs=0 frame=1\ninstance Proxy=3\n"
 	for _, c := range []struct{ in, want string }{
 		{"go\n", "line 1: go"},
@@ -58,17 +60,23 @@
 	}
 }
 
-// A fleet that tells and probes: what goes out is asked for on the wire, what comes in reaches the decisions, and what is
-// malformed changes nothing.
-func TestNotesAndProbes(t *testing.T) {
-	settings := strings.Replace(launch, "ReplicasOfMe=1", "ReplicasOfMe=2 SlotNo=1 KindOfService=mesh Ceilings.PeerMessages=true "+
-		"Ceilings.Probes=true Feedback.Via=on_probe Feedback.Fields=outstanding,novel,utilization Tariffs.Peer=0.004 Tariffs.Probe=0.004 Tariffs.Connection=0.03", 1)
-	out, err := play("sync MomentMs=0 frame=1\ninstance Proxy=1\n" + settings + "order Job=j1 Class=a DeadlineMs=900\ngo\n" +
-		"sync MomentMs=20 frame=2\ninstance Proxy=1\nfinished Job=j1 Leg=0 LatencyMs=14 Status=pass Backend=10.0.0.1:7000 Over=1\n" +
+// In a fleet with gossip and health checks, what goes out is ordered on the wire, what comes in reaches the decisions,
+// and what is malformed changes nothing.
+func TestGossipAndHealthChecks(t *testing.T) {
+	settings := strings.Replace(launch, "ReplicasOfMe=1",
+		"ReplicasOfMe=2 SlotNo=1 KindOfService=mesh Ceilings.PeerMessages=true Ceilings.Probes=true "+
+			"Feedback.Via=on_probe Feedback.Fields=outstanding,novel,utilization "+
+			"Tariffs.Peer=0.004 Tariffs.Probe=0.004 Tariffs.Connection=0.03", 1)
+	out, err := play("sync MomentMs=0 frame=1\ninstance Proxy=1\n" + settings +
+		"order Job=j1 Class=a DeadlineMs=900\ngo\n" +
+		"sync MomentMs=20 frame=2\ninstance Proxy=1\n" +
+		"finished Job=j1 Leg=0 LatencyMs=14 Status=pass Backend=10.0.0.1:7000 Over=1\n" +
 		"check_result Backend=10.0.0.1:7000 Status=pass LatencyMs=1 Pressure=outstanding:2.5,novel:x\n" +
-		"check_result Backend=10.0.0.9:7000 Status=too_slow LatencyMs=150\npeer_data Who=0 Data=0100\npeer_data Who=0 Data=010010\ngo\n" +
+		"check_result Backend=10.0.0.9:7000 Status=too_slow LatencyMs=150\n" +
+		"peer_data Who=0 Data=0100\npeer_data Who=0 Data=010010\ngo\n" +
 		"sync MomentMs=40 frame=3\ninstance Proxy=1\norder Job=j2 Class=a DeadlineMs=940\ngo\n" +
-		"sync MomentMs=2100 frame=4\ninstance Proxy=1\nfinished Job=j2 Leg=0 LatencyMs=14 Status=pass Backend=10.0.0.1:7000 Over=1\ngo\n" +
+		"sync MomentMs=2100 frame=4\ninstance Proxy=1\n" +
+		"finished Job=j2 Leg=0 LatencyMs=14 Status=pass Backend=10.0.0.1:7000 Over=1\ngo\n" +
 		"sync MomentMs=4200 frame=5\ninstance Proxy=1\nfired Label=0\ngo\n")
 	assert.NoError(t, err)
 	assert.Contains(t, out, "inspect Backend=10.0.0.1:7000\n")
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink lets the bench play the decisions: it hosts one balancer an instance and speaks the
-// bench's wire on standard input and output.
+// Command benchlink lets the simulator run the decisions: it hosts one balancer for each simulated proxy and speaks the
+// simulator's wire on standard input and output.
 package main
 
 import (
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,264 +1,196 @@
-// Package simwire is the text codec of the bench's wire. The wire's names end here: Read turns its lines
-// into calls on a Receiver, Writer turns calls into its lines.
 package simwire
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
-	"math"
-	"strconv"
-	"strings"
 
-	"lockloom/balance"
 	"lockloom/internal/gossip"
 	"lockloom/internal/settings"
 )
 
-// Receiver is told what the wire says. Times are in seconds.
-type Receiver interface {
-	Batch(now float64, number string) // a batch begins
-	Finish() error                    // and ends: its reply is due
-	Instance(n int) error             // the calls below are for this one
-	Launched(settings.Settings) error
-	Stopped() error
-	Listed(kind ListKind, entries []settings.Entry) error
-	Order(RequestOrder) error
-	Started(id string, attempt int) error
-	Ended(End) error
-	Left(id string) error
-	Fired(label int) error
-	Probed(server string, ok bool, r balance.LoadReport) error
-	Heard(from int, n balance.GossipMessage) error
-}
-
-// ListKind says what a list of servers holds.
-type ListKind uint8
-
-const (
-	Changes ListKind = iota
-	FullList
-	CachedList // the whole list, perhaps stale
-	PollFailed // none: asking failed
-)
-
-// RequestOrder is a request with its names; the rest is as the module takes it, but for Ref, Class, Tenant and Key.
-type RequestOrder struct {
-	balance.RequestInfo
-	ID, ClassName, TenantName, KeyName string
-}
-
-// End is the end of an attempt.
-type End struct {
-	ID      string
-	Leg     int
-	Outcome balance.Outcome
-	Latency float64
-	Over    bool
+// readBufferBytes is the size of the reader's buffer; a longer line is read all the same.
+const readBufferBytes = 1 << 20
+
+// Read makes the calls that the messages of in stand for, until in ends. It returns an error, with the line's number,
+// if a message is malformed or out of place, a call fails or in ends within a batch.
+func Read(in io.Reader, receiver Receiver) error {
+	source := bufio.NewReaderSize(in, readBufferBytes)
+	d := &decoder{receiver: receiver, lists: map[int][]settings.Entry{}}
+	for line := 1; ; line++ {
+		text, err := source.ReadString('\n')
+		switch {
+		case err != nil && !errors.Is(err, io.EOF):
+			return fmt.Errorf("line %d: %w", line, err)
+		case err == nil || text != "":
+			if err := d.handle(parseMessage(line, text)); err != nil {
+				return err
+			}
+		case d.entriesLeft > 0 || d.inBatch:
+			return fmt.Errorf("line %d: input ends within a batch", line)
+		default:
+			return nil
+		}
+	}
 }
 
-var (
-	outcomes = map[string]balance.Outcome{"pass": balance.Succeeded, "fault": balance.ServerError,
-		"no_room": balance.ServerRejected, "too_slow": balance.TimedOut, "no_route": balance.ConnectFailed,
-		"cut": balance.ConnectionLost, "undone": balance.Canceled, "stale_send": balance.NotSent}
-	states = map[string]balance.EndpointState{"Ready": balance.Ready, "Terminating": balance.Draining, "Gone": balance.Removed}
-	lists  = map[string]ListKind{"D": Changes, "F": FullList, "C": CachedList, "X": PollFailed}
-)
-
-// line is one message: its name, its fields, and the first thing found wrong with them.
-type line struct {
-	number int
-	name   string
-	rest   string
-	err    error
+// decoder turns messages into calls.
+type decoder struct {
+	receiver    Receiver
+	inBatch     bool
+	lists       map[int][]settings.Entry // by number
+	list        int                      // the one that is being read
+	entriesLeft int                      // of it
 }
 
-func (l *line) fail(field, what string) {
-	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: %s: %s", l.number, l.name, field, what)
+// handle makes the call that a message stands for.
+func (d *decoder) handle(m *message) error {
+	if (m.name == "entry") != (d.entriesLeft > 0) {
+		return fmt.Errorf("line %d: %s: an entry is due, or none is", m.line, m.name)
+	}
+	if (m.name == "sync") == d.inBatch {
+		return fmt.Errorf("line %d: %s: outside its place in a batch", m.line, m.name)
+	}
+	call := d.decode(m)
+	if m.err != nil {
+		return m.err
+	}
+	if call == nil {
+		return nil
+	}
+	if err := call(); err != nil {
+		return fmt.Errorf("line %d: %s: %w", m.line, m.name, err)
 	}
+	return nil
 }
 
-// text finds a field of the line. Fields are few, so looking is cheaper than a map.
-func (l *line) text(field string) (string, bool) {
-	for rest := l.rest; rest != ""; {
-		var part string
-		part, rest, _ = strings.Cut(rest, " ")
-		if name, value, ok := strings.Cut(part, "="); ok && name == field {
-			return value, true
-		}
+// decode returns the call that a message stands for, nil for none, or sets the message's error.
+func (d *decoder) decode(m *message) func() error {
+	switch m.name {
+	case "sync":
+		return d.batchStarted(m)
+	case "go":
+		d.inBatch = false
+		return d.receiver.BatchEnded
+	case "instance":
+		number := m.integer("Proxy")
+		return func() error { return d.receiver.InstanceSelected(number) }
+	case "launch":
+		launched := m.settings()
+		return func() error { return d.receiver.InstanceLaunched(launched) }
+	case "down":
+		return d.receiver.InstanceStopped
+	case "page":
+		d.beginList(m)
+		return nil
+	case "entry":
+		d.readEntry(m)
+		return nil
+	case "view":
+		return d.endpointsListed(m)
 	}
-	return "", false
+	return d.decodeTraffic(m)
 }
 
-func (l *line) must(field string) string {
-	v, ok := l.text(field)
-	if !ok || v == "" {
-		l.fail(field, "missing")
+// decodeTraffic is decode for the messages about requests and what their instance learns meanwhile.
+func (d *decoder) decodeTraffic(m *message) func() error {
+	switch m.name {
+	case "order":
+		return d.requestArrived(m)
+	case "first":
+		requestID, attempt := m.requiredText("Job"), m.integer("Leg")
+		return func() error { return d.receiver.ResponseStarted(requestID, attempt) }
+	case "finished":
+		return d.attemptEnded(m)
+	case "client_left":
+		requestID := m.requiredText("Job")
+		return func() error { return d.receiver.ClientDisconnected(requestID) }
+	case "fired":
+		label := m.integer("Label")
+		return func() error { return d.receiver.TimerFired(label) }
+	case "check_result":
+		server, ok, report := m.requiredText("Backend"), m.requiredText("Status") == "pass", m.loadReport()
+		return func() error { return d.receiver.HealthChecked(server, ok, report) }
+	case "peer_data":
+		return d.gossipReceived(m)
 	}
-	return v
+	m.fail("message", "unknown")
+	return nil
 }
 
-// maybe returns the field's number, or 0 where it is absent.
-func (l *line) maybe(field string) float64 {
-	v, ok := l.text(field)
-	if !ok {
-		return 0
-	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		l.fail(field, fmt.Sprintf("not a number: %q", v))
+func (d *decoder) batchStarted(m *message) func() error {
+	d.inBatch = true
+	now, number := m.number("MomentMs")/1000, m.requiredText("frame")
+	return func() error {
+		d.receiver.BatchStarted(now, number)
+		return nil
 	}
-	return x
 }
 
-func (l *line) num(field string) float64 {
-	l.must(field)
-	return l.maybe(field)
+// beginList begins a list, whose entries follow.
+func (d *decoder) beginList(m *message) {
+	d.list = m.integer("List")
+	d.entriesLeft = m.integer("NodesList")
+	if d.entriesLeft < 0 {
+		m.fail("NodesList", "negative")
+	}
+	d.lists[d.list] = nil
 }
 
-func (l *line) whole(field string) int {
-	x := l.num(field)
-	if x != math.Trunc(x) || math.Abs(x) > 1<<62 {
-		l.fail(field, "not a whole number")
-	}
-	return int(x)
+func (d *decoder) readEntry(m *message) {
+	d.entriesLeft--
+	e := settings.Entry{Name: m.requiredText("Backend")}
+	e.ZoneName = m.optionalText("Az")
+	e.ModelName = m.optionalText("Flavor")
+	e.State = lookUp(m, "StageState", endpointStates)
+	e.StartedAt = m.optionalNumber("UpSinceMs") / 1000
+	e.Cores = m.optionalNumber("Heft")
+	e.Pod = int(m.optionalNumber("Pack"))
+	d.lists[d.list] = append(d.lists[d.list], e)
 }
 
-func (l *line) bool(field string) bool {
-	v, ok := l.text(field)
-	if ok && v != "0" && v != "1" {
-		l.fail(field, fmt.Sprintf("not 0 or 1: %q", v))
+func (d *decoder) endpointsListed(m *message) func() error {
+	kind := lookUp(m, "How", listKinds)
+	var entries []settings.Entry
+	if kind != PollFailed {
+		var ok bool
+		if entries, ok = d.lists[m.integer("List")]; !ok {
+			m.fail("List", "no such list")
+		}
 	}
-	return v == "1"
+	return func() error { return d.receiver.EndpointsListed(kind, entries) }
 }
 
-// report reads a load report, where there is one.
-func (l *line) report() balance.LoadReport {
-	text, _ := l.text("Pressure")
-	return settings.ParseLoadReport(text)
+func (d *decoder) requestArrived(m *message) func() error {
+	r := Request{ID: m.requiredText("Job"), ClassName: m.requiredText("Class")}
+	r.TenantName = m.optionalText("Realm")
+	r.KeyName = m.optionalText("Entity")
+	r.Deadline = m.number("DeadlineMs") / 1000
+	r.ExpectedWork = m.optionalNumber("ExpectedMs") / 1000
+	r.ClientRetry = m.flag("AgainByClient")
+	return func() error { return d.receiver.RequestArrived(r) }
 }
 
-func word[T any](l *line, field string, words map[string]T) T {
-	v := l.must(field)
-	w, ok := words[v]
-	if !ok {
-		l.fail(field, fmt.Sprintf("unknown: %q", v))
+func (d *decoder) attemptEnded(m *message) func() error {
+	a := Attempt{
+		RequestID: m.requiredText("Job"),
+		Number:    m.integer("Leg"),
+		Outcome:   lookUp(m, "Status", outcomes),
+		Latency:   m.number("LatencyMs") / 1000,
+		Over:      m.flag("Over"),
 	}
-	return w
+	return func() error { return d.receiver.AttemptEnded(a) }
 }
 
-// Read hands on all messages of in until its end, which is no error.
-func Read(in io.Reader, to Receiver) error {
-	src := bufio.NewReaderSize(in, 1<<20)
-	pages := map[int][]settings.Entry{}
-	page, left, inBatch := 0, 0, false
-	for n := 1; ; n++ {
-		raw, err := src.ReadString('\n')
-		if err == io.EOF && raw == "" {
-			if left > 0 || inBatch {
-				return fmt.Errorf("line %d: input ends within a batch", n)
-			}
+// gossipReceived ignores a malformed gossip message: it is from a peer of another version or over a broken wire.
+func (d *decoder) gossipReceived(m *message) func() error {
+	from, data := m.integer("Who"), m.requiredText("Data")
+	return func() error {
+		received, err := gossip.FromHex(data)
+		if err != nil {
 			return nil
 		}
-		if err != nil && err != io.EOF {
-			return fmt.Errorf("line %d: %w", n, err)
-		}
-		l := &line{number: n}
-		l.name, l.rest, _ = strings.Cut(strings.TrimRight(raw, "\r\n"), " ")
-		if (l.name == "entry") != (left > 0) {
-			return fmt.Errorf("line %d: %s: an entry is due, or none is", n, l.name)
-		}
-		if !inBatch && l.name != "sync" || inBatch && l.name == "sync" {
-			return fmt.Errorf("line %d: %s: outside its place in a batch", n, l.name)
-		}
-		var call func() error
-		switch l.name {
-		case "sync":
-			inBatch = true
-			now, number := l.num("MomentMs")/1000, l.must("frame")
-			call = func() error { to.Batch(now, number); return nil }
-		case "go":
-			inBatch = false
-			call = to.Finish
-		case "instance":
-			i := l.whole("Proxy")
-			call = func() error { return to.Instance(i) }
-		case "launch":
-			d := launch(l)
-			call = func() error { return to.Launched(d) }
-		case "down":
-			call = to.Stopped
-		case "page":
-			page, left = l.whole("List"), l.whole("NodesList")
-			if left < 0 {
-				l.fail("NodesList", "negative")
-			}
-			pages[page] = nil
-		case "entry":
-			left--
-			e := settings.Entry{Name: l.must("Backend")}
-			e.ZoneName, _ = l.text("Az")
-			e.ModelName, _ = l.text("Flavor")
-			e.State = word(l, "StageState", states)
-			e.StartedAt = l.maybe("UpSinceMs") / 1000
-			e.Cores = l.maybe("Heft")
-			e.Pod = int(l.maybe("Pack"))
-			pages[page] = append(pages[page], e)
-		case "view":
-			kind := word(l, "How", lists)
-			var entries []settings.Entry
-			if kind != PollFailed {
-				i := l.whole("List")
-				var ok bool
-				if entries, ok = pages[i]; !ok {
-					l.fail("List", "no such list")
-				}
-			}
-			call = func() error { return to.Listed(kind, entries) }
-		case "order":
-			o := RequestOrder{ID: l.must("Job"), ClassName: l.must("Class")}
-			o.TenantName, _ = l.text("Realm")
-			o.KeyName, _ = l.text("Entity")
-			o.Deadline = l.num("DeadlineMs") / 1000
-			o.ExpectedWork = l.maybe("ExpectedMs") / 1000
-			o.ClientRetry = l.bool("AgainByClient")
-			call = func() error { return to.Order(o) }
-		case "first":
-			id, attempt := l.must("Job"), l.whole("Leg")
-			call = func() error { return to.Started(id, attempt) }
-		case "finished":
-			e := End{ID: l.must("Job"), Leg: l.whole("Leg"), Outcome: word(l, "Status", outcomes),
-				Latency: l.num("LatencyMs") / 1000, Over: l.bool("Over")}
-			call = func() error { return to.Ended(e) }
-		case "client_left":
-			id := l.must("Job")
-			call = func() error { return to.Left(id) }
-		case "fired":
-			label := l.whole("Label")
-			call = func() error { return to.Fired(label) }
-		case "check_result":
-			name, ok, report := l.must("Backend"), l.must("Status") == "pass", l.report()
-			call = func() error { return to.Probed(name, ok, report) }
-		case "peer_data":
-			from, data := l.whole("Who"), l.must("Data")
-			call = func() error {
-				n, err := gossip.FromHex(data)
-				if err != nil { // danger: a peer of another build or a broken wire; its word changes nothing
-					return nil
-				}
-				return to.Heard(from, n)
-			}
-		default:
-			l.fail("message", "unknown")
-		}
-		if l.err != nil {
-			return l.err
-		}
-		if call != nil {
-			if err := call(); err != nil {
-				return fmt.Errorf("line %d: %s: %w", n, l.name, err)
-			}
-		}
+		return d.receiver.GossipReceived(from, received)
 	}
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,64 +8,78 @@
 	"strings"
 )
 
-// Writer writes replies. Times are in seconds.
+// writeBufferBytes is the size of the writer's buffer.
+const writeBufferBytes = 1 << 16
+
+// Writer writes replies, a message a line. Times are in seconds. An error in writing is returned by BatchReady.
 type Writer struct{ out *bufio.Writer }
 
-func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, 1<<16)} }
+// NewWriter returns a writer to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
 
-// Instance makes the following lines those of this instance.
-func (w *Writer) Instance(n int) { w.line("context Proxy=", strconv.Itoa(n)) }
+// SelectInstance says of which instance the messages below are.
+func (w *Writer) SelectInstance(number int) { w.message("context Proxy=", strconv.Itoa(number)) }
 
-func (w *Writer) Send(id, server string, until float64) {
-	// rounded down, so that an attempt never outlives its time
-	w.line("try Job=", id, " Backend=", server, " NotPastMs=", ms(math.Floor(until*1e6)/1e6))
+// Send orders an attempt, which ends by a deadline. That is rounded down, so that an attempt never outlives it.
+func (w *Writer) Send(requestID, server string, deadline float64) {
+	deadline = math.Floor(deadline*1e6) / 1e6
+	w.message("try Job=", requestID, " Backend=", server, " NotPastMs=", milliseconds(deadline))
 }
 
-func (w *Writer) CallOff(id string, attempt int) {
-	w.line("stop_attempt Job=", id, " Leg=", strconv.Itoa(attempt))
+// CancelAttempt orders that the simulator stops waiting for an attempt, counted from 0.
+func (w *Writer) CancelAttempt(requestID string, attempt int) {
+	w.message("stop_attempt Job=", requestID, " Leg=", strconv.Itoa(attempt))
 }
 
-func (w *Writer) Dismiss(id string, advice float64) {
-	if advice > 0 {
-		w.line("refuse Job=", id, " CoolDownMs=", ms(advice))
+// Reject answers a request that may be retried after a time; 0: no time is named.
+func (w *Writer) Reject(requestID string, retryAfter float64) {
+	if retryAfter > 0 {
+		w.message("refuse Job=", requestID, " CoolDownMs=", milliseconds(retryAfter))
 		return
 	}
-	w.line("refuse Job=", id)
+	w.message("refuse Job=", requestID)
 }
 
-func (w *Writer) Forfeit(id string) { w.line("respond_error Job=", id) }
+// Fail answers a request of whose effect nothing is promised.
+func (w *Writer) Fail(requestID string) { w.message("respond_error Job=", requestID) }
 
-// Wake asks for a timer this far from now.
-func (w *Writer) Wake(after float64, label int) {
-	w.line("wake_at AfterMs=", ms(after), " Label=", strconv.Itoa(label))
+// SetTimer asks for a timer, which fires with its label after a delay.
+func (w *Writer) SetTimer(delay float64, label int) {
+	w.message("wake_at AfterMs=", milliseconds(delay), " Label=", strconv.Itoa(label))
 }
 
-func (w *Writer) Subscribe() { w.line("keep_informed Enable=1") }
+// Subscribe asks for the changes of the endpoint list.
+func (w *Writer) Subscribe() { w.message("keep_informed Enable=1") }
 
-func (w *Writer) Probe(server string) { w.line("inspect Backend=", server) }
+// CheckHealth asks a server for its load.
+func (w *Writer) CheckHealth(server string) { w.message("inspect Backend=", server) }
 
-func (w *Writer) HangUp(server string) { w.line("hang_up Backend=", server) }
+// CloseIdle closes the idle connections to a server.
+func (w *Writer) CloseIdle(server string) { w.message("hang_up Backend=", server) }
 
-func (w *Writer) Tell(peer int, data string) {
-	w.line("broadcast_to Target=", strconv.Itoa(peer), " Data=", data)
+// SendGossip sends a gossip message, in its text form, to a peer.
+func (w *Writer) SendGossip(peer int, text string) {
+	w.message("broadcast_to Target=", strconv.Itoa(peer), " Data=", text)
 }
 
-// Broken says that the decisions have failed, in words.
-func (w *Writer) Broken(text string) {
-	w.line("give_in Line=", strings.Join(strings.Fields(text), " "))
+// ReportFailure says that the decisions have failed, and how.
+func (w *Writer) ReportFailure(text string) {
+	w.message("give_in Line=", strings.Join(strings.Fields(text), " "))
 }
 
-// Ready ends a reply.
-func (w *Writer) Ready(number string) error {
-	w.line("ready frame=", number)
+// BatchReady ends the reply to the batch of this number, and sends it.
+func (w *Writer) BatchReady(number string) error {
+	w.message("ready frame=", number)
 	return w.out.Flush()
 }
 
-func (w *Writer) line(parts ...string) {
-	for _, p := range parts {
-		w.out.WriteString(p)
+// message writes a line. Its error is kept by the buffer and returned by its next Flush.
+func (w *Writer) message(parts ...string) {
+	for _, part := range parts {
+		_, _ = w.out.WriteString(part)
 	}
-	w.out.WriteByte('\n')
+	_ = w.out.WriteByte('\n')
 }
 
-func ms(s float64) string { return strconv.FormatFloat(s*1000, 'f', 3, 64) }
+// milliseconds formats a time with three decimals.
+func milliseconds(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
