--- a/cmd/lockloom-controlplane/main.go
+++ b/cmd/lockloom-controlplane/main.go
@@ -1,5 +1,5 @@
-// Command lockloom-controlplane is the proxy with every front: what lockloom does, and a control service over xDS for proxies and clients that lockloom
-// does not run.
+// Command lockloom-controlplane is lockloom with a control plane over xDS, for proxies and clients that lockloom does not
+// run, and with captures.
 package main
 
 import (
--- a/cmd/lockloomctl/main.go
+++ b/cmd/lockloomctl/main.go
@@ -1,4 +1,4 @@
-// Command lockloomctl holds the tools round lockloom: rehearsals, experiments, load and stand-ins.
+// Command lockloomctl holds the tools for lockloom: simulations, experiments, load, emulated servers, captures.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli runs a command line of sub-commands: what is printed where, and what a program ends with. The commands
-// themselves are in the packages below this one.
+// Package cli runs a command line of sub-commands: it parses the arguments, prints usage and errors, and returns the
+// program's exit code. The sub-commands themselves are in the packages below this one.
 package cli
 
 import (
@@ -8,122 +8,148 @@
 	"flag"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// What a program ends with.
+// The exit codes of a program.
 const (
-	Done   = 0
-	Failed = 1
-	Misuse = 2
+	ExitOK      = 0
+	ExitFailure = 1
+	ExitUsage   = 2 // the arguments are wrong
 )
 
-// misused is an error in the words of the call; it ends the program with Misuse and the command's usage.
-type misused struct{ error }
+// usageError is an error in a program's arguments. It ends the program with ExitUsage.
+type usageError struct{ error }
 
-// Wrong is an error in the words of a call.
-func Wrong(format string, args ...any) error { return misused{fmt.Errorf(format, args...)} }
+// Unwrap returns the error that says what is wrong.
+func (e usageError) Unwrap() error { return e.error }
 
-// New is a sub-command whose flags are on a set of its own.
-func New(name, usage, help string, flags *flag.FlagSet, exec func(ctx context.Context, words []string) error) *ffcli.Command {
-	return &ffcli.Command{Name: name, ShortUsage: usage, ShortHelp: help, FlagSet: flags,
+// errPrinted is an error that the flag package has printed already.
+var errPrinted = errors.New("")
+
+// UsageErrorf returns an error in a program's arguments, which ends it with ExitUsage.
+func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
+
+// Exec runs a sub-command with the arguments that are no flags.
+type Exec func(ctx context.Context, args []string) error
+
+// NewFlagSet returns an empty set of flags for a sub-command.
+func NewFlagSet(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
+
+// NewCommand returns a sub-command, whose flags may come before, between and after its other arguments.
+func NewCommand(name, usage, help string, flags *flag.FlagSet, exec Exec) *ffcli.Command {
+	return &ffcli.Command{
+		Name:       name,
+		ShortUsage: usage,
+		ShortHelp:  help,
+		FlagSet:    flags,
 		Exec: func(ctx context.Context, args []string) error {
-			words, err := Words(flags, args)
+			args, err := ParseArgs(flags, args)
 			if err != nil {
 				return err
 			}
-			return exec(ctx, words)
-		}}
+			return exec(ctx, args)
+		},
+	}
 }
 
-// Words parses flags that come after words too, and returns the words.
-func Words(flags *flag.FlagSet, args []string) (words []string, err error) {
+// ParseArgs parses flags wherever they are among the arguments, and returns the other arguments.
+func ParseArgs(flags *flag.FlagSet, args []string) (others []string, err error) {
 	for len(args) > 0 {
-		if strings.HasPrefix(args[0], "-") && args[0] != "-" {
-			if err := flags.Parse(args); err != nil {
-				if errors.Is(err, flag.ErrHelp) {
-					return nil, err
-				}
-				return nil, misused{errPrinted} // the flag package has said what is wrong
-			}
-			args = flags.Args()
+		if !strings.HasPrefix(args[0], "-") || args[0] == "-" {
+			others = append(others, args[0])
+			args = args[1:]
 			continue
 		}
-		words, args = append(words, args[0]), args[1:]
+		if err := flags.Parse(args); err != nil {
+			if errors.Is(err, flag.ErrHelp) {
+				return nil, err
+			}
+			return nil, usageError{errPrinted}
+		}
+		args = flags.Args()
 	}
-	return words, nil
+	return others, nil
 }
 
-var errPrinted = errors.New("")
-
-// Run runs one command line and returns what the program ends with.
-func Run(ctx context.Context, root *ffcli.Command, args []string, out, errs io.Writer) int {
-	root.FlagSet = flag.NewFlagSet(root.Name, flag.ContinueOnError)
-	root.FlagSet.SetOutput(errs)
-	for _, c := range root.Subcommands {
-		c.FlagSet.SetOutput(errs)
-		c.FlagSet.Usage = func() { fmt.Fprint(errs, usage(root, c)) }
-		c.UsageFunc = func(c *ffcli.Command) string { return usage(root, c) }
-	}
-	root.UsageFunc = func(*ffcli.Command) string { return list(root) }
+// Run runs one command line, prints its error if there is one, and returns the exit code.
+func Run(ctx context.Context, root *ffcli.Command, args []string, out, errOut io.Writer) int {
+	stdout, stderr := Output{out}, Output{errOut}
+	prepare(root, stderr)
 	if len(args) == 0 {
-		fmt.Fprint(errs, list(root))
-		return Misuse
+		stderr.Printf("%s", commandList(root))
+		return ExitUsage
 	}
 	switch args[0] {
 	case "help", "-h", "-help", "--help":
-		fmt.Fprint(out, list(root))
-		return Done
-	}
-	known := false
-	for _, c := range root.Subcommands {
-		known = known || c.Name == args[0]
+		stdout.Printf("%s", commandList(root))
+		return ExitOK
 	}
-	if !known {
-		fmt.Fprintf(errs, "%s: unknown command %q\n%s", root.Name, args[0], list(root))
-		return Misuse
+	if !slices.ContainsFunc(root.Subcommands, func(c *ffcli.Command) bool { return c.Name == args[0] }) {
+		stderr.Printf("%s: unknown command %q\n%s", root.Name, args[0], commandList(root))
+		return ExitUsage
 	}
 	if err := root.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
-			return Done
+			return ExitOK
 		}
-		return Misuse
+		return ExitUsage
 	}
-	err := root.Run(ctx)
-	var wrong misused
+	return exitCode(root.Name, args[0], root.Run(ctx), stderr)
+}
+
+// prepare sets where a program and its sub-commands print their usage.
+func prepare(root *ffcli.Command, stderr Output) {
+	root.FlagSet = NewFlagSet(root.Name)
+	root.FlagSet.SetOutput(stderr)
+	root.UsageFunc = func(*ffcli.Command) string { return commandList(root) }
+	for _, c := range root.Subcommands {
+		c.FlagSet.SetOutput(stderr)
+		c.FlagSet.Usage = func() { stderr.Printf("%s", usage(root, c)) }
+		c.UsageFunc = func(c *ffcli.Command) string { return usage(root, c) }
+	}
+}
+
+// exitCode prints the error that a command ended with, and returns the exit code.
+func exitCode(program, command string, err error, stderr Output) int {
+	var wrongArgs usageError
 	switch {
 	case err == nil || errors.Is(err, flag.ErrHelp):
-		return Done
-	case errors.As(err, &wrong):
-		if wrong.error != errPrinted {
-			fmt.Fprintf(errs, "%s: %s: %v\n", root.Name, args[0], wrong)
+		return ExitOK
+	case errors.As(err, &wrongArgs):
+		if !errors.Is(wrongArgs, errPrinted) {
+			stderr.Printf("%s: %s: %v\n", program, command, wrongArgs)
 		}
-		return Misuse
+		return ExitUsage
 	}
-	fmt.Fprintf(errs, "%s: %v\n", root.Name, err)
-	return Failed
+	stderr.Printf("%s: %v\n", program, err)
+	return ExitFailure
 }
 
-// list is what a program can do.
-func list(root *ffcli.Command) string {
-	text := fmt.Sprintf("usage: %s COMMAND [FLAGS]\n\n", root.Name)
+// commandList returns the usage of a program.
+func commandList(root *ffcli.Command) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "usage: %s COMMAND [FLAGS]\n\n", root.Name)
 	for _, c := range root.Subcommands {
-		text += fmt.Sprintf("  %-12s%s\n", c.Name, c.ShortHelp)
+		fmt.Fprintf(&text, "  %-12s%s\n", c.Name, c.ShortHelp)
 	}
-	return text + fmt.Sprintf("\n%s COMMAND -h tells a command's flags.\n", root.Name)
+	fmt.Fprintf(&text, "\n%s COMMAND -h tells a command's flags.\n", root.Name)
+	return text.String()
 }
 
-// usage is how one command is called.
+// usage returns the usage of a sub-command.
 func usage(root, c *ffcli.Command) string {
-	text := fmt.Sprintf("usage: %s %s\n\n%s\n", root.Name, c.ShortUsage, c.ShortHelp)
+	var text strings.Builder
+	fmt.Fprintf(&text, "usage: %s %s\n\n%s\n", root.Name, c.ShortUsage, c.ShortHelp)
 	c.FlagSet.VisitAll(func(f *flag.Flag) {
 		value, help := flag.UnquoteUsage(f)
 		if f.DefValue != "" && f.DefValue != "false" {
 			help += " (default " + f.DefValue + ")"
 		}
-		text += fmt.Sprintf("  %-18s%s\n", "-"+f.Name+" "+value, help)
+		fmt.Fprintf(&text, "  %-18s%s\n", "-"+f.Name+" "+value, help)
 	})
-	return text
+	return text.String()
 }
--- /dev/null
+++ b/internal/cli/controlplanecmd/call.go
@@ -0,0 +1,135 @@
+package controlplanecmd
+
+import (
+	"context"
+	"encoding/json"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/health/grpc_health_v1"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/resolver"
+	"google.golang.org/grpc/xds"
+
+	"lockloom/internal/cli"
+)
+
+// callTimeout is what a call of the health service has to be answered in.
+const callTimeout = time.Second
+
+// callCommand returns the sub-command that calls servers as a control service tells it to, by gRPC's own xDS client.
+func callCommand(out cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("call")
+	control := flags.String("control", os.Getenv("LOOMD_CONTROL"), "the control service's `address`")
+	duration := flags.Duration("for", 10*time.Second, "`time` to go on for")
+	rate := flags.Float64("rate", 200, "calls a `second`")
+	help := "call gRPC's health service at a target such as pool/try or a host, steered over xDS"
+	return cli.NewCommand("call", "call TARGET [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
+		if len(args) != 1 || *control == "" || !(*rate > 0) {
+			return cli.UsageErrorf("it takes a target, -control and a rate above 0")
+		}
+		conn, err := dialThrough(*control, args[0], "lockloom-controlplane-call")
+		if err != nil {
+			return err
+		}
+		ctx, stop := context.WithTimeout(ctx, *duration)
+		defer stop()
+		printCalls(callAtRate(ctx, conn, *rate), out)
+		return conn.Close()
+	})
+}
+
+// dialThrough returns a connection to a target, whose servers a control service names to the client of this ID.
+func dialThrough(control, target, id string) (*grpc.ClientConn, error) {
+	builder, err := newResolver(control, id)
+	if err != nil {
+		return nil, err
+	}
+	credentials := grpc.WithTransportCredentials(insecure.NewCredentials())
+	return grpc.NewClient("xds:///"+target, grpc.WithResolvers(builder), credentials)
+}
+
+// newResolver returns gRPC's own xDS client, which asks the control service at an address.
+func newResolver(control, id string) (resolver.Builder, error) {
+	bootstrap, err := json.Marshal(map[string]any{
+		"xds_servers": []any{map[string]any{
+			"server_uri":      control,
+			"channel_creds":   []any{map[string]string{"type": "insecure"}},
+			"server_features": []string{"xds_v3"},
+		}},
+		"node": map[string]any{"id": id, "locality": map[string]string{"zone": ""}},
+	})
+	if err != nil {
+		return nil, err
+	}
+	return xds.NewXDSResolverWithConfigForTesting(bootstrap)
+}
+
+// callCounts are the calls by server; "" is none.
+type callCounts struct{ answered, failed map[string]int }
+
+// printCalls prints a line for each server.
+func printCalls(calls callCounts, out cli.Output) {
+	for _, server := range slices.Sorted(maps.Keys(calls.answered)) {
+		out.Printf("%-21s %6d answered %6d failed\n", server, calls.answered[server], calls.failed[server])
+	}
+	if n := calls.failed[""]; n > 0 {
+		out.Printf("%-21s %6d\n", "by none", n)
+	}
+}
+
+// callResult is how one call ended.
+type callResult struct {
+	server   string // "": none answered
+	answered bool
+}
+
+// callAtRate calls the health service at a rate until the context ends, waits for the calls that are out then, and
+// counts them.
+func callAtRate(ctx context.Context, conn *grpc.ClientConn, rate float64) callCounts {
+	counts := callCounts{answered: map[string]int{}, failed: map[string]int{}}
+	results := make(chan callResult)
+	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer tick.Stop()
+	inFlight := 0
+	for ctx.Err() == nil {
+		select {
+		case <-ctx.Done():
+		case result := <-results:
+			inFlight--
+			counts.add(result)
+		case <-tick.C:
+			inFlight++
+			go func() { results <- callHealth(conn) }()
+		}
+	}
+	for ; inFlight > 0; inFlight-- {
+		counts.add(<-results)
+	}
+	return counts
+}
+
+// add counts a call.
+func (c callCounts) add(result callResult) {
+	if result.answered {
+		c.answered[result.server]++
+		return
+	}
+	c.failed[result.server]++
+	c.answered[result.server] += 0 // so that the server is listed
+}
+
+// callHealth makes one call.
+func callHealth(conn *grpc.ClientConn) callResult {
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
+	defer stop()
+	var header metadata.MD
+	_, err := grpc_health_v1.NewHealthClient(conn).Check(ctx, &healthRequest{}, grpc.Header(&header))
+	return callResult{server: strings.Join(header.Get(serverField), ""), answered: err == nil}
+}
--- a/internal/cli/controlplanecmd/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -22,95 +22,99 @@
 	"lockloom/internal/cli/ctlcmd"
 )
 
-// A proxy under load is captured from the midst of its life, killed, started anew, and captured again: all that was recorded has its
-// decisions again, and tells why a request went where it went.
-func TestCaptureOverAKill(t *testing.T) {
+// A proxy under load is captured from some time after its start, killed, started again, and captured again. All that
+// was recorded can be replayed, and explains why a request went where it went.
+func TestCaptureSurvivesKill(t *testing.T) {
 	dir := t.TempDir()
 	var servers []string
 	for i := range 3 {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			if i == 2 {
 				http.Error(w, "it fails", http.StatusInternalServerError)
 			}
 		}))
-		t.Cleanup(s.Close)
-		servers = append(servers, strings.TrimPrefix(s.URL, "http://"))
+		t.Cleanup(server.Close)
+		servers = append(servers, strings.TrimPrefix(server.URL, "http://"))
 	}
-	require.NoError(t, stand(dir, servers))
-	free := func() string {
+	require.NoError(t, writeInstallation(dir, servers))
+	freeAddress := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer ln.Close()
 		return ln.Addr().String()
 	}
-	door, at, folder := free(), free(), filepath.Join(dir, "captures")
+	listener, captureAddr := freeAddress(), freeAddress()
+	folder := filepath.Join(dir, "captures")
 	file := filepath.Join(dir, "operator.toml")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	text = append(fmt.Appendf(nil, "[capture]\ndir = %q\naddress = %q\nage = 0.5\n[[listener]]\naddress = %q\n", folder, at, door), text...)
+	tables := fmt.Appendf(nil, "[capture]\ndir = %q\naddress = %q\nage = 0.5\n[[listener]]\naddress = %q\n",
+		folder, captureAddr, listener)
+	text = append(tables, text...)
 	require.NoError(t, os.WriteFile(file, text, 0o600))
-	y := &yard{t: t, env: map[string]string{}}
-	program := build(t, dir)
-	lockloomctl := func(words ...string) (int, string) {
+	p := &testProgram{t: t, env: map[string]string{}}
+	program := buildProgram(t, dir)
+	lockloomctl := func(args ...string) (int, string) {
 		var out bytes.Buffer
-		code := ctlcmd.Run(words, &out, &out)
+		code := ctlcmd.Run(args, &out, &out)
 		return code, out.String()
 	}
-	ask := func(n int, id string) {
+	sendRequests := func(n int, id string) {
 		for i := range n {
-			r, err := http.NewRequest("GET", "http://"+door+"/x", nil)
+			r, err := http.NewRequest("GET", "http://"+listener+"/x", nil)
 			require.NoError(t, err)
 			r.Header.Set("X-Trace-Id", fmt.Sprint(id, i))
-			answer, err := http.DefaultClient.Do(r)
+			response, err := http.DefaultClient.Do(r)
 			require.NoError(t, err)
-			io.Copy(io.Discard, answer.Body)
-			answer.Body.Close()
+			_, err = io.Copy(io.Discard, response.Body)
+			require.NoError(t, err)
+			require.NoError(t, response.Body.Close())
 		}
 	}
 	for run := range 2 {
-		cmd := y.start(program, dir)
-		ask(100, "before-")
-		code, said := lockloomctl("capture", at, "-for", "1h")
-		require.Equal(t, cli.Done, code, said)
-		assert.Contains(t, said, "on true, 0 calls")
-		ask(200, fmt.Sprint("run", run, "-"))
-		time.Sleep(600 * time.Millisecond) // a look of the owner's hands on what was gathered, in the end
-		ask(50, "late-")
+		cmd := p.start(program, dir)
+		sendRequests(100, "before-")
+		code, output := lockloomctl("capture", captureAddr, "-for", "1h")
+		require.Equal(t, cli.ExitOK, code, output)
+		assert.Contains(t, output, "on true, 0 calls")
+		sendRequests(200, fmt.Sprint("run", run, "-"))
+		time.Sleep(600 * time.Millisecond) // until what was recorded is written
+		sendRequests(50, "late-")
 		if run == 0 {
 			require.NoError(t, cmd.Process.Signal(syscall.SIGKILL))
-			cmd.Wait()
+			assert.Error(t, cmd.Wait(), "it was killed")
 			continue
 		}
-		code, said = lockloomctl("capture", at, "-look")
-		assert.Equal(t, cli.Done, code)
-		assert.Contains(t, said, " 0 gaps")
+		code, output = lockloomctl("capture", captureAddr, "-look")
+		assert.Equal(t, cli.ExitOK, code)
+		assert.Contains(t, output, " 0 gaps")
 		require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 		assert.NoError(t, cmd.Wait())
 	}
-	code, said := lockloomctl("replay", folder, "-times", "2")
-	require.Equal(t, cli.Done, code, said)
-	assert.Contains(t, said, " 0 differ, 0 passed over")
+	code, output := lockloomctl("replay", folder, "-times", "2")
+	require.Equal(t, cli.ExitOK, code, output)
+	assert.Contains(t, output, " 0 differ, 0 passed over")
 	for _, id := range []string{"run0-5", "run1-150"} {
-		code, said = lockloomctl("why", folder, "-lookup", id)
-		require.Equal(t, cli.Done, code, said)
-		assert.Contains(t, said, `pool "try"`)
-		assert.Contains(t, said, "honoured")
-		assert.Contains(t, said, "payoff")
+		code, output = lockloomctl("why", folder, "-lookup", id)
+		require.Equal(t, cli.ExitOK, code, output)
+		assert.Contains(t, output, `pool "try"`)
+		assert.Contains(t, output, "honoured")
+		assert.Contains(t, output, "payoff")
 	}
-	code, said = lockloomctl("why", folder, "-lookup", "before-5")
-	assert.Equal(t, cli.Failed, code, "it was not captured: %s", said)
+	code, output = lockloomctl("why", folder, "-lookup", "before-5")
+	assert.Equal(t, cli.ExitFailure, code, "it was not captured: %s", output)
 }
 
-// lockloom takes neither table: what it cannot do is refused by its key.
-func TestPlatformProgramRefuses(t *testing.T) {
+// lockloom refuses an operator file with a table that it has no program for.
+func TestPlatformProgramRefusesControlAndCapture(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, stand(dir, []string{"127.0.0.1:1"}))
+	require.NoError(t, writeInstallation(dir, []string{"127.0.0.1:1"}))
 	program := filepath.Join(dir, "lockloom")
 	out, err := exec.Command("go", "build", "-o", program, "lockloom/cmd/lockloom").CombinedOutput()
 	require.NoError(t, err, string(out))
-	y := &yard{t: t, env: map[string]string{}}
+	p := &testProgram{t: t, env: map[string]string{}}
 	run := exec.Command(program, "serve", "-operator", filepath.Join(dir, "operator.toml"))
-	run.Env = y.variables(dir)
+	run.Env = p.environment(dir)
 	out, err = run.CombinedOutput()
 	assert.Error(t, err)
 	assert.Contains(t, string(out), "control, capture: this program has neither; lockloom-controlplane has")
--- a/internal/cli/controlplanecmd/controlplanecmd_test.go
+++ b/internal/cli/controlplanecmd/controlplanecmd_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -18,196 +17,200 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"google.golang.org/grpc"
-	"google.golang.org/grpc/credentials/insecure"
-	"google.golang.org/grpc/health/grpc_health_v1"
 
 	"lockloom/internal/cli"
 	"lockloom/internal/cli/ctlcmd"
 	"lockloom/internal/faultproxy"
 )
 
-// counted is a gRPC server that counts its calls, and fails them all while it is told to.
-type counted struct {
-	failing
+// countingServer is a gRPC server that counts its calls, and fails all of them while fails is set.
+type countingServer struct {
+	healthServer
 	calls atomic.Int64
 	fails atomic.Bool
 }
 
-func (c *counted) Check(ctx context.Context, r *grpc_health_v1.HealthCheckRequest) (*grpc_health_v1.HealthCheckResponse, error) {
-	c.calls.Add(1)
-	f := c.failing
-	if f.share = 0; c.fails.Load() {
-		f.share = 1
+func (s *countingServer) Check(ctx context.Context, r *healthRequest) (*healthResponse, error) {
+	s.calls.Add(1)
+	server := healthServer{name: s.name}
+	if s.fails.Load() {
+		server.failureFraction = 1
 	}
-	return f.Check(ctx, r)
+	return server.Check(ctx, r)
 }
 
-// yard is lockloom-controlplane as a program, with gRPC servers.
-type yard struct {
+// testProgram is lockloom-controlplane as a program, with gRPC servers.
+type testProgram struct {
 	t       *testing.T
-	servers []*counted
+	servers []*countingServer
 	env     map[string]string
 }
 
-func newYard(t *testing.T, n int) *yard {
-	y := &yard{t: t, env: map[string]string{}}
+// startTestProgram starts the program and n servers, until the test ends.
+func startTestProgram(t *testing.T, n int) *testProgram {
+	t.Helper()
+	p := &testProgram{t: t, env: map[string]string{}}
 	var addrs []string
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		c := &counted{failing: failing{name: ln.Addr().String()}}
-		server := grpc.NewServer()
-		grpc_health_v1.RegisterHealthServer(server, c)
-		go server.Serve(ln)
-		t.Cleanup(server.Stop)
-		y.servers, addrs = append(y.servers, c), append(addrs, c.name)
+		server := &countingServer{healthServer: healthServer{name: ln.Addr().String()}}
+		t.Cleanup(serveHealth(ln, server))
+		p.servers = append(p.servers, server)
+		addrs = append(addrs, server.name)
 	}
 	dir := t.TempDir()
-	require.NoError(t, stand(dir, addrs))
-	run := y.start(build(t, dir), dir)
+	require.NoError(t, writeInstallation(dir, addrs))
+	run := p.start(buildProgram(t, dir), dir)
 	t.Cleanup(func() {
-		run.Process.Signal(syscall.SIGTERM)
+		assert.NoError(t, run.Process.Signal(syscall.SIGTERM))
 		assert.NoError(t, run.Wait())
 	})
-	return y
+	return p
 }
 
-// build builds lockloom-controlplane into a folder.
-func build(t *testing.T, dir string) string {
+// buildProgram builds lockloom-controlplane into a folder.
+func buildProgram(t *testing.T, dir string) string {
+	t.Helper()
 	program := filepath.Join(dir, "lockloom-controlplane")
 	out, err := exec.Command("go", "build", "-o", program, "lockloom/cmd/lockloom-controlplane").CombinedOutput()
 	require.NoError(t, err, string(out))
 	return program
 }
 
-// variables are what stand wrote down for a program, beside this one's.
-func (y *yard) variables(dir string) []string {
+// environment returns what writeInstallation wrote down for a program, besides this one's environment.
+func (p *testProgram) environment(dir string) []string {
 	text, err := os.ReadFile(filepath.Join(dir, "loomd.env"))
-	require.NoError(y.t, err)
+	require.NoError(p.t, err)
 	all := append(os.Environ(), "TMPDIR="+dir)
 	for line := range strings.Lines(string(text)) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
-		y.env[name] = value
+		p.env[name] = value
 		all = append(all, name+"="+value)
 	}
 	return all
 }
 
 // start starts the program in a folder, and waits until it takes clients.
-func (y *yard) start(program, dir string) *exec.Cmd {
+func (p *testProgram) start(program, dir string) *exec.Cmd {
 	run := exec.Command(program, "serve", "-operator", filepath.Join(dir, "operator.toml"))
-	run.Env = y.variables(dir)
+	run.Env = p.environment(dir)
 	log, err := os.CreateTemp(dir, "log")
-	require.NoError(y.t, err)
-	defer log.Close()
+	require.NoError(p.t, err)
 	run.Stderr = log
-	require.NoError(y.t, run.Start())
-	y.t.Cleanup(func() {
-		if text, _ := os.ReadFile(log.Name()); y.t.Failed() {
-			y.t.Log(string(text))
+	require.NoError(p.t, run.Start())
+	require.NoError(p.t, log.Close())
+	p.t.Cleanup(func() {
+		if text, _ := os.ReadFile(log.Name()); p.t.Failed() {
+			p.t.Log(string(text))
 		}
 	})
-	require.Eventually(y.t, func() bool { return y.call("ready") == cli.Done }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(p.t, func() bool { return p.call("ready") == cli.ExitOK }, 10*time.Second, 10*time.Millisecond)
 	return run
 }
 
-// call makes an operators' call.
-func (y *yard) call(words ...string) int {
-	return Run(append(words, y.env["ROUTER_OPERATOR"]), io.Discard, io.Discard)
+// call makes an admin call and returns the exit code.
+func (p *testProgram) call(words ...string) int {
+	return Run(append(words, p.env["ROUTER_OPERATOR"]), io.Discard, io.Discard)
 }
 
-// client calls the pool until the test ends, steered through this address.
-func (y *yard) client(id, control string) {
-	builder, err := asksAt(control, id, "")
-	require.NoError(y.t, err)
-	conn, err := grpc.NewClient("xds:///pool/try", grpc.WithResolvers(builder), grpc.WithTransportCredentials(insecure.NewCredentials()))
-	require.NoError(y.t, err)
+// startClient calls the pool until the test ends, as the control service at this address tells it to.
+func (p *testProgram) startClient(id, control string) {
+	conn, err := dialThrough(control, "pool/try", id)
+	require.NoError(p.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Go(func() { callAll(ctx, conn, 100) })
-	y.t.Cleanup(func() { stop(); over.Wait(); conn.Close() })
+	var calls sync.WaitGroup
+	calls.Go(func() { callAtRate(ctx, conn, 100) })
+	p.t.Cleanup(func() {
+		stop()
+		calls.Wait()
+		assert.NoError(p.t, conn.Close())
+	})
 }
 
-// calls are how many each server got in this time.
-func (y *yard) calls(d time.Duration) []int64 {
-	before := make([]int64, len(y.servers))
-	for i, c := range y.servers {
-		before[i] = c.calls.Load()
+// callsWithin returns how many calls each server gets in a time.
+func (p *testProgram) callsWithin(duration time.Duration) []int64 {
+	counts := make([]int64, len(p.servers))
+	for i, server := range p.servers {
+		counts[i] = -server.calls.Load()
 	}
-	time.Sleep(d)
-	for i, c := range y.servers {
-		before[i] = c.calls.Load() - before[i]
+	time.Sleep(duration)
+	for i, server := range p.servers {
+		counts[i] += server.calls.Load()
 	}
-	return before
+	return counts
 }
 
-// gRPC's own xDS client follows: what is drained gets no more calls from any of three clients, by the servers' own counts; one that was
-// cut off meanwhile goes on as it was told last, and follows as soon as it is back; what is put back gets calls again.
-func TestClientsFollowDrains(t *testing.T) {
-	y := newYard(t, 3)
-	way, err := faultproxy.Open(y.env["LOOMD_CONTROL"])
+// gRPC's own xDS client follows the control service. By the servers' own counts, a disabled server gets no more calls
+// from any of three clients; a client that is cut off meanwhile goes on with what it received last, and follows as soon
+// as it is connected again; a server that is enabled gets calls again.
+func TestClientsFollowDisabledServers(t *testing.T) {
+	p := startTestProgram(t, 3)
+	link, err := faultproxy.Open(p.env["LOOMD_CONTROL"])
 	require.NoError(t, err)
-	t.Cleanup(way.Close)
-	y.client("a", y.env["LOOMD_CONTROL"])
-	y.client("b", y.env["LOOMD_CONTROL"])
-	y.client("cut off", way.Addr())
-	all := func() bool {
-		for _, n := range y.calls(200 * time.Millisecond) {
+	t.Cleanup(link.Close)
+	p.startClient("a", p.env["LOOMD_CONTROL"])
+	p.startClient("b", p.env["LOOMD_CONTROL"])
+	p.startClient("cut off", link.Addr())
+	allAreCalled := func() bool {
+		for _, n := range p.callsWithin(200 * time.Millisecond) {
 			if n == 0 {
 				return false
 			}
 		}
 		return true
 	}
-	require.Eventually(t, all, 10*time.Second, time.Millisecond)
-	rows := &bytes.Buffer{}
-	assert.Equal(t, cli.Done, ctlcmd.Run([]string{"subscribers", y.env["LOOMD_STATUS"]}, rows, io.Discard))
-	assert.Equal(t, 3, strings.Count(rows.String(), "endpoints"), rows)
-	way.Set(faultproxy.Fault{Silent: true})
-	id := "try/" + y.servers[0].name
-	require.Equal(t, cli.Done, y.call("disable", id))
+	require.Eventually(t, allAreCalled, 10*time.Second, time.Millisecond)
+	subscribers := &bytes.Buffer{}
+	assert.Equal(t, cli.ExitOK, ctlcmd.Run([]string{"subscribers", p.env["LOOMD_STATUS"]}, subscribers, io.Discard))
+	assert.Equal(t, 3, strings.Count(subscribers.String(), "endpoints"), subscribers)
+	link.Set(faultproxy.Fault{Silent: true})
+	id := "try/" + p.servers[0].name
+	require.Equal(t, cli.ExitOK, p.call("disable", id))
 	time.Sleep(500 * time.Millisecond)
-	got := y.calls(time.Second)
+	got := p.callsWithin(time.Second)
 	assert.True(t, got[0] > 5 && got[0] < 80, "of one client in three alone: %v", got)
 	assert.Greater(t, got[1]+got[2], int64(150), "%v", got)
-	way.Set(faultproxy.Fault{})
-	way.Cut()
+	link.Set(faultproxy.Fault{})
+	link.Cut()
 	time.Sleep(2500 * time.Millisecond)
-	got = y.calls(time.Second)
+	got = p.callsWithin(time.Second)
 	assert.Zero(t, got[0], "%v", got)
-	require.Equal(t, cli.Done, y.call("enable", id))
-	require.Eventually(t, all, 10*time.Second, time.Millisecond)
+	require.Equal(t, cli.ExitOK, p.call("enable", id))
+	require.Eventually(t, allAreCalled, 10*time.Second, time.Millisecond)
 }
 
-// What clients report of their calls pauses a server that fails, and brings it back once it is well.
+// By what clients report of their calls, a server that fails is paused, and readmitted once it is well.
 func TestReportsPauseAndReadmit(t *testing.T) {
-	y := newYard(t, 4)
-	y.client("a", y.env["LOOMD_CONTROL"])
-	y.client("b", y.env["LOOMD_CONTROL"])
-	share := func() float64 {
-		got := y.calls(500 * time.Millisecond)
+	p := startTestProgram(t, 4)
+	p.startClient("a", p.env["LOOMD_CONTROL"])
+	p.startClient("b", p.env["LOOMD_CONTROL"])
+	shareOfFirst := func() float64 {
+		got := p.callsWithin(500 * time.Millisecond)
 		sum := int64(0)
 		for _, n := range got {
 			sum += n
 		}
 		return float64(got[0]) / float64(max(sum, 1))
 	}
-	require.Eventually(t, func() bool { return share() > .15 }, 10*time.Second, time.Millisecond)
-	y.servers[0].fails.Store(true)
-	require.Eventually(t, func() bool { return share() < .02 }, 10*time.Second, time.Millisecond, "paused")
-	y.servers[0].fails.Store(false)
+	require.Eventually(t, func() bool { return shareOfFirst() > .15 }, 10*time.Second, time.Millisecond)
+	p.servers[0].fails.Store(true)
+	require.Eventually(t, func() bool { return shareOfFirst() < .02 }, 10*time.Second, time.Millisecond, "paused")
+	p.servers[0].fails.Store(false)
 	began := time.Now()
-	require.Eventually(t, func() bool { return share() > .15 }, 40*time.Second, time.Millisecond, "readmitted")
+	require.Eventually(t, func() bool { return shareOfFirst() > .15 }, 40*time.Second, time.Millisecond, "readmitted")
 	t.Logf("readmitted %v after it was well", time.Since(began))
 }
 
 // The platform's program stays small: nothing of gRPC or protobuf gets into it.
-func TestPlatformProgramIsClean(t *testing.T) {
+func TestPlatformProgramHasNoControlPlane(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "lockloom/cmd/lockloom").Output()
 	require.NoError(t, err)
-	for _, not := range []string{"google.golang.org/grpc", "google.golang.org/protobuf", "envoyproxy", "gonum.org", "lockloom/controlplane", "net/http\n"} {
-		assert.NotContains(t, string(out), not)
+	for _, excluded := range []string{
+		"google.golang.org/grpc", "google.golang.org/protobuf", "envoyproxy", "gonum.org", "lockloom/controlplane",
+		"net/http\n",
+	} {
+		assert.NotContains(t, string(out), excluded)
 	}
-	assert.Contains(t, string(out), "lockloom/assignment", fmt.Sprint("the opinions' form is pure"))
+	assert.Contains(t, string(out), "lockloom/assignment", "the form of estimates is pure")
 }
--- /dev/null
+++ b/internal/cli/controlplanecmd/extension.go
@@ -0,0 +1,212 @@
+package controlplanecmd
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"lockloom/assignment"
+	"lockloom/balance"
+	"lockloom/controlplane"
+	"lockloom/internal/capture"
+	"lockloom/internal/cli"
+	"lockloom/internal/cli/proxycmd"
+	"lockloom/internal/invariant"
+	"lockloom/proxy"
+)
+
+const (
+	invariantInterval = time.Second     // between checks whether an invariant was broken
+	headTimeout       = 2 * time.Second // for a request's head, where operators ask
+)
+
+// extension is the control plane and the capture of a proxy, each if the operator file has its table.
+type extension struct {
+	log          logrus.FieldLogger
+	controlPlane *controlplane.Service
+	recorder     *capture.Recorder
+	stopped      chan struct{}
+}
+
+// startExtension is a proxycmd.StartExtension.
+func startExtension(
+	p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig, log logrus.FieldLogger,
+) (proxycmd.Extension, error) {
+	e := &extension{log: log, stopped: make(chan struct{})}
+	if config.Capture != nil {
+		if err := e.startCapture(p, config, bootstrap); err != nil {
+			return nil, err
+		}
+	}
+	if config.ControlPlane != nil {
+		if err := e.startControlPlane(p, config, bootstrap); err != nil {
+			e.Stop()
+			return nil, err
+		}
+	}
+	return e, nil
+}
+
+// Reload puts another operator file in force. A capture changes with the next start, or by calls to its address.
+func (e *extension) Reload(config *proxy.Config) error {
+	if e.controlPlane != nil {
+		return e.controlPlane.Operate(config)
+	}
+	return nil
+}
+
+// Stop ends both, once the proxy has ended.
+func (e *extension) Stop() {
+	close(e.stopped)
+	if e.controlPlane != nil {
+		e.controlPlane.Stop()
+	}
+	if e.recorder != nil {
+		if err := e.recorder.Close(); err != nil {
+			e.log.WithError(err).Error("capture")
+		}
+	}
+}
+
+// serveAt serves at an address that a key of the operator file's table names.
+func (e *extension) serveAt(table, key, addr string, serve func(net.Listener) error) error {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return fmt.Errorf("%s: %s: %w", table, key, err)
+	}
+	e.log.WithField(key, ln.Addr().String()).Info(table)
+	go func() {
+		if err := serve(ln); err != nil {
+			e.log.WithError(err).Error(table + ": " + key + " has ended")
+		}
+	}()
+	return nil
+}
+
+// startControlPlane starts the xDS service and its status address.
+func (e *extension) startControlPlane(p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig) error {
+	service, err := controlplane.New(config, assignment.Settings{
+		SlowStartFraction: bootstrap.SlowStartFraction,
+		SlowStartDuration: bootstrap.SlowStartDuration,
+		CrashFactor:       bootstrap.CrashFactor,
+		CrashDuration:     bootstrap.CrashDuration,
+	}, e.log)
+	if err != nil {
+		return err
+	}
+	e.controlPlane = service
+	service.Reported = p.OutcomesReported
+	p.OnEstimates(service.Update)
+	if config.ControlPlane.Status != "" {
+		if err := e.serveAt("control", "status", config.ControlPlane.Status, service.Status); err != nil {
+			return err
+		}
+	}
+	return e.serveAt("control", "address", config.ControlPlane.Address, service.Serve)
+}
+
+// recordedDecisions are a pool's decisions, recorded.
+type recordedDecisions struct{ *capture.Balancer }
+
+// RequestArrived makes the call of proxy.Decisions.
+func (d recordedDecisions) RequestArrived(
+	now float64, request balance.RequestInfo, id string,
+) (proxy.RequestHandle, *balance.Actions) {
+	return d.Balancer.RequestArrived(now, request, id)
+}
+
+// startCapture records the decisions of every pool.
+func (e *extension) startCapture(p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig) error {
+	c := config.Capture
+	recorder, err := capture.Open(capture.Options{
+		Dir:       c.Dir,
+		Name:      bootstrap.Name,
+		Program:   cli.BuildVersion(),
+		Total:     int64(c.TotalMB) << 20,
+		Segment:   int64(c.SegmentMB) << 20,
+		Age:       time.Duration(c.Age * float64(time.Second)),
+		Ring:      int64(c.RingMB) << 20,
+		On:        c.On,
+		Dismissed: c.RejectedShare,
+		Log:       e.log,
+	})
+	if err != nil {
+		return fmt.Errorf("capture: %w", err)
+	}
+	e.recorder = recorder
+	p.Capture(func(pool string, b *balance.Balancer) proxy.Decisions {
+		return recordedDecisions{recorder.Balancer(pool, b)}
+	})
+	go e.triggerCapture(recorder, c.RingMB > 0)
+	if c.Address == "" {
+		return nil
+	}
+	return e.serveAt("capture", "address", c.Address, func(ln net.Listener) error {
+		return e.serveHTTP(ln, recorder.Door())
+	})
+}
+
+// serveHTTP serves a listener until the extension is stopped.
+func (e *extension) serveHTTP(ln net.Listener, handler http.Handler) error {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: headTimeout}
+	go func() {
+		<-e.stopped
+		if err := server.Close(); err != nil {
+			e.log.WithError(err).Error("capture: address")
+		}
+	}()
+	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// triggerCapture writes what is held in memory when an invariant is broken or on SIGUSR2, until the extension is
+// stopped. Without a ring in memory, the signal turns the capture on or off.
+func (e *extension) triggerCapture(recorder *capture.Recorder, ring bool) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR2)
+	defer signal.Stop(signals)
+	check := time.NewTicker(invariantInterval)
+	defer check.Stop()
+	for seen := 0; ; {
+		select {
+		case <-e.stopped:
+			return
+		case <-signals:
+			e.captureSignaled(recorder, ring)
+		case <-check.C:
+			broken := brokenInvariants()
+			if broken > seen {
+				recorder.Trigger("a broken invariant")
+			}
+			seen = broken
+		}
+	}
+}
+
+// captureSignaled does what SIGUSR2 stands for.
+func (e *extension) captureSignaled(recorder *capture.Recorder, ring bool) {
+	if ring {
+		recorder.Trigger("SIGUSR2")
+		return
+	}
+	recorder.Set(!recorder.On())
+	e.log.WithField("on", recorder.On()).Info("capture")
+}
+
+// brokenInvariants returns how often an invariant was broken so far.
+func brokenInvariants() int {
+	total := 0
+	for _, times := range invariant.Broken() {
+		total += times
+	}
+	return total
+}
--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -21,10 +21,10 @@
 	"lockloom/internal/simulation"
 )
 
-// The test's own program stands for both others: rehearsals start it as a proxy, tests as lockloomctl.
+// The test's own program stands for both programs: simulations start it as a proxy, tests as lockloomctl.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		if os.Getenv(hangs) != "" {
+		if os.Getenv(proxyHangs) != "" {
 			time.Sleep(time.Minute)
 		}
 		os.Exit(proxycmd.Run(os.Args[1:], os.Stdout, os.Stderr))
@@ -35,13 +35,17 @@
 	os.Exit(m.Run())
 }
 
-const hangs = "REHEARSAL_HANGS" // set, the proxy never gets ready
+// proxyHangs, in the environment, keeps the proxy from getting ready.
+const proxyHangs = "REHEARSAL_HANGS"
 
-const bundled = "../../../deploy/rehearsals/"
+// bundledScenarios is the folder of the scenarios that come with the project.
+const bundledScenarios = "../../../deploy/rehearsals/"
 
-// short writes a scenario of some seconds made of a bundled one, its rate and its times cut down.
-func short(t *testing.T, name string, seconds, part float64) string {
-	text, err := os.ReadFile(bundled + name + ".toml")
+// shortScenario writes a scenario of so many seconds, made from a bundled one with a low rate and times that are a
+// fraction of its own.
+func shortScenario(t *testing.T, name string, seconds, fraction float64) string {
+	t.Helper()
+	text, err := os.ReadFile(bundledScenarios + name + ".toml")
 	require.NoError(t, err)
 	var out []string
 	table := ""
@@ -50,10 +54,14 @@
 			table = strings.Trim(line, "[]")
 		}
 		field, value, ok := strings.Cut(line, " = ")
-		times := map[string][]string{"": {"seconds"}, "trouble": {"at", "for", "within", "drain"}, "arrivals.phase": {"at", "for"}}
+		times := map[string][]string{
+			"":               {"seconds"},
+			"trouble":        {"at", "for", "within", "drain"},
+			"arrivals.phase": {"at", "for"},
+		}
 		if x, err := strconv.ParseFloat(value, 64); ok && err == nil {
 			if slices.Contains(times[table], field) {
-				line = fmt.Sprintf("%s = %g", field, max(x*part, .2))
+				line = fmt.Sprintf("%s = %g", field, max(x*fraction, .2))
 			} else if field == "rate" {
 				line = "rate = 60.0"
 			}
@@ -68,19 +76,20 @@
 	return file
 }
 
-func run(args ...string) (int, string, string) {
+// runCommand runs a command line, and returns the exit code and what it printed.
+func runCommand(args ...string) (int, string, string) {
 	var out, errs strings.Builder
 	code := Run(args, &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// A part of the deadline night with whole programs: every request has one answer, and no rule is broken.
+// In a part of the deadline night with whole programs, every request has one answer and no rule is broken.
 func TestDeadlineNight(t *testing.T) {
-	file, dir := short(t, "deadline-night", 9, .1), t.TempDir()
+	file, dir := shortScenario(t, "deadline-night", 9, .1), t.TempDir()
 	own, err := os.Executable()
 	require.NoError(t, err)
-	code, out, errs := run("rehearse", file, "-clock", "sockets", "-proxy", own, "-json", dir+"/r.json", "-html", dir+"/r.html",
-		"-timeline", dir+"/r.txt", "-logs", dir)
+	code, out, errs := runCommand("rehearse", file, "-clock", "sockets", "-proxy", own,
+		"-json", dir+"/r.json", "-html", dir+"/r.html", "-timeline", dir+"/r.txt", "-logs", dir)
 	text, err := os.ReadFile(dir + "/r.json")
 	require.NoError(t, err, errs)
 	var r simulation.Result
@@ -88,13 +97,13 @@
 	assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.Lost+r.WithProxy+r.Gone+r.Mismatched)
 	assert.Greater(t, r.Legs, 300)
 	assert.Zero(t, r.Mismatched+r.Turned)
-	assert.Equal(t, 12, len(scripted(r.Events)), "all that is scripted happened: %v", r.Events)
-	if r.Void != "" { // the machine had no time for it: that must be said, and nothing blamed on the proxy
-		assert.Equal(t, cli.Failed, code)
+	assert.Equal(t, 12, len(scriptedEvents(r.Events)), "all scripted events happened: %v", r.Events)
+	if r.Void != "" { // the machine was too busy: that is said, and nothing is blamed on the proxy
+		assert.Equal(t, cli.ExitFailure, code)
 		assert.Contains(t, out, "void: ")
 		return
 	}
-	assert.Equal(t, cli.Done, code, "%s%s", out, errs)
+	assert.Equal(t, cli.ExitOK, code, "%s%s", out, errs)
 	assert.Zero(t, r.Lost)
 	page, err := os.ReadFile(dir + "/r.html")
 	require.NoError(t, err)
@@ -102,7 +111,8 @@
 	assert.NotContains(t, string(page), "http-equiv")
 }
 
-func scripted(all []simulation.Event) (list []string) {
+// scriptedEvents returns the events that a scenario scripts.
+func scriptedEvents(all []simulation.Event) (list []string) {
 	for _, e := range all {
 		if !strings.HasPrefix(e.What, "!") {
 			list = append(list, e.What)
@@ -111,9 +121,9 @@
 	return list
 }
 
-// Ctrl-C in mid-run: the proxies end, and no report is begun.
+// On an interrupt the proxies end, and no report is written.
 func TestInterrupted(t *testing.T) {
-	file, dir := short(t, "calm", 60, 1), t.TempDir()
+	file, dir := shortScenario(t, "calm", 60, 1), t.TempDir()
 	own, err := os.Executable()
 	require.NoError(t, err)
 	cmd := exec.Command(own, "rehearse", file, "-clock", "sockets", "-proxy", own, "-json", dir+"/r.json", "-logs", dir)
@@ -128,7 +138,7 @@
 	require.NoError(t, cmd.Process.Signal(syscall.SIGINT))
 	var exit *exec.ExitError
 	require.ErrorAs(t, cmd.Wait(), &exit)
-	assert.Equal(t, cli.Failed, exit.ExitCode())
+	assert.Equal(t, cli.ExitFailure, exit.ExitCode())
 	assert.Contains(t, errs.String(), "context canceled")
 	names, err := filepath.Glob(dir + "/*")
 	require.NoError(t, err)
@@ -136,8 +146,8 @@
 	assert.Contains(t, log(), "stopping", "the proxies were told to stop and had ended before it did")
 }
 
-func TestRun(t *testing.T) {
-	calm := bundled + "calm.toml"
+func TestExitCodesAndOutput(t *testing.T) {
+	calm := bundledScenarios + "calm.toml"
 	one := filepath.Join(t.TempDir(), "one.toml")
 	text, err := os.ReadFile(calm)
 	require.NoError(t, err)
@@ -147,47 +157,47 @@
 	for _, c := range []struct {
 		args      string
 		code      int
-		out, errs string // what they must hold
+		out, errs string // what they contain
 	}{
-		{"", cli.Misuse, "", "usage: lockloomctl"},
-		{"dance", cli.Misuse, "", `unknown command "dance"`},
-		{"help", cli.Done, "rehearse", ""},
-		{"version", cli.Done, "lockloomctl ", ""},
-		{"rehearse -h", cli.Done, "", "-timeline FILE"},
-		{"rehearse", cli.Misuse, "", "it takes one scenario, not 0"},
-		{"rehearse -x " + calm, cli.Misuse, "", "flag provided but not defined: -x"},
-		{"rehearse no.toml", cli.Failed, "", "no.toml: no such file"},
-		{"rehearse " + bad, cli.Failed, "", "bad.toml:2:1: speed: no such field"},
-		{"rehearse -clock slow " + calm, cli.Misuse, "", `-clock: "slow"`},
-		{"rehearse -policy best " + calm, cli.Misuse, "", `policy "best": it is one of`},
-		{"rehearse " + calm + " -match", cli.Misuse, "", "of the clock sockets"},
-		{"rehearse " + calm + " -json no/such/place", cli.Failed, "value in time", "no/such"},
-		{"rehearse " + calm + " -clock sockets -proxy /no/such/program", cli.Failed, "", "proxy program: "},
-		{"rehearse " + one + " -clock sockets -proxy /bin/false", cli.Failed, "", "proxy 1 ended"},
-		{"experiment", cli.Misuse, "", "one at least"},
-		{"experiment " + calm + " -seeds 0", cli.Misuse, "", "-seeds: 0"},
-		{"experiment " + calm + " -policies a,b", cli.Misuse, "", `policy "a"`},
-		{"experiment " + calm + " -against x", cli.Misuse, "", "of the clock sockets"},
-		{"load " + calm, cli.Misuse, "", "-to: missing"},
-		{"load " + calm + " -to 127.0.0.1:1", cli.Failed, "", "proxy at 127.0.0.1:1: "},
-		{"load " + calm + " -to 127.0.0.1:1 -rate 1e12", cli.Failed, "", "arrivals: rate"},
+		{"", cli.ExitUsage, "", "usage: lockloomctl"},
+		{"dance", cli.ExitUsage, "", `unknown command "dance"`},
+		{"help", cli.ExitOK, "rehearse", ""},
+		{"version", cli.ExitOK, "lockloomctl ", ""},
+		{"rehearse -h", cli.ExitOK, "", "-timeline FILE"},
+		{"rehearse", cli.ExitUsage, "", "it takes one scenario, not 0"},
+		{"rehearse -x " + calm, cli.ExitUsage, "", "flag provided but not defined: -x"},
+		{"rehearse no.toml", cli.ExitFailure, "", "no.toml: no such file"},
+		{"rehearse " + bad, cli.ExitFailure, "", "bad.toml:2:1: speed: no such field"},
+		{"rehearse -clock slow " + calm, cli.ExitUsage, "", `-clock: "slow"`},
+		{"rehearse -policy best " + calm, cli.ExitUsage, "", `policy "best": it is one of`},
+		{"rehearse " + calm + " -match", cli.ExitUsage, "", "of the clock sockets"},
+		{"rehearse " + calm + " -json no/such/place", cli.ExitFailure, "value in time", "no/such"},
+		{"rehearse " + calm + " -clock sockets -proxy /no/such/program", cli.ExitFailure, "", "proxy program: "},
+		{"rehearse " + one + " -clock sockets -proxy /bin/false", cli.ExitFailure, "", "proxy 1 ended"},
+		{"experiment", cli.ExitUsage, "", "one at least"},
+		{"experiment " + calm + " -seeds 0", cli.ExitUsage, "", "-seeds: 0"},
+		{"experiment " + calm + " -policies a,b", cli.ExitUsage, "", `policy "a"`},
+		{"experiment " + calm + " -against x", cli.ExitUsage, "", "of the clock sockets"},
+		{"load " + calm, cli.ExitUsage, "", "-to: missing"},
+		{"load " + calm + " -to 127.0.0.1:1", cli.ExitFailure, "", "proxy at 127.0.0.1:1: "},
+		{"load " + calm + " -to 127.0.0.1:1 -rate 1e12", cli.ExitFailure, "", "arrivals: rate"},
 	} {
-		code, out, errs := run(strings.Fields(c.args)...)
+		code, out, errs := runCommand(strings.Fields(c.args)...)
 		assert.Equal(t, c.code, code, "%s: %s", c.args, errs)
 		assert.Contains(t, out, c.out, c.args)
 		assert.Contains(t, errs, c.errs, c.args)
-		if c.code == cli.Failed {
+		if c.code == cli.ExitFailure {
 			assert.Equal(t, 1, strings.Count(errs, "\n"), "one line says what is wrong: %s", c.args)
 		}
 	}
 }
 
-// A program that never gets ready is given up, named and ended.
-func TestNeverReady(t *testing.T) {
-	t.Setenv(hangs, "1")
+// A program that never gets ready is killed and named.
+func TestProxyThatNeverGetsReady(t *testing.T) {
+	t.Setenv(proxyHangs, "1")
 	own, err := os.Executable()
 	require.NoError(t, err)
-	s, err := simulation.Open(short(t, "calm", 1, 1))
+	s, err := simulation.Open(shortScenario(t, "calm", 1, 1))
 	require.NoError(t, err)
 	began := time.Now()
 	_, err = s.Sockets(t.Context(), simulation.Sockets{Proxy: own, Ready: 200 * time.Millisecond})
@@ -195,10 +205,11 @@
 	assert.Less(t, time.Since(began), time.Minute, "it did not wait for the program's own end")
 }
 
-func TestExperiment(t *testing.T) {
-	file, dir := short(t, "linger", 20, .25), t.TempDir()
-	code, out, errs := run("experiment", file, "-seeds", "2", "-policies", "lockloom,random", "-json", dir+"/x.json", "-html", dir+"/x.html")
-	assert.Equal(t, cli.Done, code, errs)
+func TestExperimentComparesPolicies(t *testing.T) {
+	file, dir := shortScenario(t, "linger", 20, .25), t.TempDir()
+	code, out, errs := runCommand("experiment", file, "-seeds", "2", "-policies", "lockloom,random",
+		"-json", dir+"/x.json", "-html", dir+"/x.html")
+	assert.Equal(t, cli.ExitOK, code, errs)
 	assert.Equal(t, 3, strings.Count(out, "\n"), out)
 	var all []simulation.Result
 	text, err := os.ReadFile(dir + "/x.json")
@@ -211,9 +222,9 @@
 	assert.Equal(t, []string{"lockloom1", "lockloom2", "random1", "random2"}, order, "in one order, whichever ends first")
 }
 
-// A port that is taken is passed over: what begins at the same place comes up on others.
-func TestPortTaken(t *testing.T) {
-	s, err := simulation.Open(bundled + "calm.toml")
+// Ports that are in use are skipped: an installation that begins at the same port comes up on others.
+func TestOccupiedPortsAreSkipped(t *testing.T) {
+	s, err := simulation.Open(bundledScenarios + "calm.toml")
 	require.NoError(t, err)
 	seen := map[string]bool{}
 	for range 2 {
--- /dev/null
+++ b/internal/cli/ctlcmd/diff.go
@@ -0,0 +1,86 @@
+package ctlcmd
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"strings"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"lockloom/internal/cli"
+)
+
+// diffCommand returns the sub-command that compares the choices of two builds.
+func diffCommand(out cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("diff")
+	other := flags.String("with", "", "another build's lockloomctl, a `program`")
+	maxPrinted := flags.Int("most", 10, "`how many` differences are printed")
+	help := "show where another build would have chosen otherwise, told the same"
+	return cli.NewCommand("diff", "diff FILE|FOLDER... -with PROGRAM", help, flags,
+		func(ctx context.Context, args []string) error {
+			files, err := captureFiles(args)
+			if err != nil {
+				return err
+			}
+			if *other == "" {
+				return cli.UsageErrorf("-with: which program")
+			}
+			own, err := os.Executable()
+			if err != nil {
+				return err
+			}
+			ours, err := choicesOf(ctx, own, files)
+			if err != nil {
+				return err
+			}
+			theirs, err := choicesOf(ctx, *other, files)
+			if err != nil {
+				return err
+			}
+			printDifferences(out, ours, theirs, *maxPrinted)
+			return nil
+		})
+}
+
+// choicesOf returns the choices that a build of this program prints for captures, a line each.
+func choicesOf(ctx context.Context, program string, files []string) ([]string, error) {
+	args := append([]string{"replay", "-loose", "-choices"}, files...)
+	text, err := exec.CommandContext(ctx, program, args...).Output()
+	if err != nil {
+		var exit *exec.ExitError
+		if errors.As(err, &exit) {
+			return nil, fmt.Errorf("%s: %s", program, bytes.TrimSpace(exit.Stderr))
+		}
+		return nil, fmt.Errorf("%s: %w", program, err)
+	}
+	return strings.Split(strings.TrimSpace(string(text)), "\n"), nil
+}
+
+// printDifferences prints the first choices that differ, and how many do.
+func printDifferences(out cli.Output, ours, theirs []string, maxPrinted int) {
+	differ := 0
+	for i := range max(len(ours), len(theirs)) {
+		our, their := lineAt(ours, i), lineAt(theirs, i)
+		if our == their {
+			continue
+		}
+		differ++
+		if differ <= maxPrinted {
+			out.Printf("this:  %s\nother: %s\n", our, their)
+		}
+	}
+	out.Printf("%d choices, %d differ; behind the first each build was told of what it had not chosen\n",
+		len(ours), differ)
+}
+
+// lineAt returns a line, "" after the last.
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/cli/ctlcmd/excerpt.go
@@ -0,0 +1,47 @@
+package ctlcmd
+
+import (
+	"context"
+	"io"
+	"strings"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"lockloom/internal/capture"
+	"lockloom/internal/cli"
+	"lockloom/internal/report"
+)
+
+// excerptCommand returns the sub-command that shortens a capture.
+func excerptCommand(out cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("excerpt")
+	wanted := flags.String("shows", "",
+		"what it must still show: `"+strings.Join(capture.Wanted, ", ")+"`, or paused:BACKEND")
+	pool := flags.String("pool", "", "the `pool` (default: the platform's)")
+	to := flags.String("to", "", "write it to this `FILE`")
+	help := "cut a capture down to little that still shows something"
+	return cli.NewCommand("excerpt", "excerpt FILE|FOLDER... -shows WHAT -to FILE", help, flags,
+		func(_ context.Context, args []string) error {
+			files, err := captureFiles(args)
+			if err != nil {
+				return err
+			}
+			newSight, err := capture.Seen(*wanted)
+			if err != nil {
+				return cli.UsageErrorf("-shows: %w", err)
+			}
+			if *to == "" {
+				return cli.UsageErrorf("-to: which file")
+			}
+			excerpt, err := capture.Shorten(files, openFile, *pool, newSight)
+			if err != nil {
+				return err
+			}
+			write := func(w io.Writer) error { return excerpt.Write(w, cli.BuildVersion()) }
+			if err := report.File(*to, write); err != nil {
+				return err
+			}
+			out.Printf("%d calls that show it, after %d replays\n", len(excerpt.Calls), excerpt.Tries)
+			return nil
+		})
+}
--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -16,72 +16,104 @@
 	"lockloom/internal/report"
 )
 
-// errNotCarried ends an import that left something out; the report has said what.
+// errNotCarried ends an import that left something out; the report says what.
 var errNotCarried = errors.New("not all was carried")
 
-func importing(out, errs io.Writer) *ffcli.Command {
-	set := flags("import")
-	prefix := set.String("prefix", "", "the `folder` that includes are relative to, and outside of which none is read (default: the file's)")
-	to := set.String("out", "", "write the operator file to this `FILE` (default: to standard output)")
-	told := set.String("report", "", "write the verdict on each directive to this `FILE` (default: to standard error)")
-	asJSON := set.Bool("json", false, "the report in JSON")
-	partial := set.Bool("partial", false, "write the file though directives were refused, which stand in it as comments")
-	return cli.New("import", "import nginx FILE [FLAGS]", "make an operator file of another program's configuration", set,
-		func(_ context.Context, words []string) error {
-			if len(words) != 2 || words[0] != "nginx" {
-				return cli.Wrong("it takes the word nginx, and a file")
+// importCommand returns the sub-command that converts another program's configuration.
+func importCommand(out, errOut cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("import")
+	prefix := flags.String("prefix", "",
+		"the `folder` that includes are relative to, and outside of which none is read (default: the file's)")
+	outFile := flags.String("out", "", "write the operator file to this `FILE` (default: to standard output)")
+	reportFile := flags.String("report", "",
+		"write the verdict on each directive to this `FILE` (default: to standard error)")
+	asJSON := flags.Bool("json", false, "the report in JSON")
+	partial := flags.Bool("partial", false,
+		"write the file though directives were refused, which stand in it as comments")
+	help := "make an operator file of another program's configuration"
+	return cli.NewCommand("import", "import nginx FILE [FLAGS]", help, flags,
+		func(_ context.Context, args []string) error {
+			if len(args) != 2 || args[0] != "nginx" {
+				return cli.UsageErrorf("it takes the word nginx, and a file")
 			}
-			if *prefix == "" {
-				*prefix = filepath.Dir(words[1])
-			}
-			list, err := nginx.NewReader(*prefix).File(words[1])
+			converted, err := convertNginx(args[1], *prefix, *partial)
 			if err != nil {
 				return err
 			}
-			im := nginx.Convert(list, *partial)
-			if im.Text != "" {
-				if _, faults := config.Read(words[1], []byte(im.Text)); len(faults) > 0 { // what two directives come to together
-					return fmt.Errorf("what it comes to is no operator file: %w", errors.Join(faults...))
-				}
-			}
-			say := func(w io.Writer) error {
+			err = writeFileOr(*reportFile, errOut, func(w io.Writer) error {
 				if *asJSON {
-					return report.JSON(w, im.Verdicts)
+					return report.JSON(w, converted.Verdicts)
 				}
-				return verdicts(w, im)
-			}
-			if *told != "" {
-				err = report.File(*told, say)
-			} else {
-				err = say(errs)
+				return printVerdicts(w, converted)
+			})
+			if err != nil {
+				return err
 			}
-			if err == nil && im.Text != "" {
-				write := func(w io.Writer) error { _, err := io.WriteString(w, im.Text); return err }
-				if *to != "" {
-					err = report.File(*to, write)
-				} else {
-					err = write(out)
-				}
+			if err := writeOperatorFile(*outFile, out, converted.Text); err != nil {
+				return err
 			}
-			if err == nil && im.Refused > 0 {
-				err = errNotCarried
+			if converted.Refused > 0 {
+				return errNotCarried
 			}
-			return err
+			return nil
 		})
 }
 
-// verdicts tells those that want a look: what differs and what was refused, by how often each holds.
-func verdicts(w io.Writer, im *nginx.Import) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+// convertNginx converts an nginx configuration. The result is checked as serve would: each of two directives may be
+// converted well, and both together make no valid operator file.
+func convertNginx(file, prefix string, partial bool) (*nginx.Import, error) {
+	if prefix == "" {
+		prefix = filepath.Dir(file)
+	}
+	directives, err := nginx.NewReader(prefix).File(file)
+	if err != nil {
+		return nil, err
+	}
+	converted := nginx.Convert(directives, partial)
+	if converted.Text == "" {
+		return converted, nil
+	}
+	if _, errs := config.Read(file, []byte(converted.Text)); len(errs) > 0 {
+		return nil, fmt.Errorf("what it comes to is no operator file: %w", errors.Join(errs...))
+	}
+	return converted, nil
+}
+
+// writeOperatorFile writes a converted configuration, nothing if there is none.
+func writeOperatorFile(name string, out cli.Output, text string) error {
+	if text == "" {
+		return nil
+	}
+	return writeFileOr(name, out, func(w io.Writer) error {
+		_, err := io.WriteString(w, text)
+		return err
+	})
+}
+
+// writeFileOr writes a file or, if it has no name, to out.
+func writeFileOr(name string, out cli.Output, write func(io.Writer) error) error {
+	if name == "" {
+		return write(out)
+	}
+	return report.File(name, write)
+}
+
+// printVerdicts prints the verdicts on directives that were not carried over as they were, and how often each verdict
+// was given.
+func printVerdicts(w io.Writer, converted *nginx.Import) error {
+	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table := cli.Output{Writer: columns}
 	counts := map[string]int{}
-	for _, v := range im.Verdicts {
-		if counts[v.Grade]++; v.Grade != nginx.Carried.String() {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", v.At, v.Grade, v.Name, v.Text)
+	for _, v := range converted.Verdicts {
+		counts[v.Grade]++
+		if v.Grade != nginx.Carried.String() {
+			table.Printf("%s\t%s\t%s\t%s\n", v.At, v.Grade, v.Name, v.Text)
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := columns.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "%d directives: %d carried, %d with a difference, %d refused\n", len(im.Verdicts), counts["carried"], counts["differs"], counts["refused"])
+	_, err := fmt.Fprintf(w, "%d directives: %d carried, %d with a difference, %d refused\n",
+		len(converted.Verdicts), counts["carried"], counts["differs"], counts["refused"])
 	return err
 }
--- a/internal/cli/ctlcmd/import_test.go
+++ b/internal/cli/ctlcmd/import_test.go
@@ -22,58 +22,73 @@
 	"lockloom/internal/nginx"
 )
 
-// The sample site, imported and served by the program, answers over loopback what nginx's documentation says it would.
+// The sample site, imported and served by the program, answers over loopback as nginx's documentation says.
 func TestImportedOverLoopback(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../../deploy/nginx/shop.conf")
 	require.NoError(t, err)
 	site := string(text)
 	for _, port := range []string{"9001", "9002", "9003", "9011", "9012"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, port, " ", r.URL, " ", r.Host) }))
-		t.Cleanup(s.Close)
-		site = strings.ReplaceAll(site, "127.0.0.1:"+port, strings.TrimPrefix(s.URL, "http://"))
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			_, err := fmt.Fprint(w, port, " ", r.URL, " ", r.Host)
+			assert.NoError(t, err)
+		}))
+		t.Cleanup(server.Close)
+		site = strings.ReplaceAll(site, "127.0.0.1:"+port, strings.TrimPrefix(server.URL, "http://"))
 	}
-	free := func() string {
+	freeAddress := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer ln.Close()
 		return ln.Addr().String()
 	}
-	door := free()
-	site = strings.ReplaceAll(site, "127.0.0.1:8080", door)
-	file, made := filepath.Join(dir, "shop.conf"), filepath.Join(dir, "shop.toml")
-	require.NoError(t, os.WriteFile(file, []byte(site), 0o600))
-	code, _, said := run("import", "nginx", file, "-out", made)
-	require.Equal(t, cli.Done, code, said)
-	assert.Contains(t, said, " 0 refused")
+	listener := freeAddress()
+	site = strings.ReplaceAll(site, "127.0.0.1:8080", listener)
+	nginxFile, operatorFile := filepath.Join(dir, "shop.conf"), filepath.Join(dir, "shop.toml")
+	require.NoError(t, os.WriteFile(nginxFile, []byte(site), 0o600))
+	code, _, errOut := runCommand("import", "nginx", nginxFile, "-out", operatorFile)
+	require.Equal(t, cli.ExitOK, code, errOut)
+	assert.Contains(t, errOut, " 0 refused")
 	launch := filepath.Join(dir, "launch.json")
-	require.NoError(t, os.WriteFile(launch, []byte(`{"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":512},"known":{"version":0,"full":true,"servers":[]},
-		"settings":{"Ceilings":{"MaxLegs":3},"Profiles":[{"Name":"x","Effect":"retryable","HardStopMs":1000,"Value":1}]}}`), 0o600))
+	launchText := `{"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":512},
+		"known":{"version":0,"full":true,"servers":[]},
+		"settings":{"Ceilings":{"MaxLegs":3},
+		"Profiles":[{"Name":"x","Effect":"retryable","HardStopMs":1000,"Value":1}]}}`
+	require.NoError(t, os.WriteFile(launch, []byte(launchText), 0o600))
 	program, err := os.Executable() // it stands for lockloom, see TestMain
 	require.NoError(t, err)
-	serve := exec.Command(program, "serve", "-operator", made)
-	serve.Env = append(os.Environ(), "ROUTER_NAME=n0", "ROUTER_LISTEN="+free(), "ROUTER_DISCOVERY="+free(), "ROUTER_CONFIG="+launch, "TMPDIR="+dir)
+	serve := exec.Command(program, "serve", "-operator", operatorFile)
+	serve.Env = append(os.Environ(), "ROUTER_NAME=n0", "ROUTER_LISTEN="+freeAddress(),
+		"ROUTER_DISCOVERY="+freeAddress(), "ROUTER_CONFIG="+launch, "TMPDIR="+dir)
 	require.NoError(t, serve.Start())
-	t.Cleanup(func() { serve.Process.Kill(); serve.Wait() })
+	t.Cleanup(func() {
+		assert.NoError(t, serve.Process.Kill())
+		assert.Error(t, serve.Wait(), "it was killed")
+	})
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	ask := func(host, path string) (int, string, string) {
-		r, err := http.NewRequest("GET", "http://"+door+path, nil)
+	get := func(host, path string) (status int, body, location string) {
+		r, err := http.NewRequest("GET", "http://"+listener+path, nil)
 		require.NoError(t, err)
 		r.Host = host
-		a, err := client.Do(r)
+		response, err := client.Do(r)
 		if err != nil {
 			return 0, "", ""
 		}
-		defer a.Body.Close()
-		body, _ := io.ReadAll(a.Body)
-		return a.StatusCode, string(body), a.Header.Get("Location")
+		defer func() { assert.NoError(t, response.Body.Close()) }()
+		text, err := io.ReadAll(response.Body)
+		assert.NoError(t, err)
+		return response.StatusCode, string(text), response.Header.Get("Location")
 	}
-	require.Eventually(t, func() bool { status, _, _ := ask("shop.example", "/health"); return status == 200 }, 10*time.Second, 20*time.Millisecond)
+	isUp := func() bool {
+		status, _, _ := get("shop.example", "/health")
+		return status == 200
+	}
+	require.Eventually(t, isUp, 10*time.Second, 20*time.Millisecond)
 	for _, c := range []struct {
 		host, path string
 		status     int
 		ports      []string
-		says       string // behind the port, or the address
+		want       string // behind the port, or the location
 	}{
 		{"shop.example", "/", 200, []string{"9001", "9002"}, " / shop.example"},
 		{"www.shop.example", "/a?x=1", 200, []string{"9001", "9002"}, " /a?x=1 www.shop.example"},
@@ -83,27 +98,27 @@
 		{"old.shop.example", "/x?y=1", 301, nil, "https://shop.example/x?y=1"},
 	} {
 		for range 10 {
-			status, body, to := ask(c.host, c.path)
+			status, body, to := get(c.host, c.path)
 			assert.Equal(t, c.status, status, c.path)
 			if c.ports == nil {
-				assert.Equal(t, c.says, to)
+				assert.Equal(t, c.want, to)
 				continue
 			}
 			port, rest, _ := strings.Cut(body, " ")
 			assert.Contains(t, c.ports, port, c.path)
-			assert.Equal(t, c.says, " "+rest)
+			assert.Equal(t, c.want, " "+rest)
 		}
 	}
 	limited := 0
 	for range 80 {
-		if status, _, _ := ask("shop.example", "/orders/1"); status == 429 {
+		if status, _, _ := get("shop.example", "/orders/1"); status == 429 {
 			limited++
 		}
 	}
 	assert.Greater(t, limited, 5, "40 at once, 20 a second")
 }
 
-func TestImport(t *testing.T) {
+func TestImportReportsVerdicts(t *testing.T) {
 	dir := t.TempDir()
 	write := func(text string) string {
 		name := filepath.Join(dir, "x.conf")
@@ -111,23 +126,24 @@
 		return name
 	}
 	file := write("server { listen 80; root /x; location / { proxy_pass http://10.0.0.1; } }")
-	code, out, said := run("import", "nginx", file)
-	assert.Equal(t, cli.Failed, code)
+	code, out, errOut := runCommand("import", "nginx", file)
+	assert.Equal(t, cli.ExitFailure, code)
 	assert.Empty(t, out)
-	assert.Contains(t, said, "x.conf:1:21  refused  root")
-	assert.Contains(t, said, "not all was carried")
-	code, out, _ = run("import", "nginx", file, "-partial", "-json", "-report", filepath.Join(dir, "report.json"))
-	assert.Equal(t, cli.Failed, code)
+	assert.Contains(t, errOut, "x.conf:1:21  refused  root")
+	assert.Contains(t, errOut, "not all was carried")
+	code, out, _ = runCommand("import", "nginx", file, "-partial", "-json", "-report", filepath.Join(dir, "report.json"))
+	assert.Equal(t, cli.ExitFailure, code)
 	assert.Contains(t, out, "# refused: "+file+":1:21: root")
 	assert.Contains(t, out, "[[route]]")
 	text, err := os.ReadFile(filepath.Join(dir, "report.json"))
 	require.NoError(t, err)
 	var list []nginx.Verdict
 	require.NoError(t, json.Unmarshal(text, &list))
-	assert.True(t, slices.ContainsFunc(list, func(v nginx.Verdict) bool { return v.Name == "root" && v.Grade == "refused" }))
-	code, _, said = run("import", "nginx", write("a {"))
-	assert.Equal(t, cli.Failed, code)
-	assert.Contains(t, said, "it ends within a block")
-	code, _, _ = run("import", "apache", file)
-	assert.Equal(t, cli.Misuse, code)
+	refusesRoot := func(v nginx.Verdict) bool { return v.Name == "root" && v.Grade == "refused" }
+	assert.True(t, slices.ContainsFunc(list, refusesRoot))
+	code, _, errOut = runCommand("import", "nginx", write("a {"))
+	assert.Equal(t, cli.ExitFailure, code)
+	assert.Contains(t, errOut, "it ends within a block")
+	code, _, _ = runCommand("import", "apache", file)
+	assert.Equal(t, cli.ExitUsage, code)
 }
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -12,40 +12,39 @@
 	"lockloom/internal/report"
 )
 
-func loading(out io.Writer) *ffcli.Command {
-	set := flags("load")
-	to := set.String("to", "", "the proxies' `addresses`, with commas between them")
-	rate := set.Float64("rate", 0, "lookups a `second` (default: the scenario's, phases and all)")
-	lasts := set.Float64("for", 0, "`seconds` (default: the scenario's)")
-	seed := set.Uint64("seed", 1, "`number` that chance comes from")
-	file := set.String("json", "", "write the results to this `FILE` for machines")
-	return cli.New("load", "load SCENARIO -to ADDR[,ADDR...] [FLAGS]",
-		"ask proxies that run already what a scenario's clients ask, in an open loop", set,
-		func(ctx context.Context, words []string) error {
-			s, err := one(words)
+// loadCommand returns the sub-command that sends a scenario's requests to proxies that run already.
+func loadCommand(out cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("load")
+	to := flags.String("to", "", "the proxies' `addresses`, with commas between them")
+	rate := flags.Float64("rate", 0, "lookups a `second` (default: the scenario's, phases and all)")
+	duration := flags.Float64("for", 0, "`seconds` (default: the scenario's)")
+	seed := flags.Uint64("seed", 1, "`number` that chance comes from")
+	file := flags.String("json", "", "write the results to this `FILE` for machines")
+	help := "ask proxies that run already what a scenario's clients ask, in an open loop"
+	return cli.NewCommand("load", "load SCENARIO -to ADDR[,ADDR...] [FLAGS]", help, flags,
+		func(ctx context.Context, args []string) error {
+			s, err := openScenario(args)
 			if err != nil {
 				return err
 			}
 			if *to == "" {
-				return cli.Wrong("-to: missing")
+				return cli.UsageErrorf("-to: missing")
 			}
-			if err := s.Ask(*rate, *lasts); err != nil {
+			if err := s.Ask(*rate, *duration); err != nil {
 				return err
 			}
-			r, err := s.Load(ctx, strings.Split(*to, ","), *seed)
+			result, err := s.Load(ctx, strings.Split(*to, ","), *seed)
 			if err != nil {
 				return err
 			}
-			if err := report.One(out, r); err != nil {
+			if err := report.One(out, result); err != nil {
 				return err
 			}
-			if *file != "" {
-				if err := report.File(*file, func(w io.Writer) error { return report.JSON(w, r) }); err != nil {
-					return err
-				}
+			if err := writeFile(*file, func(w io.Writer) error { return report.JSON(w, result) }); err != nil {
+				return err
 			}
-			if r.Lost > 0 || r.Mismatched > 0 || r.Unreached > 0 || r.Void != "" {
-				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", r.Lost, r.Mismatched, r.Unreached)
+			if result.Lost > 0 || result.Mismatched > 0 || result.Unreached > 0 || result.Void != "" {
+				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", result.Lost, result.Mismatched, result.Unreached)
 			}
 			return nil
 		})
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"strings"
 	"time"
 
@@ -17,117 +16,199 @@
 	"lockloom/internal/simulation"
 )
 
-// errNotHeld ends a run in which a rule was broken; the table has said which.
+// ourPolicy is the name of the policy that this project's decisions make.
+const ourPolicy = "lockloom"
+
+// The clocks that a scenario can be played on.
+const (
+	clockVirtual = "virtual" // the decisions alone, in virtual time
+	clockSockets = "sockets" // whole programs, in real time
+)
+
+// captureSegmentBytes is the size of a captured simulation's files: one file for each proxy.
+const captureSegmentBytes = 1 << 30
+
+// errNotHeld ends a run in which a rule was broken; the table says which.
 var errNotHeld = errors.New("it did not hold: a rule was broken, or the run is void")
 
-func rehearsing(out, errs io.Writer) *ffcli.Command {
-	set := flags("rehearse")
-	clock := set.String("clock", "virtual", "`virtual`: the decisions alone, in virtual time; sockets: whole programs, in real time")
-	seed := set.Uint64("seed", 1, "`number` that chance comes from")
-	policy := set.String("policy", "lockloom", "`name` of what decides, in virtual time: "+strings.Join(simulation.PolicyNames(), ", "))
-	proxy := set.String("proxy", "", "the proxy's `program`, on sockets (default: lockloom beside this program)")
-	logs := set.String("logs", "", "put the proxies' logs in this `folder`")
-	folder := set.String("capture", "", "in virtual time: capture each proxy's calls on the decisions into this `folder`")
-	match := set.Bool("match", false, "on sockets: play it in virtual time too, and compare")
-	var to files
-	to.on(set, true)
-	return cli.New("rehearse", "rehearse SCENARIO [FLAGS]", "play a scenario and check the rules", set,
-		func(ctx context.Context, words []string) error {
-			s, err := one(words)
+// rehearsal is one call of rehearse.
+type rehearsal struct {
+	clock, policy, proxy, logs, captureDir string
+	seed                                   uint64
+	match                                  bool
+	files                                  resultFiles
+	out, errOut                            cli.Output
+}
+
+// rehearseCommand returns the sub-command that plays a scenario.
+func rehearseCommand(out, errOut cli.Output) *ffcli.Command {
+	r := &rehearsal{out: out, errOut: errOut}
+	flags := cli.NewFlagSet("rehearse")
+	flags.StringVar(&r.clock, "clock", clockVirtual,
+		"`virtual`: the decisions alone, in virtual time; sockets: whole programs, in real time")
+	flags.Uint64Var(&r.seed, "seed", 1, "`number` that chance comes from")
+	flags.StringVar(&r.policy, "policy", ourPolicy,
+		"`name` of what decides, in virtual time: "+strings.Join(simulation.PolicyNames(), ", "))
+	flags.StringVar(&r.proxy, "proxy", "", "the proxy's `program`, on sockets (default: lockloom beside this program)")
+	flags.StringVar(&r.logs, "logs", "", "put the proxies' logs in this `folder`")
+	flags.StringVar(&r.captureDir, "capture", "",
+		"in virtual time: capture each proxy's calls on the decisions into this `folder`")
+	flags.BoolVar(&r.match, "match", false, "on sockets: play it in virtual time too, and compare")
+	r.files.addFlags(flags)
+	r.files.addTimelineFlag(flags)
+	return cli.NewCommand("rehearse", "rehearse SCENARIO [FLAGS]", "play a scenario and check the rules", flags,
+		func(ctx context.Context, args []string) error {
+			s, err := openScenario(args)
 			if err != nil {
 				return err
 			}
-			if err := simulation.Fit([]string{*policy}); err != nil {
-				return cli.Wrong("-policy: %w", err)
-			}
-			var r *simulation.Result
-			switch {
-			case *folder != "" && *clock == "sockets":
-				return cli.Wrong("-capture: of the clock virtual; on sockets the operator file's capture table does it")
-			case *clock == "sockets" && *policy != "lockloom":
-				return cli.Wrong("-policy: on sockets -proxy names what decides")
-			case *clock == "sockets":
-				path, err := program(*proxy)
-				if err != nil {
-					return err
-				}
-				r, err = s.Sockets(ctx, simulation.Sockets{Proxy: path, Name: *policy, Seed: *seed, Logs: *logs, Progress: progress(errs, s.Name)})
-				if err != nil {
-					return err
-				}
-			case *clock != "virtual":
-				return cli.Wrong("-clock: %q: it is virtual or sockets", *clock)
-			case *match || *proxy != "" || *logs != "":
-				return cli.Wrong("-match, -proxy and -logs are of the clock sockets")
-			default:
-				played := simulation.Policies[*policy]()
-				shut := func() error { return nil }
-				if *folder != "" {
-					if *policy != "lockloom" {
-						return cli.Wrong("-capture: of the policy lockloom")
-					}
-					played, shut = captured(*folder)
-				}
-				r, err = s.Virtual(*policy, played, *seed)
-				if err := errors.Join(err, shut()); err != nil {
-					return err
-				}
-			}
-			if err := report.One(out, r); err != nil {
-				return err
-			}
-			differs := false
-			if *match {
-				v, err := s.Virtual(*policy, simulation.Policies[*policy](), *seed)
-				if err != nil {
-					return err
-				}
-				list := s.Differs(r, v)
-				differs = len(list) > 0
-				fmt.Fprintf(out, "virtual time: value in time %.3f; beyond the scenario's tolerance: %d\n", v.Share, len(list))
-				for _, line := range list {
-					fmt.Fprintln(out, " ", line)
-				}
-			}
-			if err := to.write(r, report.Page{Title: s.Name, About: s.About, Runs: []*simulation.Result{r}}); err != nil {
+			if err := r.checkFlags(); err != nil {
 				return err
 			}
-			if !r.Kept() || r.Void != "" || differs {
-				return errNotHeld
-			}
-			return nil
+			return r.run(ctx, s)
 		})
 }
 
-// captured is the policy lockloom with each proxy's calls captured, and what ends it.
-func captured(folder string) (simulation.Policy, func() error) {
-	all := map[uint64]*capture.Recorder{}
-	policy := func(d balance.Deployment, now float64) (simulation.Decider, error) {
-		number := d.Seed >> 32 // see rehearse's start
-		if all[number] == nil {
-			r, err := capture.Open(capture.Options{Dir: folder, Name: fmt.Sprint("n", number), Program: cli.Version(), On: true, Wait: true, Segment: 1 << 30, Age: time.Hour})
-			if err != nil {
-				return nil, err
-			}
-			all[number] = r
+// checkFlags returns an error for flags that do not go together.
+func (r *rehearsal) checkFlags() error {
+	if err := simulation.Fit([]string{r.policy}); err != nil {
+		return cli.UsageErrorf("-policy: %w", err)
+	}
+	switch {
+	case r.captureDir != "" && r.clock == clockSockets:
+		return cli.UsageErrorf("-capture: of the clock virtual; on sockets the operator file's capture table does it")
+	case r.clock == clockSockets && r.policy != ourPolicy:
+		return cli.UsageErrorf("-policy: on sockets -proxy names what decides")
+	case r.clock == clockSockets:
+		return nil
+	case r.clock != clockVirtual:
+		return cli.UsageErrorf("-clock: %q: it is virtual or sockets", r.clock)
+	case r.match || r.proxy != "" || r.logs != "":
+		return cli.UsageErrorf("-match, -proxy and -logs are of the clock sockets")
+	case r.captureDir != "" && r.policy != ourPolicy:
+		return cli.UsageErrorf("-capture: of the policy lockloom")
+	}
+	return nil
+}
+
+// run plays a scenario, prints and writes its result, and returns errNotHeld if a rule was broken.
+func (r *rehearsal) run(ctx context.Context, s *simulation.Scenario) error {
+	result, err := r.play(ctx, s)
+	if err != nil {
+		return err
+	}
+	if err := report.One(r.out, result); err != nil {
+		return err
+	}
+	matches := true
+	if r.match {
+		if matches, err = r.compareWithVirtual(s, result); err != nil {
+			return err
 		}
-		b, err := balance.New(d, now)
+	}
+	page := report.Page{Title: s.Name, About: s.About, Runs: []*simulation.Result{result}}
+	if err := r.files.write(result, page); err != nil {
+		return err
+	}
+	if !result.Kept() || result.Void != "" || !matches {
+		return errNotHeld
+	}
+	return nil
+}
+
+// play plays a scenario on the clock that was chosen.
+func (r *rehearsal) play(ctx context.Context, s *simulation.Scenario) (*simulation.Result, error) {
+	if r.clock == clockSockets {
+		program, err := proxyProgram(r.proxy)
 		if err != nil {
 			return nil, err
 		}
-		return recorded{all[number].Balancer("", b)}, nil
+		return s.Sockets(ctx, simulation.Sockets{
+			Proxy:    program,
+			Name:     r.policy,
+			Seed:     r.seed,
+			Logs:     r.logs,
+			Progress: showProgress(r.errOut, s.Name),
+		})
 	}
-	return policy, func() (err error) {
-		for _, r := range all {
-			err = errors.Join(err, r.Close())
-		}
-		return err
+	if r.captureDir == "" {
+		return s.Virtual(r.policy, simulation.Policies[r.policy](), r.seed)
+	}
+	recorders := &simulationRecorders{dir: r.captureDir, bySeed: map[uint64]*capture.Recorder{}}
+	result, err := s.Virtual(r.policy, recorders.newDecider, r.seed)
+	return result, errors.Join(err, recorders.close())
+}
+
+// compareWithVirtual plays a scenario in virtual time too, prints where its result differs, and reports whether it does
+// not.
+func (r *rehearsal) compareWithVirtual(s *simulation.Scenario, onSockets *simulation.Result) (bool, error) {
+	virtual, err := s.Virtual(r.policy, simulation.Policies[r.policy](), r.seed)
+	if err != nil {
+		return false, err
+	}
+	differences := s.Differs(onSockets, virtual)
+	r.out.Printf("virtual time: value in time %.3f; beyond the scenario's tolerance: %d\n",
+		virtual.Share, len(differences))
+	for _, difference := range differences {
+		r.out.Println(" ", difference)
+	}
+	return len(differences) == 0, nil
+}
+
+// simulationRecorders capture the decisions of a simulation's proxies.
+type simulationRecorders struct {
+	dir    string
+	bySeed map[uint64]*capture.Recorder // by the number that a proxy's seed begins with
+}
+
+// newDecider is a simulation.Policy.
+func (r *simulationRecorders) newDecider(d balance.Deployment, now float64) (simulation.Decider, error) {
+	recorder, err := r.recorder(d.Seed >> 32) // the simulation numbers its proxies there
+	if err != nil {
+		return nil, err
+	}
+	balancer, err := balance.New(d, now)
+	if err != nil {
+		return nil, err
+	}
+	return recordedDecider{recorder.Balancer("", balancer)}, nil
+}
+
+// recorder returns the recorder of a proxy, which may have been launched before.
+func (r *simulationRecorders) recorder(proxy uint64) (*capture.Recorder, error) {
+	if recorder := r.bySeed[proxy]; recorder != nil {
+		return recorder, nil
+	}
+	recorder, err := capture.Open(capture.Options{
+		Dir:     r.dir,
+		Name:    fmt.Sprint("n", proxy),
+		Program: cli.BuildVersion(),
+		On:      true,
+		Wait:    true,
+		Segment: captureSegmentBytes,
+		Age:     time.Hour,
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.bySeed[proxy] = recorder
+	return recorder, nil
+}
+
+// close completes the captures.
+func (r *simulationRecorders) close() (err error) {
+	for _, recorder := range r.bySeed {
+		err = errors.Join(err, recorder.Close())
 	}
+	return err
 }
 
-// recorded is a captured Balancer as what decides in a rehearsal.
-type recorded struct{ *capture.Balancer }
+// recordedDecider is a captured Balancer as what decides in a simulation.
+type recordedDecider struct{ *capture.Balancer }
 
-func (r recorded) RequestArrived(now float64, a balance.RequestInfo) (simulation.RequestHandle, *balance.Actions) {
-	return r.Balancer.RequestArrived(now, a, "")
+// RequestArrived makes the call of simulation.Decider.
+func (d recordedDecider) RequestArrived(
+	now float64, request balance.RequestInfo,
+) (simulation.RequestHandle, *balance.Actions) {
+	return d.Balancer.RequestArrived(now, request, "")
 }
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -2,43 +2,52 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
+	"errors"
 	"os"
 	"strings"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"lockloom/internal/cli"
+	"lockloom/internal/simulation"
 )
 
-func serving(out io.Writer) *ffcli.Command {
-	set := flags("servers")
-	dir := set.String("dir", "", "write the launch files to this `folder` (default: a new one)")
-	seed := set.Uint64("seed", 1, "`number` that chance comes from")
-	play := set.Bool("play", false, "play the scenario's troubles too, from the start on")
-	return cli.New("servers", "servers SCENARIO [FLAGS]",
-		"run a scenario's servers and list agents alone, write launch files, print what serve needs, until Ctrl-C", set,
-		func(ctx context.Context, words []string) error {
-			s, err := one(words)
+// serversCommand returns the sub-command that runs a scenario's servers and list agents.
+func serversCommand(out cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("servers")
+	dir := flags.String("dir", "", "write the launch files to this `folder` (default: a new one)")
+	seed := flags.Uint64("seed", 1, "`number` that chance comes from")
+	play := flags.Bool("play", false, "play the scenario's troubles too, from the start on")
+	help := "run a scenario's servers and list agents alone, write launch files, print what serve needs, until Ctrl-C"
+	return cli.NewCommand("servers", "servers SCENARIO [FLAGS]", help, flags,
+		func(ctx context.Context, args []string) (err error) {
+			s, err := openScenario(args)
 			if err != nil {
 				return err
 			}
-			folder := *dir
-			if folder == "" {
-				if folder, err = os.MkdirTemp("", "lockloomctl"); err != nil {
-					return err
-				}
-				defer os.RemoveAll(folder)
+			if *dir != "" {
+				return runServers(ctx, s, *dir, *seed, *play, out)
 			}
-			st, err := s.Stand(folder, *seed)
+			temporary, err := os.MkdirTemp("", "lockloomctl")
 			if err != nil {
 				return err
 			}
-			defer st.Close()
-			for _, variables := range st.Variables {
-				fmt.Fprintln(out, "export", strings.Join(variables, " "))
-			}
-			return st.Run(ctx, *play)
+			defer func() { err = errors.Join(err, os.RemoveAll(temporary)) }()
+			return runServers(ctx, s, temporary, *seed, *play, out)
 		})
 }
+
+// runServers prints the variables of each proxy and runs the servers until the context ends.
+func runServers(
+	ctx context.Context, s *simulation.Scenario, dir string, seed uint64, play bool, out cli.Output,
+) error {
+	servers, err := s.Stand(dir, seed)
+	if err != nil {
+		return err
+	}
+	defer servers.Close()
+	for _, variables := range servers.Variables {
+		out.Println("export", strings.Join(variables, " "))
+	}
+	return servers.Run(ctx, play)
+}
--- a/internal/cli/ctlcmd/subscribers.go
+++ b/internal/cli/ctlcmd/subscribers.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net/http"
 	"strings"
 	"text/tabwriter"
@@ -16,43 +15,31 @@
 	"lockloom/internal/cli"
 )
 
-const (
-	askFor   = 3 * time.Second
-	rowsMost = 64 << 20 // bytes of the answer
-)
-
-// subscribing tells who holds what.
-func subscribing(out io.Writer) *ffcli.Command {
-	return cli.New("subscribers", "subscribers ADDR", "tell what a control service's subscribers hold, by its status address", flags("subscribers"),
-		func(ctx context.Context, words []string) error {
-			if len(words) != 1 {
-				return cli.Wrong("it takes the status address")
-			}
-			ctx, stop := context.WithTimeout(ctx, askFor)
-			defer stop()
-			r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+words[0]+"/subscribers", nil)
-			if err != nil {
-				return err
+// subscribersCommand returns the sub-command that lists what a control service's subscribers hold.
+func subscribersCommand(out cli.Output) *ffcli.Command {
+	help := "tell what a control service's subscribers hold, by its status address"
+	return cli.NewCommand("subscribers", "subscribers ADDR", help, cli.NewFlagSet("subscribers"),
+		func(ctx context.Context, args []string) error {
+			if len(args) != 1 {
+				return cli.UsageErrorf("it takes the status address")
 			}
-			answer, err := http.DefaultClient.Do(r)
+			body, err := fetch(ctx, http.MethodGet, args[0], "/subscribers")
 			if err != nil {
 				return err
 			}
-			defer answer.Body.Close()
-			if answer.StatusCode != http.StatusOK {
-				return fmt.Errorf("%s: %s", words[0], answer.Status)
-			}
 			var rows []controlplane.Row
-			if err := json.NewDecoder(io.LimitReader(answer.Body, rowsMost)).Decode(&rows); err != nil {
-				return fmt.Errorf("%s: %w", words[0], err)
+			if err := json.Unmarshal(body, &rows); err != nil {
+				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			return table(out, rows)
+			return printSubscribers(out, rows)
 		})
 }
 
-func table(out io.Writer, rows []controlplane.Row) error {
+// printSubscribers prints a table with a line for each type that a subscriber holds.
+func printSubscribers(out cli.Output, rows []controlplane.Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "SUBSCRIBER\tZONE\tWAY\tSINCE\tTYPE\tNAMES\tVERSION\tSTATE")
+	table := cli.Output{Writer: w}
+	table.Println("SUBSCRIBER\tZONE\tWAY\tSINCE\tTYPE\tNAMES\tVERSION\tSTATE")
 	for _, r := range rows {
 		for _, h := range r.Holds {
 			state := "newest"
@@ -68,7 +55,8 @@
 			if h.Names < 0 {
 				names = "all"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Way, r.Since.Format(time.TimeOnly), h.Type, names, h.Version, state)
+			table.Printf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
+				r.ID, r.Zone, r.Way, r.Since.Format(time.TimeOnly), h.Type, names, h.Version, state)
 		}
 	}
 	return w.Flush()
--- /dev/null
+++ b/internal/cli/ctlcmd/whatif.go
@@ -0,0 +1,94 @@
+package ctlcmd
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"strings"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"lockloom/balance"
+	"lockloom/internal/capture"
+	"lockloom/internal/cli"
+	"lockloom/internal/loadgen"
+	"lockloom/internal/report"
+	"lockloom/internal/simulation"
+)
+
+// whatIfCommand returns the sub-command that simulates a capture's arrivals against a scenario's servers.
+func whatIfCommand(out, errOut cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("whatif")
+	policy := flags.String("policy", "lockloom",
+		"`name` of what decides: "+strings.Join(simulation.PolicyNames(), ", "))
+	seed := flags.Uint64("seed", 1, "`number` that the servers' chance comes from")
+	name := flags.String("scenario", "",
+		"the `SCENARIO` whose servers, proxies and troubles are taken; its tariffs are the capture's by name")
+	help := "play a capture's arrivals against emulated servers: a model, not a record"
+	return cli.NewCommand("whatif", "whatif FILE|FOLDER... -scenario SCENARIO", help, flags,
+		func(_ context.Context, args []string) error {
+			files, err := captureFiles(args)
+			if err != nil {
+				return err
+			}
+			if *name == "" {
+				return cli.UsageErrorf("-scenario: which")
+			}
+			scenario, err := simulation.Open(*name)
+			if err != nil {
+				return err
+			}
+			if err := simulation.Fit([]string{*policy}); err != nil {
+				return cli.UsageErrorf("-policy: %w", err)
+			}
+			arrivals, err := capturedArrivals(newPlayer(errOut), files, scenario)
+			if err != nil {
+				return err
+			}
+			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.Given(arrivals))
+			if err != nil {
+				return err
+			}
+			out.Printf("A MODEL: %d captured arrivals against the servers of %s, under %s. "+
+				"What happened is in the capture alone.\n", len(arrivals), scenario.Name, *policy)
+			return report.One(out, result)
+		})
+}
+
+// capturedArrivals returns the requests of captures, but for client retries, as arrivals of a scenario that has their
+// classes by name.
+func capturedArrivals(player *capture.Player, files []string, s *simulation.Scenario) ([]loadgen.Intent, error) {
+	classes := map[string]int{}
+	for i, class := range s.Tariffs {
+		classes[class.Name] = i
+	}
+	var arrivals []loadgen.Intent
+	unknown := map[string]int{}
+	player.Loose = true
+	player.After = func(pool *capture.Pool, call *capture.Call, _ *balance.Actions) {
+		if call.Kind != capture.Take || call.Arrival.ClientRetry {
+			return
+		}
+		name := pool.B.Deployment().Classes[call.Arrival.Class].Name
+		class, ok := classes[name]
+		if !ok {
+			unknown[name]++
+			return
+		}
+		arrivals = append(arrivals, loadgen.Intent{
+			Number:   len(arrivals),
+			At:       call.Now - player.First,
+			Tariff:   class,
+			Customer: -1,
+			Key:      call.Arrival.Key,
+			Work:     cmp.Or(call.Arrival.ExpectedWork, s.Tariffs[class].Work),
+		})
+	}
+	if err := player.Play(files, openFile); err != nil {
+		return nil, err
+	}
+	if len(unknown) > 0 {
+		return nil, fmt.Errorf("the scenario has no tariffs %v", unknown)
+	}
+	return arrivals, nil
+}
--- /dev/null
+++ b/internal/cli/proxycmd/admin.go
@@ -0,0 +1,80 @@
+package proxycmd
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/peterbourgon/ff/v3/ffcli"
+
+	"lockloom/internal/admin"
+	"lockloom/internal/cli"
+)
+
+// adminTimeout is what the admin endpoint has to answer in.
+const adminTimeout = 2 * time.Second
+
+// adminCommands returns the sub-commands for operators, one for each admin call.
+func adminCommands(out cli.Output) []*ffcli.Command {
+	return []*ffcli.Command{
+		adminCommand(admin.Ready, "ask whether the proxy's process takes clients", out),
+		adminCommand(admin.Drain, "empty the proxy: it says at /up that it is not up, and sends its clients away", out),
+		adminCommand(admin.Resume, "end a drain", out),
+		adminCommand(admin.Disable, "send nothing more to the server ID, until it is enabled", out),
+		adminCommand(admin.Enable, "send to the server ID again", out),
+	}
+}
+
+// adminCommand returns the sub-command for an admin call.
+func adminCommand(action admin.Action, help string, out cli.Output) *ffcli.Command {
+	name := action.String()
+	takesID := action == admin.Disable || action == admin.Enable
+	usage := name + " [ADDR]"
+	if takesID {
+		usage = name + " ID [ADDR]"
+	}
+	return cli.NewCommand(name, usage, help, cli.NewFlagSet(name), func(_ context.Context, args []string) error {
+		call := admin.Call{Action: action}
+		if takesID {
+			if len(args) == 0 {
+				return cli.UsageErrorf("the server's ID is missing")
+			}
+			call.ID = args[0]
+			args = args[1:]
+		}
+		addr, err := adminAddress(args)
+		if err != nil {
+			return err
+		}
+		return sendAdminCall(addr, call, out)
+	})
+}
+
+// adminAddress returns the admin endpoint's address: the only argument or, without one, that of the environment.
+func adminAddress(args []string) (string, error) {
+	if len(args) > 1 {
+		return "", cli.UsageErrorf("it takes no further words")
+	}
+	addr := os.Getenv("ROUTER_OPERATOR")
+	if len(args) == 1 {
+		addr = args[0]
+	}
+	if addr == "" {
+		return "", cli.UsageErrorf("the address of the admin endpoint is missing, and ROUTER_OPERATOR is not set")
+	}
+	return addr, nil
+}
+
+// sendAdminCall makes an admin call and prints the answer. A status that is not 2xx is an error.
+func sendAdminCall(addr string, call admin.Call, out cli.Output) error {
+	status, text, err := admin.Send(addr, call, adminTimeout)
+	if err != nil {
+		return err
+	}
+	if status < 200 || status > 299 {
+		return fmt.Errorf("%s says no: %d: %s", addr, status, text)
+	}
+	out.Printf("%s: %s\n", addr, text)
+	return nil
+}
--- a/internal/cli/proxycmd/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -2,61 +2,70 @@
 
 import (
 	"flag"
-	"fmt"
-	"io"
 	"os"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/sirupsen/logrus"
 
+	"lockloom/internal/cli"
 	"lockloom/internal/config"
 	"lockloom/proxy"
 )
 
-func checking(out, errs io.Writer) *ffcli.Command {
-	set := flags("check")
-	file := operatorFlag(set)
-	return bare("check", "read what serve would be told, or an operator file, and say what is wrong with it", set,
-		func() error {
-			if *file == "" {
-				return check(out)
-			}
-			s, err := setup(*file, errs)
-			if err != nil {
-				return err
-			}
-			fmt.Fprintf(out, "%s: %d listeners, %d tariffs, %d pools, %d routes, %d limits, %d retry rules\n", *file, len(s.Listeners),
-				len(s.Classes), len(s.Pools), len(s.Routes), len(s.File.Limits), len(s.Retries))
-			return nil
-		})
+// checkCommand returns the sub-command that reads an operator file or the launch file, and prints what is wrong with
+// it.
+func checkCommand(out, errOut cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("check")
+	file := operatorFileFlag(flags)
+	help := "read the launch file that serve would read, or an operator file, and say what is wrong with it"
+	return newFlagsCommand("check", help, flags, func() error {
+		if *file == "" {
+			return checkBootstrap(out)
+		}
+		return checkOperatorFile(*file, out, errOut)
+	})
 }
 
-func operatorFlag(set *flag.FlagSet) *string {
-	return set.String("operator", "", "the operator's `FILE`: listeners, pools, routes, limits")
+// operatorFileFlag adds the flag that names an operator file.
+func operatorFileFlag(flags *flag.FlagSet) *string {
+	return flags.String("operator", "", "the operator's `FILE`: listeners, pools, routes, limits")
 }
 
-// setup reads an operator file and prints all that is wrong with it, a line each.
-func setup(file string, errs io.Writer) (*config.Config, error) {
-	s, faults := config.Open(file)
-	if len(faults) == 0 {
-		return s, nil
+// readOperatorFile reads an operator file. It prints all that is wrong with it, a line each, but for the last, which it
+// returns.
+func readOperatorFile(file string, errOut cli.Output) (*config.Config, error) {
+	c, errs := config.Open(file)
+	if len(errs) == 0 {
+		return c, nil
 	}
-	for _, err := range faults[:len(faults)-1] {
-		fmt.Fprintf(errs, "lockloom: %v\n", err)
+	last := len(errs) - 1
+	for _, err := range errs[:last] {
+		errOut.Printf("lockloom: %v\n", err)
 	}
-	return nil, faults[len(faults)-1]
+	return nil, errs[last]
 }
 
-// check reads what serve would be told.
-func check(out io.Writer) error {
-	l, err := proxy.ReadBootstrap(os.Getenv)
+// checkOperatorFile prints what an operator file holds.
+func checkOperatorFile(file string, out, errOut cli.Output) error {
+	c, err := readOperatorFile(file, errOut)
 	if err != nil {
 		return err
 	}
-	if _, err := proxy.New(l, logrus.New()); err != nil {
+	out.Printf("%s: %d listeners, %d tariffs, %d pools, %d routes, %d limits, %d retry rules\n", file,
+		len(c.Listeners), len(c.Classes), len(c.Pools), len(c.Routes), len(c.File.Limits), len(c.Retries))
+	return nil
+}
+
+// checkBootstrap prints what serve would be given at start.
+func checkBootstrap(out cli.Output) error {
+	b, err := proxy.ReadBootstrap(os.Getenv)
+	if err != nil {
+		return err
+	}
+	if _, err := proxy.New(b, logrus.New()); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s on %s: %d tariffs, %d known backends, %d proxies, %g cores, %d MB, %d sockets\n", l.Name,
-		l.Listen, len(l.Classes), len(l.Known.Entries), l.Proxies, l.Limits.Cores, l.Limits.Memory>>20, l.Limits.Sockets)
+	out.Printf("%s on %s: %d tariffs, %d known backends, %d proxies, %g cores, %d MB, %d sockets\n", b.Name, b.Listen,
+		len(b.Classes), len(b.Known.Entries), b.Proxies, b.Limits.Cores, b.Limits.Memory>>20, b.Limits.Sockets)
 	return nil
 }
--- a/internal/cli/proxycmd/cost_test.go
+++ b/internal/cli/proxycmd/cost_test.go
@@ -18,99 +18,126 @@
 	"golang.org/x/sys/unix"
 )
 
-// plainTo, in the environment, makes the test's program a plain reverse proxy to that address, which says on which it listens.
-const plainTo = "LOCKLOOM_PLAIN_TO"
+// plainProxyTo, in the environment, makes the test's program a plain reverse proxy to that address. It prints the
+// address on which it listens.
+const plainProxyTo = "LOCKLOOM_PLAIN_TO"
 
 func TestMain(m *testing.M) {
-	if to := os.Getenv(plainTo); to != "" {
-		u := &url.URL{Scheme: "http", Host: to}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			panic(err)
-		}
-		fmt.Println(ln.Addr())
-		panic(http.Serve(ln, &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(u); r.SetXForwarded() },
-			Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}))
+	if to := os.Getenv(plainProxyTo); to != "" {
+		panic(servePlainProxy(to))
 	}
 	os.Exit(m.Run())
 }
 
-// BenchmarkCost tells the processor time that a program on one core takes for a request, beside that of a plain reverse proxy of the
-// standard library: on kept connections, and on a connection each.
+// servePlainProxy is a reverse proxy of the standard library.
+func servePlainProxy(to string) error {
+	target := &url.URL{Scheme: "http", Host: to}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	fmt.Println(ln.Addr())
+	return http.Serve(ln, &httputil.ReverseProxy{
+		Rewrite: func(r *httputil.ProxyRequest) {
+			r.SetURL(target)
+			r.SetXForwarded()
+		},
+		Transport: &http.Transport{MaxIdleConnsPerHost: 1000},
+	})
+}
+
+// BenchmarkCost measures the processor time that a program on one core takes for a request, next to that of a plain
+// reverse proxy of the standard library: on kept connections, and on a connection for each.
 func BenchmarkCost(b *testing.B) {
-	s := newSite(b, 128)
-	r := s.start()
+	s := newInstallation(b, 128)
+	lockloom := s.startReady()
 	plain := exec.Command(os.Args[0])
-	plain.Env = append(os.Environ(), plainTo+"="+s.addrs[0], "GOMAXPROCS=1")
+	plain.Env = append(os.Environ(), plainProxyTo+"="+s.serverAddrs[0], "GOMAXPROCS=1")
 	out, err := plain.StdoutPipe()
 	require.NoError(b, err)
 	require.NoError(b, plain.Start())
-	defer func() { plain.Process.Kill(); plain.Wait() }()
-	var at string
-	fmt.Fscanln(out, &at)
-	for _, way := range []struct {
+	defer func() {
+		require.NoError(b, plain.Process.Kill())
+		require.Error(b, plain.Wait(), "it was killed")
+	}()
+	var plainAddr string
+	_, err = fmt.Fscanln(out, &plainAddr)
+	require.NoError(b, err)
+	for _, c := range []struct {
 		name, addr string
 		pid        int
-		kept       bool
+		keeps      bool
 	}{
-		{"httputil/kept", at, plain.Process.Pid, true},
-		{"lockloom/kept", s.addr, r.Process.Pid, true},
-		{"httputil/new", at, plain.Process.Pid, false},
-		{"lockloom/new", s.addr, r.Process.Pid, false},
+		{"httputil/kept", plainAddr, plain.Process.Pid, true},
+		{"lockloom/kept", s.addr, lockloom.Process.Pid, true},
+		{"httputil/new", plainAddr, plain.Process.Pid, false},
+		{"lockloom/new", s.addr, lockloom.Process.Pid, false},
 	} {
-		pin(b, way.pid)
-		b.Run(way.name, func(b *testing.B) {
+		pinToCore(b, c.pid)
+		b.Run(c.name, func(b *testing.B) {
 			const clients = 40
-			each := b.N/clients + 1
-			var work sync.WaitGroup
-			before := spent(b, way.pid)
-			for k := range clients {
-				work.Go(func() {
-					var nc net.Conn
-					for i := range each {
-						if nc == nil {
-							var err error
-							if nc, err = net.Dial("tcp", way.addr); err != nil {
-								b.Error(err)
-								return
-							}
-						}
-						status, _, closes, err := ask(nc, fmt.Sprint(k, "-", i))
-						if err != nil || status != 200 {
-							b.Error(status, err)
-							return
-						}
-						if closes || !way.kept {
-							nc.Close()
-							nc = nil
-						}
-					}
-					if nc != nil {
-						nc.Close()
+			requests := b.N/clients + 1
+			var running sync.WaitGroup
+			before := processorTime(b, c.pid)
+			for i := range clients {
+				running.Go(func() {
+					if err := sendRequests(c.addr, fmt.Sprint(i), requests, c.keeps); err != nil {
+						b.Error(err)
 					}
 				})
 			}
-			work.Wait()
-			b.ReportMetric(float64((spent(b, way.pid)-before).Nanoseconds())/float64(each*clients), "cpu-ns/op")
+			running.Wait()
+			used := processorTime(b, c.pid) - before
+			b.ReportMetric(float64(used.Nanoseconds())/float64(requests*clients), "cpu-ns/op")
 		})
 	}
 }
 
-// pin keeps all threads of a program to one core, which others may use too.
-func pin(t testing.TB, pid int) {
-	var set unix.CPUSet
-	set.Set(1)
+// sendRequests sends requests one after the other, until one fails.
+func sendRequests(addr, client string, requests int, keeps bool) error {
+	var conn net.Conn
+	for i := range requests {
+		if conn == nil {
+			var err error
+			if conn, err = net.Dial("tcp", addr); err != nil {
+				return err
+			}
+		}
+		r, err := sendRequest(conn, fmt.Sprint(client, "-", i))
+		if err != nil || r.status != 200 {
+			conn.Close()
+			return fmt.Errorf("status %d: %w", r.status, err)
+		}
+		if r.closes || !keeps {
+			conn.Close()
+			conn = nil
+		}
+	}
+	if conn != nil {
+		conn.Close()
+	}
+	return nil
+}
+
+// pinToCore keeps all threads of a program to one core, which others may use too.
+func pinToCore(tb testing.TB, pid int) {
+	tb.Helper()
+	var core unix.CPUSet
+	core.Set(1)
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid))
-	require.NoError(t, err)
-	for _, name := range threads {
-		id, _ := strconv.Atoi(filepath.Base(name))
-		require.NoError(t, unix.SchedSetaffinity(id, &set))
+	require.NoError(tb, err)
+	for _, thread := range threads {
+		id, err := strconv.Atoi(filepath.Base(thread))
+		require.NoError(tb, err)
+		require.NoError(tb, unix.SchedSetaffinity(id, &core))
 	}
 }
 
-// spent is the processor time that a program has used.
-func spent(t testing.TB, pid int) time.Duration {
-	var now unix.Timespec
-	require.NoError(t, unix.ClockGettime(int32(^pid<<3|2), &now))
-	return time.Duration(now.Nano())
+// processorTime returns the processor time that a program has used.
+func processorTime(tb testing.TB, pid int) time.Duration {
+	tb.Helper()
+	var used unix.Timespec
+	processClock := int32(^pid<<3 | 2) // see clock_getcpuclockid(3)
+	require.NoError(tb, unix.ClockGettime(processClock, &used))
+	return time.Duration(used.Nano())
 }
--- a/internal/cli/proxycmd/explain.go
+++ b/internal/cli/proxycmd/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"strings"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
@@ -11,31 +10,41 @@
 	"lockloom/internal/config"
 )
 
-func explaining(out, errs io.Writer) *ffcli.Command {
-	set := flags("explain")
-	file := operatorFlag(set)
-	return cli.New("explain", "explain -operator FILE METHOD URL [NAME:VALUE...]",
-		"say which route, pool, tariff, limits and retry rule a request would meet, and why not others", set,
-		func(_ context.Context, words []string) error {
+// explainCommand returns the sub-command that explains what an operator file does with a request.
+func explainCommand(out, errOut cli.Output) *ffcli.Command {
+	flags := cli.NewFlagSet("explain")
+	file := operatorFileFlag(flags)
+	return cli.NewCommand("explain", "explain -operator FILE METHOD URL [NAME:VALUE...]",
+		"say which route, pool, class, limits and retry rule a request would meet, and why not others", flags,
+		func(_ context.Context, args []string) error {
 			if *file == "" {
-				return cli.Wrong("-operator: missing")
+				return cli.UsageErrorf("-operator: missing")
 			}
-			if len(words) < 2 {
-				return cli.Wrong("it takes a method, a URL or path, and fields as NAME:VALUE")
-			}
-			ask := config.Request{Method: words[0], Target: words[1], Fields: map[string]string{}}
-			for _, word := range words[2:] {
-				name, value, ok := strings.Cut(word, ":")
-				if !ok || name == "" {
-					return cli.Wrong("%q: a field is NAME:VALUE", word)
-				}
-				ask.Fields[strings.ToLower(name)] = strings.TrimSpace(value)
+			request, err := parseRequest(args)
+			if err != nil {
+				return err
 			}
-			ask.Host = ask.Fields["host"]
-			s, err := setup(*file, errs)
+			c, err := readOperatorFile(*file, errOut)
 			if err != nil {
 				return err
 			}
-			return s.Explain(out, &ask)
+			return c.Explain(out, request)
 		})
 }
+
+// parseRequest returns the request that arguments describe: a method, a URL or path, and fields.
+func parseRequest(args []string) (*config.Request, error) {
+	if len(args) < 2 {
+		return nil, cli.UsageErrorf("it takes a method, a URL or path, and fields as NAME:VALUE")
+	}
+	request := &config.Request{Method: args[0], Target: args[1], Fields: map[string]string{}}
+	for _, field := range args[2:] {
+		name, value, ok := strings.Cut(field, ":")
+		if !ok || name == "" {
+			return nil, cli.UsageErrorf("%q: a field is NAME:VALUE", field)
+		}
+		request.Fields[strings.ToLower(name)] = strings.TrimSpace(value)
+	}
+	request.Host = request.Fields["host"]
+	return request, nil
+}
--- /dev/null
+++ b/internal/cli/proxycmd/installation_test.go
@@ -0,0 +1,250 @@
+package proxycmd
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/internal/cli"
+	"lockloom/internal/hotrestart"
+)
+
+// largeResponseBytes is the size of the response to a request of "/look?large".
+const largeResponseBytes = 32 << 20
+
+// programBuild returns the path of the program, which it builds once.
+var programBuild = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "lockloom-test")
+	if err != nil {
+		return "", err
+	}
+	name := filepath.Join(dir, "lockloom")
+	out, err := exec.Command("go", "build", "-o", name, "lockloom/cmd/lockloom").CombinedOutput()
+	if err != nil {
+		err = fmt.Errorf("%w: %s", err, out)
+	}
+	return name, err
+})
+
+// installation is what is around a proxy: two servers, an endpoint list that no agent changes, and a folder.
+type installation struct {
+	t             testing.TB
+	env           []string
+	addr          string // the proxy's
+	dir           string
+	serverAddrs   []string
+	firstProgram  string // of the first process
+	laterProgram  string // of all others
+	startedCount  int    // processes
+	failingServer string // the ID of a server that fails all requests; set while no request is in flight
+
+	mu       sync.Mutex
+	servedBy map[string]int // requests by server's ID
+	runs     map[string]int // by request's ID
+}
+
+// newInstallation returns the surroundings of a proxy with so many MB of memory.
+func newInstallation(tb testing.TB, memoryMB int) *installation {
+	tb.Helper()
+	program, err := programBuild()
+	require.NoError(tb, err)
+	s := &installation{
+		t:            tb,
+		addr:         freeAddr(tb),
+		dir:          tb.TempDir(),
+		firstProgram: program,
+		laterProgram: program,
+		servedBy:     map[string]int{},
+		runs:         map[string]int{},
+	}
+	var entries []string
+	for _, id := range []string{"b1", "b2"} {
+		addr := s.startServer(id)
+		s.serverAddrs = append(s.serverAddrs, addr)
+		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"state":"active","started_ms":0}`, id, addr))
+	}
+	file := filepath.Join(s.dir, "launch.json")
+	text := `{"seed":"1","limits":{"cores":1,"memory_mb":` + strconv.Itoa(memoryMB) + `,"sockets":1024},` +
+		`"known":{"version":1,"full":true,"servers":[` + strings.Join(entries, ",") + `]},` +
+		`"settings":{"Ceilings":{"MaxLegs":3,"ConnIdleMs":5000},"Rules":{"StopSendingWithinMs":500},` +
+		`"Profiles":[{"Name":"look","Effect":"retryable","DueTimeMs":500,"HardStopMs":1000,"Value":1}]}}`
+	require.NoError(tb, os.WriteFile(file, []byte(text), 0o600))
+	s.env = append(os.Environ(), "ROUTER_NAME=n0", "ROUTER_LISTEN="+s.addr, "ROUTER_DISCOVERY="+freeAddr(tb),
+		"ROUTER_CONFIG="+file, "TMPDIR="+s.dir)
+	return s
+}
+
+// startServer runs a server until the test ends, and returns its address.
+func (s *installation) startServer(id string) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(s.t, err)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.serve(id, w, r)
+	})}
+	go func() { assert.ErrorIs(s.t, server.Serve(ln), http.ErrServerClosed) }()
+	s.t.Cleanup(func() { assert.NoError(s.t, server.Close()) })
+	return ln.Addr().String()
+}
+
+// serve answers with the request's ID, or with a large body.
+func (s *installation) serve(id string, w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path == "/look" && r.URL.RawQuery == "large" {
+		w.Header().Set("Content-Length", strconv.Itoa(largeResponseBytes))
+		writeBody(w, io.LimitReader(zeros{}, largeResponseBytes))
+		return
+	}
+	requestID := r.Header.Get("X-Trace-Id")
+	s.mu.Lock()
+	s.servedBy[id]++
+	s.runs[requestID]++
+	fails := s.failingServer == id
+	s.mu.Unlock()
+	if fails {
+		http.Error(w, "it fails", http.StatusInternalServerError)
+		return
+	}
+	writeBody(w, strings.NewReader(requestID))
+}
+
+// writeBody writes a response's body. A proxy that is killed does not read it, which is no error here.
+func writeBody(w io.Writer, body io.Reader) { _, _ = io.Copy(w, body) }
+
+type zeros struct{}
+
+func (zeros) Read(p []byte) (int, error) {
+	clear(p)
+	return len(p), nil
+}
+
+var freeAddrs atomic.Int64 // given out
+
+// freeAddr returns an address where nobody listens, on a loopback address of its own. A free port on an address that
+// others use may be another's by the time a process listens there, or be given out twice.
+func freeAddr(tb testing.TB) string {
+	tb.Helper()
+	n := freeAddrs.Add(1)
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+os.Getpid()%64, n/250%250, 1+n%250))
+	require.NoError(tb, err)
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// process is one process of the proxy.
+type process struct {
+	*exec.Cmd
+	t         testing.TB
+	adminAddr string
+	logFile   string
+	ended     chan struct{}
+	err       error // read once it has ended
+}
+
+// startProcess starts a process.
+func (s *installation) startProcess() *process {
+	program := s.firstProgram
+	if s.startedCount++; s.startedCount > 1 {
+		program = s.laterProgram
+	}
+	p := &process{Cmd: exec.Command(program, "serve"), t: s.t, adminAddr: freeAddr(s.t), ended: make(chan struct{})}
+	p.Env = slices.Concat(s.env, []string{"ROUTER_OPERATOR=" + p.adminAddr})
+	log, err := os.CreateTemp(s.dir, "log")
+	require.NoError(s.t, err)
+	p.logFile = log.Name()
+	p.Stderr = log
+	require.NoError(s.t, p.Start())
+	require.NoError(s.t, log.Close())
+	go func() {
+		p.err = p.Wait()
+		close(p.ended)
+	}()
+	s.t.Cleanup(p.kill)
+	return p
+}
+
+// startReady starts a process and waits until it takes clients.
+func (s *installation) startReady() *process {
+	p := s.startProcess()
+	isReady := func() bool { return p.call("ready") == cli.ExitOK }
+	require.Eventually(s.t, isReady, 20*time.Second, 5*time.Millisecond, p.log())
+	return p
+}
+
+// call makes an admin call by the command line, and returns the exit code.
+func (p *process) call(args ...string) int {
+	return Run(append(args, p.adminAddr), io.Discard, io.Discard)
+}
+
+// kill kills the process, unless it has ended.
+func (p *process) kill() {
+	if err := p.Process.Kill(); !errors.Is(err, os.ErrProcessDone) {
+		assert.NoError(p.t, err)
+	}
+	<-p.ended
+}
+
+// stop has the process end by itself.
+func (p *process) stop() {
+	assert.NoError(p.t, p.Process.Signal(syscall.SIGTERM))
+	select {
+	case <-p.ended:
+		assert.NoError(p.t, p.err, p.log())
+	case <-time.After(2500 * time.Millisecond): // it may be killed after its longest deadline and 0.7 s
+		assert.Fail(p.t, "it has not ended", p.log())
+	}
+}
+
+// log returns what the process has logged.
+func (p *process) log() string {
+	text, err := os.ReadFile(p.logFile)
+	assert.NoError(p.t, err)
+	return string(text)
+}
+
+// memory returns a process's memory in kB: VmRSS now, VmHWM the most so far.
+func (p *process) memory(name string) (kB int) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
+	assert.NoError(p.t, err)
+	_, rest, _ := strings.Cut(string(text), name+":")
+	_, err = fmt.Sscan(rest, &kB)
+	assert.NoError(p.t, err)
+	return kB
+}
+
+// offeredState returns what the process that serves would hand over now, nil if none offers to.
+func (s *installation) offeredState() *hotrestart.State {
+	identity := hotrestart.Identity{Format: hotrestart.Format, Name: "n0", Listen: s.addr}
+	state, listeners, link, err := hotrestart.TakeOver(hotrestart.Path(s.dir, identity), identity)
+	if err != nil {
+		return nil
+	}
+	link.Close()
+	for _, ln := range listeners {
+		ln.Close()
+	}
+	return state
+}
+
+// awaitState returns the same once a process offers it: one that serves again does so a moment later.
+func (s *installation) awaitState() (state *hotrestart.State) {
+	for end := time.Now().Add(5 * time.Second); state == nil && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		state = s.offeredState()
+	}
+	require.NotNil(s.t, state)
+	return state
+}
--- a/internal/cli/proxycmd/proxycmd.go
+++ b/internal/cli/proxycmd/proxycmd.go
@@ -1,4 +1,4 @@
-// Package proxycmd is the command line of lockloom, the platform's proxy.
+// Package proxycmd is the command line of lockloom, the proxy.
 package proxycmd
 
 import (
@@ -11,25 +11,35 @@
 	"lockloom/internal/cli"
 )
 
-// Run runs one command and returns what the program ends with.
-func Run(args []string, out, errs io.Writer) int {
-	return cli.Run(context.Background(), &ffcli.Command{Name: "lockloom", Subcommands: Commands("lockloom", nil, out, errs)}, args, out, errs)
+// program is the program's name.
+const program = "lockloom"
+
+// Run runs one command line and returns the exit code.
+func Run(args []string, out, errOut io.Writer) int {
+	commands := Commands(program, nil, cli.Output{Writer: out}, cli.Output{Writer: errOut})
+	root := &ffcli.Command{Name: program, Subcommands: commands}
+	return cli.Run(context.Background(), root, args, out, errOut)
 }
 
-// Commands are those of a program that is a proxy, with a front or none.
-func Commands(name string, front Front, out, errs io.Writer) []*ffcli.Command {
-	return append([]*ffcli.Command{serving(errs, front), asking(out), checking(out, errs), explaining(out, errs), cli.Versions(name, out)},
-		calling(out)...)
+// Commands returns the sub-commands of a program that is a proxy. Its serve runs an extension too, unless start is
+// nil.
+func Commands(program string, start StartExtension, out, errOut cli.Output) []*ffcli.Command {
+	commands := []*ffcli.Command{
+		serveCommand(start, errOut),
+		upCommand(out),
+		checkCommand(out, errOut),
+		explainCommand(out, errOut),
+		cli.VersionCommand(program, out),
+	}
+	return append(commands, adminCommands(out)...)
 }
 
-// bare is a command without words.
-func bare(name, help string, flags *flag.FlagSet, run func() error) *ffcli.Command {
-	return cli.New(name, name+" [FLAGS]", help, flags, func(_ context.Context, words []string) error {
-		if len(words) > 0 {
-			return cli.Wrong("it takes no further words")
+// newFlagsCommand returns a sub-command that takes flags alone.
+func newFlagsCommand(name, help string, flags *flag.FlagSet, run func() error) *ffcli.Command {
+	return cli.NewCommand(name, name+" [FLAGS]", help, flags, func(_ context.Context, args []string) error {
+		if len(args) > 0 {
+			return cli.UsageErrorf("it takes no further words")
 		}
 		return run()
 	})
 }
-
-func flags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
--- a/internal/cli/proxycmd/proxycmd_test.go
+++ b/internal/cli/proxycmd/proxycmd_test.go
@@ -17,22 +17,22 @@
 	"lockloom/internal/cli"
 )
 
-// lines tells each line that is logged.
-type lines chan string
+// logLines gets each line that is logged.
+type logLines chan string
 
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	l <- string(p)
 	return len(p), nil
 }
 
-// wait waits for a line that holds this.
-func (l lines) wait(part string) {
-	for !strings.Contains(<-l, part) {
+// wait waits for a line that contains a text.
+func (l logLines) wait(text string) {
+	for !strings.Contains(<-l, text) {
 	}
 }
 
-// Danger: what nobody handles ends the program, with all requests that it has taken.
-func TestSignals(t *testing.T) {
+// A signal that was not handled would end the program, and all requests in flight with it.
+func TestReloadOnHangUp(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file.json")
 	write := func(discovery string) {
 		text := `{"discovery":"` + discovery + `","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -48,12 +48,14 @@
 		agents = append(agents, agent)
 	}
 	addr := func(i int) string { return agents[i].Addr().String() }
-	watched := func(i int) {
+	acceptWatch := func(i int) {
 		c, err := agents[i].Accept()
 		assert.NoError(t, err)
-		c.Read(make([]byte, 1000))
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		t.Cleanup(func() { c.Close() })
+		_, err = c.Read(make([]byte, 1000))
+		assert.NoError(t, err)
+		_, err = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		assert.NoError(t, err)
 	}
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
@@ -63,70 +65,71 @@
 	t.Setenv("ROUTER_DISCOVERY", addr(0))
 	t.Setenv("ROUTER_CONFIG", file)
 	write(addr(0))
-	log, code := make(lines, 100), 0
+	log, code := make(logLines, 100), 0
 	var served sync.WaitGroup
 	served.Go(func() { code = Run([]string{"serve"}, io.Discard, log) })
-	watched(0)
+	acceptWatch(0)
 	log.wait("serving")
-	hangUp := func() { assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) }
+	sendHangUp := func() { assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) }
 	write("nowhere")
-	hangUp()
-	log.wait("not told anew")
+	sendHangUp()
+	log.wait("launch file not reloaded")
 	write(addr(1))
-	hangUp()
-	watched(1)
-	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != cli.Done { // it serves on
+	sendHangUp()
+	acceptWatch(1)
+	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != cli.ExitOK { // it serves on
 		time.Sleep(10 * time.Millisecond)
 	}
 	own := make(chan os.Signal, 1)
-	signal.Notify(own, syscall.SIGHUP) // it may have ended when the last one comes
+	signal.Notify(own, syscall.SIGHUP) // the program may have ended when the last one comes
 	defer signal.Stop(own)
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	log.wait("stopping")
-	hangUp()
+	sendHangUp()
 	go func() {
 		for range log { // so that no writer waits
 		}
 	}()
 	served.Wait()
-	assert.Equal(t, cli.Done, code)
+	assert.Equal(t, cli.ExitOK, code)
 }
 
 const sample = "../../../deploy/operator/sample.toml"
 
-func TestRun(t *testing.T) {
+func TestExitCodesAndOutput(t *testing.T) {
 	for _, name := range []string{"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"} {
 		t.Setenv(name, "")
 	}
 	for _, c := range []struct {
 		args      string
 		code      int
-		out, errs string // what they must hold; both are empty otherwise
+		out, errs string // what they contain; out is empty if this is
 	}{
-		{"", cli.Misuse, "", "usage: lockloom"},
-		{"dance", cli.Misuse, "", `unknown command "dance"`},
-		{"serve -x", cli.Misuse, "", "flag provided but not defined"},
-		{"serve more", cli.Misuse, "", "takes no further words"},
-		{"up", cli.Misuse, "", "the proxy's address is missing"},
-		{"help", cli.Done, "usage: lockloom", ""},
-		{"serve -h", cli.Done, "", "-log"},
-		{"version", cli.Done, "lockloom ", ""},
-		{"serve -log loud", cli.Failed, "", "lockloom: -log: "},
-		{"serve", cli.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
-		{"check", cli.Failed, "", "lockloom: ROUTER_NAME: missing\n"},
-		{"check -operator " + sample, cli.Done, "3 pools, 4 routes", ""},
-		{"check -operator no.toml", cli.Failed, "", "no.toml: no such file"},
-		{"explain GET /", cli.Misuse, "", "-operator: missing"},
-		{"explain -operator " + sample + " GET", cli.Misuse, "", "a method, a URL"},
-		{"explain -operator " + sample + " GET / x", cli.Misuse, "", `"x": a field is NAME:VALUE`},
-		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", cli.Done, "tariff sign: referenced", ""},
-		{"up 127.0.0.1:1", cli.Failed, "", "lockloom: dial"},
+		{"", cli.ExitUsage, "", "usage: lockloom"},
+		{"dance", cli.ExitUsage, "", `unknown command "dance"`},
+		{"serve -x", cli.ExitUsage, "", "flag provided but not defined"},
+		{"serve more", cli.ExitUsage, "", "takes no further words"},
+		{"up", cli.ExitUsage, "", "the proxy's address is missing"},
+		{"help", cli.ExitOK, "usage: lockloom", ""},
+		{"serve -h", cli.ExitOK, "", "-log"},
+		{"version", cli.ExitOK, "lockloom ", ""},
+		{"serve -log loud", cli.ExitFailure, "", "lockloom: -log: "},
+		{"serve", cli.ExitFailure, "", "lockloom: ROUTER_NAME: missing\n"},
+		{"check", cli.ExitFailure, "", "lockloom: ROUTER_NAME: missing\n"},
+		{"check -operator " + sample, cli.ExitOK, "3 pools, 4 routes", ""},
+		{"check -operator no.toml", cli.ExitFailure, "", "no.toml: no such file"},
+		{"explain GET /", cli.ExitUsage, "", "-operator: missing"},
+		{"explain -operator " + sample + " GET", cli.ExitUsage, "", "a method, a URL"},
+		{"explain -operator " + sample + " GET / x", cli.ExitUsage, "", `"x": a field is NAME:VALUE`},
+		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", cli.ExitOK,
+			"tariff sign: referenced", ""},
+		{"up 127.0.0.1:1", cli.ExitFailure, "", "lockloom: dial"},
 	} {
 		var out, errs strings.Builder
 		assert.Equal(t, c.code, Run(strings.Fields(c.args), &out, &errs), c.args)
 		assert.Contains(t, out.String(), c.out, c.args)
 		assert.Contains(t, errs.String(), c.errs, c.args)
-		if c.code == cli.Failed {
+		if c.code == cli.ExitFailure {
 			assert.Equal(t, 1, strings.Count(errs.String(), "\n"), "one line says what is wrong: %s", c.args)
 		}
 		if c.out == "" {
--- a/internal/cli/proxycmd/up.go
+++ b/internal/cli/proxycmd/up.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"time"
 
@@ -13,39 +12,41 @@
 	"lockloom/internal/http1"
 )
 
-const askFor = 2 * time.Second // for a proxy to tell whether it is up
+// upTimeout is what a proxy has to connect in, and to answer in.
+const upTimeout = 2 * time.Second
 
-func asking(out io.Writer) *ffcli.Command {
-	return cli.New("up", "up ADDR", "ask the proxy that listens at ADDR whether it takes lookups", flags("up"),
-		func(_ context.Context, words []string) error {
+// upCommand returns the sub-command that asks whether a proxy is up.
+func upCommand(out cli.Output) *ffcli.Command {
+	return cli.NewCommand("up", "up ADDR", "ask the proxy that listens at ADDR whether it takes requests",
+		cli.NewFlagSet("up"), func(_ context.Context, args []string) error {
 			switch {
-			case len(words) == 0:
-				return cli.Wrong("the proxy's address is missing")
-			case len(words) > 1:
-				return cli.Wrong("it takes no further words")
+			case len(args) == 0:
+				return cli.UsageErrorf("the proxy's address is missing")
+			case len(args) > 1:
+				return cli.UsageErrorf("it takes no further words")
 			}
-			return up(words[0], out)
+			return checkUp(args[0], out)
 		})
 }
 
-// up asks a proxy whether it is ready.
-func up(addr string, out io.Writer) error {
-	conn, err := net.DialTimeout("tcp", addr, askFor)
+// checkUp asks a proxy whether it is up. Any answer but 200 is an error.
+func checkUp(addr string, out cli.Output) error {
+	conn, err := net.DialTimeout("tcp", addr, upTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(askFor))
+	conn.SetDeadline(time.Now().Add(upTimeout))
 	if _, err := fmt.Fprintf(conn, "GET /up HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", addr); err != nil {
 		return err
 	}
-	h, err := http1.NewReader(conn).Response()
+	head, err := http1.NewReader(conn).Response()
 	if err != nil {
 		return err
 	}
-	if h.Status != 200 {
-		return fmt.Errorf("%s does not take lookups: %d", addr, h.Status)
+	if head.Status != 200 {
+		return fmt.Errorf("%s does not take requests: %d", addr, head.Status)
 	}
-	fmt.Fprintln(out, addr, "takes lookups")
+	out.Println(addr, "takes requests")
 	return nil
 }
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -2,37 +2,34 @@
 
 import (
 	"context"
-	"flag"
-	"fmt"
-	"io"
 	"runtime/debug"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Versions is the command that says what a program is.
-func Versions(program string, out io.Writer) *ffcli.Command {
-	return New("version", "version", "say what this is", flag.NewFlagSet("version", flag.ContinueOnError),
-		func(_ context.Context, words []string) error {
-			if len(words) > 0 {
-				return Wrong("it takes no further words")
+// VersionCommand returns the sub-command that prints a program's version.
+func VersionCommand(program string, out Output) *ffcli.Command {
+	return NewCommand("version", "version", "say what this is", NewFlagSet("version"),
+		func(_ context.Context, args []string) error {
+			if len(args) > 0 {
+				return UsageErrorf("it takes no further words")
 			}
-			fmt.Fprintln(out, program, Version())
+			out.Println(program, BuildVersion())
 			return nil
 		})
 }
 
-// Version is what the build says of itself.
-func Version() string {
+// BuildVersion returns the module's version, the compiler's and the commit of this build, "unknown" without any.
+func BuildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	text := info.Main.Version + " " + info.GoVersion
+	version := info.Main.Version + " " + info.GoVersion
 	for _, s := range info.Settings {
 		if s.Key == "vcs.revision" {
-			text += " " + s.Value
+			version += " " + s.Value
 		}
 	}
-	return text
+	return version
 }
