--- a/cmd/lockloom-controlplane/main.go
+++ b/cmd/lockloom-controlplane/main.go
@@ -1,5 +1,5 @@
-// Command lockloom-controlplane is lockloom with a control plane over xDS, for proxies and clients that lockloom does not
-// run, and with captures.
+// Command lockloom-controlplane is lockloom with captures and with a control plane over xDS, for proxies and clients of
+// other makes.
 package main
 
 import (
--- a/internal/cli/ctlcmd/diff.go
+++ b/internal/cli/ctlcmd/diff.go
@@ -19,7 +19,7 @@
 	flags := cli.NewFlagSet("diff")
 	other := flags.String("with", "", "another build's lockloomctl, a `program`")
 	maxPrinted := flags.Int("most", 10, "`how many` differences are printed")
-	help := "show where another build would have chosen otherwise, told the same"
+	help := "show where another build would have chosen otherwise on the same events"
 	return cli.NewCommand("diff", "diff FILE|FOLDER... -with PROGRAM", help, flags,
 		func(ctx context.Context, args []string) error {
 			files, err := captureFiles(args)
@@ -73,7 +73,7 @@
 			out.Printf("this:  %s\nother: %s\n", our, their)
 		}
 	}
-	out.Printf("%d choices, %d differ; behind the first each build was told of what it had not chosen\n",
+	out.Printf("%d choices, %d differ; after the first, each build got events of choices that were not its own\n",
 		len(ours), differ)
 }
 
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -16,11 +16,11 @@
 func loadCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("load")
 	to := flags.String("to", "", "the proxies' `addresses`, with commas between them")
-	rate := flags.Float64("rate", 0, "lookups a `second` (default: the scenario's, phases and all)")
+	rate := flags.Float64("rate", 0, "requests a `second` (default: the scenario's, phases and all)")
 	duration := flags.Float64("for", 0, "`seconds` (default: the scenario's)")
 	seed := flags.Uint64("seed", 1, "`number` that chance comes from")
 	file := flags.String("json", "", "write the results to this `FILE` for machines")
-	help := "ask proxies that run already what a scenario's clients ask, in an open loop"
+	help := "send a scenario's requests to proxies that run already, in an open loop"
 	return cli.NewCommand("load", "load SCENARIO -to ADDR[,ADDR...] [FLAGS]", help, flags,
 		func(ctx context.Context, args []string) error {
 			s, err := openScenario(args)
--- a/internal/cli/ctlcmd/replay.go
+++ b/internal/cli/ctlcmd/replay.go
@@ -59,7 +59,7 @@
 	if err := player.Play(files, openFile); err != nil {
 		return err
 	}
-	out.Printf("%d calls, %d lookups, %.1f s of %s replayed in %.2f s: %d differ, %d passed over\n",
+	out.Printf("%d calls, %d requests, %.1f s of %s replayed in %.2f s: %d differ, %d passed over\n",
 		player.Played, player.Lookups, player.Last-player.First, player.Began.Proxy, time.Since(began).Seconds(),
 		player.Differ, player.Skipped)
 	return nil
--- a/internal/cli/ctlcmd/why.go
+++ b/internal/cli/ctlcmd/why.go
@@ -17,11 +17,12 @@
 // whyCommand returns the sub-command that explains how one request was served.
 func whyCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("why")
-	id := flags.String("lookup", "", "the lookup's `id`")
+	id := flags.String("lookup", "", "the request's `id`")
 	number := flags.Uint64("number", 0, "or its `number` in its pool")
 	first := flags.String("first", "", "or the first that is `"+strings.Join(capture.Wanted, ", ")+"`")
 	pool := flags.String("pool", "", "the `pool` (default: whichever has it)")
-	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", "tell the story of one lookup, and what was weighed", flags,
+	help := "explain how one request was served, and what was weighed"
+	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", help, flags,
 		func(_ context.Context, args []string) error {
 			files, err := captureFiles(args)
 			if err != nil {
@@ -42,7 +43,7 @@
 				return err
 			}
 			if !story.Found {
-				return errors.New("the capture has no such lookup")
+				return errors.New("the capture has no such request")
 			}
 			return nil
 		})
--- a/internal/cli/proxycmd/serve.go
+++ b/internal/cli/proxycmd/serve.go
@@ -20,7 +20,7 @@
 	"lockloom/proxy"
 )
 
-// What the Go runtime is told of the machine's limits.
+// How the Go runtime keeps to the machine's limits.
 const (
 	heapFraction = 0.6 // of the memory limit, as the collector's aim; the rest is for bursts of buffers
 	gcPercent    = 300 // the heap is small: it is collected seldom, unless it nears the aim
@@ -42,7 +42,7 @@
 	flags := cli.NewFlagSet("serve")
 	level := flags.String("log", "info", "the least `level` that is logged: debug, info, warning or error")
 	file := operatorFileFlag(flags)
-	help := "run a proxy, told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG"
+	help := "run a proxy, configured by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG"
 	return newFlagsCommand("serve", help, flags, func() error {
 		log, err := newLogger(*level, errOut)
 		if err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -26,7 +26,7 @@
 	FleetSize   int     // proxies that may call at the same time, this one included
 	DrainGrace  float64 // s, the shortest grace of a drain; 0: unknown
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	OnConnected func()     // called whenever discovery answers anew, before the first list that it sends
+	OnConnected func()     // called when a watch is established, before its first list
 	OnList      func(List) // called for each list, in order
 	Log         logrus.FieldLogger
 	Rand        func() float64 // jitter of delays, from 0 to 1; nil: a random source of its own
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -33,7 +33,7 @@
 	503: "Service Unavailable",
 }
 
-// hopByHopFields concern one connection only, or are written anew for each.
+// hopByHopFields concern one connection only, or are set for each one by itself.
 var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
