--- a/proxy/bank_test.go
+++ b/proxy/bank_test.go
@@ -30,7 +30,7 @@
 
 func (y *yard) beliefs() []balance.ServerStatus {
 	got := make(chan []balance.ServerStatus)
-	y.post(func() { got <- y.main.b.ServerStatuses(y.now()) })
+	y.post(func() { got <- y.platformPool.decisions.ServerStatuses(y.now()) })
 	return <-got
 }
 
@@ -66,7 +66,7 @@
 		return b[1].Payoff < b[0].Payoff-0.05
 	}, 5*time.Second, time.Millisecond)
 	hook := test.NewLocal(quiet.log.(*logrus.Entry).Logger)
-	other := quiet.launch
+	other := quiet.bootstrap
 	other.Fleet.Listen = "127.0.0.1:1"
 	quiet.ReloadBootstrap(other)
 	quiet.beliefs()
@@ -92,9 +92,9 @@
 	y := member(t, 0, "", "", nil)
 	s, faults := config.Read("f.toml", []byte(operated))
 	require.Empty(t, faults)
-	o, err := y.build(s, nil)
+	o, err := y.buildRouting(s, nil)
 	require.NoError(t, err)
-	for b, tells := range map[Decisions]bool{y.main.b: true, o.pools["first"].b: false} {
+	for b, tells := range map[Decisions]bool{y.platformPool.decisions: true, o.pools["first"].decisions: false} {
 		_, orders := b.RequestArrived(y.now(), balance.RequestInfo{Deadline: y.now() + 1}, "")
 		assert.Equal(t, tells, orders.Gossip != nil)
 	}
--- a/proxy/bodies_test.go
+++ b/proxy/bodies_test.go
@@ -41,7 +41,7 @@
 	return body, pieces.String() + "0\r\nX-After: all\r\n\r\n"
 }()
 
-// told is a request whose body is so long, and may be shorter.
+// applyEndpointState is a request whose body is so long, and may be shorter.
 func told(n int, body string) string {
 	return strings.Replace(sms, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body, 1)
 }
@@ -88,7 +88,7 @@
 				assert.Equal(t, int64(c.taken), y.taken, c.name)
 				conn.Close()
 				errors := make(chan int, 1)
-				y.post(func() { errors <- y.main.b.ServerStatuses(y.now())[0].Errors })
+				y.post(func() { errors <- y.platformPool.decisions.ServerStatuses(y.now())[0].Errors })
 				assert.Zero(t, <-errors, "no backend is blamed for a slow client")
 				y.end()
 			})
@@ -235,7 +235,7 @@
 func TestAbsoluteForm(t *testing.T) {
 	for in, want := range map[string]string{"http://x:1/look?user=7": "/look?user=7", "HTTP://x/look": "/look", "/look?u=http://x/": "/look?u=http://x/",
 		"http://x": "/", "http://x?a=/b": "/?a=/b"} {
-		assert.Equal(t, want, string(origin([]byte(in))))
+		assert.Equal(t, want, string(originForm([]byte(in))))
 	}
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
@@ -251,9 +251,9 @@
 func TestTookFromTheLastByte(t *testing.T) {
 	flows := &upstream.Upload{}
 	for _, c := range []struct {
-		l    lookup
+		l    request
 		want float64
-	}{{lookup{}, 9}, {lookup{upload: flows, wholeAt: 8}, 2}, {lookup{upload: flows, wholeAt: 11}, 0}, {lookup{upload: flows}, 0}} {
-		assert.Equal(t, c.want, c.l.took(1, 10))
+	}{{request{}, 9}, {request{upload: flows, bodyCompletedAt: 8}, 2}, {request{upload: flows, bodyCompletedAt: 11}, 0}, {request{upload: flows}, 0}} {
+		assert.Equal(t, c.want, c.l.latency(1, 10))
 	}
 }
--- a/proxy/branch.go
+++ b/proxy/branch.go
@@ -48,105 +48,105 @@
 
 // Capture has the decisions of every pool made through what a call makes of its Balancer; the platform's has no name. Call it before
 // Operate. One that has a method Dropped is told when a reload has taken its pool away.
-func (p *Proxy) Capture(through func(pool string, b *balance.Balancer) Decisions) {
-	p.through = through
-	p.main.b = through("", p.main.b.(uncaptured).Balancer)
+func (p *Proxy) Capture(wrap func(poolName string, b *balance.Balancer) Decisions) {
+	p.capture = wrap
+	p.platformPool.decisions = wrap("", p.platformPool.decisions.(uncaptured).Balancer)
 }
 
-func (p *Proxy) decisions(pool string, b *balance.Balancer) Decisions {
-	if p.through == nil {
+func (p *Proxy) newDecisions(poolName string, b *balance.Balancer) Decisions {
+	if p.capture == nil {
 		return uncaptured{b}
 	}
-	return p.through(pool, b)
+	return p.capture(poolName, b)
 }
 
-// branch is a pool of servers with a Balancer of its own. The platform's requests go to the main one, which has all that are
+// serverPool is a pool of servers with a Balancer of its own. The platform's requests go to the main one, which has all that are
 // listed; an operator's pools have some of them, or those written out.
-type branch struct {
-	b    Decisions
-	rows []balance.Class
-	has  func(*discovery.Entry) bool // whether a listed server is one of its; nil: all are
-
-	alarm   alarm // of its Balancer's wakes
-	name    string
-	written bool // its servers are written out, in first; no list is told to it
-	first   []balance.Endpoint
-	budgets map[string]*limits.RetryBudget // by retry rule
-	backup  *branch                        // serves for it while it has no server admitted; nil: none
-	standby routes.Failover
-	away    bool                // the backup serves now
-	fair    *limits.FairLimiter // its room, shared between routes; nil: no bound
-	shares  map[string]int      // a route's number in fair
-	live    int                 // requests in hand
-	retired bool                // a reload has taken it away
-
-	admitted, opined int     // requests so far; as of when opinions were told last
-	rate, opinedAt   float64 // of them a second, then
+type serverPool struct {
+	decisions Decisions
+	classes   []balance.Class
+	accepts   func(*discovery.Entry) bool // whether a listed server is one of its; nil: all are
+
+	timer           timer // of its Balancer's wakes
+	name            string
+	static          bool // its servers are written out, in first; no list is told to it
+	staticEndpoints []balance.Endpoint
+	budgets         map[string]*limits.RetryBudget // by retry rule
+	backup          *serverPool                    // serves for it while it has no server admitted; nil: none
+	failover        routes.Failover
+	failedOver      bool                // the backup serves now
+	fairLimiter     *limits.FairLimiter // its room, shared between routes; nil: no bound
+	routeNumbers    map[string]int      // a route's number in fair
+	inFlight        int                 // requests in hand
+	retired         bool                // a reload has taken it away
+
+	admitted, reportedAdmitted int     // requests so far; as of when opinions were told last
+	requestRate, reportedAt    float64 // of them a second, then
 }
 
-// listed tells a branch what of a list concerns it. In list are the list's entries, numbered.
-func (in *branch) listed(p *Proxy, l List, first bool, list []balance.Endpoint) {
-	if in.written {
+// rememberID tells a branch what of a list concerns it. In list are the list's entries, numbered.
+func (pool *serverPool) updateEndpoints(p *Proxy, list List, first bool, endpoints []balance.Endpoint) {
+	if pool.static {
 		if !first {
 			return
 		}
-		p.decide(in, func(now float64) *balance.Actions {
-			return in.b.EndpointsUpdated(now, true, true, p.ruledOut(in.first))
+		p.decide(pool, func(now float64) *balance.Actions {
+			return pool.decisions.EndpointsUpdated(now, true, true, p.staticUnderAdminState(pool.staticEndpoints))
 		})
 		return
 	}
-	own := list
-	if in.has != nil {
+	own := endpoints
+	if pool.accepts != nil {
 		own = nil
-		for i := range list {
-			if in.has(&l.Entries[i]) {
-				own = append(own, list[i])
+		for i := range endpoints {
+			if pool.accepts(&list.Entries[i]) {
+				own = append(own, endpoints[i])
 			}
 		}
 	}
-	p.decide(in, func(now float64) *balance.Actions { return in.b.EndpointsUpdated(now, l.Full, first, own) })
+	p.decide(pool, func(now float64) *balance.Actions { return pool.decisions.EndpointsUpdated(now, list.Full, first, own) })
 }
 
-// begin tells a branch that is new while the proxy serves all that it has to know.
-func (in *branch) begin(p *Proxy) {
-	if in.written {
-		in.listed(p, List{Full: true}, true, nil)
+// initialize tells a branch that is new while the proxy serves all that it has to know.
+func (pool *serverPool) initialize(p *Proxy) {
+	if pool.static {
+		pool.updateEndpoints(p, List{Full: true}, true, nil)
 		return
 	}
-	var l List
-	var list []balance.Endpoint
-	for _, index := range slices.Sorted(maps.Keys(p.known)) {
-		e, _ := p.ruled(p.known[index])
-		l.Entries = append(l.Entries, e)
-		list = append(list, p.names.Endpoint(e.Entry))
+	var list List
+	var endpoints []balance.Endpoint
+	for _, index := range slices.Sorted(maps.Keys(p.knownEntries)) {
+		entry, _ := p.underAdminState(p.knownEntries[index])
+		list.Entries = append(list.Entries, entry)
+		endpoints = append(endpoints, p.registry.Endpoint(entry.Entry))
 	}
-	l.Full = true
-	in.listed(p, l, true, list)
+	list.Full = true
+	pool.updateEndpoints(p, list, true, endpoints)
 }
 
-// serving is the branch that serves for this one: itself, or the first backup on the way that does not stand aside too. Danger:
+// activePool is the branch that serves for this one: itself, or the first backup on the way that does not stand aside too. Danger:
 // a pool that gets nothing while its backup serves would never be known to be well again, so a request goes to it whenever one
 // of its servers has cooled down; the decisions let one at a time go there.
-func (in *branch) serving(now float64) *branch {
-	for in.away && in.backup != nil {
-		if _, trial := in.b.Availability(now); trial {
+func (pool *serverPool) activePool(now float64) *serverPool {
+	for pool.failedOver && pool.backup != nil {
+		if _, trial := pool.decisions.Availability(now); trial {
 			break
 		}
-		in = in.backup
+		pool = pool.backup
 	}
-	return in
+	return pool
 }
 
-// standbys looks which pools' backups serve.
-func (p *Proxy) standbys() {
-	for _, in := range p.branches {
-		if in.backup == nil {
+// updateFailover looks which pools' backups serve.
+func (p *Proxy) updateFailover() {
+	for _, pool := range p.serverPools {
+		if pool.backup == nil {
 			continue
 		}
-		admitted, _ := in.b.Availability(p.now())
-		if away := in.standby.Active(p.now(), admitted); away != in.away {
-			in.away = away
-			p.log.WithFields(logrus.Fields{"pool": in.name, "backup": in.backup.name, "serves": away}).Warn("backup")
+		admitted, _ := pool.decisions.Availability(p.now())
+		if active := pool.failover.Active(p.now(), admitted); active != pool.failedOver {
+			pool.failedOver = active
+			p.log.WithFields(logrus.Fields{"pool": pool.name, "backup": pool.backup.name, "serves": active}).Warn("backup")
 		}
 	}
 }
--- a/proxy/doors_bench_test.go
+++ b/proxy/doors_bench_test.go
@@ -49,7 +49,7 @@
 	plain := benchListen(b)
 	go http.Serve(plain, &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(to); r.SetXForwarded() },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 100}})
-	time.Sleep(2 * firstList)
+	time.Sleep(2 * firstListTimeout)
 	fields := "X-Trace-Id: %d\r\nX-Qos: page\r\nX-Expires-In: 4\r\n"
 	ways := []struct{ name, addr, fields, path string }{{"no-proxy", server, "", "/page"}, {"platform", platform.Addr().String(), fields, "/page"},
 		{"ordinary", ordinary.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
--- a/proxy/endings_test.go
+++ b/proxy/endings_test.go
@@ -115,11 +115,11 @@
 	return func() { close(on) }
 }
 
-// taken waits until a client's request is in hand.
+// admittedAt waits until a client's request is in hand.
 func (s *street) taken() {
 	require.Eventually(s.t, func() bool {
 		in := make(chan bool, 1)
-		s.post(func() { in <- s.counts.Legs > 0 })
+		s.post(func() { in <- s.counters.Attempts > 0 })
 		return <-in
 	}, 5*time.Second, time.Millisecond)
 }
@@ -143,12 +143,12 @@
 			s.taken()
 			letGo := s.holdOwner() // it hears of nothing
 			end(c)
-			time.Sleep(2 * lookEvery)
+			time.Sleep(2 * clientCheckInterval)
 			close(s.open)
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.got.Load())
 			letGo()
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.got.Load())
 		})
 		t.Run(name+", as its leg is turned away", func(t *testing.T) {
@@ -167,17 +167,17 @@
 			s.mu.Unlock()
 			letGo, again := s.holdOwner(), make(chan bool)
 			close(on)
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			s.post(func() { <-again }) // the owner hears of that, sends on, and does not hear yet that the client goes
 			end(c)
-			time.Sleep(2 * lookEvery)
+			time.Sleep(2 * clientCheckInterval)
 			letGo()
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			close(further)
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			assert.EqualValues(t, 1, s.got.Load(), "no further leg")
 			close(again)
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			assert.EqualValues(t, 1, s.got.Load(), "no further leg")
 		})
 		t.Run(name+", as it waits for its turn", func(t *testing.T) {
@@ -187,14 +187,14 @@
 			c := s.client()
 			io.WriteString(c, longLook)
 			require.Eventually(t, func() bool {
-				s.strained.mu.Lock()
-				defer s.strained.mu.Unlock()
-				return s.strained.Queued > 0
+				s.overload.mu.Lock()
+				defer s.overload.mu.Unlock()
+				return s.overload.Queued > 0
 			}, 5*time.Second, time.Millisecond)
 			end(c)
-			time.Sleep(lookEvery / 5)
+			time.Sleep(clientCheckInterval / 5)
 			free()
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.got.Load())
 		})
 	}
@@ -214,24 +214,24 @@
 		require.NoError(t, err)
 		ours, err := ln.Accept()
 		require.NoError(t, err)
-		l := &lookup{client: &client{nc: ours}}
-		l.client.left.Store(c.left)
+		l := &request{client: &clientConn{conn: ours}}
+		l.client.abandoned.Store(c.left)
 		io.WriteString(theirs, "unread")
 		if c.ends {
 			theirs.Close()
 		}
-		time.Sleep(lookEvery / 5)
-		assert.Equal(t, c.want, l.abandoned(time.Now().Add(-c.age)), c.name)
+		time.Sleep(clientCheckInterval / 5)
+		assert.Equal(t, c.want, l.clientGone(time.Now().Add(-c.age)), c.name)
 		theirs.Close()
 		ours.Close()
 	}
-	assert.False(t, (&lookup{}).abandoned(time.Time{}), "nobody's")
+	assert.False(t, (&request{}).clientGone(time.Time{}), "nobody's")
 }
 
 // A client that stays is served for as long as it waits, whatever it sent ahead, and what it sent ahead is served next.
 func TestWhoSendsAheadIsServed(t *testing.T) {
 	s := onStreet(t, func(_ int, end net.Conn) {
-		time.Sleep(2 * lookEvery)
+		time.Sleep(2 * clientCheckInterval)
 		io.WriteString(end, ok)
 	})
 	close(s.open)
@@ -283,9 +283,9 @@
 			defer conn.Close()
 			_, err = io.WriteString(conn, c.request+junk)
 			require.NoError(t, err)
-			time.Sleep(2 * watchAfter)
+			time.Sleep(2 * clientWatchDelay)
 			close(on)
-			time.Sleep(lookEvery)
+			time.Sleep(clientCheckInterval)
 			all, err := io.ReadAll(conn)
 			assert.NoError(t, err, "it ends in order")
 			r := http1.NewReader(bytes.NewReader(all))
@@ -346,7 +346,7 @@
 			synctest.Wait()
 			ordered := time.Now()
 			y.stop()
-			left := seconds(c.left) + killAfter
+			left := seconds(c.left) + killMargin
 			for i, held := range []net.Conn{waiting, harmless} { // in hand before, for as long
 				go func() {
 					status, h, _, err := answer(held)
@@ -359,7 +359,7 @@
 					over <- true
 				}()
 			}
-			time.Sleep(left - lastServe - 10*time.Millisecond) // the last moment to take it
+			time.Sleep(left - idleCloseMargin - 10*time.Millisecond) // the last moment to take it
 			go io.WriteString(conn, strings.Replace(sms, "In: 0.5", "In: 60", 1))
 			status, h, _, err := answer(conn)
 			assert.NoError(t, err, "hard stop %v", c.hardStop)
@@ -380,7 +380,7 @@
 func TestFullDoorStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, nil)
-		y.door.most, y.door.over = 2, 1
+		y.conns.maxServed, y.conns.maxOverflow = 2, 1
 		asks := func(n int) (all []net.Conn) {
 			for range n {
 				c := y.client()
@@ -394,7 +394,7 @@
 		y.stop()
 		synctest.Wait()
 		waiting := asks(6)
-		count, _ := y.door.counted()
+		count, _ := y.conns.counts()
 		assert.LessOrEqual(t, count, 4, "its bounds hold") // one more, see wait
 		for _, c := range append(busy, waiting...) {
 			status, _, _, err := answer(c)
@@ -432,9 +432,9 @@
 				status, _, _, err := answer(c)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
-				count, _ := s.door.counted()
-				assert.LessOrEqual(t, count, s.door.whole.most+s.door.whole.over, "places")
-				assert.LessOrEqual(t, count+s.poolMost+reserve, sockets, "descriptors")
+				count, _ := s.conns.counts()
+				assert.LessOrEqual(t, count, s.conns.totalLimits.maxServed+s.conns.totalLimits.maxOverflow, "places")
+				assert.LessOrEqual(t, count+s.maxUpstreamConns+reservedSockets, sockets, "descriptors")
 			}
 			for _, c := range idle {
 				c.Close()
--- a/proxy/life_test.go
+++ b/proxy/life_test.go
@@ -66,20 +66,20 @@
 
 // beliefOf is when a server counts as started.
 func (y *yard) beliefOf(id string) float64 {
-	index, _ := y.names.Find(id)
-	e, _ := y.ruled(y.known[index])
+	index, _ := y.registry.Find(id)
+	e, _ := y.underAdminState(y.knownEntries[index])
 	return e.StartedAt
 }
 
 // Danger: an attempt ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
-// counted as told before this proxy came to hear it.
+// counters as told before this proxy came to hear it.
 func TestToldWhileConnecting(t *testing.T) {
 	ban := func(y *yard) { assert.Equal(y.t, 200, y.call(admin.Disable, "b1")) }
 	listed := func(text string) func(y *yard) { return func(y *yard) { y.tell(text) } }
 	late := func(by time.Duration) func(y *yard) {
 		return func(y *yard) {
 			y.post(func() {
-				y.list(List{Version: 2, NotifiedAt: time.Now().Add(-by), Entries: []discovery.Entry{entry("b1", balance.Draining, 0)}}, false)
+				y.applyEndpointList(List{Version: 2, NotifiedAt: time.Now().Add(-by), Entries: []discovery.Entry{entry("b1", balance.Draining, 0)}}, false)
 			})
 		}
 	}
@@ -149,7 +149,7 @@
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
-		time.Sleep(firstList)
+		time.Sleep(firstListTimeout)
 		synctest.Wait()
 		up := func() int { status, _, _, _ := y.ask("GET /up HTTP/1.1\r\n\r\n"); return status }
 		assert.Equal(t, 200, up())
@@ -181,7 +181,7 @@
 		time.Sleep(time.Second)
 		_, err := silent.Write([]byte("x"))
 		assert.Error(t, err, "one that comes and says nothing goes too")
-		count, _ := y.door.counted()
+		count, _ := y.conns.counts()
 		assert.Zero(t, count)
 		assert.Equal(t, 200, y.call(admin.Resume, ""))
 		assert.Equal(t, 200, up())
@@ -205,8 +205,8 @@
 // Danger: the door must answer whatever the owner has to do.
 func TestDoorDoesNotWaitForTheOwner(t *testing.T) {
 	y := made(t, map[string][]string{"b1": {ok}}, nil)
-	y.life.listed("b1")
-	for range eventsKept {
+	y.process.rememberID("b1")
+	for range maxQueuedEvents {
 		y.events <- func() {}
 	}
 	answered := make(chan int, 4)
@@ -228,7 +228,7 @@
 	ln, err := y.Listen(":0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	s, lns := y.give()
+	s, lns := y.handOver()
 	assert.Equal(t, []string{":0"}, s.Listeners)
 	assert.Len(t, lns, 1)
 }
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -25,41 +25,41 @@
 // ReadConfig reads an operator file; the errors are all its faults, a line each.
 func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
 
-// kindsOf is the order of a class's rows in an operator's pool: one for each way in which a request may be sent again.
-var kindsOf = [...]balance.Idempotency{limits.RetryNever: balance.NonIdempotent, limits.RetryKeyed: balance.Keyed, limits.RetryAlways: balance.Idempotent}
+// idempotencyOrder is the order of a class's rows in an operator's pool: one for each way in which a request may be sent again.
+var idempotencyOrder = [...]balance.Idempotency{limits.RetryNever: balance.NonIdempotent, limits.RetryKeyed: balance.Keyed, limits.RetryAlways: balance.Idempotent}
 
-var scopesOf = map[string]balance.DedupScope{"": balance.DedupAll, "none": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone,
+var dedupScopes = map[string]balance.DedupScope{"": balance.DedupAll, "none": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone,
 	"pod": balance.DedupPod}
 
-// ordinary is what a proxy needs to serve ordinary HTTP. Clients' goroutines read the table and the terms; the limits, budgets
+// routing is what a proxy needs to serve ordinary HTTP. Clients' goroutines read the table and the terms; the limits, budgets
 // and branches are the owner's. It never changes: a reload puts another in its place.
-type ordinary struct {
-	setup   *Config
-	pools   map[string]*branch
-	tariffs map[string]int
-	limits  map[string]int
+type routingConfig struct {
+	config       *Config
+	pools        map[string]*serverPool
+	classIndexes map[string]int
+	limitIndexes map[string]int
 }
 
 // Configure has the proxy serve an operator's routes on these listeners too, from Serve on. Call it before.
-func (p *Proxy) Configure(s *Config, listeners ...net.Listener) error {
-	for _, t := range s.Classes {
-		p.longest = max(p.longest, seconds(t.Deadline))
+func (p *Proxy) Configure(cfg *Config, listeners ...net.Listener) error {
+	for _, class := range cfg.Classes {
+		p.maxDeadline = max(p.maxDeadline, seconds(class.Deadline))
 	}
-	o, err := p.build(s, nil)
+	routing, err := p.buildRouting(cfg, nil)
 	if err != nil {
 		return err
 	}
 	p.listeners = listeners
-	p.take(o)
+	p.installRouting(routing)
 	return nil
 }
 
 // ReloadConfig serves by another operator file from now on, all of it or nothing. Requests in hand end as they were begun; pools that
 // are as they were keep what they have learned, and limits that are as they were their counts. Listeners, and deadlines longer
 // than any before, change with the next start.
-func (p *Proxy) ReloadConfig(s *Config) error {
+func (p *Proxy) ReloadConfig(cfg *Config) error {
 	done := make(chan error, 1)
-	p.post(func() { done <- p.reoperate(s) })
+	p.post(func() { done <- p.applyConfig(cfg) })
 	select {
 	case err := <-done:
 		return err
@@ -68,251 +68,251 @@
 	}
 }
 
-func (p *Proxy) reoperate(s *Config) error {
-	old := p.ordinary.Load()
-	if old == nil {
+func (p *Proxy) applyConfig(cfg *Config) error {
+	previous := p.routing.Load()
+	if previous == nil {
 		return errors.New("it was started without an operator file")
 	}
-	if !reflect.DeepEqual(old.setup.Listeners, s.Listeners) {
+	if !reflect.DeepEqual(previous.config.Listeners, cfg.Listeners) {
 		return errors.New("listeners change with the next start")
 	}
-	for _, t := range s.Classes {
-		if seconds(t.Deadline) > p.longest {
-			return fmt.Errorf("tariff %q: a hard stop longer than %v counts from the next start", t.Name, p.longest)
+	for _, class := range cfg.Classes {
+		if seconds(class.Deadline) > p.maxDeadline {
+			return fmt.Errorf("tariff %q: a hard stop longer than %v counts from the next start", class.Name, p.maxDeadline)
 		}
 	}
-	o, err := p.build(s, old)
+	routing, err := p.buildRouting(cfg, previous)
 	if err != nil {
 		return err
 	}
-	p.take(o)
-	for name, in := range old.pools {
-		if o.pools[name] != in {
-			in.retired = true
-			p.dropped(in)
+	p.installRouting(routing)
+	for name, pool := range previous.pools {
+		if routing.pools[name] != pool {
+			pool.retired = true
+			p.removeIfRetired(pool)
 		}
 	}
-	p.log.WithFields(logrus.Fields{"pools": len(s.Pools), "routes": len(s.Routes)}).Info("operated anew")
+	p.log.WithFields(logrus.Fields{"pools": len(cfg.Pools), "routes": len(cfg.Routes)}).Info("operated anew")
 	return nil
 }
 
-// take puts a built one in its place; its new pools are told the list as it is.
-func (p *Proxy) take(o *ordinary) {
-	for i := range o.setup.Pools {
-		w := &o.setup.Pools[i]
-		in := o.pools[w.Name]
-		in.backup, in.standby.ActivateAfter, in.standby.RecoverAfter = o.pools[w.Backup], w.BackupAfter, w.BackupUntil
-		if w.Backup == "" {
-			in.away = false
+// installRouting puts a built one in its place; its new pools are told the list as it is.
+func (p *Proxy) installRouting(routing *routingConfig) {
+	for i := range routing.config.Pools {
+		cfg := &routing.config.Pools[i]
+		pool := routing.pools[cfg.Name]
+		pool.backup, pool.failover.ActivateAfter, pool.failover.RecoverAfter = routing.pools[cfg.Backup], cfg.BackupAfter, cfg.BackupUntil
+		if cfg.Backup == "" {
+			pool.failedOver = false
 		}
-		shares := map[string]int{}
-		o.share(shares, w.Name, o.setup.Routes)
-		if w.Capacity == 0 {
-			in.fair = nil
-		} else if in.fair == nil || in.fair.Capacity != w.Capacity || !maps.Equal(in.shares, shares) {
-			in.fair = limits.NewFairLimiter(w.Capacity, slices.Repeat([]float64{1}, len(shares)))
+		routeNumbers := map[string]int{}
+		routing.numberRoutes(routeNumbers, cfg.Name, routing.config.Routes)
+		if cfg.Capacity == 0 {
+			pool.fairLimiter = nil
+		} else if pool.fairLimiter == nil || pool.fairLimiter.Capacity != cfg.Capacity || !maps.Equal(pool.routeNumbers, routeNumbers) {
+			pool.fairLimiter = limits.NewFairLimiter(cfg.Capacity, slices.Repeat([]float64{1}, len(routeNumbers)))
 		}
-		in.shares = shares
-		if slices.Contains(p.branches, in) {
+		pool.routeNumbers = routeNumbers
+		if slices.Contains(p.serverPools, pool) {
 			continue
 		}
-		p.branches = append(p.branches, in)
-		in.b.SetBudgetShare(p.part())
-		in.b.SetLocalDelay(p.strained.slack, p.strained.lag)
-		if len(w.Servers) > 0 {
-			in.written = true
-			p.writeOut(in, w.Servers)
+		p.serverPools = append(p.serverPools, pool)
+		pool.decisions.SetBudgetShare(p.resourceShare())
+		pool.decisions.SetLocalDelay(p.overload.delayFactor, p.overload.lagSeconds)
+		if len(cfg.Servers) > 0 {
+			pool.static = true
+			p.addStaticServers(pool, cfg.Servers)
 		}
-		if p.listed {
-			in.begin(p)
+		if p.listReceived {
+			pool.initialize(p)
 		}
 	}
-	p.ordinary.Store(o)
+	p.routing.Store(routing)
 }
 
-// build makes what a setup needs, with the pools of an old one that are as they were.
-func (p *Proxy) build(s *Config, old *ordinary) (*ordinary, error) {
-	o := &ordinary{setup: s, pools: map[string]*branch{}, tariffs: map[string]int{}, limits: map[string]int{}}
-	d := p.launch.Deployment
-	d.Classes, d.Tenants = nil, nil
-	d.Gossip = false // danger: a note numbers the platform's classes; a pool's would be taken for those
-	for i, t := range s.Classes {
-		o.tariffs[t.Name] = i
-		for _, kind := range kindsOf {
-			d.Classes = append(d.Classes, balance.Class{Name: t.Name, Idempotency: kind, DedupScope: scopesOf[t.DedupScope], DedupWindow: t.DedupWindow, LatencyObjective: t.LatencyObjective,
-				Deadline: t.Deadline, PriorityWeight: t.PriorityWeight})
+// buildRouting makes what a setup needs, with the pools of an old one that are as they were.
+func (p *Proxy) buildRouting(cfg *Config, previous *routingConfig) (*routingConfig, error) {
+	routing := &routingConfig{config: cfg, pools: map[string]*serverPool{}, classIndexes: map[string]int{}, limitIndexes: map[string]int{}}
+	deployment := p.bootstrap.Deployment
+	deployment.Classes, deployment.Tenants = nil, nil
+	deployment.Gossip = false // danger: a note numbers the platform's classes; a pool's would be taken for those
+	for i, class := range cfg.Classes {
+		routing.classIndexes[class.Name] = i
+		for _, kind := range idempotencyOrder {
+			deployment.Classes = append(deployment.Classes, balance.Class{Name: class.Name, Idempotency: kind, DedupScope: dedupScopes[class.DedupScope], DedupWindow: class.DedupWindow, LatencyObjective: class.LatencyObjective,
+				Deadline: class.Deadline, PriorityWeight: class.PriorityWeight})
 		}
 	}
-	for i, l := range s.File.Limits {
-		o.limits[l.Name] = i
+	for i, limit := range cfg.File.Limits {
+		routing.limitIndexes[limit.Name] = i
 	}
-	if old != nil && reflect.DeepEqual(old.setup.File.Limits, s.File.Limits) {
-		s.Limits = old.setup.Limits
+	if previous != nil && reflect.DeepEqual(previous.config.File.Limits, cfg.File.Limits) {
+		cfg.Limits = previous.config.Limits
 	}
-	for i := range s.Pools {
-		w := &s.Pools[i]
-		if old != nil && reflect.DeepEqual(old.setup.Classes, s.Classes) {
-			if k := slices.IndexFunc(old.setup.Pools, func(x config.Pool) bool { return x.Name == w.Name }); k >= 0 && w.Same(&old.setup.Pools[k]) {
-				o.pools[w.Name] = old.pools[w.Name]
+	for i := range cfg.Pools {
+		poolConfig := &cfg.Pools[i]
+		if previous != nil && reflect.DeepEqual(previous.config.Classes, cfg.Classes) {
+			if k := slices.IndexFunc(previous.config.Pools, func(other config.Pool) bool { return other.Name == poolConfig.Name }); k >= 0 && poolConfig.Same(&previous.config.Pools[k]) {
+				routing.pools[poolConfig.Name] = previous.pools[poolConfig.Name]
 				continue
 			}
 		}
-		d.Seed = p.launch.Seed ^ settings.NameHash(w.Name)
-		b, err := balance.New(d, p.now())
+		deployment.Seed = p.bootstrap.Seed ^ settings.NameHash(poolConfig.Name)
+		balancer, err := balance.New(deployment, p.now())
 		if err != nil {
-			return nil, fmt.Errorf("pool %q: %w", w.Name, err)
+			return nil, fmt.Errorf("pool %q: %w", poolConfig.Name, err)
 		}
-		o.pools[w.Name] = &branch{b: p.decisions(w.Name, b), rows: d.Classes, name: w.Name, budgets: map[string]*limits.RetryBudget{},
-			has: func(e *discovery.Entry) bool {
-				return (len(w.Kinds) == 0 || slices.Contains(w.Kinds, e.ModelName)) && (len(w.Zones) == 0 || slices.Contains(w.Zones, e.ZoneName))
+		routing.pools[poolConfig.Name] = &serverPool{decisions: p.newDecisions(poolConfig.Name, balancer), classes: deployment.Classes, name: poolConfig.Name, budgets: map[string]*limits.RetryBudget{},
+			accepts: func(entry *discovery.Entry) bool {
+				return (len(poolConfig.Kinds) == 0 || slices.Contains(poolConfig.Kinds, entry.ModelName)) && (len(poolConfig.Zones) == 0 || slices.Contains(poolConfig.Zones, entry.ZoneName))
 			}}
 	}
-	return o, nil
+	return routing, nil
 }
 
-// dropped forgets a pool that a reload has taken away, once the last request in hand has left it. Until then it hears of drains.
-func (p *Proxy) dropped(in *branch) {
-	if !in.retired || in.live > 0 {
+// removeIfRetired forgets a pool that a reload has taken away, once the last request in hand has left it. Until then it hears of drains.
+func (p *Proxy) removeIfRetired(pool *serverPool) {
+	if !pool.retired || pool.inFlight > 0 {
 		return
 	}
-	p.branches = slices.DeleteFunc(p.branches, func(b *branch) bool { return b == in })
-	if told, ok := in.b.(interface{ Dropped() }); ok {
-		told.Dropped()
+	p.serverPools = slices.DeleteFunc(p.serverPools, func(b *serverPool) bool { return b == pool })
+	if capture, ok := pool.decisions.(interface{ Dropped() }); ok {
+		capture.Dropped()
 	}
-	for _, b := range in.first { // unless another pool has the same server written out
-		if !slices.ContainsFunc(p.branches, func(o *branch) bool {
-			return slices.ContainsFunc(o.first, func(x balance.Endpoint) bool { return x.Index == b.Index })
+	for _, b := range pool.staticEndpoints { // unless another pool has the same server written out
+		if !slices.ContainsFunc(p.serverPools, func(other *serverPool) bool {
+			return slices.ContainsFunc(other.staticEndpoints, func(x balance.Endpoint) bool { return x.Index == b.Index })
 		}) {
-			delete(p.written, b.Index)
-			p.forget(b.Index)
+			delete(p.staticServers, b.Index)
+			p.forgetEndpoint(b.Index)
 		}
 	}
 }
 
-// share numbers the routes that go to a pool.
-func (o *ordinary) share(shares map[string]int, pool string, list []config.Route) {
-	for i := range list {
-		r := &list[i]
-		if r.Pool == pool || slices.ContainsFunc(r.Split, func(s config.WeightedPool) bool { return s.Pool == pool }) {
-			shares[r.Name] = len(shares)
+// routeNumber numbers the routes that go to a pool.
+func (rc *routingConfig) numberRoutes(numbers map[string]int, pool string, routes []config.Route) {
+	for i := range routes {
+		route := &routes[i]
+		if route.Pool == pool || slices.ContainsFunc(route.Split, func(s config.WeightedPool) bool { return s.Pool == pool }) {
+			numbers[route.Name] = len(numbers)
 		}
-		o.share(shares, pool, r.Routes)
+		rc.numberRoutes(numbers, pool, route.Routes)
 	}
 }
 
-// writeOut tells a pool its servers, which no list changes.
-func (p *Proxy) writeOut(in *branch, addrs []string) {
-	var list []balance.Endpoint
+// addStaticServers tells a pool its servers, which no list changes.
+func (p *Proxy) addStaticServers(pool *serverPool, addrs []string) {
+	var endpoints []balance.Endpoint
 	for i, addr := range addrs {
-		b := p.names.Endpoint(settings.Entry{Name: in.name + "/" + addr, ModelName: in.name, Endpoint: balance.Endpoint{Pod: i}})
-		p.pool.SetEndpoint(b.Index, addr, 0)
-		p.told(b.Index, balance.Ready, p.now(), 0)
-		p.written[b.Index] = true
-		list = append(list, b)
-		p.life.listed(in.name + "/" + addr)
+		endpoint := p.registry.Endpoint(settings.Entry{Name: pool.name + "/" + addr, ModelName: pool.name, Endpoint: balance.Endpoint{Pod: i}})
+		p.upstream.SetEndpoint(endpoint.Index, addr, 0)
+		p.applyEndpointState(endpoint.Index, balance.Ready, p.now(), 0)
+		p.staticServers[endpoint.Index] = true
+		endpoints = append(endpoints, endpoint)
+		p.process.rememberID(pool.name + "/" + addr)
 	}
-	in.first = list
+	pool.staticEndpoints = endpoints
 }
 
-// budget is a branch's for a retry rule.
-func (in *branch) budget(r *limits.RetryRule) *limits.RetryBudget {
-	if in.budgets[r.Name] == nil {
-		in.budgets[r.Name] = &limits.RetryBudget{Ratio: r.BudgetRatio}
+// retryBudget is a branch's for a retry rule.
+func (pool *serverPool) retryBudget(rule *limits.RetryRule) *limits.RetryBudget {
+	if pool.budgets[rule.Name] == nil {
+		pool.budgets[rule.Name] = &limits.RetryBudget{Ratio: rule.BudgetRatio}
 	}
-	in.budgets[r.Name].Ratio = r.BudgetRatio // a reload may have changed it
-	return in.budgets[r.Name]
+	pool.budgets[rule.Name].Ratio = rule.BudgetRatio // a reload may have changed it
+	return pool.budgets[rule.Name]
 }
 
-// narrowed says whether a request's retry rule lets another attempt be sent. The decisions choose each attempt; the rule only narrows.
-func (p *Proxy) narrowed(l *lookup) bool {
-	if l.rule == nil {
+// retryDenied says whether a request's retry rule lets another attempt be sent. The decisions choose each attempt; the rule only narrows.
+func (p *Proxy) retryDenied(req *request) bool {
+	if req.retryRule == nil {
 		return false
 	}
-	b := l.in.budget(l.rule)
-	if len(l.legs) == 0 {
+	b := req.pool.retryBudget(req.retryRule)
+	if len(req.attempts) == 0 {
 		b.FirstAttempt(p.now())
 		return false
 	}
-	return l.rule.MaxAttempts > 0 && len(l.legs) >= l.rule.MaxAttempts || !b.AllowRetry(p.now())
+	return req.retryRule.MaxAttempts > 0 && len(req.attempts) >= req.retryRule.MaxAttempts || !b.AllowRetry(p.now())
 }
 
-// limited takes a request through its limits and its pool's room. Where it does not pass it tells the client so at once, and when
+// acquireLimits takes a request through its limits and its pool's room. Where it does not pass it tells the client so at once, and when
 // to come back if that is known.
-func (p *Proxy) limited(l *lookup) bool {
-	if l.rule == nil { // the platform's
+func (p *Proxy) acquireLimits(req *request) bool {
+	if req.retryRule == nil { // the platform's
 		return true
 	}
-	if l.in.retired { // danger: a pool that a reload took away hears of no drain any more
-		p.turnedAt(l, reply{status: 503, body: []byte("its pool has gone\n")})
+	if req.pool.retired { // danger: a pool that a reload took away hears of no drain any more
+		p.rejectBeforeDecision(req, response{status: 503, body: []byte("its pool has gone\n")})
 		return false
 	}
-	if len(l.asks) > 0 {
-		ticket, refusal := l.limits.Acquire(p.now(), l.asks)
+	if len(req.limitKeys) > 0 {
+		ticket, refusal := req.limits.Acquire(p.now(), req.limitKeys)
 		if refusal != nil {
-			p.turnedAt(l, reply{status: 429, advice: whole(refusal.RetryAfter), body: []byte("over a limit\n")})
+			p.rejectBeforeDecision(req, response{status: 429, retryAfter: ceilSeconds(refusal.RetryAfter), body: []byte("over a limit\n")})
 			return false
 		}
-		l.ticket = ticket
+		req.permit = ticket
 	}
-	if f := l.in.fair; f != nil {
-		l.share = l.in.shares[l.route]
-		if !f.Acquire(p.now(), l.share) {
-			l.limits.Release(&l.ticket)
-			p.turnedAt(l, reply{status: 503, body: []byte("the pool is full\n")})
+	if f := req.pool.fairLimiter; f != nil {
+		req.routeNumber = req.pool.routeNumbers[req.route]
+		if !f.Acquire(p.now(), req.routeNumber) {
+			req.limits.Release(&req.permit)
+			p.rejectBeforeDecision(req, response{status: 503, body: []byte("the pool is full\n")})
 			return false
 		}
-		l.shared = f
+		req.fairLimiter = f
 	}
-	l.in = l.in.serving(p.now()) // the pool of its route, or the backup that serves for it
+	req.pool = req.pool.activePool(p.now()) // the pool of its route, or the backup that serves for it
 	return true
 }
 
-// turnedAt dismisses a request that the decisions never saw.
-func (p *Proxy) turnedAt(l *lookup, r reply) {
-	p.counts.Taken++
-	p.counts.Dismissed++
-	l.answered = true
-	l.answer <- r
+// rejectBeforeDecision dismisses a request that the decisions never saw.
+func (p *Proxy) rejectBeforeDecision(req *request, resp response) {
+	p.counters.Requests++
+	p.counters.Rejected++
+	req.answered = true
+	req.response <- resp
 }
 
-// giveBack returns what a request held of limits and room.
-func (l *lookup) giveBack() {
-	if l.rule == nil {
+// releaseLimits returns what a request held of limits and room.
+func (req *request) releaseLimits() {
+	if req.retryRule == nil {
 		return
 	}
-	l.limits.Release(&l.ticket)
-	if l.shared != nil {
-		l.shared.Release(l.share)
-		l.shared = nil
+	req.limits.Release(&req.permit)
+	if req.fairLimiter != nil {
+		req.fairLimiter.Release(req.routeNumber)
+		req.fairLimiter = nil
 	}
 }
 
-// asks are the limits of a route, with the keys that a request counts under.
-func (o *ordinary) asks(r *routes.Route, w *config.Route, tenant, address string, field func(name string) string) []limits.LimitKey {
-	var list []limits.LimitKey
-	for _, name := range w.Limits {
-		i := o.limits[name]
-		a := limits.LimitKey{Limit: i}
-		switch by := o.setup.File.Limits[i].By; by {
+// limitKeys are the limits of a route, with the keys that a request counts under.
+func (rc *routingConfig) limitKeys(route *routes.Route, cfg *config.Route, tenant, address string, field func(name string) string) []limits.LimitKey {
+	var keys []limits.LimitKey
+	for _, name := range cfg.Limits {
+		i := rc.limitIndexes[name]
+		key := limits.LimitKey{Limit: i}
+		switch by := rc.config.File.Limits[i].By; by {
 		case "all":
 		case "route":
-			a.Key = settings.NameHash(r.Name)
+			key.Key = settings.NameHash(route.Name)
 		case "customer":
-			a.Key = settings.NameHash(tenant)
+			key.Key = settings.NameHash(tenant)
 		case "address":
-			a.Key = settings.NameHash(address)
+			key.Key = settings.NameHash(address)
 		default:
-			a.Key = settings.NameHash(field(by[len("field:"):]))
+			key.Key = settings.NameHash(field(by[len("field:"):]))
 		}
-		list = append(list, a)
+		keys = append(keys, key)
 	}
-	return list
+	return keys
 }
 
-// row is the index of a class's row of a kind.
-func (o *ordinary) row(class string, again limits.RetrySafety) int {
-	return o.tariffs[class]*len(kindsOf) + int(again)
+// class is the index of a class's row of a kind.
+func (rc *routingConfig) classIndex(class string, safety limits.RetrySafety) int {
+	return rc.classIndexes[class]*len(idempotencyOrder) + int(safety)
 }
 
-// whole is a wait in whole seconds, as Retry-After has it, and not less than it is.
-func whole(s float64) float64 { return math.Ceil(s) }
+// bodyCompleted is a wait in whole seconds, as Retry-After has it, and not less than it is.
+func ceilSeconds(s float64) float64 { return math.Ceil(s) }
--- a/proxy/opine.go
+++ b/proxy/opine.go
@@ -11,80 +11,80 @@
 	"lockloom/internal/discovery"
 )
 
-// opineEvery is how often opinions are told. What the list or operators say is told as it comes.
-const opineEvery = 100 * time.Millisecond
+// estimateInterval is how often opinions are told. What the list or operators say is told as it comes.
+const estimateInterval = 100 * time.Millisecond
 
 // OnEstimates has a control service beside the proxy hear what the proxy holds of each operator's pool: every so often, and at once when the
 // list or an order changes something. The call is the owner's: it must not wait. Set it before Serve.
 func (p *Proxy) OnEstimates(call func(now float64, pools map[string]assignment.Observation)) {
-	p.opined = call
+	p.onEstimates = call
 }
 
 // OutcomesReported takes in how attempts ended that the control service's subscribers sent to a pool, by server's name: successful, failed. Unknown
-// names are passed over. It may be called by anyone.
-func (p *Proxy) OutcomesReported(pool string, attempts map[string][2]int) {
+// registry are passed over. It may be called by anyone.
+func (p *Proxy) OutcomesReported(poolName string, attempts map[string][2]int) {
 	p.post(func() {
-		o := p.ordinary.Load()
-		if o == nil || o.pools[pool] == nil {
+		routing := p.routing.Load()
+		if routing == nil || routing.pools[poolName] == nil {
 			return
 		}
-		var all []balance.ReportedOutcomes
+		var outcomes []balance.ReportedOutcomes
 		for _, name := range slices.Sorted(maps.Keys(attempts)) {
-			if index, ok := p.names.Find(name); ok {
-				all = append(all, balance.ReportedOutcomes{Endpoint: index, Succeeded: attempts[name][0], Failed: attempts[name][1]})
+			if index, ok := p.registry.Find(name); ok {
+				outcomes = append(outcomes, balance.ReportedOutcomes{Endpoint: index, Succeeded: attempts[name][0], Failed: attempts[name][1]})
 			}
 		}
-		o.pools[pool].b.OutcomesReported(p.now(), all)
+		routing.pools[poolName].decisions.OutcomesReported(p.now(), outcomes)
 	})
 }
 
-// opine tells what is held now.
-func (p *Proxy) opine() {
-	o := p.ordinary.Load()
-	if p.opined == nil || o == nil || !p.listed {
+// reportEstimates tells what is held now.
+func (p *Proxy) reportEstimates() {
+	routing := p.routing.Load()
+	if p.onEstimates == nil || routing == nil || !p.listReceived {
 		return
 	}
-	all := map[string]assignment.Observation{}
-	for name, in := range o.pools {
-		all[name] = p.sight(in)
+	observations := map[string]assignment.Observation{}
+	for name, pool := range routing.pools {
+		observations[name] = p.observePool(pool)
 	}
-	p.gone = nil
-	p.opined(p.now(), all)
+	p.removedNames = nil
+	p.onEstimates(p.now(), observations)
 }
 
-// sight is what is held of one pool. Danger: the opinion of a server is the Balancer's, whether it may be sent to the list's and the
+// observePool is what is held of one pool. Danger: the opinion of a server is the Balancer's, whether it may be sent to the list's and the
 // operators'.
-func (p *Proxy) sight(in *branch) assignment.Observation {
-	proxies := float64(max(p.launch.Proxies, 1)) // the others are taken to be alike
-	if passed := p.now() - in.opinedAt; passed >= opineEvery.Seconds()/2 {
-		in.rate = float64(in.admitted-in.opined) / passed
-		in.opined, in.opinedAt = in.admitted, p.now()
+func (p *Proxy) observePool(pool *serverPool) assignment.Observation {
+	proxies := float64(max(p.bootstrap.Proxies, 1)) // the others are taken to be alike
+	if elapsed := p.now() - pool.reportedAt; elapsed >= estimateInterval.Seconds()/2 {
+		pool.requestRate = float64(pool.admitted-pool.reportedAdmitted) / elapsed
+		pool.reportedAdmitted, pool.reportedAt = pool.admitted, p.now()
 	}
-	s := assignment.Observation{Removed: p.gone, Rate: in.rate * proxies}
-	beliefs := map[int]balance.ServerStatus{}
-	for _, b := range in.b.ServerStatuses(p.now()) {
-		beliefs[b.Endpoint] = b
-		s.Load += float64(b.InFlight) * proxies
+	observation := assignment.Observation{Removed: p.removedNames, Rate: pool.requestRate * proxies}
+	statuses := map[int]balance.ServerStatus{}
+	for _, status := range pool.decisions.ServerStatuses(p.now()) {
+		statuses[status.Endpoint] = status
+		observation.Load += float64(status.InFlight) * proxies
 	}
-	add := func(e discovery.Entry, index int) {
-		b := beliefs[index]
-		s.Servers = append(s.Servers, assignment.ServerEstimate{Name: e.Name, Addr: e.Addr, Zone: e.ZoneName, Draining: e.State != balance.Ready,
-			Paused: b.Paused, Trial: b.Trial, Payoff: b.Payoff, Cores: e.Cores, StartedAt: e.StartedAt})
+	add := func(entry discovery.Entry, index int) {
+		status := statuses[index]
+		observation.Servers = append(observation.Servers, assignment.ServerEstimate{Name: entry.Name, Addr: entry.Addr, Zone: entry.ZoneName, Draining: entry.State != balance.Ready,
+			Paused: status.Paused, Trial: status.Trial, Payoff: status.Payoff, Cores: entry.Cores, StartedAt: entry.StartedAt})
 	}
-	if in.written {
-		for _, b := range in.first {
-			var e discovery.Entry
-			e.Name, e.State, e.StartedAt = p.names.Name(b.Index), b.State, b.StartedAt
-			e.Addr = strings.TrimPrefix(e.Name, in.name+"/")
-			e, _ = p.ruled(e)
-			add(e, b.Index)
+	if pool.static {
+		for _, status := range pool.staticEndpoints {
+			var entry discovery.Entry
+			entry.Name, entry.State, entry.StartedAt = p.registry.Name(status.Index), status.State, status.StartedAt
+			entry.Addr = strings.TrimPrefix(entry.Name, pool.name+"/")
+			entry, _ = p.underAdminState(entry)
+			add(entry, status.Index)
 		}
-		return s
+		return observation
 	}
-	for _, index := range slices.Sorted(maps.Keys(p.known)) {
-		if e, _ := p.ruled(p.known[index]); in.has == nil || in.has(&e) {
-			add(e, index)
+	for _, index := range slices.Sorted(maps.Keys(p.knownEntries)) {
+		if entry, _ := p.underAdminState(p.knownEntries[index]); pool.accepts == nil || pool.accepts(&entry) {
+			add(entry, index)
 		}
 	}
-	return s
+	return observation
 }
--- a/proxy/opine_test.go
+++ b/proxy/opine_test.go
@@ -52,7 +52,7 @@
 		y.OutcomesReported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
 		y.OutcomesReported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
 		y.OutcomesReported("none", map[string][2]int{"b1": {0, 90}})
-		time.Sleep(2 * opineEvery)
+		time.Sleep(2 * estimateInterval)
 		assert.True(t, of("all", "b2").Paused && !of("all", "b1").Paused && of("own", "own/w1:80").Paused)
 		assert.Less(t, of("all", "b2").Payoff, of("all", "b1").Payoff)
 		time.Sleep(10 * time.Second)
@@ -60,7 +60,7 @@
 		for range 20 {
 			y.want(plain("GET", "/", ""))
 		}
-		time.Sleep(opineEvery)
+		time.Sleep(estimateInterval)
 		sight, _ := now("all")
 		assert.Greater(t, sight.Rate, 0.0)
 		y.tell(change(2, "b1", "leaving", 0))
@@ -71,7 +71,7 @@
 		assert.Len(t, sight.Servers, 1)
 		assert.Equal(t, 200, y.call(admin.Disable, "own/w1:80"))
 		assert.True(t, of("own", "own/w1:80").Draining, "at once")
-		time.Sleep(opineEvery)
+		time.Sleep(estimateInterval)
 		_, told = now("all")
 		assert.Equal(t, []string{"b1"}, told, "told once")
 		y.end()
--- a/proxy/ordinary.go
+++ b/proxy/ordinary.go
@@ -20,21 +20,21 @@
 // The ordinary door: HTTP/1.1 as clients send it, without the platform's own fields. A route gives a request its pool, its
 // class and its limits; what may be sent again follows from method and mark.
 
-// replaced are the fields that go on as this proxy says, not as the client does.
-var replaced = []string{"X-Expires-In", "Forwarded", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Via", "X-Never-Ran"}
+// replacedFields are the fields that go on as this proxy says, not as the client does.
+var replacedFields = []string{"X-Expires-In", "Forwarded", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Via", "X-Never-Ran"}
 
-// fieldsOf are a head's, for conditions of routes.
-type fieldsOf struct{ *http1.Head }
+// headerFields are a head's, for conditions of routes.
+type headerFields struct{ *http1.Head }
 
-func (f fieldsOf) Get(name string) (string, bool) {
+func (f headerFields) Get(name string) (string, bool) {
 	v := f.Head.Get(name)
 	return string(v), v != nil
 }
 
-// routed is what a request's head says of its request, or the answer where the route itself is one.
-func (c *client) routed(h *http1.Head, arrived time.Time) (*lookup, balance.RequestInfo, *reply, error) {
-	o, a := c.p.ordinary.Load(), balance.RequestInfo{Tenant: -1}
-	refuse := func(status int, text string) (*lookup, balance.RequestInfo, *reply, error) {
+// matchRoute is what a request's head says of its request, or the answer where the route itself is one.
+func (c *clientConn) matchRoute(h *http1.Head, arrived time.Time) (*request, balance.RequestInfo, *response, error) {
+	o, a := c.proxy.routing.Load(), balance.RequestInfo{Tenant: -1}
+	refuse := func(status int, text string) (*request, balance.RequestInfo, *response, error) {
 		return nil, a, nil, &http1.Error{Status: status, Text: text}
 	}
 	method := string(h.Method)
@@ -63,16 +63,16 @@
 	if strings.ContainsAny(host, "/?#@\\\"<> ") { // danger: it goes on, and another may read an authority or a path in it
 		return refuse(400, "malformed Host")
 	}
-	m, ok := o.setup.RouteTable.Match(&routes.Request{Host: routes.NormalizeHost(host), Method: method, Path: path, Query: query, Fields: fieldsOf{h}})
+	m, ok := o.config.RouteTable.Match(&routes.Request{Host: routes.NormalizeHost(host), Method: method, Path: path, Query: query, Fields: headerFields{h}})
 	if !ok {
-		return nil, a, &reply{status: 404, body: []byte("no route\n")}, nil
+		return nil, a, &response{status: 404, body: []byte("no route\n")}, nil
 	}
-	act, w := &m.Route.Action, o.setup.RouteConfig(m.Route)
+	act, w := &m.Route.Action, o.config.RouteConfig(m.Route)
 	if act.Redirect != nil {
-		return nil, a, &reply{status: act.Redirect.Status, fields: http1.AppendField(nil, "Location", m.Location(query))}, nil
+		return nil, a, &response{status: act.Redirect.Status, fields: http1.AppendField(nil, "Location", m.Location(query))}, nil
 	}
 	if act.Response != nil {
-		answer := &reply{status: act.Response.Status, body: []byte(act.Response.Body)}
+		answer := &response{status: act.Response.Status, body: []byte(act.Response.Body)}
 		if act.Response.Type != "" {
 			answer.fields = http1.AppendField(nil, "Content-Type", act.Response.Type)
 		}
@@ -85,43 +85,43 @@
 	if query != "" {
 		onward += "?" + query
 	}
-	address, _, err := net.SplitHostPort(c.nc.RemoteAddr().String())
+	address, _, err := net.SplitHostPort(c.conn.RemoteAddr().String())
 	if err != nil {
-		address = c.nc.RemoteAddr().String()
+		address = c.conn.RemoteAddr().String()
 	}
 	key := settings.NameHash(address)
 	if len(act.Pools) > 1 && address == "" {
 		key = rand.Uint64()
 	}
 	in := o.pools[act.Pools[m.SelectPool(key)].Pool]
-	rule := o.setup.RetryRule(w)
+	rule := o.config.RetryRule(w)
 	mark := h.Get("Idempotency-Key")
 	again := rule.SafetyOf(method, len(mark) > 0)
-	if again == limits.RetryKeyed && o.setup.Classes[o.tariffs[w.Class]].DedupWindow == 0 { // no server knows the mark
+	if again == limits.RetryKeyed && o.config.Classes[o.classIndexes[w.Class]].DedupWindow == 0 { // no server knows the mark
 		again = limits.RetryNever
 	}
-	a.Class = o.row(w.Class, again)
-	row := &in.rows[a.Class]
+	a.Class = o.classIndex(w.Class, again)
+	row := &in.classes[a.Class]
 	wait := row.Deadline
 	if told := h.Get("X-Expires-In"); told != nil {
 		if s, err := strconv.ParseFloat(string(told), 64); err == nil && s >= 0 && !math.IsNaN(s) {
 			wait = min(wait, s)
 		}
 	}
-	a.Deadline = c.p.stamp(arrived) + wait
-	if last := c.p.last.Load(); last != nil {
-		a.Deadline = min(a.Deadline, c.p.stamp(*last))
+	a.Deadline = c.proxy.stamp(arrived) + wait
+	if last := c.proxy.shutdownDeadline.Load(); last != nil {
+		a.Deadline = min(a.Deadline, c.proxy.stamp(*last))
 	}
-	l := &lookup{in: in, row: row, arrived: c.p.stamp(arrived), hardStop: a.Deadline, id: "w" + strconv.FormatUint(rand.Uint64(), 16),
-		answer: make(chan reply, 1), rule: rule, limits: o.setup.Limits, plain: true, bare: method == "HEAD"}
+	l := &request{pool: in, class: row, arrived: c.proxy.stamp(arrived), deadline: a.Deadline, id: "w" + strconv.FormatUint(rand.Uint64(), 16),
+		response: make(chan response, 1), retryRule: rule, limits: o.config.Limits, passthrough: true, headOnly: method == "HEAD"}
 	l.route = m.Route.Name
-	l.asks = o.asks(m.Route, w, string(h.Get("X-Customer")), address, func(name string) string { return string(h.Get(name)) })
-	l.head = http1.AppendRequest(make([]byte, 0, headGuess), h.Method, []byte(onward))
-	l.head = http1.AppendForwardedFields(l.head, h, replaced...)
+	l.limitKeys = o.limitKeys(m.Route, w, string(h.Get("X-Customer")), address, func(name string) string { return string(h.Get(name)) })
+	l.head = http1.AppendRequest(make([]byte, 0, initialHeadBytes), h.Method, []byte(onward))
+	l.head = http1.AppendForwardedFields(l.head, h, replacedFields...)
 	if named == "" && host != "" {
 		l.head = http1.AppendField(l.head, "Host", host)
 	}
-	l.trace = string(h.Get("X-Trace-Id"))
+	l.traceID = string(h.Get("X-Trace-Id"))
 	if h.Get("X-Trace-Id") == nil {
 		l.head = http1.AppendField(l.head, "X-Trace-Id", l.id)
 	}
--- a/proxy/ordinary_test.go
+++ b/proxy/ordinary_test.go
@@ -463,7 +463,7 @@
 		y.ends2 <- theirs
 		go io.WriteString(ours, plain("GET", "/a", "X-Expires-In: 0.5\r\n"))
 		synctest.Wait()
-		branches, written := len(y.branches), len(y.written)
+		branches, written := len(y.serverPools), len(y.staticServers)
 
 		first := `servers = ["b1:80", "b2:80", "b3:80"]`
 		require.NoError(t, again(first, `servers = ["n1:80"]`))
@@ -473,7 +473,7 @@
 		assert.Equal(t, []any{503, nil}, []any{status, err}, "what was in hand has its own end")
 		ours.Close()
 		synctest.Wait()
-		assert.Equal(t, []int{branches, written - 2}, []int{len(y.branches), len(y.written)}, "the old pool has gone with it")
+		assert.Equal(t, []int{branches, written - 2}, []int{len(y.serverPools), len(y.staticServers)}, "the old pool has gone with it")
 
 		assert.ErrorContains(t, again("hard_stop = 0.8", "hard_stop = 60.0"), "longer than 1.2s counts from the next start")
 		assert.ErrorContains(t, again("[[pool]]\nname = \"first\"", "[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\nname = \"first\""), "listeners change")
@@ -489,7 +489,7 @@
 		assert.Equal(t, "200 body at c1", sent(plain("GET", "/moved-on", "")))
 		require.NoError(t, again(first, `servers = ["n1:80"]`, "due = 0.3", "due = 0.2"))
 		assert.Equal(t, "200 body at n1", sent(plain("GET", "/a", "")), "other tariffs, other pools")
-		assert.Len(t, y.branches, branches)
+		assert.Len(t, y.serverPools, branches)
 		y.end()
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -603,7 +603,7 @@
 			}
 			ours.Close()
 			y.end()
-			assert.Equal(t, []int{1, 0}, []int{y.counts.Honoured, y.counts.Forfeited}, name)
+			assert.Equal(t, []int{1, 0}, []int{y.counters.Succeeded, y.counters.Failed}, name)
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -692,7 +692,7 @@
 			io.ReadFull(ours, make([]byte, 20_000))
 			clients = append(clients, ours)
 		}
-		assert.Equal(t, downloads, y.counts.Honoured)
+		assert.Equal(t, downloads, y.counters.Succeeded)
 		for _, c := range clients {
 			c.Close()
 		}
--- a/proxy/owner.go
+++ b/proxy/owner.go
@@ -14,53 +14,53 @@
 	"lockloom/internal/invariant"
 )
 
-// own is the owner's goroutine: it runs what the connections post and what has come due.
-func (p *Proxy) own() {
+// runOwner is the owner's goroutine: it runs what the connections post and what has come due.
+func (p *Proxy) runOwner() {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
-	p.every(sweepEvery, p.pool.CloseExpired)
-	p.every(sweepEvery, p.rush)
-	p.every(sweepEvery, p.slacken)
-	p.every(sweepEvery, p.door.expire)
-	p.every(reportEvery, func() { go p.counted()() }) // danger: who reads the log may be slow; the owner waits for nobody
-	if p.ordinary.Load() != nil {
-		p.every(sweepEvery, p.standbys)
+	p.runEvery(sweepInterval, p.upstream.CloseExpired)
+	p.runEvery(sweepInterval, p.closeIdleForDrain)
+	p.runEvery(sweepInterval, p.updateLocalDelay)
+	p.runEvery(sweepInterval, p.conns.closeExpired)
+	p.runEvery(countsLogInterval, func() { go p.countsLogger()() }) // danger: who reads the log may be slow; the owner waits for nobody
+	if p.routing.Load() != nil {
+		p.runEvery(sweepInterval, p.updateFailover)
 	}
-	if p.opined != nil {
-		p.every(opineEvery, p.opine)
+	if p.onEstimates != nil {
+		p.runEvery(estimateInterval, p.reportEstimates)
 	}
-	if p.traces() {
-		p.every(traceEvery, p.trace)
+	if p.debugEnabled() {
+		p.runEvery(serverStatusLogInterval, p.logServerStatuses)
 	}
 	for set := 0.0; ; {
 		select {
 		case f := <-p.events:
-			p.guard(f)
-		case <-p.life.news:
-			p.guard(p.obey)
+			p.runGuarded(f)
+		case <-p.process.adminChanged:
+			p.runGuarded(p.applyAdminState)
 		case <-wake.C:
 			set = 0
 		case <-p.quit:
-			p.watched.end()
-			p.sought.end()
-			p.pool.Close()
-			p.counted()()
+			p.subscription.end()
+			p.pendingSubscription.end()
+			p.upstream.Close()
+			p.countsLogger()()
 			close(p.ended)
 			return
 		}
 		// Danger: where this core is behind, what has come due would be taken for servers' lateness before their answers, which wait
 		// here, are seen.
-		for range eventsFirst {
+		for range maxEventsBeforeTimers {
 			select {
 			case f := <-p.events:
-				p.guard(f)
+				p.runGuarded(f)
 				continue
 			default:
 			}
 			break
 		}
 		for p.timers[0].times[0] <= p.now() { // never empty: what is done every so often is always in it
-			p.guard(p.timers.fire(p.now()))
+			p.runGuarded(p.timers.fire(p.now()))
 		}
 		if next := p.timers[0].times[0]; next != set {
 			set = next
@@ -69,20 +69,20 @@
 	}
 }
 
-// guard runs one call and what it left for later. A panic costs one request, not the requests of all: its
+// runGuarded runs one call and what it left for later. A panic costs one request, not the requests of all: its
 // backstop still answers it.
-func (p *Proxy) guard(f func()) {
-	defer p.rescue()
+func (p *Proxy) runGuarded(f func()) {
+	defer p.recoverPanic()
 	f()
-	for len(p.later) > 0 {
-		f := p.later[0]
-		p.later = p.later[1:]
+	for len(p.deferred) > 0 {
+		f := p.deferred[0]
+		p.deferred = p.deferred[1:]
 		f()
 	}
 }
 
 // rescue, deferred, ends a panic where only this call or connection need suffer from it.
-func (p *Proxy) rescue() {
+func (p *Proxy) recoverPanic() {
 	if r := recover(); r != nil {
 		if invariant.Asserted {
 			panic(r)
@@ -94,289 +94,289 @@
 
 // decide makes one call on the decisions and carries out what they order. The orders are good until the next
 // call, so whatever would lead to one is left for later.
-func (p *Proxy) decide(in *branch, call func(now float64) *balance.Actions) {
-	o := call(p.now())
-	for _, i := range o.CloseIdle { // before an attempt is sent there, which then opens anew
-		p.pool.CloseIdle(i)
+func (p *Proxy) decide(pool *serverPool, call func(now float64) *balance.Actions) {
+	actions := call(p.now())
+	for _, ref := range actions.CloseIdle { // before an attempt is sent there, which then opens anew
+		p.upstream.CloseIdle(ref)
 	}
-	for _, i := range o.HealthChecks {
-		p.probe(in, i)
+	for _, ref := range actions.HealthChecks {
+		p.healthCheck(pool, ref)
 	}
-	if o.Gossip != nil && p.link != nil {
-		p.link.Send(o.GossipPeer, *o.Gossip)
+	if actions.Gossip != nil && p.gossipLink != nil {
+		p.gossipLink.Send(actions.GossipPeer, *actions.Gossip)
 	}
-	for i := range o.Requests {
-		p.route(&o.Requests[i])
+	for ref := range actions.Requests {
+		p.applyRequestAction(&actions.Requests[ref])
 	}
 	// Danger: this goroutine may be held up at any place. An attempt that is only canceled after its request's answer has been let go might
 	// be written after it.
-	for i := range o.Requests {
-		if s := &o.Requests[i]; s.Reply != balance.NoReply {
-			p.finish(p.slots[s.Ref], s.Reply, s.RetryAfter)
+	for ref := range actions.Requests {
+		if action := &actions.Requests[ref]; action.Reply != balance.NoReply {
+			p.respond(p.requests[action.Ref], action.Reply, action.RetryAfter)
 		}
 	}
-	if o.WakeAt > 0 {
-		if in.alarm.call == nil {
-			in.alarm.call = func() { p.decide(in, in.b.TimerFired) }
+	if actions.WakeAt > 0 {
+		if pool.timer.call == nil {
+			pool.timer.call = func() { p.decide(pool, pool.decisions.TimerFired) }
 		}
-		p.timers.add(&in.alarm, o.WakeAt)
+		p.timers.add(&pool.timer, actions.WakeAt)
 	}
 	// Orders to subscribe need no act: on sockets the watch is always held.
-	for i := range o.Requests {
-		p.release(p.slots[o.Requests[i].Ref])
+	for ref := range actions.Requests {
+		p.releaseRequest(p.requests[actions.Requests[ref].Ref])
 	}
 }
 
-// tell makes a call about one request, which may be its last.
-func (p *Proxy) tell(l *lookup, call func(now float64) *balance.Actions) {
-	p.decide(l.in, call)
-	p.release(l)
+// decideRequest makes a call about one request, which may be its last.
+func (p *Proxy) decideRequest(req *request, call func(now float64) *balance.Actions) {
+	p.decide(req.pool, call)
+	p.releaseRequest(req)
 }
 
-// release frees the slot of a request to which nothing more will happen.
-func (p *Proxy) release(l *lookup) {
-	if l != nil && !l.released && l.handle != nil && l.handle.Done() {
-		l.released = true
-		p.timers.drop(&l.alarm)
-		l.giveBack()
-		if l.upload != nil {
-			l.upload.Stop()
+// releaseRequest frees the slot of a request to which nothing more will happen.
+func (p *Proxy) releaseRequest(req *request) {
+	if req != nil && !req.released && req.handle != nil && req.handle.Done() {
+		req.released = true
+		p.timers.cancel(&req.timer)
+		req.releaseLimits()
+		if req.upload != nil {
+			req.upload.Stop()
 		}
-		if l.in.live--; l.in.retired {
-			p.dropped(l.in)
+		if req.pool.inFlight--; req.pool.retired {
+			p.removeIfRetired(req.pool)
 		}
-		invariant.Holds(l.answered, "a lookup is done only once answered")
-		p.slots[l.ref] = nil
-		delete(p.open, l.id)
-		p.free = append(p.free, l.ref)
+		invariant.Holds(req.answered, "a lookup is done only once answered")
+		p.requests[req.ref] = nil
+		delete(p.openIDs, req.id)
+		p.freeRefs = append(p.freeRefs, req.ref)
 	}
 }
 
-// watch is a watch on discovery at one address.
-type watch struct {
-	addr string
-	stop context.CancelFunc
-	over bool
+// subscription is a watch on discovery at one address.
+type subscription struct {
+	addr  string
+	stop  context.CancelFunc
+	ended bool
 }
 
-// end ends a watch, if there is one; nothing that it still tells is taken in.
-func (w *watch) end() {
-	if w != nil {
-		w.over = true
-		w.stop()
+// requestClose ends a watch, if there is one; nothing that it still tells is taken in.
+func (s *subscription) end() {
+	if s != nil {
+		s.ended = true
+		s.stop()
 	}
 }
 
-// follow has discovery at this address tell the list from now on. Danger: the address may be wrong, or silent for
+// subscribe has discovery at this address tell the list from now on. Danger: the address may be wrong, or silent for
 // long; what was watched before is held until this one answers.
-func (p *Proxy) follow(addr string) {
-	if p.sought != nil && p.sought.addr == addr {
+func (p *Proxy) subscribe(addr string) {
+	if p.pendingSubscription != nil && p.pendingSubscription.addr == addr {
 		return
 	}
-	p.sought.end()
-	p.sought = nil
-	if p.watched != nil && p.watched.addr == addr {
+	p.pendingSubscription.end()
+	p.pendingSubscription = nil
+	if p.subscription != nil && p.subscription.addr == addr {
 		return
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watch{addr: addr, stop: stop}
-	p.sought = w
-	d := &discovery.Watch{Addr: addr, Version: p.version, FleetSize: p.launch.Proxies, DrainGrace: p.launch.DrainGrace, Dial: p.Dial, Log: p.log.WithField("discovery", addr),
+	sub := &subscription{addr: addr, stop: stop}
+	p.pendingSubscription = sub
+	watch := &discovery.Watch{Addr: addr, Version: p.listVersion, FleetSize: p.bootstrap.Proxies, DrainGrace: p.bootstrap.DrainGrace, Dial: p.Dial, Log: p.log.WithField("discovery", addr),
 		OnConnected: func() {
 			p.post(func() {
-				if w == p.sought {
-					p.watched.end()
-					p.watched, p.sought = w, nil
+				if sub == p.pendingSubscription {
+					p.subscription.end()
+					p.subscription, p.pendingSubscription = sub, nil
 				}
 			})
 		},
-		OnList: func(l List) {
+		OnList: func(list List) {
 			p.post(func() {
-				if !w.over {
-					p.list(l, false)
-					p.first()
+				if !sub.ended {
+					p.applyEndpointList(list, false)
+					p.markListReceived()
 				}
 			})
 		}}
-	go d.Run(ctx)
+	go watch.Run(ctx)
 }
 
-// list takes in a list of servers.
-func (p *Proxy) list(l List, first bool) {
-	p.version, p.listed = l.Version, true
+// routes takes in a list of servers.
+func (p *Proxy) applyEndpointList(list List, first bool) {
+	p.listVersion, p.listReceived = list.Version, true
 	since := p.now()
-	if !l.NotifiedAt.IsZero() { // danger: it may have counted as told long before the owner, or this process, came to hear of it
-		since = min(since, p.stamp(l.NotifiedAt))
-	}
-	raw := l.Entries
-	l.Entries = slices.Clone(raw)
-	list := make([]balance.Endpoint, len(l.Entries))
-	for i, e := range l.Entries {
-		p.life.listed(e.Name)
-		e, banned := p.ruled(e)
-		b := p.names.Endpoint(e.Entry)
-		l.Entries[i], list[i] = e, b
-		if b.State != balance.Removed || !p.kept(b.Index) {
-			p.pool.SetEndpoint(b.Index, e.Addr, b.StartedAt)
+	if !list.NotifiedAt.IsZero() { // danger: it may have counted as told long before the owner, or this process, came to hear of it
+		since = min(since, p.stamp(list.NotifiedAt))
+	}
+	entries := list.Entries
+	list.Entries = slices.Clone(entries)
+	endpoints := make([]balance.Endpoint, len(list.Entries))
+	for i, entry := range list.Entries {
+		p.process.rememberID(entry.Name)
+		entry, disabledSince := p.underAdminState(entry)
+		endpoint := p.registry.Endpoint(entry.Entry)
+		list.Entries[i], endpoints[i] = entry, endpoint
+		if endpoint.State != balance.Removed || !p.endpointInUse(endpoint.Index) {
+			p.upstream.SetEndpoint(endpoint.Index, entry.Addr, endpoint.StartedAt)
 		}
-		p.told(b.Index, b.State, since, banned)
+		p.applyEndpointState(endpoint.Index, endpoint.State, since, disabledSince)
 	}
-	if l.Full { // danger: who is left out is gone, and an attempt to it may be on a connection that is still being opened
-		there := map[int]bool{}
-		for _, b := range list {
-			there[b.Index] = true
+	if list.Full { // danger: who is left out is gone, and an attempt to it may be on a connection that is still being opened
+		listed := map[int]bool{}
+		for _, endpoint := range endpoints {
+			listed[endpoint.Index] = true
 		}
-		for index := range p.known {
-			if !there[index] && !p.written[index] {
-				p.told(index, balance.Removed, since, 0)
+		for index := range p.knownEntries {
+			if !listed[index] && !p.staticServers[index] {
+				p.applyEndpointState(index, balance.Removed, since, 0)
 			}
 		}
 	}
-	p.note(l.Full, raw)
-	for _, in := range p.branches {
-		in.listed(p, l, first, list)
+	p.recordKnownEntries(list.Full, entries)
+	for _, pool := range p.serverPools {
+		pool.updateEndpoints(p, list, first, endpoints)
 	}
-	for i := range p.names.Size() {
-		if p.names.Name(i) != "" && !p.written[i] && !p.kept(i) {
-			p.forget(i)
+	for i := range p.registry.Size() {
+		if p.registry.Name(i) != "" && !p.staticServers[i] && !p.endpointInUse(i) {
+			p.forgetEndpoint(i)
 		}
 	}
-	for _, e := range raw {
-		if e.State == balance.Removed && p.opined != nil { // danger: where nobody asks they would gather for ever
-			p.gone = append(p.gone, e.Name)
+	for _, entry := range entries {
+		if entry.State == balance.Removed && p.onEstimates != nil { // danger: where nobody asks they would gather for ever
+			p.removedNames = append(p.removedNames, entry.Name)
 		}
 	}
-	p.opine()
+	p.reportEstimates()
 }
 
-// kept says whether a pool's decisions may still name a server: one that is listed, or that the list has lost and that lingers.
-func (p *Proxy) kept(index int) bool {
-	return slices.ContainsFunc(p.branches, func(in *branch) bool { return in.b.HasEndpoint(index) })
+// endpointInUse says whether a pool's decisions may still name a server: one that is listed, or that the list has lost and that lingers.
+func (p *Proxy) endpointInUse(index int) bool {
+	return slices.ContainsFunc(p.serverPools, func(pool *serverPool) bool { return pool.decisions.HasEndpoint(index) })
 }
 
-// note keeps what is listed, as discovery said: for pools that come later, bans that end and the process that comes next.
-func (p *Proxy) note(full bool, entries []discovery.Entry) {
+// recordKnownEntries keeps what is listed, as discovery said: for pools that come later, bans that end and the process that comes next.
+func (p *Proxy) recordKnownEntries(full bool, entries []discovery.Entry) {
 	if full {
-		clear(p.known)
+		clear(p.knownEntries)
 	}
-	for _, e := range entries {
-		index, _ := p.names.Find(e.Name)
-		if e.State == balance.Removed {
-			delete(p.known, index)
+	for _, entry := range entries {
+		index, _ := p.registry.Find(entry.Name)
+		if entry.State == balance.Removed {
+			delete(p.knownEntries, index)
 		} else {
-			p.known[index] = e
+			p.knownEntries[index] = entry
 		}
 	}
 }
 
-// forget frees the number of a server that is gone: no order names it any more, and what is out there keeps its own
+// forgetEndpoint frees the number of a server that is gone: no order names it any more, and what is out there keeps its own
 // hold on connection and server.
-func (p *Proxy) forget(index int) {
-	p.stopSend[index] = math.Inf(1)
-	p.pool.Remove(index)
-	p.names.Forget(index)
+func (p *Proxy) forgetEndpoint(index int) {
+	p.stopSendAt[index] = math.Inf(1)
+	p.upstream.Remove(index)
+	p.registry.Forget(index)
 }
 
-// told notes from when on nothing may be sent to a server, and closes what is idle to it then. Its state counts as told since a time;
+// applyEndpointState notes from when on nothing may be sent to a server, and closes what is idle to it then. Its state counts as told since a time;
 // one that operators have disabled, since a time (0: it is not), drains whatever its state.
-func (p *Proxy) told(index int, state balance.EndpointState, since, banned float64) {
-	for len(p.stopSend) <= index {
-		p.stopSend = append(p.stopSend, math.Inf(1))
+func (p *Proxy) applyEndpointState(index int, state balance.EndpointState, since, disabledSince float64) {
+	for len(p.stopSendAt) <= index {
+		p.stopSendAt = append(p.stopSendAt, math.Inf(1))
 	}
 	switch {
-	case banned > 0: // danger: the order may be older than the owner's hearing of it
-		since = banned
+	case disabledSince > 0: // danger: the order may be older than the owner's hearing of it
+		since = disabledSince
 	case state == balance.Ready:
-		p.stopSend[index] = math.Inf(1)
-		p.pool.StopSendingAt(index, time.Time{})
+		p.stopSendAt[index] = math.Inf(1)
+		p.upstream.StopSendingAt(index, time.Time{})
 		return
-	case state == balance.Removed && p.launch.RemovalIsAdvisory: // danger: a drain told before still binds
+	case state == balance.Removed && p.bootstrap.RemovalIsAdvisory: // danger: a drain told before still binds
 		return
 	}
-	p.stopSend[index] = min(p.stopSend[index], since)
-	p.pool.StopSendingAt(index, p.at(p.stopSend[index]+p.launch.DrainGrace))
-	p.pool.CloseIdle(index)
+	p.stopSendAt[index] = min(p.stopSendAt[index], since)
+	p.upstream.StopSendingAt(index, p.at(p.stopSendAt[index]+p.bootstrap.DrainGrace))
+	p.upstream.CloseIdle(index)
 }
 
-// every has a call made every so often. The next is set before this one is made, so that a panic does not end it.
-func (p *Proxy) every(pause time.Duration, call func()) {
-	a := &alarm{}
-	a.call = func() {
-		p.timers.add(a, p.now()+pause.Seconds())
+// runEvery has a call made every so often. The next is set before this one is made, so that a panic does not end it.
+func (p *Proxy) runEvery(interval time.Duration, call func()) {
+	t := &timer{}
+	t.call = func() {
+		p.timers.add(t, p.now()+interval.Seconds())
 		call()
 	}
-	p.timers.add(a, p.now()+pause.Seconds())
+	p.timers.add(t, p.now()+interval.Seconds())
 }
 
-// alarm is a call that is made at several times.
-type alarm struct {
-	call  func()
-	times []float64 // the earliest first
-	place int       // among the timers
-	room  [4]float64
+// timer is a call that is made at several times.
+type timer struct {
+	call   func()
+	times  []float64 // the earliest first
+	index  int       // among the timers
+	inline [4]float64
 }
 
-// timers is a heap of alarms by their next time. An alarm has one place in it however many its times. Danger: a place for each time,
+// timerHeap is a heap of alarms by their next time. An alarm has one place in it however many its times. Danger: a place for each time,
 // kept until then, held every request for as long as its deadline, which the collector went through again and again.
-type timers []*alarm
+type timerHeap []*timer
 
 // add has an alarm go off at a further time.
-func (t *timers) add(a *alarm, at float64) {
-	if a.times == nil {
-		a.times = a.room[:0]
+func (h *timerHeap) add(t *timer, at float64) {
+	if t.times == nil {
+		t.times = t.inline[:0]
 	}
-	i, there := slices.BinarySearch(a.times, at)
+	i, there := slices.BinarySearch(t.times, at)
 	if there {
 		return
 	}
-	a.times = slices.Insert(a.times, i, at)
+	t.times = slices.Insert(t.times, i, at)
 	switch {
-	case len(a.times) == 1:
-		heap.Push(t, a)
+	case len(t.times) == 1:
+		heap.Push(h, t)
 	case i == 0:
-		heap.Fix(t, a.place)
+		heap.Fix(h, t.index)
 	}
 }
 
-// drop has an alarm go off no more.
-func (t *timers) drop(a *alarm) {
-	if len(a.times) > 0 {
-		heap.Remove(t, a.place)
-		a.times = a.times[:0]
+// cancel has an alarm go off no more.
+func (h *timerHeap) cancel(t *timer) {
+	if len(t.times) > 0 {
+		heap.Remove(h, t.index)
+		t.times = t.times[:0]
 	}
 }
 
 // fire takes what has come due from the first alarm, once for all its times, and returns its call.
-func (t *timers) fire(now float64) func() {
-	a := (*t)[0]
+func (h *timerHeap) fire(now float64) func() {
+	t := (*h)[0]
 	n := 1
-	for n < len(a.times) && a.times[n] <= now {
+	for n < len(t.times) && t.times[n] <= now {
 		n++
 	}
-	if a.times = slices.Delete(a.times, 0, n); len(a.times) > 0 {
-		heap.Fix(t, 0)
+	if t.times = slices.Delete(t.times, 0, n); len(t.times) > 0 {
+		heap.Fix(h, 0)
 	} else {
-		heap.Pop(t)
+		heap.Pop(h)
 	}
-	return a.call
+	return t.call
 }
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].times[0] < t[j].times[0] }
-func (t timers) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].place, t[j].place = i, j
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].times[0] < h[j].times[0] }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (t *timers) Push(x any) {
-	a := x.(*alarm)
-	a.place = len(*t)
-	*t = append(*t, a)
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	t.index = len(*h)
+	*h = append(*h, t)
 }
-func (t *timers) Pop() any {
-	old := *t
+func (h *timerHeap) Pop() any {
+	old := *h
 	n := len(old) - 1
-	a := old[n]
+	t := old[n]
 	old[n] = nil
-	*t = old[:n]
-	return a
+	*h = old[:n]
+	return t
 }
--- a/proxy/probe.go
+++ b/proxy/probe.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	probeFor    = 200 * time.Millisecond // for a server to tell its load
-	probeHead   = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
-	reportField = "X-Load" // of the answer: name:value, with commas between
+	healthCheckTimeout = 200 * time.Millisecond // for a server to tell its load
+	healthCheckHead    = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
+	loadReportField    = "X-Load" // of the answer: name:value, with commas between
 )
 
-// probe asks a server for its load and tells the decisions what came. A server that drains or is gone is not asked.
-func (p *Proxy) probe(in *branch, index int) {
-	if p.now() > p.stopSend[index] {
+// healthCheck asks a server for its load and tells the decisions what came. A server that drains or is gone is not asked.
+func (p *Proxy) healthCheck(pool *serverPool, server int) {
+	if p.now() > p.stopSendAt[server] {
 		return
 	}
-	to := p.names.Name(index)
-	ex := &upstream.Exchange{Head: []byte(probeHead), Passthrough: true, Deadline: time.Now().Add(probeFor)}
-	ex.OnDone = func(r upstream.Result) {
-		p.held.Add(-r.ReservedBytes)
-		if p.names.Name(index) != to { // danger: the number may be another server's by now
+	name := p.registry.Name(server)
+	exchange := &upstream.Exchange{Head: []byte(healthCheckHead), Passthrough: true, Deadline: time.Now().Add(healthCheckTimeout)}
+	exchange.OnDone = func(result upstream.Result) {
+		p.reservedBytes.Add(-result.ReservedBytes)
+		if p.registry.Name(server) != name { // danger: the number may be another server's by now
 			return
 		}
-		p.decide(in, func(now float64) *balance.Actions {
-			return in.b.HealthChecked(now, index, r.Outcome == balance.Succeeded, reported(r.Fields))
+		p.decide(pool, func(now float64) *balance.Actions {
+			return pool.decisions.HealthChecked(now, server, result.Outcome == balance.Succeeded, parseLoadReport(result.Fields))
 		})
 	}
-	if p.pool.Send(index, ex) {
-		p.counts.Probes++
+	if p.upstream.Send(server, exchange) {
+		p.counters.HealthChecks++
 	}
 }
 
-// reported is the report among the fields of an answer; one without tells nothing.
-func reported(fields []byte) balance.LoadReport {
-	for line := range strings.Lines(string(fields)) {
-		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, reportField) {
+// parseLoadReport is the report among the fields of an answer; one without tells nothing.
+func parseLoadReport(head []byte) balance.LoadReport {
+	for line := range strings.Lines(string(head)) {
+		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, loadReportField) {
 			return settings.ParseLoadReport(value)
 		}
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -47,10 +47,10 @@
 	flood   func(end net.Conn) // what each server answers instead of its plays
 	flows   bool               // bodies are read as they come, whatever their size
 	taken   int64              // bytes of them
-	heads   bool               // whole heads are kept of what servers get
+	heads   bool               // bodyCompleted heads are kept of what servers get
 	closed  chan struct{}
 	mu      sync.Mutex
-	plays   map[string][]string // by address, or for any: what servers do one time after the other; the last stays
+	plays   map[string][]string // readDeadline address, or for any: what servers do one time after the other; the last stays
 	got     []string            // requests at servers: address and head
 	dials   []string
 	slow    time.Duration          // that opening a connection takes
@@ -120,9 +120,9 @@
 	for _, c := range []struct {
 		closed float64 // s
 		kept   time.Duration
-	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, idleUntold}} {
+	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, defaultServerIdleTimeout}} {
 		y := made(t, nil, func(l *BootstrapConfig) { l.ServerIdleTimeout = c.closed })
-		assert.Equal(t, c.kept, y.pool.IdleTimeout, "closed by the backend after %v s", c.closed)
+		assert.Equal(t, c.kept, y.upstream.IdleTimeout, "closed by the backend after %v s", c.closed)
 	}
 }
 
@@ -142,7 +142,7 @@
 	return n
 }
 
-// end stops the proxy and waits until all of it has ended.
+// requestClose stops the proxy and waits until all of it has ended.
 func (y *yard) end() {
 	y.stop()
 	assert.NoError(y.t, <-y.served)
@@ -151,7 +151,7 @@
 	assert.Equal(y.t, y.broken, broken(), "invariants")
 }
 
-// open is how the proxy reaches discovery and servers.
+// routed is how the proxy reaches discovery and servers.
 func (y *yard) open(ctx context.Context, addr string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	if changes := y.agents[addr]; changes != nil {
@@ -275,14 +275,14 @@
 	}
 }
 
-// client opens a connection to the proxy.
+// clientConn opens a connection to the proxy.
 func (y *yard) client() net.Conn {
 	ours, theirs := net.Pipe()
 	y.ends <- theirs
 	return ours
 }
 
-// answer reads an answer: status, whole head and body.
+// response reads an answer: status, whole head and body.
 func answer(c net.Conn) (int, *http1.Head, string, error) {
 	r := http1.NewReader(c)
 	h, err := r.Response()
@@ -406,7 +406,7 @@
 		synctest.Wait()
 		leaves.Close()
 		synctest.Wait()
-		assert.Zero(t, y.held.Load(), "room is given back")
+		assert.Zero(t, y.reservedBytes.Load(), "room is given back")
 		y.end()
 	})
 }
@@ -546,8 +546,8 @@
 		}
 		now := time.Now()
 		path, query, _ := strings.Cut(string(h.Target), "?")
-		if a, err := p.arrival(h, []byte(path), []byte(query), now); err == nil {
-			assert.LessOrEqual(t, a.Deadline, p.stamp(now)+longestWait)
+		if a, err := p.parseRequestInfo(h, []byte(path), []byte(query), now); err == nil {
+			assert.LessOrEqual(t, a.Deadline, p.stamp(now)+maxClientWaitSeconds)
 			assert.GreaterOrEqual(t, a.ExpectedWork, 0.0)
 		}
 	})
@@ -567,7 +567,7 @@
 		status, _, _, err := answer(c)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
-		time.Sleep(clientIdle + sweepEvery)
+		time.Sleep(clientIdleTimeout + sweepInterval)
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err, "idle for too long")
 
@@ -578,16 +578,16 @@
 			synctest.Wait()
 			n := y.gone
 			c.Close()
-			time.Sleep(watchAfter)
+			time.Sleep(clientWatchDelay)
 			synctest.Wait()
 			assert.Equal(t, n+1, y.gone, "its leg is called off")
 		}
-		assert.Equal(t, 2, y.counts.Left)
+		assert.Equal(t, 2, y.counters.ClientGone)
 
 		y.plays["b1"] = []string{ok}
 		c = y.client()
 		go io.WriteString(c, look)
-		time.Sleep(clientSlow + 1) // never reads its answer
+		time.Sleep(clientWriteTimeout + 1) // never reads its answer
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err)
 
@@ -605,7 +605,7 @@
 	})
 }
 
-// tell has discovery tell a change, and waits until it has been taken in.
+// decideRequest has discovery tell a change, and waits until it has been taken in.
 func (y *yard) tell(line string) {
 	y.agents["agent"] <- line
 	synctest.Wait()
@@ -656,7 +656,7 @@
 		_, status := to()
 		assert.Equal(t, 503, status, "nothing was heard for long")
 		y.tell(`{"version":9,"full":false,"servers":[]}`)
-		y.post(func() { assert.Empty(t, y.names.Name(0)+y.names.Name(1), "no longer kept") })
+		y.post(func() { assert.Empty(t, y.registry.Name(0)+y.registry.Name(1), "no longer kept") })
 		y.end()
 	})
 }
@@ -667,7 +667,7 @@
 		plays := map[string][]string{"b1": {silent}, "b2:1": {ok}, "b3:1": {ok}, "nowhere": {refused}}
 		y := serve(t, plays, nil)
 		told := func(addr string) {
-			l := y.launch
+			l := y.bootstrap
 			l.Discovery = addr
 			y.ReloadBootstrap(l)
 			synctest.Wait()
@@ -726,11 +726,11 @@
 		}
 		time.Sleep(2 * time.Second)
 		y.post(func() {
-			assert.LessOrEqual(t, y.names.Size(), 4)
-			assert.LessOrEqual(t, len(y.stopSend), 4)
-			assert.LessOrEqual(t, len(y.slots), 1)
-			assert.Empty(t, y.Proxy.open)
-			assert.LessOrEqual(t, y.pool.Total(), 1, "what was idle to those that are gone is closed")
+			assert.LessOrEqual(t, y.registry.Size(), 4)
+			assert.LessOrEqual(t, len(y.stopSendAt), 4)
+			assert.LessOrEqual(t, len(y.requests), 1)
+			assert.Empty(t, y.Proxy.openIDs)
+			assert.LessOrEqual(t, y.upstream.Total(), 1, "what was idle to those that are gone is closed")
 			assert.LessOrEqual(t, len(y.timers), 10)
 		})
 		y.end()
@@ -741,7 +741,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, nil)
 		up := "GET /up HTTP/1.1\r\n\r\n"
-		time.Sleep(firstList)
+		time.Sleep(firstListTimeout)
 		synctest.Wait()
 		status, _, _, _ := y.ask(up)
 		assert.Equal(t, 200, status)
@@ -784,7 +784,7 @@
 		assert.Equal(t, 503, status, "what it had taken is answered")
 		assert.False(t, h.Close)
 		assert.NoError(t, <-y.served)
-		assert.Less(t, time.Since(ordered), y.longest+killAfter)
+		assert.Less(t, time.Since(ordered), y.maxDeadline+killMargin)
 		for _, c := range []net.Conn{kept, unused, partly} {
 			_, err = c.Read(make([]byte, 1))
 			assert.Error(t, err)
@@ -798,7 +798,7 @@
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
 		status, _, _, _ := y.ask("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 503, status)
-		time.Sleep(firstList)
+		time.Sleep(firstListTimeout)
 		synctest.Wait() // danger: what wakes at the same instant may run after this
 		status, _, _, _ = y.ask("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 200, status)
@@ -823,7 +823,7 @@
 		status, _, _, err = y.ask(sms)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
-		assert.Empty(t, y.Proxy.open)
+		assert.Empty(t, y.Proxy.openIDs)
 		y.end()
 	})
 }
@@ -831,11 +831,11 @@
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, nil)
-		y.door.most, y.door.over, y.pool.MaxConnections = 2, 1, 1
+		y.conns.maxServed, y.conns.maxOverflow, y.upstream.MaxConnections = 2, 1, 1
 		one := y.client()
 		go io.WriteString(one, "GET /up HTTP/1.1\r\n\r\n")
 		answer(one)
-		time.Sleep(staleAfter)
+		time.Sleep(longIdleDelay)
 		two := y.client()
 		synctest.Wait()
 		three := y.client()
@@ -858,7 +858,7 @@
 			synctest.Wait()
 			further = append(further, c)
 		}
-		count, crowded := y.door.counted()
+		count, crowded := y.conns.counts()
 		assert.LessOrEqual(t, count, 4, "those after the bound are not accepted yet")
 		assert.Positive(t, crowded)
 		for _, c := range further {
@@ -870,7 +870,7 @@
 		}
 		y.plays["b1"] = []string{ok}
 		two.Close()
-		time.Sleep(watchAfter)
+		time.Sleep(clientWatchDelay)
 		synctest.Wait()
 		status, _, _, err = y.ask(look)
 		assert.NoError(t, err)
@@ -885,12 +885,12 @@
 	for _, begun := range []string{"", look[:20]} {
 		synctest.Test(t, func(t *testing.T) {
 			y := serve(t, map[string][]string{"b1": {ok}}, nil)
-			y.door.most, y.door.over = 4, 2
+			y.conns.maxServed, y.conns.maxOverflow = 4, 2
 			for range 20 {
 				go io.WriteString(y.client(), begun)
 			}
 			synctest.Wait()
-			count, _ := y.door.counted()
+			count, _ := y.conns.counts()
 			assert.LessOrEqual(t, count, 7)
 			came := time.Now()
 			for range 3 {
@@ -901,7 +901,7 @@
 					assert.Contains(t, []int{200, 503}, status)
 				}
 			}
-			assert.Less(t, time.Since(came), 5*y.longest, begun)
+			assert.Less(t, time.Since(came), 5*y.maxDeadline, begun)
 			y.end()
 		})
 	}
@@ -943,7 +943,7 @@
 func TestRoomIsMadeByTheIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
-		y.door.most, y.door.over = 3, 1
+		y.conns.maxServed, y.conns.maxOverflow = 3, 1
 		kept, told := y.client(), y.client()
 		long := strings.Replace(look, "0.5", "1.2", 1)
 		go io.WriteString(kept, long)
@@ -955,7 +955,7 @@
 		for range 10 {
 			y.client()
 		}
-		time.Sleep(9 * freshFor)
+		time.Sleep(9 * newConnectionGracePeriod)
 		synctest.Wait()
 		_, err := told.Write([]byte("x"))
 		assert.Error(t, err, "one that was turned away makes room")
@@ -972,9 +972,9 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	d := &door{bounds: bounds{most: 1, keep: 1}, all: map[*client]bool{}}
-	d.room.L = &d.mu
-	var clients []*client
+	d := &connTable{connLimits: connLimits{maxServed: 1, maxIdle: 1}, all: map[*clientConn]bool{}}
+	d.changed.L = &d.mu
+	var clients []*clientConn
 	var ends []net.Conn
 	for range 2 {
 		end, err := net.Dial("tcp", ln.Addr().String())
@@ -983,73 +983,73 @@
 		nc, err := ln.Accept()
 		assert.NoError(t, err)
 		defer nc.Close()
-		c := &client{nc: nc}
+		c := &clientConn{conn: nc}
 		d.all[c] = true
-		d.rest(c, false)
+		d.markIdle(c, false)
 		clients, ends = append(clients, c), append(ends, end)
 	}
 	io.WriteString(ends[0], look)
-	for !upstream.HasUnreadBytes(clients[0].nc) {
+	for !upstream.HasUnreadBytes(clients[0].conn) {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Nil(t, d.idlest(), "one that was served just now is likely to be used again")
+	assert.Nil(t, d.evictionCandidate(), "one that was served just now is likely to be used again")
 	for _, c := range clients {
-		c.since = time.Now().Add(-keptIdle)
+		c.queuedAt = time.Now().Add(-crowdedIdleTimeout)
 	}
-	assert.Same(t, clients[1], d.idlest(), "the other one makes room")
-	d.thin()
-	assert.False(t, clients[0].closed.Load())
-	assert.True(t, clients[1].closed.Load())
+	assert.Same(t, clients[1], d.evictionCandidate(), "the other one makes room")
+	d.closeLongIdle()
+	assert.False(t, clients[0].closeRequested.Load())
+	assert.True(t, clients[1].closeRequested.Load())
 }
 
 // Danger: a connection that stands in two lines at once breaks both; those behind it are found no more and fill the door.
 func TestLines(t *testing.T) {
-	d := &door{bounds: bounds{most: 1000, keep: 1000}, all: map[*client]bool{}}
-	d.room.L = &d.mu
-	var all []*client
+	d := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
+	d.changed.L = &d.mu
+	var all []*clientConn
 	for i := range 20 {
 		ours, _ := net.Pipe()
-		c := &client{nc: ours, wake: make(chan struct{}, 1)}
+		c := &clientConn{conn: ours, wake: make(chan struct{}, 1)}
 		all = append(all, c)
 		d.all[c] = true
-		d.rest(c, true)
-		d.begin(c, true)
+		d.markIdle(c, true)
+		d.requestBegun(c, true)
 		switch i % 4 {
 		case 0: // rejected before its request has come whole
-			d.lingers(c)
+			d.markLingering(c)
 		case 1:
-			d.rouse(c)
-			d.rest(c, false)
+			d.requestComplete(c)
+			d.markIdle(c, false)
 		case 2:
-			d.rouse(c)
+			d.requestComplete(c)
 		}
 	}
 	for i, c := range all {
 		if i%3 == 0 {
-			d.leave(c)
+			d.remove(c)
 		}
 	}
-	for _, l := range []*line{&d.quiet, &d.kept, &d.stale} {
+	for _, l := range []*connQueue{&d.pending, &d.idle, &d.longIdle} {
 		n := 0
-		var before *client
-		for c := l.first; c != nil && n <= l.n; c = c.after {
-			assert.Same(t, l, c.line)
-			assert.Same(t, before, c.before)
+		var before *clientConn
+		for c := l.first; c != nil && n <= l.n; c = c.next {
+			assert.Same(t, l, c.queue)
+			assert.Same(t, before, c.prev)
 			before = c
 			n++
 		}
 		assert.Equal(t, l.n, n)
 		assert.Same(t, before, l.last)
 	}
-	assert.Equal(t, 10-4, d.quiet.n) // those rejected and those whose request has begun, but for those that left
-	assert.Equal(t, 4, d.kept.n)
+	assert.Equal(t, 10-4, d.pending.n) // those rejected and those whose request has begun, but for those that left
+	assert.Equal(t, 4, d.idle.n)
 }
 
 // Danger: clients that ask once and keep their connections leave no connection for those that still ask.
 func TestKeptConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
-		y.door.keep = 3
+		y.conns.maxIdle = 3
 		once := func() (net.Conn, bool) {
 			c := y.client()
 			go io.WriteString(c, look)
@@ -1064,9 +1064,9 @@
 			c, closes := once()
 			assert.Equal(t, i >= 3, closes, "so many are kept")
 			stay = append(stay, c)
-			time.Sleep(staleAfter)
+			time.Sleep(longIdleDelay)
 		}
-		time.Sleep(keptIdle)
+		time.Sleep(crowdedIdleTimeout)
 		once() // lets the first be seen as idle for too long
 		_, err := stay[0].Write([]byte("x"))
 		assert.Error(t, err)
@@ -1088,9 +1088,9 @@
 			strings.Repeat("x", 200), 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 503, status)
-		assert.Equal(t, 1, y.counts.Unseen)
+		assert.Equal(t, 1, y.counters.ShedBounds)
 		first.Close()
-		time.Sleep(watchAfter)
+		time.Sleep(clientWatchDelay)
 		synctest.Wait()
 		y.plays["b1"] = []string{ok}
 		status, _, _, err = y.ask(sms)
@@ -1103,37 +1103,37 @@
 // A request that the decisions forgot is failed before its deadline; a call that panics ends no proxy.
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
-	y := &Proxy{log: log, began: time.Now()}
-	l := &lookup{row: &balance.Class{}, answer: make(chan reply, 1)}
-	forget, panics := func() { y.expired(l) }, func() { y.guard(func() { panic("x") }) }
+	y := &Proxy{log: log, startedAt: time.Now()}
+	l := &request{class: &balance.Class{}, response: make(chan response, 1)}
+	forget, panics := func() { y.failUnanswered(l) }, func() { y.runGuarded(func() { panic("x") }) }
 	if invariant.Asserted {
 		assert.Panics(t, forget)
 		assert.Panics(t, panics)
 		return
 	}
 	before := broken()
-	y.stopSend = []float64{math.Inf(1), 0}
-	y.pool, y.names = upstream.New(nil, nil), settings.Settings{}.NewRegistry()
+	y.stopSendAt = []float64{math.Inf(1), 0}
+	y.upstream, y.registry = upstream.New(nil, nil), settings.Settings{}.NewRegistry()
 	for _, id := range []string{"b1", "b2"} {
-		y.names.Endpoint(entry(id, balance.Ready, 0).Entry)
+		y.registry.Endpoint(entry(id, balance.Ready, 0).Entry)
 	}
 	for _, c := range []struct { // danger: whatever the decisions order, a rule is not broken
-		l       *lookup
+		l       *request
 		backend int
 	}{
-		{&lookup{row: &balance.Class{}, answered: true}, 0},
-		{&lookup{row: &balance.Class{Idempotency: balance.NonIdempotent}, legs: []*leg{{}}}, 0},
-		{&lookup{row: &balance.Class{}}, 1},
+		{&request{class: &balance.Class{}, answered: true}, 0},
+		{&request{class: &balance.Class{Idempotency: balance.NonIdempotent}, attempts: []*attempt{{}}}, 0},
+		{&request{class: &balance.Class{}}, 1},
 	} {
-		y.send(c.l, c.backend, y.now()+1)
-		assert.False(t, c.l.legs[len(c.l.legs)-1].begun)
+		y.startAttempt(c.l, c.backend, y.now()+1)
+		assert.False(t, c.l.attempts[len(c.l.attempts)-1].started)
 	}
-	assert.Len(t, y.later, 3, "each is booked as never sent")
+	assert.Len(t, y.deferred, 3, "each is booked as never sent")
 	assert.Equal(t, before+3, broken())
-	y.later, before = nil, broken()
+	y.deferred, before = nil, broken()
 	forget()
 	panics()
-	assert.Equal(t, 502, (<-l.answer).status)
+	assert.Equal(t, 502, (<-l.response).status)
 	assert.Equal(t, before+2, broken())
 }
 
@@ -1165,16 +1165,16 @@
 				for i, part := range parts {
 					if i == last {
 						end.then = func() { // as the door does where there is no room
-							y.door.mu.Lock()
-							defer y.door.mu.Unlock()
-							for c := range y.door.all {
-								if c.line != nil {
-									c.end()
-									y.door.unrest(c)
+							y.conns.mu.Lock()
+							defer y.conns.mu.Unlock()
+							for c := range y.conns.all {
+								if c.queue != nil {
+									c.requestClose()
+									y.conns.dequeue(c)
 								}
 							}
 						}
-						time.Sleep(2 * firstBegun / 3)
+						time.Sleep(2 * firstByteTimeout / 3)
 					}
 					go io.WriteString(ours, part)
 					synctest.Wait()
@@ -1197,16 +1197,16 @@
 		all, kept, stale int
 		want             bool
 	}{{5, 2, 0, false}, {6, 2, 0, true}, {6, 1, 0, false}, {6, 1, 1, true}, {2, 0, 2, true}} {
-		d := door{bounds: bounds{most: 8, keep: 2}, all: map[*client]bool{}}
+		d := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
 		for i := range c.all {
-			m := &client{since: time.Now()}
+			m := &clientConn{queuedAt: time.Now()}
 			d.all[m] = true
 			if i < c.kept {
-				d.kept.append(m)
+				d.idle.append(m)
 			} else if i < c.kept+c.stale {
-				d.stale.append(m)
+				d.longIdle.append(m)
 			}
 		}
-		assert.Equal(t, c.want, d.full(), "%+v", c)
+		assert.Equal(t, c.want, d.closesFirstResponse(), "%+v", c)
 	}
 }
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -7,75 +7,75 @@
 	"lockloom/internal/invariant"
 )
 
-// route carries out one step that the decisions order, all but its answer.
-func (p *Proxy) route(s *balance.RequestAction) {
-	l := p.slots[s.Ref]
-	if s.Send {
-		p.send(l, s.Endpoint, s.Deadline)
+// applyRequestAction carries out one step that the decisions order, all but its answer.
+func (p *Proxy) applyRequestAction(action *balance.RequestAction) {
+	req := p.requests[action.Ref]
+	if action.Send {
+		p.startAttempt(req, action.Endpoint, action.Deadline)
 	}
-	if s.CancelAttempt > 0 {
-		if g := l.legs[s.CancelAttempt-1]; !g.ended && g.begun {
-			p.pool.Cancel(&g.ex)
+	if action.CancelAttempt > 0 {
+		if att := req.attempts[action.CancelAttempt-1]; !att.ended && att.started {
+			p.upstream.Cancel(&att.exchange)
 		}
 	}
-	if s.WakeAt > 0 {
-		p.timers.add(&l.alarm, s.WakeAt)
+	if action.WakeAt > 0 {
+		p.timers.add(&req.timer, action.WakeAt)
 	}
 }
 
-// withhold has nothing more written for a request that has its answer, wherever its attempts are not written yet.
-func (p *Proxy) withhold(l *lookup) {
-	for _, g := range l.legs {
-		if g.begun && !g.ended {
-			p.pool.DiscardResponse(&g.ex)
+// discardResponses has nothing more written for a request that has its answer, wherever its attempts are not written yet.
+func (p *Proxy) discardResponses(req *request) {
+	for _, att := range req.attempts {
+		if att.started && !att.ended {
+			p.upstream.DiscardResponse(&att.exchange)
 		}
 	}
 }
 
-// harmless says whether a client may try the request again at a time: rule 2.
-func (l *lookup) harmless(at float64) bool {
-	for _, g := range l.legs {
-		if !g.neverRan && (l.row.Idempotency == balance.NonIdempotent ||
-			l.row.Idempotency == balance.Keyed && (l.row.DedupScope != balance.DedupAll || at >= g.sent+l.row.DedupWindow)) {
+// safeToRetry says whether a client may try the request again at a time: rule 2.
+func (req *request) safeToRetry(at float64) bool {
+	for _, att := range req.attempts {
+		if !att.neverRan && (req.class.Idempotency == balance.NonIdempotent ||
+			req.class.Idempotency == balance.Keyed && (req.class.DedupScope != balance.DedupAll || at >= att.sentAt+req.class.DedupWindow)) {
 			return false
 		}
 	}
 	return true
 }
 
-// finish gives a request its final answer.
-func (p *Proxy) finish(l *lookup, answer balance.Reply, advice float64) {
-	if !invariant.Holds(!l.answered, "a lookup gets one answer") {
+// respond gives a request its final answer.
+func (p *Proxy) respond(req *request, outcome balance.Reply, retryAfter float64) {
+	if !invariant.Holds(!req.answered, "a lookup gets one answer") {
 		return
 	}
-	if answer == balance.Rejected && !invariant.Holds(l.harmless(p.now()), "a dismissed lookup may be tried again") {
-		answer = balance.Failed
+	if outcome == balance.Rejected && !invariant.Holds(req.safeToRetry(p.now()), "a dismissed lookup may be tried again") {
+		outcome = balance.Failed
 	}
-	l.answered = true
-	p.withhold(l)
-	if p.traces() {
-		p.log.WithFields(p.traced(l)).Debug("given up")
+	req.answered = true
+	p.discardResponses(req)
+	if p.debugEnabled() {
+		p.log.WithFields(p.requestFields(req)).Debug("given up")
 	}
-	if p.now() > (l.arrived+l.hardStop)/2 && !slices.ContainsFunc(l.legs, func(g *leg) bool { return !g.neverRan }) {
-		p.counts.InVain++
+	if p.now() > (req.arrived+req.deadline)/2 && !slices.ContainsFunc(req.attempts, func(g *attempt) bool { return !g.neverRan }) {
+		p.counters.RejectedLate++
 	}
-	if l.failed != nil && len(l.legs) > 0 && l.legs[len(l.legs)-1].outcome == balance.ServerError {
-		if l.failed.status == 503 { // danger: whoever gets it takes trying again for harmless
-			l.failed.status = 502
+	if req.serverFailure != nil && len(req.attempts) > 0 && req.attempts[len(req.attempts)-1].outcome == balance.ServerError {
+		if req.serverFailure.status == 503 { // danger: whoever gets it takes trying again for harmless
+			req.serverFailure.status = 502
 		}
-		p.counts.Forfeited++
-		l.answer <- *l.failed
+		p.counters.Failed++
+		req.response <- *req.serverFailure
 		return
 	}
-	if answer == balance.Rejected {
-		p.counts.Dismissed++
-		l.answer <- reply{status: 503, advice: advice, body: []byte("dismissed\n")}
+	if outcome == balance.Rejected {
+		p.counters.Rejected++
+		req.response <- response{status: 503, retryAfter: retryAfter, body: []byte("dismissed\n")}
 		return
 	}
-	p.counts.Forfeited++
-	if n := len(l.legs); n > 0 && l.legs[n-1].outcome == balance.InvalidRequest {
-		l.answer <- reply{status: 400, body: []byte("found at fault by a backend\n")}
+	p.counters.Failed++
+	if n := len(req.attempts); n > 0 && req.attempts[n-1].outcome == balance.InvalidRequest {
+		req.response <- response{status: 400, body: []byte("found at fault by a backend\n")}
 		return
 	}
-	l.answer <- reply{status: 502, body: []byte("forfeited\n")}
+	req.response <- response{status: 502, body: []byte("forfeited\n")}
 }
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -10,49 +10,49 @@
 )
 
 // attempt is one attempt of a request.
-type leg struct {
+type attempt struct {
 	number   int
-	to       string
+	server   string
 	outcome  balance.Outcome // once it ended
-	ex       upstream.Exchange
-	sent     float64
-	begun    bool // on a connection, or on one that is being opened
+	exchange upstream.Exchange
+	sentAt   float64
+	started  bool // on a connection, or on one that is being opened
 	ended    bool
 	err      error
 	neverRan bool
 }
 
-// send starts an attempt. What it came to is booked, also where no connection may be had or a rule would be broken.
-func (p *Proxy) send(l *lookup, server int, until float64) {
+// startAttempt starts an attempt. What it came to is booked, also where no connection may be had or a rule would be broken.
+func (p *Proxy) startAttempt(req *request, server int, until float64) {
 	now := p.now()
-	may := invariant.Holds(!l.answered, "nothing is sent for an answered lookup") &&
-		invariant.Holds(now <= p.stopSend[server]+p.launch.DrainGrace, "nothing is sent past the grace of a drain") &&
-		invariant.Holds(l.row.Idempotency != balance.NonIdempotent || l.harmless(now), "single-use is sent again only if it never ran") &&
-		(l.upload == nil || !l.upload.Started()) && !p.narrowed(l)
+	may := invariant.Holds(!req.answered, "nothing is sent for an answered lookup") &&
+		invariant.Holds(now <= p.stopSendAt[server]+p.bootstrap.DrainGrace, "nothing is sent past the grace of a drain") &&
+		invariant.Holds(req.class.Idempotency != balance.NonIdempotent || req.safeToRetry(now), "single-use is sent again only if it never ran") &&
+		(req.upload == nil || !req.upload.Started()) && !p.retryDenied(req)
 	var before time.Time // danger: opening a connection outlasts what is left of a repeat's window
-	if l.row.Idempotency == balance.Keyed {
-		for _, g := range l.legs {
-			if end := p.at(g.sent + l.row.DedupWindow); !g.neverRan && (before.IsZero() || end.Before(before)) {
+	if req.class.Idempotency == balance.Keyed {
+		for _, att := range req.attempts {
+			if end := p.at(att.sentAt + req.class.DedupWindow); !att.neverRan && (before.IsZero() || end.Before(before)) {
 				before = end
 			}
 		}
 	}
-	g := &leg{number: len(l.legs), to: p.names.Name(server), sent: now}
-	l.legs = append(l.legs, g)
-	p.counts.Legs++
-	taken := p.at(l.arrived)
-	g.ex = upstream.Exchange{Head: l.head, Body: l.body, Deadline: p.at(until), SendBy: before,
-		ClientGone:      func() bool { return l.abandoned(taken) },
-		ResponseTimeout: seconds(l.wait) - bodyEnd,
-		Passthrough:     l.plain, HeadOnly: l.bare, Upload: l.upload,
-		OnResponseStarted: func(r upstream.Result) { p.started(l, g, r) }, OnDone: func(r upstream.Result) { p.book(l, g, r) }}
-	if l.upload != nil { // its first bytes are in the upload
-		g.ex.Body, until = nil, now+l.wait
+	att := &attempt{number: len(req.attempts), server: p.registry.Name(server), sentAt: now}
+	req.attempts = append(req.attempts, att)
+	p.counters.Attempts++
+	taken := p.at(req.arrived)
+	att.exchange = upstream.Exchange{Head: req.head, Body: req.body, Deadline: p.at(until), SendBy: before,
+		ClientGone:      func() bool { return req.clientGone(taken) },
+		ResponseTimeout: seconds(req.clientWait) - uploadResponseMargin,
+		Passthrough:     req.passthrough, HeadOnly: req.headOnly, Upload: req.upload,
+		OnResponseStarted: func(r upstream.Result) { p.responseStarted(req, att, r) }, OnDone: func(r upstream.Result) { p.recordOutcome(req, att, r) }}
+	if req.upload != nil { // its first bytes are in the upload
+		att.exchange.Body, until = nil, now+req.clientWait
 	}
-	g.ex.Tail = append(http1.AppendField(nil, "X-Expires-In", http1.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
-	if g.begun = may && p.pool.Send(server, &g.ex); !g.begun {
-		p.later = append(p.later, func() {
-			p.book(l, g, upstream.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
+	att.exchange.Tail = append(http1.AppendField(nil, "X-Expires-In", http1.AppendSeconds(nil, max(until-now, 0.001))), "\r\n"...)
+	if att.started = may && p.upstream.Send(server, &att.exchange); !att.started {
+		p.deferred = append(p.deferred, func() {
+			p.recordOutcome(req, att, upstream.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
 		})
 	}
 }
--- a/proxy/strained.go
+++ b/proxy/strained.go
@@ -13,121 +13,121 @@
 	"lockloom/limits"
 )
 
-// strained is how far this proxy's own core is behind, told by all its connections and asked by them.
-type strained struct {
+// overloadMonitor is how far this proxy's own core is behind, told by all its connections and asked by them.
+type overloadMonitor struct {
 	mu sync.Mutex
 	*limits.Overload
-	slack float64 // as the decisions were told last, and the lag in s
-	lag   float64
-	more  chan struct{} // some wait for their turn
+	delayFactor float64 // as the decisions were told last, and the lag in s
+	lagSeconds  float64
+	waiting     chan struct{} // some wait for their turn
 }
 
-// begin is called before the proxy serves.
-func (s *strained) begin(p *Proxy) {
-	s.more = make(chan struct{}, 1)
-	s.Overload, s.slack = limits.NewOverload(handsEach*runtime.GOMAXPROCS(0), len(p.launch.Tenants)), 1
+// initialize is called before the proxy serves.
+func (m *overloadMonitor) init(p *Proxy) {
+	m.waiting = make(chan struct{}, 1)
+	m.Overload, m.delayFactor = limits.NewOverload(requestsPerCore*runtime.GOMAXPROCS(0), len(p.bootstrap.Tenants)), 1
 }
 
-// dueOf is a class's latency objective; where none is set, half of what its client waits.
-func dueOf(t *balance.Class) float64 {
+// latencyObjective is a class's latency objective; where none is set, half of what its client waits.
+func latencyObjective(t *balance.Class) float64 {
 	if t.LatencyObjective > 0 {
 		return t.LatencyObjective
 	}
 	return t.Deadline / 2
 }
 
-// turn waits until it is the turn of the request that has come last, and tells whether it is taken on by this core. It is in its hands
+// awaitTurn waits until it is the turn of the request that has come last, and tells whether it is taken on by this core. It is in its hands
 // then, until done.
-func (c *client) turn(row *balance.Class, tenant, bytes int) bool {
-	s := &c.p.strained
-	worth := max(row.PriorityWeight, 1e-3) / (1 + float64(max(bytes, 0))/workBytes)
+func (c *clientConn) awaitTurn(row *balance.Class, tenant, bytes int) bool {
+	s := &c.proxy.overload
+	worth := max(row.PriorityWeight, 1e-3) / (1 + float64(max(bytes, 0))/bodyBytesPerWorkUnit)
 	s.mu.Lock()
-	passes, waits := s.RequestArrived(c.p.now(), c.p.stamp(c.came()), dueOf(row), worth, tenant, c)
+	passes, waits := s.RequestArrived(c.proxy.now(), c.proxy.stamp(c.receivedAt()), latencyObjective(row), worth, tenant, c)
 	s.mu.Unlock()
 	if waits != nil {
-		s.kick()
-		passes = <-c.passes && !upstream.ClosedByPeer(c.nc) // danger: a client may have gone while its request waited, with nobody reading
+		s.wakeDispatcher()
+		passes = <-c.turn && !upstream.ClosedByPeer(c.conn) // danger: a client may have gone while its request waited, with nobody reading
 	}
-	c.inHand = true
+	c.occupiesCore = true
 	return passes
 }
 
-// done tells that a request is out of this core's hands.
-func (p *Proxy) done() {
-	s := &p.strained
-	s.mu.Lock()
-	more := s.RequestDone()
-	s.mu.Unlock()
-	if more {
-		s.kick()
+// requestLeftCore tells that a request is out of this core's hands.
+func (p *Proxy) requestLeftCore() {
+	m := &p.overload
+	m.mu.Lock()
+	waiting := m.RequestDone()
+	m.mu.Unlock()
+	if waiting {
+		m.wakeDispatcher()
 	}
 }
 
-// behind tells whether requests wait for this core for longer than a burst.
-func (p *Proxy) behind() bool {
-	s := &p.strained
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_, stands := s.QueueStatus(p.now())
-	return stands
+// overloaded tells whether requests wait for this core for longer than a burst.
+func (p *Proxy) overloaded() bool {
+	m := &p.overload
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, overloaded := m.QueueStatus(p.now())
+	return overloaded
 }
 
-// kick has turns given, if that goroutine waits.
-func (s *strained) kick() {
+// wakeDispatcher has turns given, if that goroutine waits.
+func (m *overloadMonitor) wakeDispatcher() {
 	select {
-	case s.more <- struct{}{}:
+	case m.waiting <- struct{}{}:
 	default:
 	}
 }
 
-// turns gives requests their turns, some in each round, until the proxy ends.
-func (p *Proxy) turns() {
-	s := &p.strained
+// dispatchWaiting gives requests their turns, some in each round, until the proxy ends.
+func (p *Proxy) dispatchWaiting() {
+	m := &p.overload
 	round := poller.NewRound()
 	defer round.Close()
-	tell := func(t *limits.Waiter, passes bool) { t.Owner.(*client).passes <- passes }
+	tell := func(waiter *limits.Waiter, admitted bool) { waiter.Owner.(*clientConn).turn <- admitted }
 	for {
 		select {
-		case <-s.more:
+		case <-m.waiting:
 		case <-p.quit:
 			return
 		}
 		for more := true; more; {
 			round.Next()
-			s.mu.Lock()
-			more = s.Dispatch(p.now(), tell)
-			s.mu.Unlock()
+			m.mu.Lock()
+			more = m.Dispatch(p.now(), tell)
+			m.mu.Unlock()
 		}
 	}
 }
 
-// ended notes an attempt that was out for so long and at its server for so long.
-func (s *strained) ended(out, away float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.AttemptMeasured(out, away)
+// peerClosed notes an attempt that was out for so long and at its server for so long.
+func (m *overloadMonitor) attemptMeasured(out, away float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.AttemptMeasured(out, away)
 }
 
-// slacken tells the decisions how much longer attempts are out than their servers have them, where that has changed.
-func (p *Proxy) slacken() {
-	s := &p.strained
-	s.mu.Lock()
-	slack, lag := s.DelayFactor(), s.Lag()
-	s.mu.Unlock()
-	if slack < s.slack*slackStep && slack > s.slack/slackStep && math.Abs(lag-s.lag) < lagStep {
+// updateLocalDelay tells the decisions how much longer attempts are out than their servers have them, where that has changed.
+func (p *Proxy) updateLocalDelay() {
+	monitor := &p.overload
+	monitor.mu.Lock()
+	factor, lagSeconds := monitor.DelayFactor(), monitor.Lag()
+	monitor.mu.Unlock()
+	if factor < monitor.delayFactor*minDelayFactorStep && factor > monitor.delayFactor/minDelayFactorStep && math.Abs(lagSeconds-monitor.lagSeconds) < minLagStepSeconds {
 		return
 	}
-	s.slack, s.lag = slack, lag
-	for _, in := range p.branches {
-		in.b.SetLocalDelay(slack, lag)
+	monitor.delayFactor, monitor.lagSeconds = factor, lagSeconds
+	for _, pool := range p.serverPools {
+		pool.decisions.SetLocalDelay(factor, lagSeconds)
 	}
 }
 
-// note says how it stands, for the log.
-func (s *strained) note(now float64, fields logrus.Fields) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	waited, stands := s.QueueStatus(now)
-	fields["queued"], fields["strained"], fields["behind"] = s.Queued, s.Rejected, stands
-	fields["waited_ms"], fields["slack"] = math.Round(waited*10000)/10, math.Round(s.slack*10)/10
+// recordKnownEntries says how it stands, for the log.
+func (m *overloadMonitor) addFields(now float64, fields logrus.Fields) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	waited, overloaded := m.QueueStatus(now)
+	fields["queued"], fields["strained"], fields["behind"] = m.Queued, m.Rejected, overloaded
+	fields["waited_ms"], fields["slack"] = math.Round(waited*10000)/10, math.Round(m.delayFactor*10)/10
 }
--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -18,15 +18,15 @@
 
 // busy takes all hands of the proxy's core; what it returns gives them back.
 func (y *yard) busy(n int) func() {
-	y.strained.mu.Lock()
-	y.strained.Overload = limits.NewOverload(n, 0)
+	y.overload.mu.Lock()
+	y.overload.Overload = limits.NewOverload(n, 0)
 	for range n {
-		y.strained.RequestArrived(y.now(), y.now(), 1, 1, -1, nil)
+		y.overload.RequestArrived(y.now(), y.now(), 1, 1, -1, nil)
 	}
-	y.strained.mu.Unlock()
+	y.overload.mu.Unlock()
 	return func() {
 		for range n {
-			y.done()
+			y.requestLeftCore()
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		status, _, _, err = answer(late)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status, "nobody waits any more")
-		assert.Equal(t, 1, y.strained.Rejected)
+		assert.Equal(t, 1, y.overload.Rejected)
 		y.end()
 	})
 }
@@ -79,7 +79,7 @@
 	})
 }
 
-// heard is a request's handle that keeps what it is told of an attempt.
+// firstListReceived is a request's handle that keeps what it is told of an attempt.
 type heard struct {
 	RequestHandle
 	latency float64
@@ -108,13 +108,13 @@
 		y := made(t, nil, nil)
 		now := time.Now()
 		h := &heard{}
-		l := &lookup{in: y.main, row: &y.launch.Classes[0], handle: h, answer: make(chan reply, 1)}
-		g := &leg{sent: y.stamp(now.Add(-c.ordered))}
-		l.legs = []*leg{g}
-		y.book(l, g, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
+		l := &request{pool: y.platformPool, class: &y.bootstrap.Classes[0], handle: h, response: make(chan response, 1)}
+		g := &attempt{sentAt: y.stamp(now.Add(-c.ordered))}
+		l.attempts = []*attempt{g}
+		y.recordOutcome(l, g, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
 		assert.InDelta(t, c.want, h.latency, 1e-6, c.name)
-		assert.Equal(t, c.slack, y.strained.DelayFactor() > 1.5, c.name)
-		assert.Equal(t, 200, (<-l.answer).status)
+		assert.Equal(t, c.slack, y.overload.DelayFactor() > 1.5, c.name)
+		assert.Equal(t, 200, (<-l.response).status)
 	}
 }
 
@@ -127,20 +127,20 @@
 			ours, end = net.Pipe()
 			return ours, nil
 		}
-		b := y.names.Endpoint(entry("b1", balance.Ready, 0).Entry)
-		y.pool.SetEndpoint(b.Index, "b1", 0)
-		y.told(b.Index, balance.Ready, y.now(), 0)
-		l := &lookup{in: y.main, row: &y.launch.Classes[0], handle: &heard{}, answer: make(chan reply), hardStop: y.now() + 1}
-		y.slots = append(y.slots, l)
-		y.send(l, b.Index, y.now()+1)
+		b := y.registry.Endpoint(entry("b1", balance.Ready, 0).Entry)
+		y.upstream.SetEndpoint(b.Index, "b1", 0)
+		y.applyEndpointState(b.Index, balance.Ready, y.now(), 0)
+		l := &request{pool: y.platformPool, class: &y.bootstrap.Classes[0], handle: &heard{}, response: make(chan response), deadline: y.now() + 1}
+		y.requests = append(y.requests, l)
+		y.startAttempt(l, b.Index, y.now()+1)
 		synctest.Wait()
 		end.Read(make([]byte, 1)) // it is being written: only calling it off stops it
-		go y.decide(y.main, func(float64) *balance.Actions {
+		go y.decide(y.platformPool, func(float64) *balance.Actions {
 			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
 		})
 		synctest.Wait() // held up at the answer, which nobody takes
 		_, err := end.Read(make([]byte, 1000))
 		assert.Error(t, err, "called off before anybody hears the answer")
-		<-l.answer
+		<-l.response
 	})
 }
