--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -327,7 +327,7 @@
 	for id, n := range s.ids {
 		assert.Equal(t, 1, n, "%s ran once", id)
 	}
-	assert.Contains(t, next.log(), "handed over")
+	assert.Contains(t, next.log(), "hot restart: took over from the predecessor")
 	t.Logf("%d lookups, over an upgrade", c.asked)
 }
 
--- /dev/null
+++ b/proxy/admin.go
@@ -0,0 +1,123 @@
+package proxy
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+
+	"lockloom/balance"
+	"lockloom/internal/admin"
+	"lockloom/internal/discovery"
+	"lockloom/internal/settings"
+	"lockloom/lifecycle"
+)
+
+// Administer carries out an admin call and returns its status and answer. The call is in force when this returns: what
+// the owner still has to do, it does within the grace that a drain has. Any goroutine may call it; it does not wait for
+// the owner.
+func (p *Proxy) Administer(call admin.Call) (status int, text string) {
+	s, now := p.process, p.now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch call.Action {
+	case admin.Ready:
+		if !s.lifecycle.Ready() {
+			return http.StatusServiceUnavailable, "not ready"
+		}
+		return http.StatusOK, "ready"
+	case admin.Disable, admin.Enable:
+		if !s.ids.Has(settings.NameHash(call.ID)) {
+			return http.StatusNotFound, "no backend of that id was ever listed"
+		}
+		if call.Action == admin.Disable {
+			s.lifecycle.Disable(call.ID, now)
+		} else {
+			s.lifecycle.Enable(call.ID, now)
+		}
+	case admin.Drain, admin.Resume:
+		s.lifecycle.SetDraining(call.Action == admin.Drain, now)
+	}
+	s.notifyAdminChange(nil)
+	return http.StatusOK, "done"
+}
+
+// cloneAdminState is a copy of a lifecycle's admin state.
+func cloneAdminState(l *lifecycle.Process) lifecycle.AdminState {
+	state := &l.AdminState
+	return state.Clone()
+}
+
+// applyAdminState has the decisions hear of servers that were disabled or enabled. The owner calls it.
+func (p *Proxy) applyAdminState() {
+	state := readLifecycle(p.process, cloneAdminState)
+	previous := p.endpoints.adminState
+	p.endpoints.adminState = state
+	var changed List
+	for _, id := range slices.Sorted(maps.Keys(state.Servers)) {
+		if previous.Servers[id] == state.Servers[id] {
+			continue
+		}
+		index, ok := p.registry.Find(id)
+		if !ok {
+			continue
+		}
+		if entry, ok := p.endpoints.known[index]; ok {
+			changed.Entries = append(changed.Entries, entry)
+		}
+		p.updateStaticPools(index)
+	}
+	if previous.Drain.On != state.Drain.On {
+		p.log.WithField("drained", state.Drain.On).Info("drain")
+	}
+	if len(changed.Entries) > 0 {
+		changed.Version = p.endpoints.version
+		p.applyEndpointList(changed, false)
+	} else {
+		p.reportEstimates()
+	}
+}
+
+// updateStaticPools has the pools hear that have a server in their configuration.
+func (p *Proxy) updateStaticPools(index int) {
+	isServer := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
+	for _, pool := range p.pools.all {
+		if pool.static && slices.ContainsFunc(pool.staticEndpoints, isServer) {
+			p.updateStaticPool(pool)
+		}
+	}
+}
+
+// underAdminState is an entry of the list as the admin state leaves it, and since when its server is disabled, in
+// seconds since 1970; 0: it is not.
+func (p *Proxy) underAdminState(entry discovery.Entry) (discovery.Entry, float64) {
+	state := &p.endpoints.adminState
+	disabled, startedAt := state.Disabled(entry.Name, entry.StartedAt)
+	entry.StartedAt = startedAt
+	if !disabled {
+		return entry, 0
+	}
+	if entry.State == balance.Ready {
+		entry.State = balance.Draining
+	}
+	return entry, state.Servers[entry.Name].Since
+}
+
+// staticUnderAdminState are the configured servers of a pool as the admin state leaves them.
+func (p *Proxy) staticUnderAdminState(endpoints []balance.Endpoint) []balance.Endpoint {
+	out := slices.Clone(endpoints)
+	for i := range out {
+		endpoint := &out[i]
+		entry, disabledSince := p.underAdminState(p.staticEntry(endpoint))
+		endpoint.State, endpoint.StartedAt = entry.State, entry.StartedAt
+		p.applyEndpointState(endpoint.Index, endpoint.State, p.now(), disabledSince)
+	}
+	return out
+}
+
+// staticEntry is a configured server in the form of an entry of the list.
+func (p *Proxy) staticEntry(endpoint *balance.Endpoint) discovery.Entry {
+	var entry discovery.Entry
+	entry.Name = p.registry.Name(endpoint.Index)
+	entry.State, entry.StartedAt = endpoint.State, endpoint.StartedAt
+	return entry
+}
--- /dev/null
+++ b/proxy/attempt.go
@@ -0,0 +1,113 @@
+package proxy
+
+import (
+	"time"
+
+	"lockloom/balance"
+	"lockloom/internal/http1"
+	"lockloom/internal/invariant"
+	"lockloom/internal/upstream"
+)
+
+// uploadResponseMargin is how long before its deadline the attempt of a streamed request is given up.
+const uploadResponseMargin = 15 * time.Millisecond
+
+// minForwardedWaitSeconds is the least that a server is told its client waits.
+const minForwardedWaitSeconds = 0.001
+
+// attempt is one attempt of a request. It belongs to the owner, its exchange to the upstream pool.
+type attempt struct {
+	number   int
+	server   string // its name
+	exchange upstream.Exchange
+	sentAt   float64 // seconds since 1970, when it was handed over to be sent
+	started  bool    // on a connection, or on one that is being opened
+	ended    bool
+	outcome  balance.Outcome // once it has ended
+	err      error
+	neverRan bool // once it has ended: proven by the outcome
+}
+
+// startAttempt sends a request to a server until a deadline, in seconds since 1970. An attempt that can't be sent, for
+// want of a connection or because that would break a rule, ends as not sent.
+func (p *Proxy) startAttempt(req *request, server int, deadline float64) {
+	now := p.now()
+	allowed := p.mayStartAttempt(req, server, now)
+	sendBy := p.sendBy(req)
+	att := &attempt{number: len(req.attempts), server: p.registry.Name(server), sentAt: now}
+	req.attempts = append(req.attempts, att)
+	p.counters.Attempts++
+	p.prepareExchange(req, att, deadline, sendBy)
+	if att.started = allowed && p.upstream.Send(server, &att.exchange); !att.started {
+		p.loop.afterCall(func() {
+			p.recordOutcome(req, att, upstream.Result{Outcome: balance.NotSent, EndedAt: time.Now()})
+		})
+	}
+}
+
+// mayStartAttempt checks the rules that hold whatever the decisions order.
+func (p *Proxy) mayStartAttempt(req *request, server int, now float64) bool {
+	sendEnd := p.endpoints.stopSendAt[server] + p.bootstrap.DrainGrace
+	return invariant.Holds(!req.answered, "nothing is sent for an answered request") &&
+		invariant.Holds(now <= sendEnd, "nothing is sent past the grace of a drain") &&
+		invariant.Holds(req.class.Idempotency != balance.NonIdempotent || req.safeToRetry(now),
+			"a non-idempotent request is sent again only if it never ran") &&
+		(req.stream.upload == nil || !req.stream.upload.Started()) &&
+		!p.retryDenied(req)
+}
+
+// sendBy is when a retry must be sent so that its server still knows the first attempt by its key; zero: there is no
+// such bound. Opening a connection may take longer than what is left.
+func (p *Proxy) sendBy(req *request) time.Time {
+	var sendBy time.Time
+	if req.class.Idempotency != balance.Keyed {
+		return sendBy
+	}
+	for _, att := range req.attempts {
+		if att.neverRan {
+			continue
+		}
+		if windowEnd := p.at(att.sentAt + req.class.DedupWindow); sendBy.IsZero() || windowEnd.Before(sendBy) {
+			sendBy = windowEnd
+		}
+	}
+	return sendBy
+}
+
+// prepareExchange sets what the upstream pool is to send, and what it calls.
+func (p *Proxy) prepareExchange(req *request, att *attempt, deadline float64, sendBy time.Time) {
+	admittedAt := p.at(req.arrivedAt)
+	att.exchange = upstream.Exchange{
+		Head:              req.head,
+		Body:              req.body,
+		Deadline:          p.at(deadline),
+		SendBy:            sendBy,
+		ClientGone:        func() bool { return req.clientGone(admittedAt) },
+		ResponseTimeout:   seconds(req.stream.clientWait) - uploadResponseMargin,
+		Passthrough:       req.passthrough,
+		HeadOnly:          req.headOnly,
+		Upload:            req.stream.upload,
+		OnResponseStarted: func(result upstream.Result) { p.responseStarted(req, att, result) },
+		OnDone:            func(result upstream.Result) { p.recordOutcome(req, att, result) },
+	}
+	if req.stream.upload != nil { // the upload has its first bytes too
+		att.exchange.Body, deadline = nil, att.sentAt+req.stream.clientWait
+	}
+	wait := http1.AppendSeconds(nil, max(deadline-att.sentAt, minForwardedWaitSeconds))
+	att.exchange.Tail = append(http1.AppendField(nil, "X-Expires-In", wait), "\r\n"...)
+}
+
+// retryDenied reports whether a request's retry rule denies another attempt. The decisions choose each attempt; the
+// rule only restricts them further.
+func (p *Proxy) retryDenied(req *request) bool {
+	rule := req.retryRule
+	if rule == nil {
+		return false
+	}
+	budget := req.pool.retryBudget(rule)
+	if len(req.attempts) == 0 {
+		budget.FirstAttempt(p.now())
+		return false
+	}
+	return rule.MaxAttempts > 0 && len(req.attempts) >= rule.MaxAttempts || !budget.AllowRetry(p.now())
+}
--- a/proxy/bank_test.go
+++ b/proxy/bank_test.go
@@ -30,12 +30,12 @@
 
 func (y *yard) beliefs() []balance.ServerStatus {
 	got := make(chan []balance.ServerStatus)
-	y.post(func() { got <- y.platformPool.decisions.ServerStatuses(y.now()) })
+	y.post(func() { got <- y.pools.platform.decisions.ServerStatuses(y.now()) })
 	return <-got
 }
 
-// What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by probes, and a report
-// of unknown fields tells nothing and harms nothing.
+// What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by probes, and
+// a report of unknown fields tells nothing and harms nothing.
 func TestOneProxyTellsTheOther(t *testing.T) {
 	plays := map[string][]string{"b1": {strings.Replace(ok, "X-From", "x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
 		"b2": {strings.Replace(fault, "Content", "X-Load: novel:1\r\nContent", 1)}}
@@ -94,7 +94,7 @@
 	require.Empty(t, faults)
 	o, err := y.buildRouting(s, nil)
 	require.NoError(t, err)
-	for b, tells := range map[Decisions]bool{y.platformPool.decisions: true, o.pools["first"].decisions: false} {
+	for b, tells := range map[Decisions]bool{y.pools.platform.decisions: true, o.pools["first"].decisions: false} {
 		_, orders := b.RequestArrived(y.now(), balance.RequestInfo{Deadline: y.now() + 1}, "")
 		assert.Equal(t, tells, orders.Gossip != nil)
 	}
--- a/proxy/bodies_test.go
+++ b/proxy/bodies_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// long is a body of 320 kB, 5 s at the pace of slow clients; inChunks the same in chunks with an extension, and a trailer.
+// long is a body of 320 kB, 5 s at the pace of slow clients; inChunks the same in chunks with an extension, and a
+// trailer.
 var long, inChunks = func() (string, string) {
 	body, pieces := strings.Repeat("0123456789abcdef", 20_000), strings.Builder{}
 	for at := 0; at < len(body); at += 10_000 {
@@ -46,8 +47,8 @@
 	return strings.Replace(sms, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body, 1)
 }
 
-// Danger: a client may take 2 s for a head and send a body at 64 kB/s; its time counts from the last byte. What flows blames no
-// server, and is not sent twice.
+// Danger: a client may take 2 s for a head and send a body at 64 kB/s; its time counts from the last byte. What flows
+// blames no server, and is not sent twice.
 func TestSlowRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
@@ -88,7 +89,7 @@
 				assert.Equal(t, int64(c.taken), y.taken, c.name)
 				conn.Close()
 				errors := make(chan int, 1)
-				y.post(func() { errors <- y.platformPool.decisions.ServerStatuses(y.now())[0].Errors })
+				y.post(func() { errors <- y.pools.platform.decisions.ServerStatuses(y.now())[0].Errors })
 				assert.Zero(t, <-errors, "no backend is blamed for a slow client")
 				y.end()
 			})
@@ -151,7 +152,8 @@
 	}
 }
 
-// Danger: an answer may be larger than all the memory there is, and slow on both sides. Its first bytes are passed on as it begins.
+// Danger: an answer may be larger than all the memory there is, and slow on both sides. Its first bytes are passed on
+// as it begins.
 func TestLargeAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name, head, rest string
@@ -253,7 +255,12 @@
 	for _, c := range []struct {
 		l    request
 		want float64
-	}{{request{}, 9}, {request{upload: flows, bodyCompletedAt: 8}, 2}, {request{upload: flows, bodyCompletedAt: 11}, 0}, {request{upload: flows}, 0}} {
+	}{
+		{request{}, 9},
+		{request{stream: bodyStream{upload: flows, completedAt: 8}}, 2},
+		{request{stream: bodyStream{upload: flows, completedAt: 11}}, 0},
+		{request{stream: bodyStream{upload: flows}}, 0},
+	} {
 		assert.Equal(t, c.want, c.l.latency(1, 10))
 	}
 }
--- /dev/null
+++ b/proxy/debuglog.go
@@ -0,0 +1,53 @@
+package proxy
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/sirupsen/logrus"
+)
+
+// What is logged at level debug, for whoever asks why a request was not served or a server gets nothing.
+
+// debugEnabled reports whether it is logged.
+func (p *Proxy) debugEnabled() bool {
+	entry, ok := p.log.(*logrus.Entry)
+	return ok && entry.Logger.IsLevelEnabled(logrus.DebugLevel)
+}
+
+// logServerStatuses logs the decisions' status of each server, beside the connections that are in use there.
+func (p *Proxy) logServerStatuses() {
+	for _, status := range p.pools.platform.decisions.ServerStatuses(p.now()) {
+		p.log.WithFields(logrus.Fields{
+			"server":             p.registry.Name(status.Endpoint),
+			"in_flight":          status.InFlight,
+			"connections_in_use": p.upstream.InFlight(status.Endpoint),
+			"limit":              fmt.Sprintf("%.1f", status.Limit),
+			"payoff":             fmt.Sprintf("%.2f", status.Payoff),
+			"paused":             status.Paused,
+			"warming_up":         status.WarmingUp,
+			"errors":             status.Errors,
+			"results":            status.Results,
+			"last_result_s":      fmt.Sprintf("%.2f", status.Age),
+		}).Debug("server status")
+	}
+}
+
+// requestFields are what became of a request and its attempts.
+func (p *Proxy) requestFields(req *request) logrus.Fields {
+	var attempts strings.Builder
+	for _, att := range req.attempts {
+		fmt.Fprintf(&attempts, "%s after %.3f ", att.server, att.sentAt-req.arrivedAt)
+		if !att.ended {
+			fmt.Fprintf(&attempts, "in flight for %.3f; ", p.now()-att.sentAt)
+			continue
+		}
+		attempts.WriteString(att.outcome.String())
+		if att.err != nil {
+			fmt.Fprintf(&attempts, " (%v)", att.err)
+		}
+		attempts.WriteString("; ")
+	}
+	age := fmt.Sprintf("%.3f", p.now()-req.arrivedAt)
+	return logrus.Fields{"class": req.class.Name, "age": age, "attempts": attempts.String()}
+}
--- a/proxy/doors_bench_test.go
+++ b/proxy/doors_bench_test.go
@@ -21,9 +21,9 @@
 	"lockloom/internal/http1"
 )
 
-// BenchmarkDoors tells the processor time of a request on kept connections by both doors, and of a request through a plain reverse
-// proxy of the standard library, in one process and so with the same clients and servers, whose part is measured apart; and the same
-// of an answer of largeAnswer bytes, which flows.
+// BenchmarkDoors tells the processor time of a request on kept connections by both doors, and of a request through a
+// plain reverse proxy of the standard library, in one process and so with the same clients and servers, whose part is
+// measured apart; and the same of an answer of largeAnswer bytes, which flows.
 func BenchmarkDoors(b *testing.B) {
 	server := benchServer(b)
 	class := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
--- a/proxy/endings_test.go
+++ b/proxy/endings_test.go
@@ -126,8 +126,9 @@
 
 var longLook = strings.Replace(look, "In: 0.5", "In: 5", 1)
 
-// Danger: a client closes while its request waits for a connection to a server, for the owner, for its turn, or for what another attempt
-// comes to; what is sent on then has nobody to go to. However it goes, and whatever is known of that, nothing is sent on any more.
+// Danger: a client closes while its request waits for a connection to a server, for the owner, for its turn, or for
+// what another attempt comes to; what is sent on then has nobody to go to. However it goes, and whatever is known of
+// that, nothing is sent on any more.
 func TestNothingIsSentForWhoHasGone(t *testing.T) {
 	ahead := string(bytes.Repeat([]byte("x"), 64<<10))
 	ends := map[string]func(c *net.TCPConn){
@@ -251,8 +252,8 @@
 	}
 }
 
-// Danger: closed over bytes that nobody read, a connection is reset, and what the client has not taken of its answer is lost. The client
-// takes nothing until all of the proxy's side is done.
+// Danger: closed over bytes that nobody read, a connection is reset, and what the client has not taken of its answer is
+// lost. The client takes nothing until all of the proxy's side is done.
 func TestAnswersOutliveTheirConnections(t *testing.T) {
 	large := strings.Repeat("y", 60_000)
 	served := "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + large
@@ -301,8 +302,8 @@
 	}
 }
 
-// Danger: a client that rests until the proxy ends its connection may ask in that instant. Its request is served, or never sent on and
-// its connection not reset.
+// Danger: a client that rests until the proxy ends its connection may ask in that instant. Its request is served, or
+// never sent on and its connection not reset.
 func TestAskedAsTheProxyEnds(t *testing.T) {
 	s := onStreet(t, func(_ int, end net.Conn) { io.WriteString(end, ok) })
 	close(s.open)
@@ -330,7 +331,8 @@
 	all.Wait()
 }
 
-// Danger: the platform waits 3 s for the longest deadline and no longer; whoever plans on more is killed with requests in hand.
+// Danger: the platform waits 3 s for the longest deadline and no longer; whoever plans on more is killed with requests
+// in hand.
 func TestStopIsOverWhenThePlatformKills(t *testing.T) {
 	for _, c := range []struct{ hardStop, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -375,8 +377,8 @@
 	}
 }
 
-// Danger: told to stop, a proxy whose clients fill the door took in whoever came, beyond its descriptors; and those that waited to be
-// accepted when it ended that were reset.
+// Danger: told to stop, a proxy whose clients fill the door took in whoever came, beyond its descriptors; and those
+// that waited to be accepted when it ended that were reset.
 func TestFullDoorStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {silent}}, nil)
@@ -407,8 +409,8 @@
 	})
 }
 
-// Danger: idle clients that hold every place they may have while discovery is down leave none for whoever asks, for servers, or for
-// discovery's return.
+// Danger: idle clients that hold every place they may have while discovery is down leave none for whoever asks, for
+// servers, or for discovery's return.
 func TestIdleClientsFillTheDoor(t *testing.T) {
 	for _, sockets := range []int{80, 128, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -434,7 +436,7 @@
 				assert.Equal(t, 200, status)
 				count, _ := s.conns.counts()
 				assert.LessOrEqual(t, count, s.conns.totalLimits.maxServed+s.conns.totalLimits.maxOverflow, "places")
-				assert.LessOrEqual(t, count+s.maxUpstreamConns+reservedSockets, sockets, "descriptors")
+				assert.LessOrEqual(t, count+s.maxServerConns+reservedSockets, sockets, "descriptors")
 			}
 			for _, c := range idle {
 				c.Close()
--- /dev/null
+++ b/proxy/estimates.go
@@ -0,0 +1,128 @@
+package proxy
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"lockloom/assignment"
+	"lockloom/balance"
+	"lockloom/internal/discovery"
+)
+
+// estimateInterval is between reports of estimates. Changes of the list or of the admin state are reported at once.
+const estimateInterval = 100 * time.Millisecond
+
+// EstimatesFunc receives what the proxy holds of each operator's pool, by name, at a time in seconds since 1970.
+type EstimatesFunc = func(now float64, pools map[string]assignment.Observation)
+
+// estimateReporter reports what the proxy holds of its pools to a control plane beside it. It belongs to the owner.
+type estimateReporter struct {
+	observe EstimatesFunc // nil: nobody
+	removed []string      // names of servers that were removed since the last report
+}
+
+// noteRemoved keeps the names of servers that a list removes, for the next report. Without an observer they would
+// gather without end.
+func (e *estimateReporter) noteRemoved(entries []discovery.Entry) {
+	if e.observe == nil {
+		return
+	}
+	for _, entry := range entries {
+		if entry.State == balance.Removed {
+			e.removed = append(e.removed, entry.Name)
+		}
+	}
+}
+
+// OnEstimates has a control plane beside the proxy hear what the proxy holds of each operator's pool: at an interval,
+// and at once when the list or the admin state changes. The owner makes the call, which must not wait. Set it before
+// Serve.
+func (p *Proxy) OnEstimates(observe EstimatesFunc) { p.estimates.observe = observe }
+
+// OutcomesReported takes in how attempts ended that the control plane's subscribers sent to a pool: numbers of
+// successful and of failed ones, by the server's name. Unknown names are ignored. Any goroutine may call it.
+func (p *Proxy) OutcomesReported(poolName string, attempts map[string][2]int) {
+	p.post(func() {
+		routing := p.routing.Load()
+		if routing == nil || routing.pools[poolName] == nil {
+			return
+		}
+		var outcomes []balance.ReportedOutcomes
+		for _, name := range slices.Sorted(maps.Keys(attempts)) {
+			if index, ok := p.registry.Find(name); ok {
+				ended := attempts[name]
+				outcomes = append(outcomes, balance.ReportedOutcomes{Endpoint: index, Succeeded: ended[0], Failed: ended[1]})
+			}
+		}
+		routing.pools[poolName].decisions.OutcomesReported(p.now(), outcomes)
+	})
+}
+
+// reportEstimates reports what is held now.
+func (p *Proxy) reportEstimates() {
+	routing := p.routing.Load()
+	if p.estimates.observe == nil || routing == nil || !p.endpoints.received {
+		return
+	}
+	observations := map[string]assignment.Observation{}
+	for name, pool := range routing.pools {
+		observations[name] = p.observePool(pool)
+	}
+	p.estimates.removed = nil
+	p.estimates.observe(p.now(), observations)
+}
+
+// observePool is what is held of one pool. The estimates of a server are its Balancer's; whether it may be sent to is
+// the list's and the admin state's.
+func (p *Proxy) observePool(pool *serverPool) assignment.Observation {
+	proxies := float64(max(p.bootstrap.Proxies, 1)) // the others are assumed to be alike
+	pool.updateRate(p.now())
+	observation := assignment.Observation{Removed: p.estimates.removed, Rate: pool.requestRate * proxies}
+	statuses := map[int]balance.ServerStatus{}
+	for _, status := range pool.decisions.ServerStatuses(p.now()) {
+		statuses[status.Endpoint] = status
+		observation.Load += float64(status.InFlight) * proxies
+	}
+	if pool.static {
+		for i := range pool.staticEndpoints {
+			endpoint := &pool.staticEndpoints[i]
+			entry := p.staticEntry(endpoint)
+			entry.Addr = strings.TrimPrefix(entry.Name, pool.name+"/")
+			entry, _ = p.underAdminState(entry)
+			observation.Servers = append(observation.Servers, serverEstimate(&entry, statuses[endpoint.Index]))
+		}
+		return observation
+	}
+	for _, index := range p.endpoints.sortedIndexes() {
+		if entry, _ := p.underAdminState(p.endpoints.known[index]); pool.accepts == nil || pool.accepts(&entry) {
+			observation.Servers = append(observation.Servers, serverEstimate(&entry, statuses[index]))
+		}
+	}
+	return observation
+}
+
+// updateRate measures the requests a second since the last report, unless that was just now.
+func (r *poolRate) updateRate(now float64) {
+	elapsed := now - r.reportedAt
+	if elapsed < estimateInterval.Seconds()/2 {
+		return
+	}
+	r.requestRate = float64(r.admitted-r.reportedAdmitted) / elapsed
+	r.reportedAdmitted, r.reportedAt = r.admitted, now
+}
+
+func serverEstimate(entry *discovery.Entry, status balance.ServerStatus) assignment.ServerEstimate {
+	return assignment.ServerEstimate{
+		Name:      entry.Name,
+		Addr:      entry.Addr,
+		Zone:      entry.ZoneName,
+		Draining:  entry.State != balance.Ready,
+		Paused:    status.Paused,
+		Trial:     status.Trial,
+		Payoff:    status.Payoff,
+		Cores:     entry.Cores,
+		StartedAt: entry.StartedAt,
+	}
+}
--- a/proxy/probe.go
+++ b/proxy/healthcheck.go
@@ -10,25 +10,31 @@
 )
 
 const (
-	healthCheckTimeout = 200 * time.Millisecond // for a server to tell its load
+	healthCheckTimeout = 200 * time.Millisecond
 	healthCheckHead    = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
-	loadReportField    = "X-Load" // of the answer: name:value, with commas between
+	loadReportField    = "X-Load" // of the response: name:value, separated by commas
 )
 
-// healthCheck asks a server for its load and tells the decisions what came. A server that drains or is gone is not asked.
+// healthCheck asks a server for its load and tells the decisions what came. A server that drains or is gone is not
+// asked.
 func (p *Proxy) healthCheck(pool *serverPool, server int) {
-	if p.now() > p.stopSendAt[server] {
+	if p.now() > p.endpoints.stopSendAt[server] {
 		return
 	}
 	name := p.registry.Name(server)
-	exchange := &upstream.Exchange{Head: []byte(healthCheckHead), Passthrough: true, Deadline: time.Now().Add(healthCheckTimeout)}
+	exchange := &upstream.Exchange{
+		Head:        []byte(healthCheckHead),
+		Passthrough: true,
+		Deadline:    time.Now().Add(healthCheckTimeout),
+	}
 	exchange.OnDone = func(result upstream.Result) {
-		p.reservedBytes.Add(-result.ReservedBytes)
-		if p.registry.Name(server) != name { // danger: the number may be another server's by now
+		p.memory.release(result.ReservedBytes)
+		if p.registry.Name(server) != name { // the index may be another server's by now
 			return
 		}
+		healthy, report := result.Outcome == balance.Succeeded, parseLoadReport(result.Fields)
 		p.decide(pool, func(now float64) *balance.Actions {
-			return pool.decisions.HealthChecked(now, server, result.Outcome == balance.Succeeded, parseLoadReport(result.Fields))
+			return pool.decisions.HealthChecked(now, server, healthy, report)
 		})
 	}
 	if p.upstream.Send(server, exchange) {
@@ -36,7 +42,7 @@
 	}
 }
 
-// parseLoadReport is the report among the fields of an answer; one without tells nothing.
+// parseLoadReport is the load report among the fields of a response; without one it reports nothing.
 func parseLoadReport(head []byte) balance.LoadReport {
 	for line := range strings.Lines(string(head)) {
 		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, loadReportField) {
--- a/proxy/life_test.go
+++ b/proxy/life_test.go
@@ -67,12 +67,12 @@
 // beliefOf is when a server counts as started.
 func (y *yard) beliefOf(id string) float64 {
 	index, _ := y.registry.Find(id)
-	e, _ := y.underAdminState(y.knownEntries[index])
+	e, _ := y.underAdminState(y.endpoints.known[index])
 	return e.StartedAt
 }
 
-// Danger: an attempt ordered before the word, on a connection that is slow to come up, is written after its grace; and the word may have
-// counters as told before this proxy came to hear it.
+// Danger: an attempt ordered before the word, on a connection that is slow to come up, is written after its grace; and
+// the word may have counters as told before this proxy came to hear it.
 func TestToldWhileConnecting(t *testing.T) {
 	ban := func(y *yard) { assert.Equal(y.t, 200, y.call(admin.Disable, "b1")) }
 	listed := func(text string) func(y *yard) { return func(y *yard) { y.tell(text) } }
@@ -112,7 +112,8 @@
 	}
 }
 
-// A list of 1,024, indented, in which all leave at once; one comes back under its id, and is the only one that is sent to.
+// A list of 1,024, indented, in which all leave at once; one comes back under its id, and is the only one that is sent
+// to.
 func TestManyLeaveAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"any": {ok}}, func(l *BootstrapConfig) { l.SlowStartDuration = 0 })
@@ -145,7 +146,8 @@
 	})
 }
 
-// A drained proxy says no at once, serves until the front has noticed, then lets go of all: what the rule asks for at 4 s holds.
+// A drained proxy says no at once, serves until the front has noticed, then lets go of all: what the rule asks for at 4
+// s holds.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := serve(t, map[string][]string{"b1": {ok}}, nil)
@@ -207,7 +209,7 @@
 	y := made(t, map[string][]string{"b1": {ok}}, nil)
 	y.process.rememberID("b1")
 	for range maxQueuedEvents {
-		y.events <- func() {}
+		y.loop.events <- func() {}
 	}
 	answered := make(chan int, 4)
 	go func() {
@@ -222,7 +224,8 @@
 	}
 }
 
-// Danger: the next process asks for an address as its operator file has it, and an accept queue that it does not find is lost.
+// Danger: the next process asks for an address as its operator file has it, and an accept queue that it does not find
+// is lost.
 func TestHandedOverAsAskedFor(t *testing.T) {
 	y := made(t, nil, nil)
 	ln, err := y.Listen(":0")
--- /dev/null
+++ b/proxy/operatorconfig.go
@@ -0,0 +1,282 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"reflect"
+	"slices"
+
+	"github.com/sirupsen/logrus"
+
+	"lockloom/balance"
+	"lockloom/internal/config"
+	"lockloom/internal/discovery"
+	"lockloom/internal/settings"
+	"lockloom/limits"
+)
+
+// Config is an operator file ready for use; see internal/config.
+type Config = config.Config
+
+// ReadConfig reads an operator file; the errors are all its faults, a line each.
+func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
+
+// idempotencyOrder is the order of a class's entries in an operator's pool: one for each way in which a request may be
+// sent again.
+var idempotencyOrder = [...]balance.Idempotency{
+	limits.RetryNever:  balance.NonIdempotent,
+	limits.RetryKeyed:  balance.Keyed,
+	limits.RetryAlways: balance.Idempotent,
+}
+
+// dedupScopes are the spellings of the operator file.
+var dedupScopes = map[string]balance.DedupScope{
+	"":     balance.DedupAll,
+	"none": balance.DedupAll,
+	"all":  balance.DedupAll,
+	"zone": balance.DedupZone,
+	"pod":  balance.DedupPod,
+}
+
+// Why an operator file can't be reloaded.
+var (
+	errEnded            = errors.New("the proxy has ended")
+	errNoConfig         = errors.New("it was started without an operator file")
+	errListenersChanged = errors.New("listeners change with the next start")
+)
+
+// routingConfig is what an operator file amounts to. It never changes: a reload puts another in its place. Clients'
+// goroutines read the routes and classes; what pools and limits hold is the owner's.
+type routingConfig struct {
+	config       *Config
+	pools        map[string]*serverPool
+	classIndexes map[string]int // in the operator file
+	limitIndexes map[string]int // in the operator file
+}
+
+// Configure has the proxy serve an operator file's routes on further listeners. Call it before Serve.
+func (p *Proxy) Configure(cfg *Config, listeners ...net.Listener) error {
+	for i := range cfg.Classes {
+		p.maxDeadline = max(p.maxDeadline, seconds(cfg.Classes[i].Deadline))
+	}
+	routing, err := p.buildRouting(cfg, nil)
+	if err != nil {
+		return err
+	}
+	p.listeners = listeners
+	p.installRouting(routing)
+	return nil
+}
+
+// ReloadConfig serves by another operator file from now on, all of it or, with an error, nothing. Requests in flight
+// end as they were begun; pools that are unchanged keep what they have learned, and unchanged limits their counts.
+// Listeners, and deadlines longer than any before, change with the next start. Any goroutine may call it while the
+// proxy serves.
+func (p *Proxy) ReloadConfig(cfg *Config) error {
+	done := make(chan error, 1)
+	p.post(func() { done <- p.applyConfig(cfg) })
+	select {
+	case err := <-done:
+		return err
+	case <-p.loop.ended:
+		return errEnded
+	}
+}
+
+// applyConfig replaces the present operator file.
+func (p *Proxy) applyConfig(cfg *Config) error {
+	previous := p.routing.Load()
+	if previous == nil {
+		return errNoConfig
+	}
+	if !reflect.DeepEqual(previous.config.Listeners, cfg.Listeners) {
+		return errListenersChanged
+	}
+	for i := range cfg.Classes {
+		if class := &cfg.Classes[i]; seconds(class.Deadline) > p.maxDeadline {
+			return fmt.Errorf("tariff %q: a hard stop longer than %v counts from the next start", class.Name, p.maxDeadline)
+		}
+	}
+	routing, err := p.buildRouting(cfg, previous)
+	if err != nil {
+		return err
+	}
+	p.installRouting(routing)
+	for name, pool := range previous.pools {
+		if routing.pools[name] != pool {
+			pool.retired = true
+			p.removeIfRetired(pool)
+		}
+	}
+	fields := logrus.Fields{"pools": len(cfg.Pools), "routes": len(cfg.Routes)}
+	p.log.WithFields(fields).Info("operator file reloaded")
+	return nil
+}
+
+// buildRouting makes what an operator file needs, with those pools and limits of a previous one that are unchanged.
+func (p *Proxy) buildRouting(cfg *Config, previous *routingConfig) (*routingConfig, error) {
+	routing := &routingConfig{
+		config:       cfg,
+		pools:        map[string]*serverPool{},
+		classIndexes: map[string]int{},
+		limitIndexes: map[string]int{},
+	}
+	for i := range cfg.Classes {
+		routing.classIndexes[cfg.Classes[i].Name] = i
+	}
+	for i := range cfg.File.Limits {
+		routing.limitIndexes[cfg.File.Limits[i].Name] = i
+	}
+	if previous != nil && reflect.DeepEqual(previous.config.File.Limits, cfg.File.Limits) {
+		cfg.Limits = previous.config.Limits
+	}
+	deployment := p.poolDeployment(cfg)
+	for i := range cfg.Pools {
+		poolConfig := &cfg.Pools[i]
+		if pool := previous.unchangedPool(cfg, poolConfig); pool != nil {
+			routing.pools[poolConfig.Name] = pool
+			continue
+		}
+		pool, err := p.newServerPool(poolConfig, deployment)
+		if err != nil {
+			return nil, err
+		}
+		routing.pools[poolConfig.Name] = pool
+	}
+	return routing, nil
+}
+
+// poolDeployment is the deployment of an operator's pools, but for the seed: the platform's, with the operator file's
+// classes.
+func (p *Proxy) poolDeployment(cfg *Config) balance.Deployment {
+	deployment := p.bootstrap.Deployment
+	deployment.Classes, deployment.Tenants = nil, nil
+	deployment.Gossip = false // messages number the platform's classes; a pool's would be taken for those
+	for i := range cfg.Classes {
+		class := &cfg.Classes[i]
+		for _, idempotency := range idempotencyOrder {
+			deployment.Classes = append(deployment.Classes, balance.Class{
+				Name:             class.Name,
+				Idempotency:      idempotency,
+				DedupScope:       dedupScopes[class.DedupScope],
+				DedupWindow:      class.DedupWindow,
+				LatencyObjective: class.LatencyObjective,
+				Deadline:         class.Deadline,
+				PriorityWeight:   class.PriorityWeight,
+			})
+		}
+	}
+	return deployment
+}
+
+// unchangedPool is the pool that another operator file leaves as it is; nil: it does not, or there is none.
+func (rc *routingConfig) unchangedPool(cfg *Config, poolConfig *config.Pool) *serverPool {
+	if rc == nil || !reflect.DeepEqual(rc.config.Classes, cfg.Classes) {
+		return nil
+	}
+	for i := range rc.config.Pools {
+		if own := &rc.config.Pools[i]; own.Name == poolConfig.Name && poolConfig.Same(own) {
+			return rc.pools[own.Name]
+		}
+	}
+	return nil
+}
+
+func (p *Proxy) newServerPool(poolConfig *config.Pool, deployment balance.Deployment) (*serverPool, error) {
+	deployment.Seed = p.bootstrap.Seed ^ settings.NameHash(poolConfig.Name)
+	balancer, err := balance.New(deployment, p.now())
+	if err != nil {
+		return nil, fmt.Errorf("pool %q: %w", poolConfig.Name, err)
+	}
+	return &serverPool{
+		name:         poolConfig.Name,
+		decisions:    p.pools.newDecisions(poolConfig.Name, balancer),
+		classes:      deployment.Classes,
+		poolCapacity: poolCapacity{budgets: map[string]*limits.RetryBudget{}},
+		accepts: func(entry *discovery.Entry) bool {
+			return (len(poolConfig.Kinds) == 0 || slices.Contains(poolConfig.Kinds, entry.ModelName)) &&
+				(len(poolConfig.Zones) == 0 || slices.Contains(poolConfig.Zones, entry.ZoneName))
+		},
+	}, nil
+}
+
+// installRouting puts a routing configuration in force, and tells its new pools the list as it is.
+func (p *Proxy) installRouting(routing *routingConfig) {
+	for i := range routing.config.Pools {
+		poolConfig := &routing.config.Pools[i]
+		pool := routing.pools[poolConfig.Name]
+		routing.configurePool(pool, poolConfig)
+		if !slices.Contains(p.pools.all, pool) {
+			p.addPool(pool, poolConfig.Servers)
+		}
+	}
+	p.routing.Store(routing)
+}
+
+// configurePool sets what a reload may change of a pool that it keeps.
+func (rc *routingConfig) configurePool(pool *serverPool, poolConfig *config.Pool) {
+	pool.backup = rc.pools[poolConfig.Backup]
+	pool.failover.ActivateAfter, pool.failover.RecoverAfter = poolConfig.BackupAfter, poolConfig.BackupUntil
+	if poolConfig.Backup == "" {
+		pool.failedOver = false
+	}
+	numbers := map[string]int{}
+	rc.numberRoutes(numbers, poolConfig.Name, rc.config.Routes)
+	limiter, capacity := pool.fairLimiter, poolConfig.Capacity
+	switch {
+	case capacity == 0:
+		pool.fairLimiter = nil
+	case limiter == nil || limiter.Capacity != capacity || !maps.Equal(pool.routeNumbers, numbers):
+		pool.fairLimiter = limits.NewFairLimiter(capacity, slices.Repeat([]float64{1}, len(numbers)))
+	}
+	pool.routeNumbers = numbers
+}
+
+// numberRoutes numbers the routes that go to a pool.
+func (rc *routingConfig) numberRoutes(numbers map[string]int, pool string, routes []config.Route) {
+	toPool := func(weighted config.WeightedPool) bool { return weighted.Pool == pool }
+	for i := range routes {
+		route := &routes[i]
+		if route.Pool == pool || slices.ContainsFunc(route.Split, toPool) {
+			numbers[route.Name] = len(numbers)
+		}
+		rc.numberRoutes(numbers, pool, route.Routes)
+	}
+}
+
+// addPool adds a new pool, with the addresses of its own servers if it has any.
+func (p *Proxy) addPool(pool *serverPool, servers []string) {
+	p.pools.all = append(p.pools.all, pool)
+	pool.decisions.SetBudgetShare(p.resourceShare())
+	pool.decisions.SetLocalDelay(p.overload.delayFactor, p.overload.lagSeconds)
+	if len(servers) > 0 {
+		pool.static = true
+		p.addStaticServers(pool, servers)
+	}
+	if p.endpoints.received {
+		p.initializePool(pool)
+	}
+}
+
+// addStaticServers gives a pool its own servers, which no list changes.
+func (p *Proxy) addStaticServers(pool *serverPool, addrs []string) {
+	var endpoints []balance.Endpoint
+	for i, addr := range addrs {
+		name := pool.name + "/" + addr
+		entry := settings.Entry{Name: name, ModelName: pool.name, Endpoint: balance.Endpoint{Pod: i}}
+		endpoint := p.registry.Endpoint(entry)
+		p.upstream.SetEndpoint(endpoint.Index, addr, 0)
+		p.applyEndpointState(endpoint.Index, balance.Ready, p.now(), 0)
+		p.endpoints.static[endpoint.Index] = true
+		p.process.rememberID(name)
+		endpoints = append(endpoints, endpoint)
+	}
+	pool.staticEndpoints = endpoints
+}
+
+// classIndex is the index, in every pool, of an operator file's class for requests that may be sent again so far.
+func (rc *routingConfig) classIndex(class string, safety limits.RetrySafety) int {
+	return rc.classIndexes[class]*len(idempotencyOrder) + int(safety)
+}
--- a/proxy/opine_test.go
+++ b/proxy/opine_test.go
@@ -16,8 +16,8 @@
 	"lockloom/internal/config"
 )
 
-// What the proxy holds of its pools is told as it changes: drains, bans and what is gone at once, pauses by own requests and by what others
-// report; and nobody is told where nobody asks.
+// What the proxy holds of its pools is told as it changes: drains, bans and what is gone at once, pauses by own
+// requests and by what others report; and nobody is told where nobody asks.
 func TestOpine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := made(t, map[string][]string{"b1": {ok}, "b2": {ok}, "w1:80": {ok}}, nil)
--- a/proxy/ordinary_test.go
+++ b/proxy/ordinary_test.go
@@ -438,7 +438,8 @@
 	})
 }
 
-// A reload of the operator file: all of it or nothing; what is in hand ends where it is, what is as it was keeps what it knows.
+// A reload of the operator file: all of it or nothing; what is in hand ends where it is, what is as it was keeps what
+// it knows.
 func TestReoperate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := opened(t, map[string][]string{"b1:80": {silent}, "b2:80": {silent}, "b3:80": {silent}, "c1:80": {ok}, "f1:80": {fault}, "n1:80": {ok}})
@@ -463,7 +464,7 @@
 		y.ends2 <- theirs
 		go io.WriteString(ours, plain("GET", "/a", "X-Expires-In: 0.5\r\n"))
 		synctest.Wait()
-		branches, written := len(y.serverPools), len(y.staticServers)
+		branches, written := len(y.pools.all), len(y.endpoints.static)
 
 		first := `servers = ["b1:80", "b2:80", "b3:80"]`
 		require.NoError(t, again(first, `servers = ["n1:80"]`))
@@ -473,7 +474,7 @@
 		assert.Equal(t, []any{503, nil}, []any{status, err}, "what was in hand has its own end")
 		ours.Close()
 		synctest.Wait()
-		assert.Equal(t, []int{branches, written - 2}, []int{len(y.serverPools), len(y.staticServers)}, "the old pool has gone with it")
+		assert.Equal(t, []int{branches, written - 2}, []int{len(y.pools.all), len(y.endpoints.static)}, "the old pool has gone with it")
 
 		assert.ErrorContains(t, again("hard_stop = 0.8", "hard_stop = 60.0"), "longer than 1.2s counts from the next start")
 		assert.ErrorContains(t, again("[[pool]]\nname = \"first\"", "[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\nname = \"first\""), "listeners change")
@@ -489,7 +490,7 @@
 		assert.Equal(t, "200 body at c1", sent(plain("GET", "/moved-on", "")))
 		require.NoError(t, again(first, `servers = ["n1:80"]`, "due = 0.3", "due = 0.2"))
 		assert.Equal(t, "200 body at n1", sent(plain("GET", "/a", "")), "other tariffs, other pools")
-		assert.Len(t, y.serverPools, branches)
+		assert.Len(t, y.pools.all, branches)
 		y.end()
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -501,7 +502,8 @@
 	})
 }
 
-// A pool of listed servers has those of its kinds, and a reload's new pool knows at once what is listed, and what drains.
+// A pool of listed servers has those of its kinds, and a reload's new pool knows at once what is listed, and what
+// drains.
 func TestListedPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := made(t, map[string][]string{"b1": {ok}, "b2": {ok}}, func(l *BootstrapConfig) {
@@ -567,7 +569,8 @@
 	}
 }
 
-// Large answers flow at the client's pace; one that breaks is shown as broken; one whose client goes ends at its server too.
+// Large answers flow at the client's pace; one that breaks is shown as broken; one whose client goes ends at its server
+// too.
 func TestFlow(t *testing.T) {
 	const size = 8_000_000
 	for name, c := range map[string]struct {
--- /dev/null
+++ b/proxy/outcome.go
@@ -0,0 +1,83 @@
+package proxy
+
+import (
+	"lockloom/balance"
+	"lockloom/internal/invariant"
+	"lockloom/internal/upstream"
+)
+
+// lateEventSeconds is the time from an event to the owner's call from which on it is counted as late.
+const lateEventSeconds = 0.02
+
+// recordOutcome tells the decisions how an attempt ended. The first successful one answers its request.
+func (p *Proxy) recordOutcome(req *request, att *attempt, result upstream.Result) {
+	invariant.Holds(!att.ended, "an attempt ends once")
+	att.ended = true
+	att.outcome, att.err, att.neverRan = result.Outcome, result.Err, result.Outcome.NeverRan()
+	p.counters.Outcomes[result.Outcome]++
+	endedAt := p.stamp(result.EndedAt)
+	if p.now()-endedAt > lateEventSeconds {
+		p.counters.LateEvents++
+	}
+	succeeded := result.Outcome == balance.Succeeded && !req.answered
+	if succeeded {
+		req.answered = true
+		p.counters.Succeeded++
+		p.discardResponses(req)
+		// Sent once the other attempts are canceled, see decide.
+		defer func() {
+			resp := req.serverResponse(&result)
+			resp.reservedBytes = result.ReservedBytes
+			req.response <- resp
+		}()
+	} else {
+		p.keepServerFailure(req, &result)
+		p.memory.release(result.ReservedBytes)
+	}
+	answered, sentAt := req.answered, att.sentAt
+	if !result.SentAt.IsZero() { // what waited here to be written or read is not its server's time
+		sentAt = p.stamp(result.SentAt)
+		p.overload.attemptMeasured(p.now()-att.sentAt, endedAt-sentAt)
+	}
+	p.decideRequest(req, func(now float64) *balance.Actions {
+		return req.handle.AttemptEnded(now, att.number, result.Outcome, req.latency(sentAt, endedAt), answered)
+	})
+}
+
+// serverResponse is a server's response, to be relayed.
+func (req *request) serverResponse(result *upstream.Result) response {
+	return response{
+		status:        result.Status,
+		fields:        result.Fields,
+		body:          result.Body,
+		headOnly:      req.headOnly,
+		contentLength: result.Length,
+	}
+}
+
+// keepServerFailure keeps a server's report of its own failure, which goes on to an operator's client if nothing better
+// comes.
+func (p *Proxy) keepServerFailure(req *request, result *upstream.Result) {
+	if result.Outcome == balance.ServerError && req.passthrough && result.ReservedBytes == 0 {
+		resp := req.serverResponse(result)
+		req.serverFailure = &resp
+	}
+}
+
+// responseStarted tells the decisions that a large response has begun to stream: its request is that attempt's from now
+// on, and the client gets the response as it comes.
+func (p *Proxy) responseStarted(req *request, att *attempt, result upstream.Result) {
+	if req.answered || att.ended {
+		closeStream(result.Stream)
+		return
+	}
+	req.answered = true
+	p.counters.Succeeded++
+	p.discardResponses(req)
+	p.decideRequest(req, func(now float64) *balance.Actions {
+		return req.handle.ResponseStarted(now, att.number)
+	})
+	resp := req.serverResponse(&result)
+	resp.stream = result.Stream
+	req.response <- resp
+}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -406,7 +406,7 @@
 		synctest.Wait()
 		leaves.Close()
 		synctest.Wait()
-		assert.Zero(t, y.reservedBytes.Load(), "room is given back")
+		assert.Zero(t, y.memory.reserved.Load(), "room is given back")
 		y.end()
 	})
 }
@@ -727,11 +727,11 @@
 		time.Sleep(2 * time.Second)
 		y.post(func() {
 			assert.LessOrEqual(t, y.registry.Size(), 4)
-			assert.LessOrEqual(t, len(y.stopSendAt), 4)
-			assert.LessOrEqual(t, len(y.requests), 1)
-			assert.Empty(t, y.Proxy.openIDs)
+			assert.LessOrEqual(t, len(y.endpoints.stopSendAt), 4)
+			assert.LessOrEqual(t, len(y.requests.byRef), 1)
+			assert.Empty(t, y.requests.openIDs)
 			assert.LessOrEqual(t, y.upstream.Total(), 1, "what was idle to those that are gone is closed")
-			assert.LessOrEqual(t, len(y.timers), 10)
+			assert.LessOrEqual(t, len(y.loop.timers), 10)
 		})
 		y.end()
 	})
@@ -823,7 +823,7 @@
 		status, _, _, err = y.ask(sms)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
-		assert.Empty(t, y.Proxy.openIDs)
+		assert.Empty(t, y.requests.openIDs)
 		y.end()
 	})
 }
@@ -1002,26 +1002,27 @@
 	assert.True(t, clients[1].closeRequested.Load())
 }
 
-// Danger: a connection that stands in two lines at once breaks both; those behind it are found no more and fill the door.
+// Danger: a connection that stands in two lines at once breaks both; those behind it are found no more and fill the
+// door.
 func TestLines(t *testing.T) {
 	d := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
 	d.changed.L = &d.mu
 	var all []*clientConn
 	for i := range 20 {
 		ours, _ := net.Pipe()
-		c := &clientConn{conn: ours, wake: make(chan struct{}, 1)}
+		c := &clientConn{conn: ours, connSignals: connSignals{wake: make(chan struct{}, 1)}}
 		all = append(all, c)
 		d.all[c] = true
 		d.markIdle(c, true)
-		d.requestBegun(c, true)
+		d.markBegun(c, true)
 		switch i % 4 {
 		case 0: // rejected before its request has come whole
 			d.markLingering(c)
 		case 1:
-			d.requestComplete(c)
+			d.markComplete(c)
 			d.markIdle(c, false)
 		case 2:
-			d.requestComplete(c)
+			d.markComplete(c)
 		}
 	}
 	for i, c := range all {
@@ -1103,16 +1104,17 @@
 // A request that the decisions forgot is failed before its deadline; a call that panics ends no proxy.
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
-	y := &Proxy{log: log, startedAt: time.Now()}
+	y := &Proxy{log: log, clock: clock{startedAt: time.Now()}}
+	y.loop.init(y.clock, log)
 	l := &request{class: &balance.Class{}, response: make(chan response, 1)}
-	forget, panics := func() { y.failUnanswered(l) }, func() { y.runGuarded(func() { panic("x") }) }
+	forget, panics := func() { y.failUnanswered(l) }, func() { y.loop.runGuarded(func() { panic("x") }) }
 	if invariant.Asserted {
 		assert.Panics(t, forget)
 		assert.Panics(t, panics)
 		return
 	}
 	before := broken()
-	y.stopSendAt = []float64{math.Inf(1), 0}
+	y.endpoints.stopSendAt = []float64{math.Inf(1), 0}
 	y.upstream, y.registry = upstream.New(nil, nil), settings.Settings{}.NewRegistry()
 	for _, id := range []string{"b1", "b2"} {
 		y.registry.Endpoint(entry(id, balance.Ready, 0).Entry)
@@ -1128,9 +1130,9 @@
 		y.startAttempt(c.l, c.backend, y.now()+1)
 		assert.False(t, c.l.attempts[len(c.l.attempts)-1].started)
 	}
-	assert.Len(t, y.deferred, 3, "each is booked as never sent")
+	assert.Len(t, y.loop.deferred, 3, "each is booked as never sent")
 	assert.Equal(t, before+3, broken())
-	y.deferred, before = nil, broken()
+	y.loop.deferred, before = nil, broken()
 	forget()
 	panics()
 	assert.Equal(t, 502, (<-l.response).status)
@@ -1151,7 +1153,8 @@
 	return n, err
 }
 
-// Danger: a request that its reader has, and that the door does not know of yet, was lost when the door closed its connection then.
+// Danger: a request that its reader has, and that the door does not know of yet, was lost when the door closed its
+// connection then.
 func TestClosedAsItsRequestIsRead(t *testing.T) {
 	head, body, _ := strings.Cut(sms, "\r\n\r\n")
 	for name, parts := range map[string][]string{"whole": {sms}, "head and body": {head + "\r\n\r\n", body}, "cut in its head": {sms[:9], sms[9:]}} {
@@ -1199,7 +1202,7 @@
 	}{{5, 2, 0, false}, {6, 2, 0, true}, {6, 1, 0, false}, {6, 1, 1, true}, {2, 0, 2, true}} {
 		d := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
 		for i := range c.all {
-			m := &clientConn{queuedAt: time.Now()}
+			m := &clientConn{queueState: queueState{queuedAt: time.Now()}}
 			d.all[m] = true
 			if i < c.kept {
 				d.idle.append(m)
--- /dev/null
+++ b/proxy/serve.go
@@ -0,0 +1,205 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"lockloom/balance"
+	"lockloom/internal/gossip"
+	"lockloom/internal/invariant"
+)
+
+// firstListTimeout is how long discovery is waited for before the proxy is ready with the list that it was started
+// with.
+const firstListTimeout = 300 * time.Millisecond
+
+// The order of a shutdown, from the order to stop to the time when the platform kills the process.
+const (
+	maxShutdownWait     = 3 * time.Second        // of the longest deadline, that the platform waits for
+	killMargin          = 700 * time.Millisecond // from the end of that to the kill
+	acceptShutdownDelay = 500 * time.Millisecond // to the end of accepting: the load balancer in front needs 0.4 s
+	finalAcceptDuration = 20 * time.Millisecond  // then, to accept past all bounds what a closed listener would reset
+	idleCloseMargin     = 350 * time.Millisecond // before the kill: connections close when idle and with their responses
+	finalDeadlineMargin = 150 * time.Millisecond // before the kill: the deadline of every request in flight
+	connectionCutMargin = 75 * time.Millisecond  // before the kill: responses that clients have not read are cut
+)
+
+// shutdownState says how far the end of the process has come. It may be used by any goroutine.
+type shutdownState struct {
+	deadline     atomic.Pointer[time.Time] // of all requests, once the process was told to stop; nil: it was not
+	acceptEnding atomic.Bool               // accepting is about to end
+}
+
+// bound returns a deadline, in seconds since 1970, or that of the shutdown if there is an earlier one.
+func (s *shutdownState) bound(deadline float64, clk clock) float64 {
+	if at := s.deadline.Load(); at != nil {
+		return min(deadline, clk.stamp(*at))
+	}
+	return deadline
+}
+
+// Serve serves the listener's connections, and those of the listeners given to Configure, until the context ends. Then
+// it answers all that it has accepted and what still comes for a short time, and returns. It closes the listeners.
+func (p *Proxy) Serve(ctx context.Context, ln net.Listener) error {
+	if err := p.openGossip(); err != nil {
+		ln.Close()
+		return err
+	}
+	p.startOwner()
+	go p.dispatchWaiting()
+	go p.waitForFirstList()
+	accepting := p.startAccepting(ln)
+	p.log.WithFields(logrus.Fields{
+		"listen":      ln.Addr().String(),
+		"servers":     len(p.bootstrap.Known.Entries),
+		"clients":     p.conns.totalLimits.maxServed,
+		"connections": p.maxServerConns,
+		"asserted":    invariant.Asserted,
+	}).Info("serving")
+	var err error
+	select {
+	case err = <-accepting.result:
+	case <-ctx.Done():
+		p.log.Info("stopping")
+		stopCut := p.drainClients(accepting)
+		defer stopCut()
+	}
+	p.finish()
+	return err
+}
+
+func (p *Proxy) openGossip() error {
+	if !p.bootstrap.Gossip {
+		return nil
+	}
+	fleet := &p.bootstrap.Fleet
+	link, err := gossip.Open(fleet.Listen, p.bootstrap.Self, fleet.Peers, p.gossipReceived)
+	if err != nil {
+		return err
+	}
+	p.gossipLink = link
+	return nil
+}
+
+// gossipReceived passes a peer's message on to the decisions.
+func (p *Proxy) gossipReceived(from int, message balance.GossipMessage) {
+	p.post(func() {
+		pool := p.pools.platform
+		p.decide(pool, func(now float64) *balance.Actions {
+			return pool.decisions.GossipReceived(now, from, message)
+		})
+	})
+}
+
+// startOwner brings the owner's state up to date, then starts its goroutine.
+func (p *Proxy) startOwner() {
+	p.applyAdminState()
+	p.applyEndpointList(p.bootstrap.Known, true)
+	if inherited := p.process.inheritedState; inherited != nil {
+		p.pools.platform.decisions.Restore(p.now(), inherited.Snapshot)
+	}
+	p.subscribe(p.bootstrap.Discovery)
+	p.applyResourceShare()
+	go p.runOwner()
+}
+
+// runOwner is the owner's goroutine.
+func (p *Proxy) runOwner() {
+	p.loop.runEvery(sweepInterval, p.upstream.CloseExpired)
+	p.loop.runEvery(sweepInterval, p.closeIdleForDrain)
+	p.loop.runEvery(sweepInterval, p.updateLocalDelay)
+	p.loop.runEvery(sweepInterval, p.conns.closeExpired)
+	p.loop.runEvery(countsLogInterval, func() {
+		go p.countsLogger()() // whoever reads the log may be slow, and the owner waits for nobody
+	})
+	if p.routing.Load() != nil {
+		p.loop.runEvery(sweepInterval, p.updateFailover)
+	}
+	if p.estimates.observe != nil {
+		p.loop.runEvery(estimateInterval, p.reportEstimates)
+	}
+	if p.debugEnabled() {
+		p.loop.runEvery(serverStatusLogInterval, p.logServerStatuses)
+	}
+	p.loop.run(p.process.adminChanged, p.applyAdminState)
+	p.endpoints.endSubscriptions()
+	p.upstream.Close()
+	p.countsLogger()()
+	close(p.loop.ended)
+}
+
+// waitForFirstList makes the proxy ready once discovery has sent a list, or has taken too long. One that a process
+// before has handed over is as good.
+func (p *Proxy) waitForFirstList() {
+	if inherited := p.process.inheritedState; inherited == nil || !inherited.Listed {
+		select {
+		case <-p.endpoints.firstReceived:
+		case <-time.After(firstListTimeout):
+		}
+	}
+	p.post(p.startedServing)
+}
+
+// acceptLoops are the goroutines that accept client connections.
+type acceptLoops struct {
+	listeners []net.Listener
+	result    chan error     // of the platform's listener
+	others    sync.WaitGroup // of the operator's
+}
+
+func (p *Proxy) startAccepting(platform net.Listener) *acceptLoops {
+	loops := &acceptLoops{listeners: append([]net.Listener{platform}, p.listeners...), result: make(chan error, 1)}
+	go func() { loops.result <- p.acceptConnections(platform, false) }()
+	for _, ln := range p.listeners {
+		loops.others.Go(func() {
+			if err := p.acceptConnections(ln, true); err != nil {
+				p.log.WithError(err).Error("a listener has ended")
+			}
+		})
+	}
+	return loops
+}
+
+// drainClients ends accepting and waits until the clients have gone, or until shortly before the platform kills the
+// process. What remains then is cut; the function returned stops that.
+func (p *Proxy) drainClients(accepting *acceptLoops) (stopCut func()) {
+	// The platform waits no longer, however long a request would.
+	killAt := time.Now().Add(min(p.maxDeadline, maxShutdownWait) + killMargin)
+	deadline := killAt.Add(-finalDeadlineMargin)
+	p.shutdown.deadline.Store(&deadline)
+	p.post(func() { p.limitDeadlines(p.stamp(deadline)) })
+	if successorServing := p.beginShutdown(killAt.Add(-idleCloseMargin)); !successorServing {
+		time.Sleep(acceptShutdownDelay) // the load balancer in front still sends connections here for a while
+	}
+	p.shutdown.acceptEnding.Store(true)
+	p.conns.wakeAcceptors()
+	time.Sleep(finalAcceptDuration)
+	for _, ln := range accepting.listeners {
+		ln.Close()
+	}
+	<-accepting.result //nolint:errcheck // it ends because its listener is closed
+	accepting.others.Wait()
+	// Clients that are sent away early may find no other proxy.
+	p.conns.waitUntilEmpty(time.Until(killAt.Add(-idleCloseMargin)))
+	cut := time.AfterFunc(time.Until(killAt.Add(-connectionCutMargin)), p.conns.closeAll)
+	return func() { cut.Stop() }
+}
+
+// finish ends the client connections, then the owner, then all else.
+func (p *Proxy) finish() {
+	p.beginTermination()
+	p.conns.closeUnused()
+	p.conns.group.Wait()
+	p.process.closeLinks()
+	close(p.loop.quit)
+	<-p.loop.ended
+	p.conns.idleConns.Close()
+	if p.gossipLink != nil {
+		p.gossipLink.Close()
+	}
+}
--- a/proxy/strained_test.go
+++ b/proxy/strained_test.go
@@ -108,7 +108,7 @@
 		y := made(t, nil, nil)
 		now := time.Now()
 		h := &heard{}
-		l := &request{pool: y.platformPool, class: &y.bootstrap.Classes[0], handle: h, response: make(chan response, 1)}
+		l := &request{pool: y.pools.platform, class: &y.bootstrap.Classes[0], handle: h, response: make(chan response, 1)}
 		g := &attempt{sentAt: y.stamp(now.Add(-c.ordered))}
 		l.attempts = []*attempt{g}
 		y.recordOutcome(l, g, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent), EndedAt: now.Add(-c.came)})
@@ -118,7 +118,8 @@
 	}
 }
 
-// Danger: an attempt canceled behind its request's answer may be written in between, if this goroutine is held up there.
+// Danger: an attempt canceled behind its request's answer may be written in between, if this goroutine is held up
+// there.
 func TestCalledOffBeforeTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		y := made(t, nil, nil)
@@ -130,12 +131,12 @@
 		b := y.registry.Endpoint(entry("b1", balance.Ready, 0).Entry)
 		y.upstream.SetEndpoint(b.Index, "b1", 0)
 		y.applyEndpointState(b.Index, balance.Ready, y.now(), 0)
-		l := &request{pool: y.platformPool, class: &y.bootstrap.Classes[0], handle: &heard{}, response: make(chan response), deadline: y.now() + 1}
-		y.requests = append(y.requests, l)
+		l := &request{pool: y.pools.platform, class: &y.bootstrap.Classes[0], handle: &heard{}, response: make(chan response), deadline: y.now() + 1}
+		y.requests.byRef = append(y.requests.byRef, l)
 		y.startAttempt(l, b.Index, y.now()+1)
 		synctest.Wait()
 		end.Read(make([]byte, 1)) // it is being written: only calling it off stops it
-		go y.decide(y.platformPool, func(float64) *balance.Actions {
+		go y.decide(y.pools.platform, func(float64) *balance.Actions {
 			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
 		})
 		synctest.Wait() // held up at the answer, which nobody takes
--- /dev/null
+++ b/proxy/timers.go
@@ -0,0 +1,85 @@
+package proxy
+
+import (
+	"container/heap"
+	"slices"
+)
+
+// timer is a call to be made at one or more times. It belongs to the owner.
+type timer struct {
+	call   func()
+	times  []float64  // seconds since 1970, the earliest first; empty: it is not in the heap
+	index  int        // in the heap
+	inline [4]float64 // the first backing array of times
+}
+
+// timerHeap orders timers by their next time. However many times a timer has, it is in the heap once: an entry for
+// each time, left there until then, would keep every request alive until its deadline.
+type timerHeap []*timer
+
+// add has a timer fire at a further time, in seconds since 1970.
+func (h *timerHeap) add(t *timer, at float64) {
+	if t.times == nil {
+		t.times = t.inline[:0]
+	}
+	i, found := slices.BinarySearch(t.times, at)
+	if found {
+		return
+	}
+	t.times = slices.Insert(t.times, i, at)
+	switch {
+	case len(t.times) == 1:
+		heap.Push(h, t)
+	case i == 0:
+		heap.Fix(h, t.index)
+	}
+}
+
+// cancel removes all times of a timer.
+func (h *timerHeap) cancel(t *timer) {
+	if len(t.times) > 0 {
+		heap.Remove(h, t.index)
+		t.times = t.times[:0]
+	}
+}
+
+// next is the time at which the first timer fires. The heap must not be empty.
+func (h timerHeap) next() float64 { return h[0].times[0] }
+
+// fire removes all times up to now from the first timer and returns its call, to be made once.
+func (h *timerHeap) fire(now float64) func() {
+	t := (*h)[0]
+	n := 1
+	for n < len(t.times) && t.times[n] <= now {
+		n++
+	}
+	if t.times = slices.Delete(t.times, 0, n); len(t.times) > 0 {
+		heap.Fix(h, 0)
+	} else {
+		heap.Pop(h)
+	}
+	return t.call
+}
+
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].times[0] < h[j].times[0] }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
+}
+
+func (h *timerHeap) Push(x any) {
+	t := x.(*timer)
+	t.index = len(*h)
+	*h = append(*h, t)
+}
+
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := len(old) - 1
+	t := old[last]
+	old[last] = nil
+	*h = old[:last]
+	return t
+}
