--- /dev/null
+++ b/proxy/admin_test.go
@@ -0,0 +1,122 @@
+package proxy
+
+import (
+	"io"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/internal/admin"
+)
+
+// A disabled server is not sent to, whatever the list says, until it is enabled.
+func TestDisabledServerGetsNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "any": {okResponse}}, nil)
+		env.sendRequests(20)
+		assert.Greater(t, env.requestsByServer()["b1"], 0)
+		assert.Equal(t, 404, env.adminCall(admin.Disable, "b3"), "never listed")
+		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
+		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
+		for _, told := range []string{listChange(2, "b1", "active", 0), listChange(3, "b1", "leaving", 0),
+			listChange(4, "b1", "left", 0),
+			listChange(5, "b1", "active",
+				1790000000000), `{"version":6,"full":true,"servers":[{"id":"b1","addr":"b1:1","state":"active"},{"id":"b2","addr":"b2:1","state":"active"}]}`} {
+			env.updateList(told)
+			env.sendRequests(20)
+			assert.Equal(t, map[string]int{"b2": 20}, env.requestsByServer(), told)
+		}
+		assert.Equal(t, 200, env.adminCall(admin.Enable, "b1"))
+		assert.InDelta(t, env.now(), env.startedAtOf("b1"), 0.001, "the list tells no start: it counts as started just now")
+		time.Sleep(2 * time.Second) // it is warm
+		env.sendRequests(40)
+		assert.Greater(t, env.requestsByServer()["b1"], 5)
+		env.stopAndWait()
+	})
+}
+
+// startedAtOf is when a server counts as started, in seconds since 1970.
+func (env *testEnv) startedAtOf(id string) float64 {
+	index, _ := env.registry.Find(id)
+	e, _ := env.underAdminState(env.endpoints.known[index])
+	return e.StartedAt
+}
+
+// A drained proxy is not ready at once, serves until the load balancer in front has noticed, then closes all
+// connections within 4 s.
+func TestDrain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		time.Sleep(firstListTimeout)
+		synctest.Wait()
+		up := func() int { status, _, _, _ := env.roundTrip("GET /up HTTP/1.1\r\n\r\n"); return status }
+		assert.Equal(t, 200, up())
+		kept := env.connect()
+		go write(kept, lookRequest)
+		readResponse(kept)
+		assert.Equal(t, 200, env.adminCall(admin.Drain, ""))
+		drained := time.Now()
+		assert.Equal(t, 503, up())
+		assert.Equal(t, 200, env.adminCall(admin.Ready, ""))
+		for _, c := range []struct {
+			after  time.Duration
+			status int
+			closes bool
+		}{{200 * time.Millisecond, 200, false}, {700 * time.Millisecond, 200, true}, {1700 * time.Millisecond, 200, true},
+			{1900 * time.Millisecond, 503, true}, {3900 * time.Millisecond, 503, true}} {
+			time.Sleep(c.after - time.Since(drained))
+			if c.after > 2*time.Second {
+				kept.SetReadDeadline(time.Now().Add(time.Millisecond))
+				_, err := kept.Read(make([]byte, 1))
+				assert.Equal(t, io.EOF, err, "idle ones are closed")
+			}
+			status, h, _, err := env.roundTrip(lookRequest)
+			assert.NoError(t, err)
+			assert.Equal(t, c.status, status, c.after)
+			assert.Equal(t, c.closes, h.Close, c.after)
+		}
+		silent := env.connect()
+		time.Sleep(time.Second)
+		_, err := silent.Write([]byte("x"))
+		assert.Error(t, err, "one that comes and says nothing goes too")
+		count, _ := env.conns.counts()
+		assert.Zero(t, count)
+		assert.Equal(t, 200, env.adminCall(admin.Resume, ""))
+		assert.Equal(t, 200, up())
+		conn := env.connect()
+		go write(conn, lookRequest)
+		status, h, _, _ := readResponse(conn)
+		assert.True(t, status == 200 && !h.Close)
+		env.adminCall(admin.Drain, "")
+		env.adminCall(admin.Resume, "")
+		time.Sleep(5 * time.Second)
+		go write(conn, lookRequest)
+		status, _, _, err = readResponse(conn)
+		assert.NoError(t, err, "drained and resumed quickly: nothing was closed")
+		assert.Equal(t, 200, status)
+		conn.Close()
+		env.adminCall(admin.Drain, "")
+		env.stopAndWait() // SIGTERM in a drain
+	})
+}
+
+func TestAdminCallsDoNotWaitForTheOwner(t *testing.T) {
+	env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+	env.process.rememberID("b1")
+	for range maxQueuedEvents {
+		env.loop.events <- func() {}
+	}
+	answered := make(chan int, 4)
+	go func() {
+		for _, act := range []admin.Action{admin.Disable, admin.Drain, admin.Enable, admin.Resume} {
+			status, _ := env.Administer(admin.Call{Action: act, ID: "b1"})
+			answered <- status
+		}
+	}()
+	assert.Eventually(t, func() bool { return len(answered) == 4 }, time.Second, time.Millisecond, "it waits")
+	for range len(answered) {
+		assert.Equal(t, 200, <-answered)
+	}
+}
--- /dev/null
+++ b/proxy/admission_test.go
@@ -0,0 +1,119 @@
+package proxy
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// An id that another client's request has in use would be at two servers at once, as if that had run twice.
+func TestIDInUse(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {cutAfterDelay, okResponse}}, nil)
+		first := env.connect()
+		go write(first, smsRequest)
+		synctest.Wait()
+		status, _, _, err := env.roundTrip(smsRequest)
+		assert.NoError(t, err)
+		assert.Equal(t, 409, status)
+		status, _, _, err = readResponse(first)
+		assert.NoError(t, err)
+		assert.Equal(t, 502, status, "the first is not touched by it")
+		assert.Len(t, env.received, 1)
+		status, _, _, err = env.roundTrip(smsRequest)
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		assert.Empty(t, env.requests.openIDs)
+		env.stopAndWait()
+	})
+}
+
+// Bodies of requests that wait must not fill the memory: the proxy would be killed with all that it has admitted.
+func TestMemoryBudget(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1000 })
+		first := env.connect()
+		go write(first, smsRequest)
+		synctest.Wait()
+		status, _, _, err := env.roundTrip(strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
+			"Content-Length: 200\r\n\r\n"+
+				strings.Repeat("x", 200), 1))
+		assert.NoError(t, err)
+		assert.Equal(t, 503, status)
+		assert.Equal(t, 1, env.counters.ShedBounds)
+		first.Close()
+		time.Sleep(clientWatchDelay)
+		synctest.Wait()
+		env.behaviors["b1"] = []string{okResponse}
+		status, _, _, err = env.roundTrip(smsRequest)
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		env.stopAndWait()
+	})
+}
+
+// A client over a limit is told at once when to retry, and nothing is sent.
+func TestRateLimits(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		request := plainRequest("GET", "/limited", "")
+		for range 2 {
+			assert.Equal(t, "200 body", env.operatorRoundTrip(request))
+		}
+		assert.Equal(t, "429 1.000 over a limit", env.operatorRoundTrip(request, "Retry-After"))
+		assert.Len(t, env.received, 2)
+		assert.Equal(t, "200 body", env.operatorRoundTrip(plainRequest("GET", "/other", "")), "another route is not")
+		time.Sleep(time.Second)
+		assert.Equal(t, "200 body", env.operatorRoundTrip(request))
+		env.stopAndWait()
+	})
+	synctest.Test(t, func(t *testing.T) { // each value of a field, and each tenant, has a bucket of its own
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		for _, c := range []struct{ team, customer, want string }{{"a", "x", "200"}, {"a", "y", "429"}, {"b", "x", "429"},
+			{"b", "y", "200"},
+			{"c", "z", "200"}, {"", "", "200"}, {"", "", "429"}} {
+			fields := ""
+			if c.team != "" {
+				fields = "X-Team: " + c.team + "\r\nX-Customer: " + c.customer + "\r\n"
+			}
+			assert.Equal(t, c.want, env.operatorRoundTrip(plainRequest("GET", "/keyed", fields))[:3], "%v", c)
+		}
+		env.stopAndWait()
+	})
+	synctest.Test(t, func(t *testing.T) { // what is in hand counts until its end, however that comes
+		env := startOperatorEnv(t, map[string][]string{"any": {noResponse, okResponse}})
+		request := plainRequest("GET", "/narrow", "")
+		ours, theirs := net.Pipe()
+		env.operatorConns <- theirs
+		write(ours, request)
+		synctest.Wait()
+		assert.Equal(t, "429 over a limit", env.operatorRoundTrip(request))
+		ours.Close() // its client leaves
+		time.Sleep(time.Second)
+		synctest.Wait()
+		assert.Equal(t, "200 body", env.operatorRoundTrip(request))
+		env.stopAndWait()
+	})
+}
+
+// A pool's capacity is shared: a request over it is rejected at once.
+func TestPoolCapacity(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {noResponse}})
+		for range 2 {
+			ours, theirs := net.Pipe()
+			env.operatorConns <- theirs
+			write(ours, plainRequest("GET", "/other", ""))
+			synctest.Wait()
+		}
+		assert.Equal(t, "503 the pool is full", env.operatorRoundTrip(plainRequest("GET", "/other", "")))
+		time.Sleep(time.Second) // their deadline
+		synctest.Wait()
+		assert.Equal(t, "503 dismissed", env.operatorRoundTrip(plainRequest("GET", "/other", "")))
+		env.stopAndWait()
+	})
+}
--- /dev/null
+++ b/proxy/attempt_test.go
@@ -0,0 +1,82 @@
+package proxy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/internal/http1"
+)
+
+// Servers know a keyed request for 0.3 s: a retry that is ordered in time must not be sent later because its connection
+// is slow to open.
+func TestKeyedRetryWithinDedupWindow(t *testing.T) {
+	for _, c := range []struct {
+		slow   time.Duration
+		status int
+		sent   int
+	}{{0, 200, 2}, {50 * time.Millisecond, 502, 1}} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "any": {cutAfterDelay, okResponse}},
+				nil)
+			env.dialDelay = c.slow
+			status, _, _, err := env.roundTrip(signRequest)
+			assert.NoError(t, err)
+			assert.Equal(t, c.status, status)
+			assert.Len(t, env.received, c.sent)
+			env.stopAndWait()
+		})
+	}
+}
+
+func TestRequestsAreForwarded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		chunked := strings.Replace(signRequest, "Content-Length: 3\r\n\r\nabc",
+			"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 1)
+		for _, request := range []string{lookRequest, signRequest, chunked} {
+			status, _, _, err := env.roundTrip(request)
+			assert.NoError(t, err)
+			assert.Equal(t, 200, status)
+		}
+		assert.Equal(t, []string{"b1 GET /look?user=7 t1  0.500 ", "b1 POST /sign t2 k 0.500 abc",
+			"b1 POST /sign t2 k 0.500 abc"}, env.received)
+		largest := strings.Repeat("x", http1.DefaultMaxBytes)
+		env.behaviors["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes,
+			largest)}
+		status, _, body, err := env.roundTrip(strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
+			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes, largest), 1))
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		assert.Equal(t, largest, body)
+		assert.Equal(t, "b1 POST /sms t3  0.500 "+largest, env.received[3])
+		assert.Equal(t, []string{"b1"}, env.dialed, "one connection serves one after the other")
+		large := strings.Repeat("x", 5*http1.DefaultMaxBytes)
+		env.behaviors["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large)}
+		status, _, body, err = env.roundTrip(lookRequest)
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		assert.Equal(t, large, body)
+		leaves := env.connect()
+		go write(leaves, lookRequest)
+		synctest.Wait()
+		leaves.Close()
+		synctest.Wait()
+		assert.Zero(t, env.memory.reserved.Load(), "room is given back")
+		env.stopAndWait()
+	})
+}
+
+func TestServerIdleTimeoutLeavesAMargin(t *testing.T) {
+	for _, c := range []struct {
+		closed float64 // s
+		kept   time.Duration
+	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, defaultServerIdleTimeout}} {
+		env := newEnv(t, nil, func(l *BootstrapConfig) { l.ServerIdleTimeout = c.closed })
+		assert.Equal(t, c.kept, env.upstream.IdleTimeout, "closed by the backend after %v s", c.closed)
+	}
+}
--- /dev/null
+++ b/proxy/conntable_test.go
@@ -0,0 +1,324 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/internal/http1"
+	"lockloom/internal/upstream"
+)
+
+func TestConnectionBounds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {noResponse}}, nil)
+		env.conns.maxServed, env.conns.maxOverflow, env.upstream.MaxConnections = 2, 1, 1
+		one := env.connect()
+		go write(one, "GET /up HTTP/1.1\r\n\r\n")
+		readResponse(one)
+		time.Sleep(longIdleDelay)
+		two := env.connect()
+		synctest.Wait()
+		three := env.connect()
+		synctest.Wait()
+		_, err := one.Read(make([]byte, 1))
+		assert.Error(t, err, "the one that is idle makes room")
+		for i, c := range []net.Conn{two, three} {
+			go write(c, strings.Replace(strings.Replace(lookRequest, "t1", fmt.Sprint("t", 5+i), 1), "0.5", "10", 1))
+			synctest.Wait()
+		}
+		status, _, _, err := readResponse(three)
+		assert.NoError(t, err)
+		assert.Equal(t, 503, status, "no connection to a backend may be had")
+		go write(three, strings.Replace(lookRequest, "0.5", "10", 1))
+		synctest.Wait()
+		var further []net.Conn
+		for range 5 {
+			c := env.connect()
+			go write(c, lookRequest[:20])
+			synctest.Wait()
+			further = append(further, c)
+		}
+		count, crowded := env.conns.counts()
+		assert.LessOrEqual(t, count, 4, "those after the bound are not accepted yet")
+		assert.Positive(t, crowded)
+		for _, c := range further {
+			go write(c, lookRequest[20:])
+			status, h, _, err := readResponse(c)
+			assert.NoError(t, err)
+			assert.Equal(t, 503, status, "over the bound it is dismissed")
+			assert.True(t, h.Close)
+		}
+		env.behaviors["b1"] = []string{okResponse}
+		two.Close()
+		time.Sleep(clientWatchDelay)
+		synctest.Wait()
+		status, _, _, err = env.roundTrip(lookRequest)
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		three.Close()
+		env.stopAndWait()
+	})
+}
+
+// Connections that send nothing, or begin a request and stop, must not keep out those that send one.
+func TestSilentClientsAreEvicted(t *testing.T) {
+	for _, begun := range []string{"", lookRequest[:20]} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+			env.conns.maxServed, env.conns.maxOverflow = 4, 2
+			for range 20 {
+				go write(env.connect(), begun)
+			}
+			synctest.Wait()
+			count, _ := env.conns.counts()
+			assert.LessOrEqual(t, count, 7)
+			began := time.Now()
+			for range 3 {
+				for status := 0; status != 200; {
+					var err error
+					status, _, _, err = env.roundTrip(lookRequest)
+					assert.NoError(t, err)
+					assert.Contains(t, []int{200, 503}, status)
+				}
+			}
+			assert.Less(t, time.Since(began), 5*env.maxDeadline, begun)
+			env.stopAndWait()
+		})
+	}
+}
+
+// A client that sends nothing, or a byte now and then, would hold its connection for as long as it likes.
+func TestUnfinishedHeadsTimeOut(t *testing.T) {
+	for _, c := range []struct {
+		first  string
+		status int // 0: closed
+	}{{"", 0}, {lookRequest[:20], 408}, {"G", 408}} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Classes[0].Deadline = 20 })
+			began, conn := time.Now(), env.connect()
+			go func() {
+				if c.first == "" {
+					return
+				}
+				time.Sleep(2 * time.Second)
+				write(conn, c.first)
+				for range 100 { // trickles
+					time.Sleep(200 * time.Millisecond)
+					if _, err := io.WriteString(conn, "x"); err != nil {
+						return
+					}
+				}
+			}()
+			status, _, _, err := readResponse(conn)
+			assert.Equal(t, c.status == 0, err != nil)
+			assert.Equal(t, c.status, status)
+			assert.Less(t, time.Since(began), 3*time.Second, c.first)
+			conn.Close()
+			env.stopAndWait()
+		})
+	}
+}
+
+// A connection whose next request comes in pieces must not be the one that makes room.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		env.conns.maxServed, env.conns.maxOverflow = 3, 1
+		kept, told := env.connect(), env.connect()
+		long := strings.Replace(lookRequest, "0.5", "1.2", 1)
+		go write(kept, long)
+		readResponse(kept)
+		go write(kept, long[:30])
+		synctest.Wait()
+		go write(told, "nonsense\r\n\r\n")
+		http1.NewReader(told).Response() // and does not close
+		for range 10 {
+			env.connect()
+		}
+		time.Sleep(9 * newConnectionGracePeriod)
+		synctest.Wait()
+		_, err := told.Write([]byte("x"))
+		assert.Error(t, err, "one that was turned away makes room")
+		go write(kept, long[30:])
+		status, _, _, err := readResponse(kept)
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		env.stopAndWait()
+	})
+}
+
+// A request that has come and is not read yet would be lost if its connection had to make room.
+func TestUnreadRequestIsNotEvicted(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	defer ln.Close()
+	d := &connTable{connLimits: connLimits{maxServed: 1, maxIdle: 1}, all: map[*clientConn]bool{}}
+	d.changed.L = &d.mu
+	var clients []*clientConn
+	var ends []net.Conn
+	for range 2 {
+		end, err := net.Dial("tcp", ln.Addr().String())
+		assert.NoError(t, err)
+		defer end.Close()
+		nc, err := ln.Accept()
+		assert.NoError(t, err)
+		defer nc.Close()
+		c := &clientConn{conn: nc}
+		d.all[c] = true
+		d.markIdle(c, false)
+		clients, ends = append(clients, c), append(ends, end)
+	}
+	write(ends[0], lookRequest)
+	for !upstream.HasUnreadBytes(clients[0].conn) {
+		time.Sleep(time.Millisecond)
+	}
+	assert.Nil(t, d.evictionCandidate(), "one that was served just now is likely to be used again")
+	for _, c := range clients {
+		c.queuedAt = time.Now().Add(-crowdedIdleTimeout)
+	}
+	assert.Same(t, clients[1], d.evictionCandidate(), "the other one makes room")
+	d.closeLongIdle()
+	assert.False(t, clients[0].closeRequested.Load())
+	assert.True(t, clients[1].closeRequested.Load())
+}
+
+// A connection in two queues at once would break both: those behind it would be found no more and fill the table.
+func TestConnectionIsInOneQueue(t *testing.T) {
+	d := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
+	d.changed.L = &d.mu
+	var all []*clientConn
+	for i := range 20 {
+		ours, _ := net.Pipe()
+		c := &clientConn{conn: ours, connSignals: connSignals{wake: make(chan struct{}, 1)}}
+		all = append(all, c)
+		d.all[c] = true
+		d.markIdle(c, true)
+		d.markBegun(c, true)
+		switch i % 4 {
+		case 0: // rejected before its request has come whole
+			d.markLingering(c)
+		case 1:
+			d.markComplete(c)
+			d.markIdle(c, false)
+		case 2:
+			d.markComplete(c)
+		}
+	}
+	for i, c := range all {
+		if i%3 == 0 {
+			d.remove(c)
+		}
+	}
+	for _, l := range []*connQueue{&d.pending, &d.idle, &d.longIdle} {
+		n := 0
+		var before *clientConn
+		for c := l.first; c != nil && n <= l.n; c = c.next {
+			assert.Same(t, l, c.queue)
+			assert.Same(t, before, c.prev)
+			before = c
+			n++
+		}
+		assert.Equal(t, l.n, n)
+		assert.Same(t, before, l.last)
+	}
+	assert.Equal(t, 10-4, d.pending.n) // those rejected and those whose request has begun, but for those that left
+	assert.Equal(t, 4, d.idle.n)
+}
+
+// Clients that send one request and keep their connections must leave some for those that still send.
+func TestIdleConnectionsAreBounded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		env.conns.maxIdle = 3
+		once := func() (net.Conn, bool) {
+			c := env.connect()
+			go write(c, lookRequest)
+			status, h, _, err := readResponse(c)
+			assert.NoError(t, err)
+			assert.Equal(t, 200, status)
+			synctest.Wait()
+			return c, h.Close
+		}
+		var idle []net.Conn
+		for i := range 7 {
+			c, closes := once()
+			assert.Equal(t, i >= 3, closes, "so many are kept")
+			idle = append(idle, c)
+			time.Sleep(longIdleDelay)
+		}
+		time.Sleep(crowdedIdleTimeout)
+		once() // lets the first be seen as idle for too long
+		_, err := idle[0].Write([]byte("x"))
+		assert.Error(t, err)
+		c, closes := once()
+		assert.False(t, closes, "there is room to keep one again")
+		c.Close()
+		env.stopAndWait()
+	})
+}
+
+// Connections that were used once and stay, each for a moment, would leave no room for clients that write slowly.
+func TestFirstResponseClosesWhenNearlyFull(t *testing.T) {
+	for _, c := range []struct {
+		all, kept, stale int
+		want             bool
+	}{{5, 2, 0, false}, {6, 2, 0, true}, {6, 1, 0, false}, {6, 1, 1, true}, {2, 0, 2, true}} {
+		d := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
+		for i := range c.all {
+			m := &clientConn{queueState: queueState{queuedAt: time.Now()}}
+			d.all[m] = true
+			if i < c.kept {
+				d.idle.append(m)
+			} else if i < c.kept+c.stale {
+				d.longIdle.append(m)
+			}
+		}
+		assert.Equal(t, c.want, d.closesFirstResponse(), "%+v", c)
+	}
+}
+
+// Idle clients in every place that they may have, while discovery is down, leave places for new clients, for servers
+// and for discovery.
+func TestIdleClientsLeaveCapacity(t *testing.T) {
+	for _, sockets := range []int{80, 128, 256} {
+		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
+			s := startSocketEnvWithSockets(t, sockets, func(_ int, end net.Conn) { write(end, okResponse) })
+			close(s.dialGate)
+			var idle []net.Conn
+			for i := range 2 * sockets {
+				c := s.connect()
+				if i%2 == 0 { // some were served, some say nothing, some stop in a head
+					write(c, "GET /up HTTP/1.1\r\n\r\n")
+				} else if i%3 == 0 {
+					write(c, lookRequest[:20])
+				}
+				idle = append(idle, c)
+			}
+			calls := s.discoveryDials.Load()
+			require.Eventually(t, func() bool { return s.discoveryDials.Load() > calls }, 5*time.Second, time.Millisecond,
+				"discovery is asked on")
+			for range 3 {
+				c := s.connect()
+				write(c, strings.Replace(longWaitRequest, "t1", fmt.Sprint(rand.Int()), 1))
+				status, _, _, err := readResponse(c)
+				require.NoError(t, err)
+				assert.Equal(t, 200, status)
+				count, _ := s.conns.counts()
+				assert.LessOrEqual(t, count, s.conns.totalLimits.maxServed+s.conns.totalLimits.maxOverflow, "places")
+				assert.LessOrEqual(t, count+s.maxServerConns+reservedSockets, sockets, "descriptors")
+			}
+			for _, c := range idle {
+				c.Close()
+			}
+		})
+	}
+}
--- /dev/null
+++ b/proxy/env_test.go
@@ -0,0 +1,359 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/balance"
+	"lockloom/internal/admin"
+	"lockloom/internal/discovery"
+	"lockloom/internal/http1"
+	"lockloom/internal/invariant"
+	"lockloom/internal/settings"
+)
+
+// What a server does with a request: the response it writes, or one of the words.
+const (
+	okResponse             = "HTTP/1.1 200 OK\r\nX-From: b\r\nContent-Length: 4\r\n\r\nbody"
+	neverRanResponse       = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+	own503Response         = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
+	invalidRequestResponse = "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n"
+	faultResponse          = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
+	cutConnection          = "cut"
+	cutInBody              = "cut in a body"
+	earlyResponse          = "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n"
+	cutAfterDelay          = "cut after 0.23 s"
+	refuseConnection       = "refused"
+	noResponse             = ""
+)
+
+// testEnv is a proxy on connections in memory, between clients, servers and discovery that the test plays. As a
+// net.Listener it is the platform's.
+type testEnv struct {
+	*Proxy
+	t             *testing.T
+	platformConns chan net.Conn      // clients' connections on their way in
+	operatorConns chan net.Conn      // and by the ordinary door
+	respond       func(end net.Conn) // what each server answers instead of its plays
+	streamBodies  bool               // bodies are read as they come, whatever their size
+	bodyBytes     int64              // bytes of them
+	recordHeads   bool               // bodyCompleted heads are kept of what servers get
+	closed        chan struct{}
+	mu            sync.Mutex
+	behaviors     map[string][]string // readDeadline address, or for any: what servers do one time after the other; the last stays
+	received      []string            // requests at servers: address and head
+	dialed        []string
+	dialDelay     time.Duration          // that opening a connection takes
+	closedConns   int                    // connections that ended at a server's end
+	listUpdates   map[string]chan string // discovery, by address: changes to tell
+	watchLog      []string               // address and question of each watch, and its end
+	cancel        context.CancelFunc
+	brokenBefore  int // invariants, before
+	serveResult   chan error
+}
+
+func (env *testEnv) Accept() (net.Conn, error) {
+	select {
+	case <-env.closed: // whoever waits then
+		return nil, net.ErrClosed
+	default:
+	}
+	select {
+	case c := <-env.platformConns:
+		return c, nil
+	case <-env.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (env *testEnv) Close() error { close(env.closed); return nil }
+
+func (env *testEnv) Addr() net.Addr { return &net.TCPAddr{} }
+
+func listEntry(id string, state balance.EndpointState, started float64) discovery.Entry {
+	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}},
+		Addr: id}
+}
+
+// startEnv serves with a proxy whose servers are named by, and listen at, their ids.
+func startEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
+	env := newEnv(t, behaviors, set)
+	env.start()
+	return env
+}
+
+// newEnv makes such a proxy, which does not serve yet.
+func newEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
+	l := BootstrapConfig{Name: "n0", Discovery: "agent", Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: 264},
+		Settings: Settings{ConnectTimeout: 0.075, DrainGrace: 2.5, Deployment: balance.Deployment{ServerIdleTimeout: 5,
+			Seed: 1, Proxies: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1, SlowStartFraction: 1, SlowStartDuration: 1, CrashFactor: 3, CrashDuration: 1,
+			Classes: []balance.Class{
+				{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1},
+				{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: 0.3, LatencyObjective: 0.2,
+					Deadline: 0.5, PriorityWeight: 5},
+				{Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 0.3, Deadline: 1.2, PriorityWeight: 2}}}},
+		Known: List{Version: 1, Full: true}}
+	for _, id := range []string{"b1", "b2", "b3"} {
+		if behaviors[id] != nil {
+			l.Known.Entries = append(l.Known.Entries, listEntry(id, balance.Ready, 0))
+		}
+	}
+	if set != nil {
+		set(&l)
+	}
+	log, _ := test.NewNullLogger()
+	p, err := New(l, log)
+	assert.NoError(t, err)
+	env := &testEnv{Proxy: p, t: t, platformConns: make(chan net.Conn, 100), closed: make(chan struct{}),
+		behaviors: behaviors,
+		listUpdates: map[string]chan string{"agent": make(chan string, 10),
+			"agent2": make(chan string, 10)}, serveResult: make(chan error, 1), brokenBefore: brokenInvariants()}
+	p.Dial = env.dialServer
+	return env
+}
+
+func (env *testEnv) start() {
+	ctx, stop := context.WithCancel(context.Background())
+	env.cancel = stop
+	go func() { env.serveResult <- env.Serve(ctx, env) }()
+	synctest.Wait()
+}
+
+// stopAndWait stops the proxy, waits until all of it has ended, and checks that no invariant was broken.
+func (env *testEnv) stopAndWait() {
+	env.cancel()
+	assert.NoError(env.t, <-env.serveResult)
+	time.Sleep(time.Minute)
+	synctest.Wait()
+	assert.Equal(env.t, env.brokenBefore, brokenInvariants(), "invariants")
+}
+
+// brokenInvariants is how many invariants were broken so far.
+func brokenInvariants() int {
+	n := 0
+	for _, times := range invariant.Broken() {
+		n += times
+	}
+	return n
+}
+
+// dialServer is how the proxy reaches discovery and servers.
+func (env *testEnv) dialServer(ctx context.Context, addr string) (net.Conn, error) {
+	ours, theirs := net.Pipe()
+	if changes := env.listUpdates[addr]; changes != nil {
+		go env.runDiscovery(addr, theirs, changes)
+		return ours, nil
+	}
+	time.Sleep(env.dialDelay)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.dialed = append(env.dialed, addr)
+	if env.nextBehavior(addr, refuseConnection) == refuseConnection {
+		return nil, errors.New("refused")
+	}
+	go env.runServer(addr, theirs)
+	return ours, nil
+}
+
+// runDiscovery answers one watch with the changes of the list.
+func (env *testEnv) runDiscovery(addr string, end net.Conn, changes chan string) {
+	r := http1.NewReader(end)
+	h, _ := r.Request()
+	_, from, _ := strings.Cut(string(h.Target), "index=")
+	env.mu.Lock()
+	env.watchLog = append(env.watchLog, addr+" from "+from)
+	env.mu.Unlock()
+	over := make(chan struct{})
+	go func() {
+		r.Wait()
+		env.mu.Lock()
+		env.watchLog = append(env.watchLog, addr+" ended")
+		env.mu.Unlock()
+		close(over)
+	}()
+	write(end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	for line := "\n"; ; {
+		if _, err := fmt.Fprintf(end, "%x\r\n%s\r\n", len(line), line); err != nil {
+			return
+		}
+		select {
+		case line = <-changes:
+			line += "\n"
+		case <-over:
+			return
+		case <-time.After(2 * time.Second):
+			line = "\n"
+		}
+	}
+}
+
+// nextBehavior is what a server does now. Refusing a connection is used up when one is opened, all else later.
+func (env *testEnv) nextBehavior(addr string, only string) string {
+	if env.behaviors["any"] != nil {
+		addr = "any"
+	}
+	behaviors := env.behaviors[addr]
+	if len(behaviors) > 1 && (only == "" || behaviors[0] == only) {
+		env.behaviors[addr] = behaviors[1:]
+	}
+	return behaviors[0]
+}
+
+// runServer serves one connection to a server.
+func (env *testEnv) runServer(addr string, end net.Conn) {
+	defer func() {
+		end.Close()
+		env.mu.Lock()
+		env.closedConns++
+		env.mu.Unlock()
+	}()
+	r := http1.NewReader(end)
+	r.AnyBodySize = env.streamBodies
+	for {
+		h, err := r.Request()
+		if err != nil {
+			return
+		}
+		head := addr + " " + string(h.Method) + " " + string(h.Target) + " "
+		for _, name := range []string{"X-Trace-Id", "Idempotency-Key", "X-Expires-In"} {
+			head += string(h.Get(name)) + " "
+		}
+		for i := 0; env.recordHeads && i < len(h.Fields); i++ {
+			head += "\n" + string(h.Fields[i].Name) + ": " + string(h.Fields[i].Value)
+		}
+		var body []byte
+		if !env.streamBodies {
+			if body, err = r.Body(h.Length, h.Chunked); err != nil {
+				return
+			}
+		}
+		env.mu.Lock()
+		env.received = append(env.received, head+string(body))
+		behavior := env.nextBehavior(addr, "")
+		env.mu.Unlock()
+		if env.streamBodies && behavior != earlyResponse {
+			var body io.Reader = r.StreamBody(h.Length, h.Chunked)
+			if behavior == cutInBody {
+				body = io.LimitReader(body, 100_000)
+			}
+			n, err := io.Copy(io.Discard, body)
+			env.mu.Lock()
+			env.bodyBytes += n
+			env.mu.Unlock()
+			if err != nil || behavior == cutInBody {
+				return
+			}
+		}
+		if env.respond != nil {
+			env.respond(end)
+			continue
+		}
+		switch behavior {
+		case cutConnection:
+			return
+		case cutAfterDelay:
+			time.Sleep(230 * time.Millisecond)
+			return
+		case noResponse:
+			r.Wait()
+			return
+		}
+		write(end, behavior)
+	}
+}
+
+// connect opens a client connection to the proxy.
+func (env *testEnv) connect() net.Conn {
+	ours, theirs := net.Pipe()
+	env.platformConns <- theirs
+	return ours
+}
+
+// readResponse reads a response: its status, whole head and body.
+func readResponse(c net.Conn) (int, *http1.Head, string, error) {
+	r := http1.NewReader(c)
+	h, err := r.Response()
+	if err != nil {
+		return 0, nil, "", err
+	}
+	status, copied := h.Status, *h
+	copied.Fields = nil
+	for _, f := range h.Fields {
+		copied.Fields = append(copied.Fields, http1.Field{Name: []byte(string(f.Name)), Value: []byte(string(f.Value))})
+	}
+	r.SetMaxBytes(1 << 20)
+	body, err := r.Body(h.Length, h.Chunked)
+	return status, &copied, string(body), err
+}
+
+// roundTrip sends a request on a connection of its own and reads the response.
+func (env *testEnv) roundTrip(request string) (int, *http1.Head, string, error) {
+	c := env.connect()
+	go write(c, request)
+	status, h, body, err := readResponse(c)
+	synctest.Wait()
+	c.Close()
+	return status, h, body, err
+}
+
+// Requests of the three classes: idempotent, keyed and not idempotent.
+const (
+	lookRequest = "GET /look?user=7 HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Qos: look\r\nX-Expires-In: 0.5\r\n\r\n"
+	signRequest = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\nIdempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc"
+	smsRequest  = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
+)
+
+// updateList has discovery send a change, and waits until it is applied.
+func (env *testEnv) updateList(line string) {
+	env.listUpdates["agent"] <- line
+	synctest.Wait()
+}
+
+func listChange(version int, id, state string, started int) string {
+	return fmt.Sprintf(`{"version":%d,"full":false,"servers":[{"id":%q,"addr":%q,"state":%q,"started_ms":%d}]}`,
+		version, id, id+":1", state, started)
+}
+
+// requestsByServer counts the requests that each server has received since the last call.
+func (env *testEnv) requestsByServer() map[string]int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	n := map[string]int{}
+	for _, g := range env.received {
+		n[g[:2]]++
+	}
+	env.received = nil
+	return n
+}
+
+func (env *testEnv) sendRequests(n int) {
+	for i := range n {
+		env.roundTrip(strings.Replace(lookRequest, "t1", "a"+string(rune('a'+i%26))+string(rune('a'+i/26)), 1))
+	}
+}
+
+func (env *testEnv) serverStatuses() []balance.ServerStatus {
+	got := make(chan []balance.ServerStatus)
+	env.post(func() { got <- env.pools.platform.decisions.ServerStatuses(env.now()) })
+	return <-got
+}
+
+func (env *testEnv) adminCall(act admin.Action, id string) int {
+	status, _ := env.Administer(admin.Call{Action: act, ID: id})
+	synctest.Wait()
+	return status
+}
+
+// write writes to a connection. Where the other side has closed it, that shows in what the test reads next.
+func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
--- /dev/null
+++ b/proxy/estimates_test.go
@@ -0,0 +1,86 @@
+package proxy
+
+import (
+	"net"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/assignment"
+	"lockloom/internal/admin"
+	"lockloom/internal/config"
+)
+
+// Estimates are reported as they change: draining, disabled and removed servers at once, pauses by own requests and by
+// reported outcomes; and nothing gathers where nobody observes.
+func TestEstimatesAreReported(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "w1:80": {okResponse}}, nil)
+		env.operatorConns = make(chan net.Conn, 100)
+		s, faults := config.Read("f.toml",
+			[]byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
+				"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
+		require.Empty(t, faults)
+		require.NoError(t, env.Configure(s, operatorListener{env}))
+		var mu sync.Mutex
+		var lastPools map[string]assignment.Observation
+		var removedSoFar []string
+		env.OnEstimates(func(_ float64, pools map[string]assignment.Observation) {
+			mu.Lock()
+			defer mu.Unlock()
+			lastPools, removedSoFar = pools, append(removedSoFar, pools["all"].Removed...)
+		})
+		env.start()
+		now := func(pool string) (assignment.Observation, []string) {
+			synctest.Wait()
+			mu.Lock()
+			defer mu.Unlock()
+			return lastPools[pool], removedSoFar
+		}
+		of := func(pool, id string) *assignment.ServerEstimate {
+			s, _ := now(pool)
+			i := slices.IndexFunc(s.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
+			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, s)
+			return &s.Servers[i]
+		}
+		assert.Equal(t, "b1", of("all", "b1").Addr)
+		assert.Equal(t, "w1:80", of("own", "own/w1:80").Addr)
+		env.OutcomesReported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
+		env.OutcomesReported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
+		env.OutcomesReported("none", map[string][2]int{"b1": {0, 90}})
+		time.Sleep(2 * estimateInterval)
+		assert.True(t, of("all", "b2").Paused && !of("all", "b1").Paused && of("own", "own/w1:80").Paused)
+		assert.Less(t, of("all", "b2").Payoff, of("all", "b1").Payoff)
+		time.Sleep(10 * time.Second)
+		assert.True(t, of("all", "b2").Trial, "cooled down")
+		for range 20 {
+			env.operatorRoundTrip(plainRequest("GET", "/", ""))
+		}
+		time.Sleep(estimateInterval)
+		observation, _ := now("all")
+		assert.Greater(t, observation.Rate, 0.0)
+		env.updateList(listChange(2, "b1", "leaving", 0))
+		assert.True(t, of("all", "b1").Draining, "at once")
+		env.updateList(listChange(3, "b1", "left", 0))
+		observation, removed := now("all")
+		assert.Equal(t, []string{"b1"}, removed)
+		assert.Len(t, observation.Servers, 1)
+		assert.Equal(t, 200, env.adminCall(admin.Disable, "own/w1:80"))
+		assert.True(t, of("own", "own/w1:80").Draining, "at once")
+		time.Sleep(estimateInterval)
+		_, removed = now("all")
+		assert.Equal(t, []string{"b1"}, removed, "told once")
+		env.stopAndWait()
+	})
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
+		env.updateList(listChange(2, "b1", "left", 0))
+		env.stopAndWait()
+		assert.Empty(t, env.closedConns, "nothing gathers")
+	})
+}
--- /dev/null
+++ b/proxy/gossip_test.go
@@ -0,0 +1,95 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/balance"
+	"lockloom/internal/bootstrap"
+	"lockloom/internal/config"
+)
+
+// newFleetMember makes a proxy of a fleet of two, as sidecars of their clients; gossip goes by loopback sockets.
+func newFleetMember(t *testing.T, number int, listenAddr, peerAddr string, behaviors map[string][]string) *testEnv {
+	return newEnv(t, behaviors, func(l *BootstrapConfig) {
+		l.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
+		l.Proxies, l.Self, l.Sidecar, l.Gossip, l.HealthChecks = 2, number, true, true, true
+		l.GossipCost, l.HealthCheckCost, l.MaxAttempts = 0.001, 0.001, 1
+	})
+}
+
+// What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by health
+// checks, and a report of unknown fields says nothing and harms nothing.
+func TestGossipSharesServerFailures(t *testing.T) {
+	plays := map[string][]string{"b1": {strings.Replace(okResponse, "X-From",
+		"x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
+		"b2": {strings.Replace(faultResponse, "Content", "X-Load: novel:1\r\nContent", 1)}}
+	var addrs []string
+	for range 2 {
+		c, err := net.ListenPacket("udp", "127.0.0.1:0")
+		require.NoError(t, err)
+		defer c.Close()
+		addrs = append(addrs, c.LocalAddr().String())
+		c.Close()
+	}
+	busy, quiet := newFleetMember(t, 0, addrs[0], addrs[1], plays), newFleetMember(t, 1, addrs[1], addrs[0], plays)
+	ctx, stop := context.WithCancel(context.Background())
+	for _, env := range []*testEnv{busy, quiet} {
+		go func() { env.serveResult <- env.Serve(ctx, env) }()
+	}
+	before := quiet.serverStatuses()
+	assert.Equal(t, before[0].Payoff, before[1].Payoff, "nothing is known yet")
+	for i := range 60 {
+		c := busy.connect()
+		go write(c, strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
+		_, _, _, err := readResponse(c)
+		require.NoError(t, err)
+		c.Close()
+	}
+	assert.Eventually(t, func() bool {
+		b := quiet.serverStatuses()
+		return b[1].Payoff < b[0].Payoff-0.05
+	}, 5*time.Second, time.Millisecond)
+	hook := test.NewLocal(quiet.log.(*logrus.Entry).Logger)
+	other := quiet.bootstrap
+	other.Fleet.Listen = "127.0.0.1:1"
+	quiet.ReloadBootstrap(other)
+	quiet.serverStatuses()
+	require.NotEmpty(t, hook.AllEntries())
+	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "what is told anew of them counts from the next start")
+	stop()
+	for i, env := range []*testEnv{busy, quiet} {
+		assert.NoError(t, <-env.serveResult)
+		c, err := net.ListenPacket("udp", addrs[i])
+		require.NoError(t, err, "its address is free again")
+		c.Close()
+	}
+	got := strings.Join(busy.received, "\n")
+	for _, asked := range []string{"b1 GET /load", "b2 GET /load", "b2 GET /look"} {
+		assert.Contains(t, got, asked)
+	}
+	assert.NotContains(t, strings.Join(quiet.received, "\n"), "/look")
+	assert.Equal(t, busy.brokenBefore, brokenInvariants(), "invariants")
+}
+
+// A message numbers the platform's classes; one of an operator's pool would be taken for those.
+func TestOperatorPoolsSendNoGossip(t *testing.T) {
+	env := newFleetMember(t, 0, "", "", nil)
+	s, faults := config.Read("f.toml", []byte(operatorFile))
+	require.Empty(t, faults)
+	o, err := env.buildRouting(s, nil)
+	require.NoError(t, err)
+	for b, tells := range map[Decisions]bool{env.pools.platform.decisions: true, o.pools["first"].decisions: false} {
+		_, orders := b.RequestArrived(env.now(), balance.RequestInfo{Deadline: env.now() + 1}, "")
+		assert.Equal(t, tells, orders.Gossip != nil)
+	}
+}
--- a/proxy/doors_bench_test.go
+++ b/proxy/listeners_bench_test.go
@@ -21,13 +21,14 @@
 	"lockloom/internal/http1"
 )
 
-// BenchmarkDoors tells the processor time of a request on kept connections by both doors, and of a request through a
-// plain reverse proxy of the standard library, in one process and so with the same clients and servers, whose part is
-// measured apart; and the same of an answer of largeAnswer bytes, which flows.
-func BenchmarkDoors(b *testing.B) {
+// BenchmarkListeners measures the processor time of a request on kept connections to the platform's and the operator's
+// listener, and of one through a plain reverse proxy of the standard library, in one process and so with the same
+// clients and servers, whose part is measured apart; and the same of a streamed response of largeResponse bytes.
+func BenchmarkListeners(b *testing.B) {
 	server := benchServer(b)
 	class := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
-	setup, faults := config.Read("bench", []byte(class+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
+	setup, faults := config.Read("bench",
+		[]byte(class+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
 	require.Empty(b, faults)
 	text := `{"seed":"1","limits":{"cores":1,"memory_mb":256,"sockets":4096},"known":{"version":1,"full":true,"servers":[
 		{"id":"s","addr":"` + server + `","zone":"a","kind":"k","cell":0,"state":"active","started_ms":0}]},
@@ -51,7 +52,8 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 100}})
 	time.Sleep(2 * firstListTimeout)
 	fields := "X-Trace-Id: %d\r\nX-Qos: page\r\nX-Expires-In: 4\r\n"
-	ways := []struct{ name, addr, fields, path string }{{"no-proxy", server, "", "/page"}, {"platform", platform.Addr().String(), fields, "/page"},
+	ways := []struct{ name, addr, fields, path string }{{"no-proxy", server, "", "/page"},
+		{"platform", platform.Addr().String(), fields, "/page"},
 		{"ordinary", ordinary.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
 	for _, way := range ways[:len(ways):len(ways)] {
 		way.name, way.path = way.name+"-large", "/page?large"
@@ -77,13 +79,14 @@
 						if way.fields != "" {
 							own = fmt.Sprintf(way.fields, k*1_000_000_000+i)
 						}
-						io.WriteString(nc, "GET "+way.path+" HTTP/1.1\r\nHost: x\r\n"+own+"\r\n")
+						write(nc, "GET "+way.path+" HTTP/1.1\r\nHost: x\r\n"+own+"\r\n")
 						h, err := r.Response()
 						if err != nil || h.Status != 200 {
 							b.Error(err, h)
 							return
 						}
-						if n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked)); err != nil || way.path == "/page?large" && n != largeAnswer {
+						if n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked)); err != nil || way.path == "/page?large" &&
+							n != largeAnswer {
 							b.Error(n, err)
 							return
 						}
@@ -105,7 +108,7 @@
 
 const largeAnswer = 8 << 20 // bytes
 
-// benchServer answers at once, at /page?large with many bytes.
+// benchServer responds at once, at /page?large with many bytes.
 func benchServer(b *testing.B) string {
 	ln := benchListen(b)
 	large := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", largeAnswer)
@@ -124,7 +127,7 @@
 					if err != nil {
 						return
 					}
-					whole := []byte(ok)
+					whole := []byte(okResponse)
 					if string(h.Target) == "/page?large" {
 						whole = large
 					}
@@ -137,7 +140,7 @@
 	return ln.Addr().String()
 }
 
-// processor is the time that this process has used.
+// processor is the processor time that this process has used.
 func processor() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- /dev/null
+++ b/proxy/operatorconfig_test.go
@@ -0,0 +1,81 @@
+package proxy
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/internal/config"
+)
+
+// A reload of the operator file applies all of it or nothing; what is in flight ends where it is, and what is unchanged
+// keeps what it knows.
+func TestReloadConfig(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"b1:80": {noResponse}, "b2:80": {noResponse}, "b3:80": {noResponse},
+			"c1:80": {okResponse}, "f1:80": {faultResponse}, "n1:80": {okResponse}})
+		reload := func(change ...string) error {
+			s, faults := config.Read("f.toml", []byte(strings.NewReplacer(change...).Replace(operatorFile)))
+			require.Empty(t, faults)
+			return env.ReloadConfig(s)
+		}
+		sent := func(request string) string {
+			env.received = nil
+			text := env.operatorRoundTrip(request)
+			for _, line := range env.received {
+				text += " at " + line[:2]
+			}
+			return text
+		}
+		limited := plainRequest("GET", "/limited", "")
+		for range 2 {
+			assert.Equal(t, "200 body at c1", sent(limited))
+		}
+		ours, theirs := net.Pipe() // in hand at the first pool
+		env.operatorConns <- theirs
+		go write(ours, plainRequest("GET", "/a", "X-Expires-In: 0.5\r\n"))
+		synctest.Wait()
+		pools, staticServers := len(env.pools.all), len(env.endpoints.static)
+
+		first := `servers = ["b1:80", "b2:80", "b3:80"]`
+		require.NoError(t, reload(first, `servers = ["n1:80"]`))
+		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/a", "")), "the pool has other servers now")
+		assert.Equal(t, "429 over a limit", sent(limited), "limits that are as they were keep their counts")
+		status, _, _, err := readResponse(ours)
+		assert.Equal(t, []any{503, nil}, []any{status, err}, "what was in hand has its own end")
+		ours.Close()
+		synctest.Wait()
+		assert.Equal(t, []int{pools, staticServers - 2}, []int{len(env.pools.all), len(env.endpoints.static)},
+			"the old pool has gone with it")
+
+		assert.ErrorContains(t, reload("hard_stop = 0.8", "hard_stop = 60.0"), "longer than 1.2s counts from the next start")
+		assert.ErrorContains(t, reload("[[pool]]\nname = \"first\"",
+			"[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\nname = \"first\""), "listeners change")
+		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/a", "")), "refused, it changes nothing")
+
+		for range 7 {
+			sent(plainRequest("GET", "/frail", ""))
+		}
+		require.NoError(t, reload(first, `servers = ["n1:80"]`, `prefix = "/none"`, ""))
+		assert.Equal(t, "503 dismissed", sent(plainRequest("GET", "/frail", "")),
+			"a pool that is as it was still knows whom it paused")
+		require.NoError(t, reload(first, `servers = ["n1:80"]`, "under = \"/other\"", "under = \"/moved-on\""))
+		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/other", "")), "the route is another's now")
+		assert.Equal(t, "200 body at c1", sent(plainRequest("GET", "/moved-on", "")))
+		require.NoError(t, reload(first, `servers = ["n1:80"]`, "due = 0.3", "due = 0.2"))
+		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/a", "")), "other tariffs, other pools")
+		assert.Len(t, env.pools.all, pools)
+		env.stopAndWait()
+	})
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		s, _ := config.Read("f.toml", []byte(operatorFile))
+		assert.ErrorContains(t, env.ReloadConfig(s), "started without an operator file")
+		env.stopAndWait()
+		assert.ErrorContains(t, env.ReloadConfig(s), "has ended")
+	})
+}
--- /dev/null
+++ b/proxy/operatorroute_test.go
@@ -0,0 +1,102 @@
+package proxy
+
+import (
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// What a client of the operator's listener is answered, and how often its request is sent, by what the servers do in
+// turn.
+func TestOperatorRequests(t *testing.T) {
+	const missing = "HTTP/1.1 404 x\r\nContent-Length: 4\r\n\r\nnone"
+	const found = "HTTP/1.1 302 x\r\nLocation: /there\r\nContent-Length: 0\r\n\r\n"
+	const broke = "HTTP/1.1 500 x\r\nX-From: b\r\nContent-Length: 5\r\n\r\nsorry"
+	const nothing = "HTTP/1.1 204 x\r\n\r\n"
+	post := "Content-Length: 3\r\n\r\nabc"
+	for name, c := range map[string]struct {
+		request, play, field, want string
+		sent                       int
+	}{
+		"page":                    {plainRequest("GET", "/a", ""), okResponse, "X-From", "200 b body", 1},
+		"page, cut":               {plainRequest("GET", "/a", ""), cutConnection, "", "200 body", 2},
+		"page, error":             {plainRequest("GET", "/a", ""), faultResponse, "", "200 body", 2},
+		"not there":               {plainRequest("GET", "/a", ""), missing, "", "404 none", 1},
+		"elsewhere":               {plainRequest("GET", "/a", ""), found, "Location", "302 /there", 1},
+		"nothing to say":          {plainRequest("GET", "/a", ""), nothing, "Content-Length", "204", 1},
+		"post, cut: may have run": {plainRequest("POST", "/a", post), cutConnection, "", "502 forfeited", 1},
+		"post, error":             {plainRequest("POST", "/a", post), broke, "X-From", "500 b sorry", 1},
+		"post, its own 503":       {plainRequest("POST", "/a", post), own503Response, "", "502", 1},
+		"other, error":            {plainRequest("GET", "/other", ""), broke, "", "500 sorry", 1},
+		"post, never ran":         {plainRequest("POST", "/a", post), neverRanResponse, "", "200 body", 2},
+		"post, no connection":     {plainRequest("POST", "/a", post), refuseConnection, "", "200 body", 1},
+		"marked, where no server knows it": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
+			"502 forfeited", 1},
+		"marked, where servers know it": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
+			"", "200 body", 2},
+		"a method that nobody knows": {plainRequest("BREW", "/a", post), cutConnection, "", "502 forfeited", 1},
+		"moved": {plainRequest("GET", "/moved/x?y", ""), okResponse, "Location",
+			"308 https://example.org/moved/x?y", 0},
+		"fixed": {plainRequest("GET", "/robots.txt", ""), okResponse, "Content-Type",
+			"200 text/plain none", 0},
+		"climbs": {plainRequest("GET", "/../a", ""), okResponse, "",
+			`400 400: path "/../a": it climbs above its root`, 0},
+		"another host": {plainRequest("GET", "http://other.org/a", ""), okResponse, "",
+			"400 400: the target is for another host than Host", 0},
+		"the same host": {plainRequest("GET", "http://EXAMPLE.org:80/a", ""), okResponse, "",
+			"200 body", 1},
+		"no host": {"GET /a HTTP/1.1\r\n\r\n", okResponse, "", "400 400: no Host", 0},
+		"no name of a host": {"GET /a HTTP/1.1\r\nHost: a/b@c\r\n\r\n", okResponse, "",
+			"400 400: malformed Host", 0},
+		"two hosts": {plainRequest("GET", "/a", "Host: x\r\n"), okResponse, "",
+			"400 400: Host twice", 0},
+		"two framings": {plainRequest("POST", "/a",
+			"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n"), okResponse, "", "400 400: a length with chunks", 0},
+		"a tunnel": {plainRequest("CONNECT", "example.org:80", ""), okResponse, "",
+			"501 501: method not served", 0},
+		"its client's own patience": {plainRequest("GET", "/a", "X-Expires-In: 0.1\r\n"), noResponse, "",
+			"503 dismissed", 1},
+		"silent: the tariff's hard stop":     {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
+		"a second server is out of the pool": {plainRequest("GET", "/other", ""), cutConnection, "", "503 dismissed", 1},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startOperatorEnv(t, map[string][]string{"any": {c.play, okResponse}})
+			began := time.Now()
+			var fields []string
+			if c.field != "" {
+				fields = []string{c.field}
+			}
+			assert.Equal(t, c.want, env.operatorRoundTrip(c.request, fields...), name)
+			assert.Less(t, time.Since(began), 800*time.Millisecond, name)
+			assert.Len(t, env.received, c.sent, name)
+			env.stopAndWait()
+		})
+	}
+}
+
+// The path goes on as it was matched, and the client's fields but for those that this proxy sets.
+func TestOperatorRequestsAreForwarded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		env.recordHeads = true
+		env.operatorRoundTrip(plainRequest("GET", "/sign/%61/../b?c=/../d",
+			"X-Forwarded-For: 1.2.3.4\r\nForwarded: for=1.2.3.4\r\nVia: 1.0 x\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Trace-Id: mine\r\nCookie: c\r\n"))
+		head := strings.Join(env.received, "")
+		for _, part := range []string{"GET /v2/b?c=/../d", "Host: example.org", "X-Forwarded-For: 1.2.3.4, pipe",
+			"X-Forwarded-Proto: http",
+			"X-Forwarded-Host: example.org", `Forwarded: for=1.2.3.4, for="pipe";host="example.org";proto=http`, "Via: 1.0 x, 1.1 lockloom", "X-Trace-Id: mine", "Cookie: c", "X-Expires-In: 0.8"} {
+			assert.Contains(t, head, part)
+		}
+		assert.NotContains(t, head, "X-Hop")
+		env.stopAndWait()
+	})
+}
+
+func TestForwardedElement(t *testing.T) {
+	assert.Equal(t, `for="127.0.0.1";host="a:80";proto=http`, string(forwardedElement("127.0.0.1", "a:80")))
+	assert.Equal(t, `for="[::1]";proto=http`, string(forwardedElement("::1", "")))
+	assert.Equal(t, `for="x";host="a\";for=\\b";proto=http`, string(forwardedElement("x", `a";for=\b`)))
+}
--- /dev/null
+++ b/proxy/outcome_test.go
@@ -0,0 +1,166 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/balance"
+	"lockloom/internal/upstream"
+)
+
+// What a client is answered, and how often its request is sent, by what the first server reached does; the other one
+// succeeds.
+func TestFirstOutcomeDecidesRetryAndResponse(t *testing.T) {
+	for _, c := range []struct {
+		name, request, play string
+		status, sent        int
+	}{
+		{"honoured", lookRequest, okResponse, 200, 1},
+		{"replayable, cut", lookRequest, cutConnection, 200, 2},
+		{"replayable, error", lookRequest, faultResponse, 200, 2},
+		{"replayable, turned away", lookRequest, neverRanResponse, 200, 2},
+		{"replayable, no answer", lookRequest, noResponse, 503, 1},
+		{"replayable, found at fault", lookRequest, invalidRequestResponse, 400, 1},
+		{"single-use, honoured", smsRequest, okResponse, 200, 1},
+		{"single-use, turned away", smsRequest, neverRanResponse, 200, 2},
+		{"single-use, no connection", smsRequest, refuseConnection, 200, 1},
+		{"single-use, cut", smsRequest, cutConnection, 502, 1},
+		{"single-use, error", smsRequest, faultResponse, 502, 1},
+		{"single-use, a backend's own 503", smsRequest, own503Response, 502, 1}, // danger: passed on it would be a dismissal
+		{"single-use, no answer", smsRequest, noResponse, 502, 1},
+		{"referenced, cut", signRequest, cutConnection, 200, 2},
+		{"referenced, no answer", signRequest, noResponse, 502, 1},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
+			env.behaviors["any"] = []string{c.play, okResponse}
+			began := time.Now()
+			status, h, body, err := env.roundTrip(c.request)
+			assert.NoError(t, err, c.name)
+			assert.Equal(t, c.status, status, c.name)
+			assert.Len(t, env.received, c.sent, c.name)
+			assert.Less(t, time.Since(began), 500*time.Millisecond, c.name)
+			if status == 200 {
+				assert.Equal(t, "body", body, c.name)
+				assert.Equal(t, "b", string(h.Get("X-From")), c.name)
+			}
+			assert.Equal(t, status == 503, h.Get("Retry-After") != nil, c.name)
+			env.stopAndWait()
+		})
+	}
+}
+
+func TestRejectedWithoutAvailableServer(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		plays map[string][]string
+		set   func(*BootstrapConfig)
+	}{
+		{"none listed", nil, nil},
+		{"all refuse", map[string][]string{"b1": {refuseConnection}, "b2": {refuseConnection}}, nil},
+		{"none cold may be sent to", map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) {
+			l.SlowStartDuration, l.SlowStartFraction = 1e9, 0
+			l.Known.Entries[0].StartedAt = float64(time.Now().Unix())
+		}},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, c.plays, c.set)
+			status, _, _, err := env.roundTrip(smsRequest)
+			assert.NoError(t, err, c.name)
+			assert.Equal(t, 503, status, c.name)
+			assert.Empty(t, env.received, c.name)
+			env.stopAndWait()
+		})
+	}
+}
+
+// recordingHandle keeps the latency of an attempt that ends.
+type recordingHandle struct {
+	RequestHandle
+	latency float64
+}
+
+func (h *recordingHandle) AttemptEnded(_ float64, _ int, _ balance.Outcome, latency float64, _ bool) *balance.Actions {
+	h.latency = latency
+	return &balance.Actions{}
+}
+
+func (h *recordingHandle) Done() bool { return false }
+
+// Where this core is behind, its servers must not look slow: their limits and payoffs would fall.
+func TestServersAreNotBlamedForThisCore(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		ordered, sent, came time.Duration // ago
+		want                float64       // s
+		slack               bool
+	}{
+		{"prompt", 5 * time.Millisecond, 5 * time.Millisecond, 0, 0.005, false},
+		{"the server is slow", 200 * time.Millisecond, 200 * time.Millisecond, 0, 0.2, false},
+		{"the order waited to be written", 200 * time.Millisecond, 10 * time.Millisecond, 0, 0.01, true},
+		{"the answer waited to be read", 200 * time.Millisecond, 200 * time.Millisecond, 190 * time.Millisecond, 0.01, true},
+		{"the owner was held up", 250 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond, 0.05, true},
+	} {
+		env := newEnv(t, nil, nil)
+		now := time.Now()
+		h := &recordingHandle{}
+		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], handle: h,
+			response: make(chan response, 1)}
+		att := &attempt{sentAt: env.stamp(now.Add(-c.ordered))}
+		req.attempts = []*attempt{att}
+		env.recordOutcome(req, att, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent),
+			EndedAt: now.Add(-c.came)})
+		assert.InDelta(t, c.want, h.latency, 1e-6, c.name)
+		assert.Equal(t, c.slack, env.overload.DelayFactor() > 1.5, c.name)
+		assert.Equal(t, 200, (<-req.response).status)
+	}
+}
+
+// An attempt canceled after its request's response might be sent in between, if the owner is held up there.
+func TestAttemptsAreCanceledBeforeTheResponse(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := newEnv(t, nil, nil)
+		var end net.Conn
+		env.Dial = func(ctx context.Context, addr string) (ours net.Conn, _ error) {
+			ours, end = net.Pipe()
+			return ours, nil
+		}
+		b := env.registry.Endpoint(listEntry("b1", balance.Ready, 0).Entry)
+		env.upstream.SetEndpoint(b.Index, "b1", 0)
+		env.applyEndpointState(b.Index, balance.Ready, env.now(), 0)
+		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], handle: &recordingHandle{},
+			response: make(chan response), deadline: env.now() + 1}
+		env.requests.byRef = append(env.requests.byRef, req)
+		env.startAttempt(req, b.Index, env.now()+1)
+		synctest.Wait()
+		end.Read(make([]byte, 1)) // it is being written: only calling it off stops it
+		go env.decide(env.pools.platform, func(float64) *balance.Actions {
+			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
+		})
+		synctest.Wait() // held up at the answer, which nobody takes
+		_, err := end.Read(make([]byte, 1000))
+		assert.Error(t, err, "called off before anybody hears the answer")
+		<-req.response
+	})
+}
+
+// The time in which a client sends is none of its server's, whenever the response comes.
+func TestLatencyCountsFromLastByte(t *testing.T) {
+	flows := &upstream.Upload{}
+	for _, c := range []struct {
+		l    request
+		want float64
+	}{
+		{request{}, 9},
+		{request{stream: bodyStream{upload: flows, completedAt: 8}}, 2},
+		{request{stream: bodyStream{upload: flows, completedAt: 11}}, 0},
+		{request{stream: bodyStream{upload: flows}}, 0},
+	} {
+		assert.Equal(t, c.want, c.l.latency(1, 10))
+	}
+}
--- /dev/null
+++ b/proxy/readrequest_test.go
@@ -0,0 +1,138 @@
+package proxy
+
+import (
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/assert"
+
+	"lockloom/balance"
+	"lockloom/internal/http1"
+	"lockloom/internal/settings"
+)
+
+func TestInvalidRequests(t *testing.T) {
+	for _, c := range []struct {
+		in     string
+		status int
+	}{
+		{"nonsense\r\n\r\n", 400},
+		{strings.Replace(lookRequest, "X-Qos: look", "X-Qos: sms", 1), 400},
+		{strings.Replace(lookRequest, "X-Qos: look", "X-Qos: none", 1), 400},
+		{strings.Replace(lookRequest, "X-Trace-Id: t1\r\n", "", 1), 400},
+		{strings.Replace(lookRequest, "X-Qos", "X-Trace-Id: t9\r\nX-Qos", 1), 400},
+		{strings.Replace(signRequest, "X-Qos", "Idempotency-Key: k2\r\nX-Qos", 1), 400},
+		{strings.Replace(lookRequest, "X-Qos", "Content-Length: 3\r\nX-Qos", 1) + "abc", 400},
+		{strings.Replace(lookRequest, "0.5", "soon", 1), 400},
+		{strings.Replace(lookRequest, "0.5", "NaN", 1), 400},
+		{strings.Replace(lookRequest, "X-Expires-In: 0.5\r\n", "", 1), 400},
+		{strings.Replace(signRequest, "Idempotency-Key: k\r\n", "", 1), 400},
+		{strings.Replace(smsRequest, "POST", "GET", 1), 400},
+		{strings.Replace(lookRequest, "GET", "PATCH", 1), 501},
+		{strings.Replace(lookRequest, "/look?user=7", "/elsewhere", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "look", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "?user=7", 1), 404},
+		{strings.Replace(strings.Replace(lookRequest, "/look?user=7", "?user=7", 1), "Qos: look", "Qos: none", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "*", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "/", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "http://x", 1), 404},
+		{strings.Replace(lookRequest, "/look?user=7", "http://x?user=7", 1), 404},
+		{chunkedRequest("zz\r\nabc\r\n0\r\n\r\n"), 400},
+		{chunkedRequest("3\r\nabcd\r\n0\r\n\r\n"), 400},
+		{chunkedRequest("-1\r\nabc\r\n0\r\n\r\n"), 400},
+		{"GET /elsewhere HTTP/1.1\r\n\r\n", 404},
+		{strings.Replace(smsRequest, "Content-Length: 3", "Content-Length: 70000000", 1), 413},
+		{strings.Replace(lookRequest, "t1", strings.Repeat("x", http1.DefaultMaxBytes), 1), 431},
+		{smsRequest[:len(smsRequest)-1], 408},
+		{lookRequest[:30], 408},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+			status, h, _, err := env.roundTrip(c.in)
+			assert.NoError(t, err, c.in)
+			assert.Equal(t, c.status, status, c.in)
+			assert.True(t, h.Close, c.in)
+			assert.Empty(t, env.received, c.in)
+			status, _, _, err = env.roundTrip(lookRequest)
+			assert.NoError(t, err)
+			assert.Equal(t, 200, status, "serves on")
+			env.stopAndWait()
+		})
+	}
+}
+
+// A panic over what a client sends would cost all requests.
+func FuzzArrival(f *testing.F) {
+	for _, request := range []string{lookRequest, signRequest, smsRequest, "GET ?x HTTP/1.1\r\nX-Qos: none\r\n\r\n"} {
+		f.Add([]byte(request))
+	}
+	log, _ := test.NewNullLogger()
+	p, err := New(BootstrapConfig{Settings: settings.Settings{Deployment: balance.Deployment{
+		Classes: []balance.Class{{Name: "look", Deadline: 1}}}}}, log)
+	assert.NoError(f, err)
+	f.Fuzz(func(t *testing.T, in []byte) {
+		h, err := http1.NewReader(strings.NewReader(string(in))).Request()
+		if err != nil {
+			return
+		}
+		now := time.Now()
+		path, query, _ := strings.Cut(string(h.Target), "?")
+		if a, err := p.parseRequestInfo(h, []byte(path), []byte(query), now); err == nil {
+			assert.LessOrEqual(t, a.Deadline, p.stamp(now)+maxClientWaitSeconds)
+			assert.GreaterOrEqual(t, a.ExpectedWork, 0.0)
+		}
+	})
+}
+
+// Whatever form a target has, the server gets path and query as they were.
+func TestAbsoluteForm(t *testing.T) {
+	for in, want := range map[string]string{"http://x:1/look?user=7": "/look?user=7", "HTTP://x/look": "/look",
+		"/look?u=http://x/": "/look?u=http://x/",
+		"http://x":          "/", "http://x?a=/b": "/?a=/b"} {
+		assert.Equal(t, want, string(originForm([]byte(in))))
+	}
+	synctest.Test(t, func(t *testing.T) {
+		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+		status, _, _, err := env.roundTrip(strings.Replace(lookRequest, "/look?user=7", "http://x/look?user=7", 1))
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+		assert.Contains(t, env.received[0], "GET /look?user=7 ")
+		env.stopAndWait()
+	})
+}
+
+// A request may come in pieces that end anywhere: within a name, a number, between the two bytes of a line's end.
+func TestRequestSplitAnywhere(t *testing.T) {
+	few, flowing := chunkedRequest("1;x=y\r\na\r\n2\r\nbc\r\n0\r\nX-After: all\r\n\r\n"), chunkedRequest(longBodyChunked)
+	body := len(flowing) - len(longBodyChunked)
+	for _, c := range []struct {
+		in       string
+		taken    int64
+		from, to int // where it is cut
+	}{{few, 3, 1, len(few)}, {flowing, int64(len(longBody)), body - 2, body + 20}, {flowing, int64(len(longBody)),
+		body + 10_010, body + 10_040},
+		{flowing, int64(len(longBody)), len(flowing) - 30, len(flowing)}} {
+		synctest.Test(t, func(t *testing.T) {
+			env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+			env.streamBodies = true
+			env.start()
+			for at := c.from; at < c.to; at++ {
+				env.bodyBytes = 0
+				conn := env.connect()
+				go func() {
+					write(conn, c.in[:at])
+					time.Sleep(10 * time.Millisecond)
+					write(conn, c.in[at:])
+				}()
+				status, _, _, err := readResponse(conn)
+				assert.NoError(t, err)
+				assert.Equal(t, []any{200, c.taken}, []any{status, env.bodyBytes}, "cut after %q", c.in[max(at-20, 0):at])
+				conn.Close()
+			}
+			env.stopAndWait()
+		})
+	}
+}
--- /dev/null
+++ b/proxy/requestbody_test.go
@@ -0,0 +1,175 @@
+package proxy
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// chunkedRequest is a request whose body comes in these chunks.
+func chunkedRequest(chunks string) string {
+	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n"+chunks, 1)
+}
+
+// trickle writes so many bytes a second, in pieces that end anywhere.
+func trickle(c net.Conn, text string, pace int) {
+	for len(text) > 0 {
+		n := min(len(text), pace/7)
+		if _, err := io.WriteString(c, text[:n]); err != nil {
+			return
+		}
+		text = text[n:]
+		time.Sleep(time.Second / 7)
+	}
+}
+
+// longBody is 320 kB, 5 s at the pace of slow clients; longBodyChunked is the same in chunks with an extension, and
+// with a trailer.
+var longBody, longBodyChunked = func() (string, string) {
+	body, pieces := strings.Repeat("0123456789abcdef", 20_000), strings.Builder{}
+	for at := 0; at < len(body); at += 10_000 {
+		fmt.Fprintf(&pieces, "%X;name=value\r\n%s\r\n", 10_000, body[at:at+10_000])
+	}
+	return body, pieces.String() + "0\r\nX-After: all\r\n\r\n"
+}()
+
+// withBody is a request that announces a body of n bytes; what follows may be shorter.
+func withBody(n int, body string) string {
+	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body,
+		1)
+}
+
+// A client may take 2 s for a head and send a body at 64 kB/s; its time counts from the last byte. A streamed body is
+// no fault of its server, and is not sent twice.
+func TestSlowRequests(t *testing.T) {
+	for _, c := range []struct {
+		name, in string
+		taken    int
+		slowHead bool
+	}{{"told", withBody(len(longBody), longBody), len(longBody), false}, {"in chunks", chunkedRequest(longBodyChunked),
+		len(longBody), false},
+		{"kept", withBody(60_000, longBody[:60_000]), 60_000, true},
+		{"a slow head alone", smsRequest, 3, true}, {"a few chunks", chunkedRequest("1;x\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 3,
+			true}} {
+		for _, first := range []bool{true, false} {
+			synctest.Test(t, func(t *testing.T) {
+				env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+				env.streamBodies = true
+				env.start()
+				conn := env.connect()
+				if !first { // on a connection that was used
+					go write(conn, lookRequest)
+					_, _, _, err := readResponse(conn)
+					assert.NoError(t, err)
+					time.Sleep(time.Second)
+				}
+				env.received, env.bodyBytes = nil, 0
+				go func() {
+					head, rest, _ := strings.Cut(c.in, "\r\n\r\n")
+					if c.slowHead {
+						for i := range 10 {
+							write(conn, head[len(head)*i/10:len(head)*(i+1)/10])
+							time.Sleep(190 * time.Millisecond)
+						}
+					} else {
+						write(conn, head)
+					}
+					trickle(conn, "\r\n\r\n"+rest, 64_000)
+				}()
+				status, _, text, err := readResponse(conn)
+				assert.NoError(t, err, c.name)
+				assert.Equal(t, 200, status, "%s %s", c.name, text)
+				assert.Len(t, env.received, 1)
+				assert.Equal(t, int64(c.taken), env.bodyBytes, c.name)
+				conn.Close()
+				errors := make(chan int, 1)
+				env.post(func() { errors <- env.pools.platform.decisions.ServerStatuses(env.now())[0].Errors })
+				assert.Zero(t, <-errors, "no backend is blamed for a slow client")
+				env.stopAndWait()
+			})
+		}
+	}
+}
+
+// A client that stops within a body would hold a connection here and at a server for as long as it likes.
+func TestUnfinishedBodiesTimeOut(t *testing.T) {
+	for _, c := range []struct {
+		in     string
+		status int
+	}{{withBody(300_000, "abc"), 408}, {withBody(300, "abc"), 408}, {chunkedRequest("100000\r\nabc"),
+		408}, {chunkedRequest("5\r\nabc"), 408},
+		{chunkedRequest(longBodyChunked[:100_000]), 408}, {chunkedRequest(longBodyChunked[:10*10_019] + "zz\r\n"), 400}} {
+		synctest.Test(t, func(t *testing.T) {
+			env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
+			env.streamBodies = true
+			env.start()
+			began, conn := time.Now(), env.connect()
+			go write(conn, c.in)
+			status, _, _, err := readResponse(conn)
+			assert.NoError(t, err)
+			assert.Equal(t, c.status, status)
+			assert.Less(t, time.Since(began), 3*time.Second)
+			conn.Close()
+			env.stopAndWait()
+		})
+	}
+}
+
+// Large bodies are streamed to one server at its pace, and to no other once that has begun.
+func TestStreamedUploads(t *testing.T) {
+	const size = 3_000_000
+	told := fmt.Sprintf("Content-Length: %d\r\n", size)
+	for name, c := range map[string]struct {
+		method, framing, play, want string
+		sent                        int   // requests whose heads reached a server
+		least                       int64 // bytes that reached one
+	}{
+		"told":                          {"POST", told, okResponse, "200 body", 1, size},
+		"in chunks":                     {"POST", "Transfer-Encoding: chunked\r\n", okResponse, "200 body", 1, size},
+		"the first server is not there": {"POST", told, refuseConnection, "200 body", 1, size},
+		"replayable, but not kept: cut": {"GET", told, cutInBody, "503 dismissed", 1, 0},
+		"post: cut in the middle":       {"POST", told, cutInBody, "502 forfeited", 1, 0},
+		"answered before it is read":    {"POST", told, earlyResponse, "400", 1, 0},
+		"its route answers":             {"PUT", told, "moved", "308", 0, 0},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startOperatorEnv(t, map[string][]string{"any": {c.play, okResponse}})
+			env.streamBodies = true
+			target := "/a"
+			if c.play == "moved" {
+				target = "/moved"
+			}
+			ours, theirs := net.Pipe()
+			env.operatorConns <- theirs
+			go func() {
+				write(ours, plainRequest(c.method, target, c.framing))
+				piece := strings.Repeat("x", 10_000)
+				for range size / len(piece) {
+					text := piece
+					if strings.Contains(c.framing, "chunked") {
+						text = fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
+					}
+					if _, err := io.WriteString(ours, text); err != nil {
+						return
+					}
+				}
+				if strings.Contains(c.framing, "chunked") {
+					write(ours, "0\r\n\r\n")
+				}
+			}()
+			status, _, body, err := readResponse(ours)
+			assert.NoError(t, err, name)
+			assert.Equal(t, c.want, strings.TrimSpace(fmt.Sprint(status, " ", body)), name)
+			ours.Close()
+			env.stopAndWait()
+			assert.Len(t, env.received, c.sent, name)
+			assert.GreaterOrEqual(t, env.bodyBytes, c.least, name)
+		})
+	}
+}
--- /dev/null
+++ b/proxy/response_test.go
@@ -0,0 +1,236 @@
+package proxy
+
+import (
+	"io"
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/internal/http1"
+)
+
+// A response may be larger than all memory, and slow on both sides. Its first bytes are passed on as it begins.
+func TestLargeResponsesAreStreamed(t *testing.T) {
+	for _, c := range []struct {
+		name, head, rest string
+		closes           bool
+		pause            time.Duration // after the head
+	}{
+		{"told", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false, 0},
+		{"told, a while after its head", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false,
+			100 * time.Millisecond},
+		{"in chunks, a while after its head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", longBodyChunked,
+			false, 100 * time.Millisecond},
+		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", longBodyChunked, false, 0},
+		{"to its end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", longBody, true, 0},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := newEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1 << 20 })
+			env.respond = func(end net.Conn) {
+				write(end, c.head)
+				time.Sleep(c.pause)
+				trickle(end, c.rest, 64_000)
+				if c.closes {
+					end.Close()
+				}
+			}
+			env.start()
+			conn, began := env.connect(), time.Now()
+			go write(conn, lookRequest)
+			r := http1.NewReader(conn)
+			h, err := r.Response()
+			assert.NoError(t, err)
+			assert.Equal(t, 200, h.Status)
+			assert.Less(t, time.Since(began), c.pause+50*time.Millisecond, "%s: it begins with its first bytes", c.name)
+			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
+			assert.NoError(t, err, c.name)
+			assert.True(t, longBody == string(got), c.name)
+			assert.Greater(t, time.Since(began), 3*time.Second, "past the hard stop")
+			conn.Close()
+			env.stopAndWait()
+		})
+	}
+}
+
+// A response that breaks before it was passed on may be replaced by another attempt's; one that breaks later is shown
+// as broken.
+func TestBrokenLargeResponses(t *testing.T) {
+	head := "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
+	for _, c := range []struct {
+		sent  int
+		whole bool
+	}{{1000, true}, {50_000, false}} {
+		synctest.Test(t, func(t *testing.T) {
+			env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
+			broke := false
+			env.respond = func(end net.Conn) {
+				if broke {
+					write(end, okResponse)
+					return
+				}
+				broke = true
+				write(end, head+strings.Repeat("x", c.sent))
+				end.Close()
+			}
+			env.start()
+			conn := env.connect()
+			go write(conn, lookRequest)
+			r := http1.NewReader(conn)
+			h, err := r.Response()
+			assert.NoError(t, err)
+			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
+			if c.whole {
+				assert.NoError(t, err)
+				assert.Equal(t, "body", string(got))
+			} else {
+				assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
+				assert.Len(t, got, c.sent)
+			}
+			conn.Close()
+			env.stopAndWait()
+		})
+	}
+}
+
+func TestHead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {"HTTP/1.1 200 OK\r\nContent-Length: 700\r\n\r\n"}})
+		ours, theirs := net.Pipe()
+		env.operatorConns <- theirs
+		go write(ours, plainRequest("HEAD", "/a", "")+plainRequest("HEAD", "/robots.txt", ""))
+		buf := make([]byte, 4096)
+		n, _ := io.ReadAtLeast(ours, buf, 100)
+		text := string(buf[:n])
+		assert.Contains(t, text, "Content-Length: 700\r\n\r\nHTTP/1.1 200", "the second answer follows the first one's head")
+		assert.True(t, strings.HasSuffix(text, "Content-Length: 4\r\n\r\n"),
+			"and is a head only, of the answer's length: %q", text)
+		ours.Close()
+		env.stopAndWait()
+	})
+}
+
+// Clients that wait for 100 Continue, clients of HTTP/1.0, and a server whose failure never ends.
+func TestContinueAndHTTP10(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		ours, theirs := net.Pipe()
+		env.operatorConns <- theirs
+		go write(ours, plainRequest("POST", "/a", "Expect: 100-continue\r\nContent-Length: 3\r\n"))
+		buf := make([]byte, 100)
+		n, _ := ours.Read(buf)
+		assert.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", string(buf[:n]))
+		go write(ours, "abc")
+		status, _, body, err := readResponse(ours)
+		assert.Equal(t, []any{200, "body", nil}, []any{status, body, err})
+		ours.Close()
+		old, theirs := net.Pipe() // of HTTP/1.0, without a host; its connection ends with the answer
+		env.operatorConns <- theirs
+		go write(old, "GET /a HTTP/1.0\r\n\r\n")
+		text, err := io.ReadAll(old)
+		assert.NoError(t, err)
+		assert.Contains(t, string(text), "\r\n\r\nbody")
+		env.stopAndWait()
+	})
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		env.respond = func(end net.Conn) {
+			write(end, "HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n")
+			for {
+				if _, err := io.WriteString(end, "3e8\r\n"+strings.Repeat("x", 1000)+"\r\n"); err != nil {
+					return
+				}
+			}
+		}
+		assert.Equal(t, "502 forfeited", env.operatorRoundTrip(plainRequest("POST", "/a", "Content-Length: 0\r\n")))
+		synctest.Wait()
+		assert.Equal(t, 1, env.closedConns, "its connection has ended")
+		env.stopAndWait()
+	})
+}
+
+// Large responses are streamed at the client's pace; one that breaks is shown as broken; one whose client goes ends at
+// its server too.
+func TestStreamedResponses(t *testing.T) {
+	const size = 8_000_000
+	for name, c := range map[string]struct {
+		version         string
+		chunked, breaks bool
+		whole           bool
+	}{
+		"told":                     {"1.1", false, false, true},
+		"in chunks":                {"1.1", true, false, true},
+		"in chunks, to an old one": {"1.0", true, false, true},
+		"told, breaks":             {"1.1", false, true, false},
+		"in chunks, breaks":        {"1.1", true, true, false},
+		"told, breaks, an old one": {"1.0", false, true, false},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+			var written atomic.Int64
+			env.respond = func(end net.Conn) { writeLargeBody(end, size, c.chunked, c.breaks, &written) }
+			ours, theirs := net.Pipe()
+			env.operatorConns <- theirs
+			write(ours, strings.Replace(plainRequest("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
+			time.Sleep(3 * time.Second) // a client that does not read; the deadline is long past
+			assert.Less(t, written.Load(), int64(200_000), "%s: what is not taken is not read", name)
+			r := http1.NewReader(ours)
+			h, err := r.Response()
+			require.NoError(t, err, name)
+			assert.Equal(t, c.chunked && c.version == "1.1", h.Chunked, name)
+			n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked))
+			if c.whole {
+				assert.Equal(t, []any{int64(size), nil}, []any{n, err}, name)
+			} else {
+				assert.Error(t, err, name)
+			}
+			ours.Close()
+			env.stopAndWait()
+			assert.Equal(t, []int{1, 0}, []int{env.counters.Succeeded, env.counters.Failed}, name)
+		})
+	}
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		var written atomic.Int64
+		env.respond = func(end net.Conn) { writeLargeBody(end, 1<<40, true, false, &written) } // an answer without end
+		ours, theirs := net.Pipe()
+		env.operatorConns <- theirs
+		go write(ours, plainRequest("GET", "/a", ""))
+		io.ReadFull(ours, make([]byte, 100_000))
+		ours.Close()
+		synctest.Wait()
+		assert.Equal(t, 1, env.closedConns, "the server's connection has ended")
+		before := written.Load()
+		time.Sleep(time.Minute)
+		assert.Equal(t, before, written.Load())
+		env.stopAndWait()
+	})
+}
+
+// Downloads that their clients take slowly are no load of their servers: others are served beside them.
+func TestStreamedResponsesAreNoLoad(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
+		var written atomic.Int64
+		env.respond = func(end net.Conn) { writeLargeBody(end, 1<<40, false, false, &written) }
+		const downloads = 30 // a server that was never heard is given two attempts
+		var clients []net.Conn
+		for range downloads {
+			ours, theirs := net.Pipe()
+			env.operatorConns <- theirs
+			write(ours, plainRequest("GET", "/a", ""))
+			io.ReadFull(ours, make([]byte, 20_000))
+			clients = append(clients, ours)
+		}
+		assert.Equal(t, downloads, env.counters.Succeeded)
+		for _, c := range clients {
+			c.Close()
+		}
+		env.stopAndWait()
+	})
+}
--- /dev/null
+++ b/proxy/socketenv_test.go
@@ -0,0 +1,124 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus/hooks/test"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"lockloom/balance"
+	"lockloom/internal/http1"
+)
+
+// socketEnv is a proxy on real sockets, between its clients and two servers, which a test can hold up in places.
+type socketEnv struct {
+	*Proxy
+	t              *testing.T
+	listener       net.Listener
+	mu             sync.Mutex
+	dialGate       chan struct{} // connections to servers come up once it is closed
+	respond        func(n int, end net.Conn)
+	received       atomic.Int32 // requests at servers
+	discoveryDials atomic.Int32 // for the list
+	cancel         context.CancelFunc
+}
+
+// startSocketEnv serves; respond is what a server does with the n-th request that any of them receives.
+func startSocketEnv(t *testing.T, respond func(n int, end net.Conn)) *socketEnv {
+	return startSocketEnvWithSockets(t, 1024, respond)
+}
+
+func startSocketEnvWithSockets(t *testing.T, sockets int, respond func(n int, end net.Conn)) *socketEnv {
+	s := &socketEnv{t: t, dialGate: make(chan struct{}), respond: respond}
+	l := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true},
+		Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
+		Settings: Settings{ConnectTimeout: 5, DrainGrace: 2.5, Deployment: balance.Deployment{Proxies: 1, MaxAttempts: 4,
+			CancelAllowed: true, HedgingAllowed: true,
+			Classes: []balance.Class{{Name: "look", LatencyObjective: 4, Deadline: 5, PriorityWeight: 1},
+				{Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 4, Deadline: 5, PriorityWeight: 1}}}}}
+	for _, id := range []string{"b1", "b2"} {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		t.Cleanup(func() { ln.Close() })
+		go func() {
+			for end, err := ln.Accept(); err == nil; end, err = ln.Accept() {
+				go s.runServer(end)
+			}
+		}()
+		e := listEntry(id, balance.Ready, 0)
+		e.Addr = ln.Addr().String()
+		l.Known.Entries = append(l.Known.Entries, e)
+	}
+	log, _ := test.NewNullLogger()
+	p, err := New(l, log)
+	require.NoError(t, err)
+	s.Proxy = p
+	p.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
+		if addr == "agent" {
+			s.discoveryDials.Add(1)
+			<-ctx.Done()
+			return nil, ctx.Err()
+		}
+		s.mu.Lock()
+		open := s.dialGate
+		s.mu.Unlock()
+		<-open
+		return dial(ctx, addr)
+	}
+	s.listener, err = net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	ctx, stop := context.WithCancel(t.Context())
+	s.cancel = stop
+	served := make(chan error, 1)
+	go func() { served <- p.Serve(ctx, s.listener) }()
+	t.Cleanup(func() {
+		stop()
+		assert.NoError(t, <-served)
+	})
+	return s
+}
+
+func (s *socketEnv) runServer(end net.Conn) {
+	defer end.Close()
+	for r := http1.NewReader(end); ; {
+		h, err := r.Request()
+		if err != nil {
+			return
+		}
+		r.Body(h.Length, h.Chunked)
+		s.respond(int(s.received.Add(1)), end)
+	}
+}
+
+func (s *socketEnv) connect() *net.TCPConn {
+	conn, err := net.Dial("tcp", s.listener.Addr().String())
+	require.NoError(s.t, err)
+	s.t.Cleanup(func() { conn.Close() })
+	return conn.(*net.TCPConn)
+}
+
+// blockOwner has the owner do nothing until the function that it returns is called.
+func (s *socketEnv) blockOwner() (letGo func()) {
+	held, on := make(chan bool), make(chan bool)
+	s.post(func() { held <- true; <-on })
+	<-held
+	return func() { close(on) }
+}
+
+// waitForAttempt waits until a client's request is sent to a server, or is to be.
+func (s *socketEnv) waitForAttempt() {
+	require.Eventually(s.t, func() bool {
+		in := make(chan bool, 1)
+		s.post(func() { in <- s.counters.Attempts > 0 })
+		return <-in
+	}, 5*time.Second, time.Millisecond)
+}
+
+var longWaitRequest = strings.Replace(lookRequest, "In: 0.5", "In: 5", 1)
