--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -20,13 +20,17 @@
 		assert.Equal(t, 404, env.adminCall(admin.Disable, "b3"), "never listed")
 		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
 		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
-		for _, told := range []string{listChange(2, "b1", "active", 0), listChange(3, "b1", "leaving", 0),
+		for _, update := range []string{
+			listChange(2, "b1", "active", 0),
+			listChange(3, "b1", "leaving", 0),
 			listChange(4, "b1", "left", 0),
-			listChange(5, "b1", "active",
-				1790000000000), `{"version":6,"full":true,"servers":[{"id":"b1","addr":"b1:1","state":"active"},{"id":"b2","addr":"b2:1","state":"active"}]}`} {
-			env.updateList(told)
+			listChange(5, "b1", "active", 1790000000000),
+			`{"version":6,"full":true,"servers":[{"id":"b1","addr":"b1:1","state":"active"},` +
+				`{"id":"b2","addr":"b2:1","state":"active"}]}`,
+		} {
+			env.updateList(update)
 			env.sendRequests(20)
-			assert.Equal(t, map[string]int{"b2": 20}, env.requestsByServer(), told)
+			assert.Equal(t, map[string]int{"b2": 20}, env.requestsByServer(), update)
 		}
 		assert.Equal(t, 200, env.adminCall(admin.Enable, "b1"))
 		assert.InDelta(t, env.now(), env.startedAtOf("b1"), 0.001, "the list tells no start: it counts as started just now")
@@ -55,7 +59,7 @@
 		assert.Equal(t, 200, up())
 		kept := env.connect()
 		go write(kept, lookRequest)
-		readResponse(kept)
+		env.readOK(kept)
 		assert.Equal(t, 200, env.adminCall(admin.Drain, ""))
 		drained := time.Now()
 		assert.Equal(t, 503, up())
@@ -104,7 +108,7 @@
 
 func TestAdminCallsDoNotWaitForTheOwner(t *testing.T) {
 	env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-	env.process.rememberID("b1")
+	env.process.addKnownID("b1")
 	for range maxQueuedEvents {
 		env.loop.events <- func() {}
 	}
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -97,7 +97,7 @@
 		case resp := <-req.response:
 			if watchDone != nil {
 				c.setReadDeadline(pastDeadline) // ends the watch
-				_ = <-watchDone                 // the response is here, whatever the watch saw
+				<-watchDone                     //nolint:errcheck // the response is here, whatever the watch saw
 			}
 			return resp, nil
 		case err := <-uploadDone:
--- a/proxy/admission_test.go
+++ b/proxy/admission_test.go
@@ -73,12 +73,12 @@
 	})
 	synctest.Test(t, func(t *testing.T) { // each value of a field, and each tenant, has a bucket of its own
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
-		for _, c := range []struct{ team, customer, want string }{{"a", "x", "200"}, {"a", "y", "429"}, {"b", "x", "429"},
+		for _, c := range []struct{ team, tenant, want string }{{"a", "x", "200"}, {"a", "y", "429"}, {"b", "x", "429"},
 			{"b", "y", "200"},
 			{"c", "z", "200"}, {"", "", "200"}, {"", "", "429"}} {
 			fields := ""
 			if c.team != "" {
-				fields = "X-Team: " + c.team + "\r\nX-Customer: " + c.customer + "\r\n"
+				fields = "X-Team: " + c.team + "\r\nX-Customer: " + c.tenant + "\r\n"
 			}
 			assert.Equal(t, c.want, env.operatorRoundTrip(plainRequest("GET", "/keyed", fields))[:3], "%v", c)
 		}
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -73,10 +73,10 @@
 
 func TestServerIdleTimeoutLeavesAMargin(t *testing.T) {
 	for _, c := range []struct {
-		closed float64 // s
-		kept   time.Duration
+		closed  float64 // s
+		timeout time.Duration
 	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, defaultServerIdleTimeout}} {
 		env := newEnv(t, nil, func(l *BootstrapConfig) { l.ServerIdleTimeout = c.closed })
-		assert.Equal(t, c.kept, env.upstream.IdleTimeout, "closed by the backend after %v s", c.closed)
+		assert.Equal(t, c.timeout, env.upstream.IdleTimeout, "closed by the backend after %v s", c.closed)
 	}
 }
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		c := env.connect()
-		go write(c, lookRequest+smsRequest+lookRequest[:20]) // danger: what came ahead is lost
+		go write(c, lookRequest+smsRequest+lookRequest[:20]) // what comes ahead must not be lost
 		for range 2 {
 			status, _, _, err := readResponse(c)
 			assert.NoError(t, err)
@@ -43,7 +43,7 @@
 			c.Close()
 			time.Sleep(clientWatchDelay)
 			synctest.Wait()
-			assert.Equal(t, n+1, env.closedConns, "its leg is called off")
+			assert.Equal(t, n+1, env.closedConns, "its attempt is canceled")
 		}
 		assert.Equal(t, 2, env.counters.ClientGone)
 
@@ -83,11 +83,23 @@
 	return n, err
 }
 
+// closeQueued closes all connections in queues, as the table does without capacity.
+func (t *connTable) closeQueued() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.all {
+		if c.queue != nil {
+			c.requestClose()
+			t.dequeue(c)
+		}
+	}
+}
+
 // A request that its reader has, and that the connTable does not know of yet, is not lost when its connection is to
 // close at that moment.
 func TestCloseWhileRequestIsRead(t *testing.T) {
 	head, body, _ := strings.Cut(smsRequest, "\r\n\r\n")
-	for name, parts := range map[string][]string{"whole": {smsRequest}, "head and body": {head + "\r\n\r\n", body},
+	for name, parts := range map[string][]string{"complete": {smsRequest}, "head and body": {head + "\r\n\r\n", body},
 		"cut in its head": {smsRequest[:9], smsRequest[9:]}} {
 		for last := range parts {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,16 +110,7 @@
 				synctest.Wait()
 				for i, part := range parts {
 					if i == last {
-						end.afterRead = func() { // as the door does where there is no room
-							env.conns.mu.Lock()
-							defer env.conns.mu.Unlock()
-							for c := range env.conns.all {
-								if c.queue != nil {
-									c.requestClose()
-									env.conns.dequeue(c)
-								}
-							}
-						}
+						end.afterRead = env.conns.closeQueued
 						time.Sleep(2 * firstByteTimeout / 3)
 					}
 					go write(ours, part)
@@ -116,7 +119,7 @@
 				status, h, _, err := readResponse(ours)
 				if assert.NoError(t, err, "%s, closed with part %d", name, last) {
 					assert.Equal(t, 200, status)
-					assert.True(t, h.Close, "it goes with its answer")
+					assert.True(t, h.Close, "it closes with its response")
 				}
 				ours.Close()
 				env.stopAndWait()
@@ -144,7 +147,8 @@
 		h, err := r.Response()
 		require.NoError(t, err)
 		assert.Equal(t, 200, h.Status)
-		r.Body(h.Length, h.Chunked)
+		_, err = r.Body(h.Length, h.Chunked)
+		assert.NoError(t, err)
 	}
 }
 
@@ -160,10 +164,10 @@
 		status        int
 	}{
 		{"closing by its client's wish", closing, 200},
-		{"turned away in a body that flows",
+		{"rejected while its body is streamed",
 			"POST /sms HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: sms\r\nX-Expires-In: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				"20000\r\n" + strings.Repeat("z", 0x20000) + "\r\nno chunk\r\n", 400},
-		{"turned away", strings.Replace(longWaitRequest, "X-Qos: look", "X-Qos: none", 1), 400},
+		{"rejected", strings.Replace(longWaitRequest, "X-Qos: look", "X-Qos: none", 1), 400},
 		{"too large", strings.Replace(longWaitRequest, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -174,7 +178,9 @@
 			})
 			close(s.dialGate)
 			d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { // the answer does not fit
-				return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048) })
+				return raw.Control(func(fd uintptr) {
+					assert.NoError(t, syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048))
+				})
 			}}
 			conn, err := d.Dial("tcp", s.listener.Addr().String())
 			require.NoError(t, err)
--- a/proxy/clientgone_test.go
+++ b/proxy/clientgone_test.go
@@ -15,12 +15,19 @@
 func TestNothingIsSentForGoneClient(t *testing.T) {
 	ahead := string(bytes.Repeat([]byte("x"), 64<<10))
 	ends := map[string]func(c *net.TCPConn){
-		"closes":                       func(c *net.TCPConn) { c.Close() },
-		"closes behind what is unread": func(c *net.TCPConn) { write(c, ahead); c.Close() },
-		"resets behind what is unread": func(c *net.TCPConn) { write(c, ahead); c.SetLinger(0); c.Close() },
+		"closes": func(c *net.TCPConn) { assert.NoError(t, c.Close()) },
+		"closes behind what is unread": func(c *net.TCPConn) {
+			write(c, ahead)
+			assert.NoError(t, c.Close())
+		},
+		"resets behind what is unread": func(c *net.TCPConn) {
+			write(c, ahead)
+			assert.NoError(t, c.SetLinger(0))
+			assert.NoError(t, c.Close())
+		},
 	}
 	for name, end := range ends {
-		t.Run(name+", as its leg's connection comes up", func(t *testing.T) {
+		t.Run(name+", as its attempt's connection opens", func(t *testing.T) {
 			s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
 			c := s.connect()
 			write(c, longWaitRequest)
@@ -35,7 +42,7 @@
 			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.received.Load())
 		})
-		t.Run(name+", as its leg is turned away", func(t *testing.T) {
+		t.Run(name+", as its attempt is rejected", func(t *testing.T) {
 			on := make(chan bool)
 			s := startSocketEnv(t, func(n int, end net.Conn) {
 				<-on
@@ -59,10 +66,10 @@
 			time.Sleep(clientCheckInterval)
 			close(further)
 			time.Sleep(clientCheckInterval)
-			assert.EqualValues(t, 1, s.received.Load(), "no further leg")
+			assert.EqualValues(t, 1, s.received.Load(), "no further attempt")
 			close(again)
 			time.Sleep(clientCheckInterval)
-			assert.EqualValues(t, 1, s.received.Load(), "no further leg")
+			assert.EqualValues(t, 1, s.received.Load(), "no further attempt")
 		})
 		t.Run(name+", as it waits for its turn", func(t *testing.T) {
 			s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
@@ -93,7 +100,7 @@
 		name             string
 		age              time.Duration
 		ends, left, want bool
-	}{{"there", time.Second, false, false, false}, {"gone", time.Second, true, false, true}, {"just taken", 0, true,
+	}{{"there", time.Second, false, false, false}, {"gone", time.Second, true, false, true}, {"just admitted", 0, true,
 		false, false}, {"seen to go", 0, false, true, true}} {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
--- a/proxy/conntable_test.go
+++ b/proxy/conntable_test.go
@@ -23,13 +23,14 @@
 		env.conns.maxServed, env.conns.maxOverflow, env.upstream.MaxConnections = 2, 1, 1
 		one := env.connect()
 		go write(one, "GET /up HTTP/1.1\r\n\r\n")
-		readResponse(one)
+		_, _, _, err := readResponse(one)
+		assert.NoError(t, err)
 		time.Sleep(longIdleDelay)
 		two := env.connect()
 		synctest.Wait()
 		three := env.connect()
 		synctest.Wait()
-		_, err := one.Read(make([]byte, 1))
+		_, err = one.Read(make([]byte, 1))
 		assert.Error(t, err, "the one that is idle makes room")
 		for i, c := range []net.Conn{two, three} {
 			go write(c, strings.Replace(strings.Replace(lookRequest, "t1", fmt.Sprint("t", 5+i), 1), "0.5", "10", 1))
@@ -54,7 +55,7 @@
 			go write(c, lookRequest[20:])
 			status, h, _, err := readResponse(c)
 			assert.NoError(t, err)
-			assert.Equal(t, 503, status, "over the bound it is dismissed")
+			assert.Equal(t, 503, status, "over the bound it is rejected")
 			assert.True(t, h.Close)
 		}
 		env.behaviors["b1"] = []string{okResponse}
@@ -133,23 +134,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		env.conns.maxServed, env.conns.maxOverflow = 3, 1
-		kept, told := env.connect(), env.connect()
+		idle, rejected := env.connect(), env.connect()
 		long := strings.Replace(lookRequest, "0.5", "1.2", 1)
-		go write(kept, long)
-		readResponse(kept)
-		go write(kept, long[:30])
+		go write(idle, long)
+		env.readOK(idle)
+		go write(idle, long[:30])
 		synctest.Wait()
-		go write(told, "nonsense\r\n\r\n")
-		http1.NewReader(told).Response() // and does not close
+		go write(rejected, "nonsense\r\n\r\n")
+		_, err := http1.NewReader(rejected).Response() // and does not close
+		assert.NoError(t, err)
 		for range 10 {
 			env.connect()
 		}
 		time.Sleep(9 * newConnectionGracePeriod)
 		synctest.Wait()
-		_, err := told.Write([]byte("x"))
-		assert.Error(t, err, "one that was turned away makes room")
-		go write(kept, long[30:])
-		status, _, _, err := readResponse(kept)
+		_, err = rejected.Write([]byte("x"))
+		assert.Error(t, err, "a rejected one makes room")
+		go write(idle, long[30:])
+		status, _, _, err := readResponse(idle)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		env.stopAndWait()
@@ -204,7 +206,7 @@
 		d.markIdle(c, true)
 		d.markBegun(c, true)
 		switch i % 4 {
-		case 0: // rejected before its request has come whole
+		case 0: // rejected before its request is complete
 			d.markLingering(c)
 		case 1:
 			d.markComplete(c)
@@ -251,7 +253,7 @@
 		var idle []net.Conn
 		for i := range 7 {
 			c, closes := once()
-			assert.Equal(t, i >= 3, closes, "so many are kept")
+			assert.Equal(t, i >= 3, closes, "so many stay idle")
 			idle = append(idle, c)
 			time.Sleep(longIdleDelay)
 		}
@@ -269,16 +271,16 @@
 // Connections that were used once and stay, each for a moment, would leave no room for clients that write slowly.
 func TestFirstResponseClosesWhenNearlyFull(t *testing.T) {
 	for _, c := range []struct {
-		all, kept, stale int
-		want             bool
+		all, idle, longIdle int
+		want                bool
 	}{{5, 2, 0, false}, {6, 2, 0, true}, {6, 1, 0, false}, {6, 1, 1, true}, {2, 0, 2, true}} {
 		d := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
 		for i := range c.all {
 			m := &clientConn{queueState: queueState{queuedAt: time.Now()}}
 			d.all[m] = true
-			if i < c.kept {
+			if i < c.idle {
 				d.idle.append(m)
-			} else if i < c.kept+c.stale {
+			} else if i < c.idle+c.longIdle {
 				d.longIdle.append(m)
 			}
 		}
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -83,7 +83,7 @@
 		p.updatePool(pool, list, first, endpoints)
 	}
 	p.forgetUnused()
-	p.estimates.noteRemoved(entries)
+	p.estimates.addRemoved(entries)
 	p.reportEstimates()
 }
 
@@ -92,7 +92,7 @@
 func (p *Proxy) applyEntries(entries []discovery.Entry, since float64) []balance.Endpoint {
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i := range entries {
-		p.process.rememberID(entries[i].Name)
+		p.process.addKnownID(entries[i].Name)
 		entry, disabledSince := p.underAdminState(entries[i])
 		endpoint := p.registry.Endpoint(entry.Entry)
 		entries[i], endpoints[i] = entry, endpoint
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -21,6 +21,7 @@
 }
 
 func testListChanges(t *testing.T, removalIsAdvisory bool, statusWhenRemoved int) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		plays := map[string][]string{"b1": {okResponse}, "b1:1": {okResponse}, "b2:1": {okResponse}}
 		env := startEnv(t, plays, func(l *BootstrapConfig) {
@@ -59,7 +60,7 @@
 		_, status := target()
 		assert.Equal(t, 503, status, "nothing was heard for long")
 		env.updateList(`{"version":9,"full":false,"servers":[]}`)
-		env.post(func() { assert.Empty(t, env.registry.Name(0)+env.registry.Name(1), "no longer kept") })
+		env.post(func() { assert.Empty(t, env.registry.Name(0)+env.registry.Name(1), "their indexes are free") })
 		env.stopAndWait()
 	})
 }
@@ -94,7 +95,8 @@
 		env.listUpdates["agent2"] <- listChange(2, "b3", "active", 0) // another count of versions
 		env.listUpdates["agent2"] <- listChange(3, "b2", "left", 0)
 		synctest.Wait()
-		env.roundTrip(lookRequest)
+		_, _, _, err = env.roundTrip(lookRequest)
+		assert.NoError(t, err)
 		assert.Equal(t, "b3:1", env.dialed[len(env.dialed)-1])
 		reload("nowhere")
 		reload("agent2")
@@ -152,7 +154,7 @@
 		return func(env *testEnv) {
 			env.post(func() {
 				env.applyEndpointList(List{Version: 2, NotifiedAt: time.Now().Add(-by),
-					Entries: []discovery.Entry{listEntry("b1", balance.Draining, 0)}}, false)
+					Entries: []discovery.Entry{listEntry("b1", balance.Draining)}}, false)
 			})
 		}
 	}
@@ -195,7 +197,7 @@
 		say := func(version int, full bool, state balance.EndpointState, ids ...string) {
 			l := List{Version: int64(version), Full: full}
 			for _, id := range ids {
-				l.Entries = append(l.Entries, listEntry(id, state, 0))
+				l.Entries = append(l.Entries, listEntry(id, state))
 				l.Entries[len(l.Entries)-1].Addr += ":1"
 			}
 			text, err := json.MarshalIndent(l, "", "    ")
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -44,14 +44,14 @@
 	*Proxy
 	t             *testing.T
 	platformConns chan net.Conn      // clients' connections on their way in
-	operatorConns chan net.Conn      // and by the ordinary door
+	operatorConns chan net.Conn      // the same of the operator's listener
 	respond       func(end net.Conn) // what each server answers instead of its plays
 	streamBodies  bool               // bodies are read as they come, whatever their size
-	bodyBytes     int64              // bytes of them
-	recordHeads   bool               // bodyCompleted heads are kept of what servers get
+	bodyBytes     int64              // read of them
+	recordHeads   bool               // received has whole heads
 	closed        chan struct{}
 	mu            sync.Mutex
-	behaviors     map[string][]string // readDeadline address, or for any: what servers do one time after the other; the last stays
+	behaviors     map[string][]string // by address, or for any: what servers do in turn; the last stays
 	received      []string            // requests at servers: address and head
 	dialed        []string
 	dialDelay     time.Duration          // that opening a connection takes
@@ -81,13 +81,13 @@
 
 func (env *testEnv) Addr() net.Addr { return &net.TCPAddr{} }
 
-func listEntry(id string, state balance.EndpointState, started float64) discovery.Entry {
-	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state, StartedAt: started}},
-		Addr: id}
+func listEntry(id string, state balance.EndpointState) discovery.Entry {
+	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state}}, Addr: id}
 }
 
 // startEnv serves with a proxy whose servers are named by, and listen at, their ids.
 func startEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
+	t.Helper()
 	env := newEnv(t, behaviors, set)
 	env.start()
 	return env
@@ -95,30 +95,45 @@
 
 // newEnv makes such a proxy, which does not serve yet.
 func newEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
-	l := BootstrapConfig{Name: "n0", Discovery: "agent", Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: 264},
-		Settings: Settings{ConnectTimeout: 0.075, DrainGrace: 2.5, Deployment: balance.Deployment{ServerIdleTimeout: 5,
-			Seed: 1, Proxies: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1, SlowStartFraction: 1, SlowStartDuration: 1, CrashFactor: 3, CrashDuration: 1,
+	t.Helper()
+	cfg := BootstrapConfig{
+		Name:      "n0",
+		Discovery: "agent",
+		Limits:    Limits{Cores: 1, Memory: 1 << 27, Sockets: 264},
+		Settings: Settings{ConnectTimeout: 0.075, DrainGrace: 2.5, Deployment: balance.Deployment{
+			ServerIdleTimeout: 5, Seed: 1, Proxies: 1, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 1,
+			SlowStartFraction: 1, SlowStartDuration: 1, CrashFactor: 3, CrashDuration: 1,
 			Classes: []balance.Class{
 				{Name: "look", LatencyObjective: 0.3, Deadline: 1, PriorityWeight: 1},
-				{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: 0.3, LatencyObjective: 0.2,
-					Deadline: 0.5, PriorityWeight: 5},
-				{Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 0.3, Deadline: 1.2, PriorityWeight: 2}}}},
-		Known: List{Version: 1, Full: true}}
+				{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: 0.3,
+					LatencyObjective: 0.2, Deadline: 0.5, PriorityWeight: 5},
+				{Name: "sms", Idempotency: balance.NonIdempotent, LatencyObjective: 0.3, Deadline: 1.2,
+					PriorityWeight: 2},
+			},
+		}},
+		Known: List{Version: 1, Full: true},
+	}
 	for _, id := range []string{"b1", "b2", "b3"} {
 		if behaviors[id] != nil {
-			l.Known.Entries = append(l.Known.Entries, listEntry(id, balance.Ready, 0))
+			cfg.Known.Entries = append(cfg.Known.Entries, listEntry(id, balance.Ready))
 		}
 	}
 	if set != nil {
-		set(&l)
+		set(&cfg)
 	}
 	log, _ := test.NewNullLogger()
-	p, err := New(l, log)
+	p, err := New(cfg, log)
 	assert.NoError(t, err)
-	env := &testEnv{Proxy: p, t: t, platformConns: make(chan net.Conn, 100), closed: make(chan struct{}),
-		behaviors: behaviors,
-		listUpdates: map[string]chan string{"agent": make(chan string, 10),
-			"agent2": make(chan string, 10)}, serveResult: make(chan error, 1), brokenBefore: brokenInvariants()}
+	env := &testEnv{
+		Proxy:         p,
+		t:             t,
+		platformConns: make(chan net.Conn, 100),
+		closed:        make(chan struct{}),
+		behaviors:     behaviors,
+		listUpdates:   map[string]chan string{"agent": make(chan string, 10), "agent2": make(chan string, 10)},
+		serveResult:   make(chan error, 1),
+		brokenBefore:  brokenInvariants(),
+	}
 	p.Dial = env.dialServer
 	return env
 }
@@ -176,7 +191,7 @@
 	env.mu.Unlock()
 	over := make(chan struct{})
 	go func() {
-		r.Wait()
+		waitForEnd(r)
 		env.mu.Lock()
 		env.watchLog = append(env.watchLog, addr+" ended")
 		env.mu.Unlock()
@@ -243,7 +258,7 @@
 		behavior := env.nextBehavior(addr, "")
 		env.mu.Unlock()
 		if env.streamBodies && behavior != earlyResponse {
-			var body io.Reader = r.StreamBody(h.Length, h.Chunked)
+			body := r.StreamBody(h.Length, h.Chunked)
 			if behavior == cutInBody {
 				body = io.LimitReader(body, 100_000)
 			}
@@ -266,7 +281,7 @@
 			time.Sleep(230 * time.Millisecond)
 			return
 		case noResponse:
-			r.Wait()
+			waitForEnd(r)
 			return
 		}
 		write(end, behavior)
@@ -280,7 +295,18 @@
 	return ours
 }
 
-// readResponse reads a response: its status, whole head and body.
+// waitForEnd waits until the other side sends something or closes.
+func waitForEnd(r *http1.Reader) { _ = r.Wait() }
+
+// readOK reads a response and checks its status.
+func (env *testEnv) readOK(conn net.Conn) {
+	env.t.Helper()
+	status, _, _, err := readResponse(conn)
+	assert.NoError(env.t, err)
+	assert.Equal(env.t, 200, status)
+}
+
+// readResponse reads a response: its status, copied head and body.
 func readResponse(c net.Conn) (int, *http1.Head, string, error) {
 	r := http1.NewReader(c)
 	h, err := r.Response()
@@ -310,8 +336,9 @@
 // Requests of the three classes: idempotent, keyed and not idempotent.
 const (
 	lookRequest = "GET /look?user=7 HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Qos: look\r\nX-Expires-In: 0.5\r\n\r\n"
-	signRequest = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\nIdempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc"
-	smsRequest  = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
+	signRequest = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\n" +
+		"Idempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc"
+	smsRequest = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
 )
 
 // updateList has discovery send a change, and waits until it is applied.
@@ -339,7 +366,9 @@
 
 func (env *testEnv) sendRequests(n int) {
 	for i := range n {
-		env.roundTrip(strings.Replace(lookRequest, "t1", "a"+string(rune('a'+i%26))+string(rune('a'+i/26)), 1))
+		id := "a" + string(rune('a'+i%26)) + string(rune('a'+i/26))
+		_, _, _, err := env.roundTrip(strings.Replace(lookRequest, "t1", id, 1))
+		assert.NoError(env.t, err)
 	}
 }
 
--- a/proxy/estimates.go
+++ b/proxy/estimates.go
@@ -23,9 +23,9 @@
 	removed []string      // names of servers that were removed since the last report
 }
 
-// noteRemoved keeps the names of servers that a list removes, for the next report. Without an observer they would
+// addRemoved keeps the names of servers that a list removes, for the next report. Without an observer they would
 // gather without end.
-func (e *estimateReporter) noteRemoved(entries []discovery.Entry) {
+func (e *estimateReporter) addRemoved(entries []discovery.Entry) {
 	if e.observe == nil {
 		return
 	}
--- a/proxy/estimates_test.go
+++ b/proxy/estimates_test.go
@@ -23,7 +23,8 @@
 		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "w1:80": {okResponse}}, nil)
 		env.operatorConns = make(chan net.Conn, 100)
 		s, faults := config.Read("f.toml",
-			[]byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
+			[]byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n"+
+				"[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
 				"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
 		require.Empty(t, faults)
 		require.NoError(t, env.Configure(s, operatorListener{env}))
@@ -74,7 +75,7 @@
 		assert.True(t, of("own", "own/w1:80").Draining, "at once")
 		time.Sleep(estimateInterval)
 		_, removed = now("all")
-		assert.Equal(t, []string{"b1"}, removed, "told once")
+		assert.Equal(t, []string{"b1"}, removed, "reported once")
 		env.stopAndWait()
 	})
 	synctest.Test(t, func(t *testing.T) {
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -20,6 +20,7 @@
 
 // newFleetMember makes a proxy of a fleet of two, as sidecars of their clients; gossip goes by loopback sockets.
 func newFleetMember(t *testing.T, number int, listenAddr, peerAddr string, behaviors map[string][]string) *testEnv {
+	t.Helper()
 	return newEnv(t, behaviors, func(l *BootstrapConfig) {
 		l.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
 		l.Proxies, l.Self, l.Sidecar, l.Gossip, l.HealthChecks = 2, number, true, true, true
@@ -30,18 +31,19 @@
 // What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by health
 // checks, and a report of unknown fields says nothing and harms nothing.
 func TestGossipSharesServerFailures(t *testing.T) {
-	plays := map[string][]string{"b1": {strings.Replace(okResponse, "X-From",
-		"x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
-		"b2": {strings.Replace(faultResponse, "Content", "X-Load: novel:1\r\nContent", 1)}}
+	behaviors := map[string][]string{
+		"b1": {strings.Replace(okResponse, "X-From", "x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
+		"b2": {strings.Replace(faultResponse, "Content", "X-Load: novel:1\r\nContent", 1)},
+	}
 	var addrs []string
 	for range 2 {
 		c, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		defer c.Close()
 		addrs = append(addrs, c.LocalAddr().String())
-		c.Close()
+		require.NoError(t, c.Close())
 	}
-	busy, quiet := newFleetMember(t, 0, addrs[0], addrs[1], plays), newFleetMember(t, 1, addrs[1], addrs[0], plays)
+	busy := newFleetMember(t, 0, addrs[0], addrs[1], behaviors)
+	quiet := newFleetMember(t, 1, addrs[1], addrs[0], behaviors)
 	ctx, stop := context.WithCancel(context.Background())
 	for _, env := range []*testEnv{busy, quiet} {
 		go func() { env.serveResult <- env.Serve(ctx, env) }()
@@ -53,7 +55,7 @@
 		go write(c, strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
 		_, _, _, err := readResponse(c)
 		require.NoError(t, err)
-		c.Close()
+		require.NoError(t, c.Close())
 	}
 	assert.Eventually(t, func() bool {
 		b := quiet.serverStatuses()
@@ -65,13 +67,13 @@
 	quiet.ReloadBootstrap(other)
 	quiet.serverStatuses()
 	require.NotEmpty(t, hook.AllEntries())
-	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "what is told anew of them counts from the next start")
+	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "changes of them take effect at the next start")
 	stop()
 	for i, env := range []*testEnv{busy, quiet} {
 		assert.NoError(t, <-env.serveResult)
 		c, err := net.ListenPacket("udp", addrs[i])
 		require.NoError(t, err, "its address is free again")
-		c.Close()
+		require.NoError(t, c.Close())
 	}
 	got := strings.Join(busy.received, "\n")
 	for _, asked := range []string{"b1 GET /load", "b2 GET /load", "b2 GET /look"} {
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxRememberedIDs   = 16 << 10               // ids of servers that were ever listed, 0.6 MB of them
+	maxKnownIDs        = 16 << 10               // ids of servers that were ever listed, 0.6 MB of them
 	acceptPollInterval = 10 * time.Millisecond  // between checks whether this process accepts again
 	overlapShare       = 0.5                    // of all bounds, while another process of this proxy runs
 	snapshotTimeout    = 300 * time.Millisecond // for the owner to return the list to be handed over
@@ -43,7 +43,7 @@
 
 func newProcessState() *processState {
 	return &processState{
-		ids:          lifecycle.NewIDSet(maxRememberedIDs),
+		ids:          lifecycle.NewIDSet(maxKnownIDs),
 		adminChanged: make(chan struct{}, 1),
 		hotRestart:   hotRestart{successors: map[*hotrestart.Link]bool{}},
 	}
@@ -56,8 +56,8 @@
 	return read(&s.lifecycle)
 }
 
-// rememberID notes that a server was listed.
-func (s *processState) rememberID(id string) {
+// addKnownID notes that a server was listed.
+func (s *processState) addKnownID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ids.Add(settings.NameHash(id))
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -270,7 +270,7 @@
 		p.upstream.SetEndpoint(endpoint.Index, addr, 0)
 		p.applyEndpointState(endpoint.Index, balance.Ready, p.now(), 0)
 		p.endpoints.static[endpoint.Index] = true
-		p.process.rememberID(name)
+		p.process.addKnownID(name)
 		endpoints = append(endpoints, endpoint)
 	}
 	pool.staticEndpoints = endpoints
--- a/proxy/operatorconfig_test.go
+++ b/proxy/operatorconfig_test.go
@@ -67,7 +67,7 @@
 		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/other", "")), "the route is another's now")
 		assert.Equal(t, "200 body at c1", sent(plainRequest("GET", "/moved-on", "")))
 		require.NoError(t, reload(first, `servers = ["n1:80"]`, "due = 0.3", "due = 0.2"))
-		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/a", "")), "other tariffs, other pools")
+		assert.Equal(t, "200 body at n1", sent(plainRequest("GET", "/a", "")), "other classes, other pools")
 		assert.Len(t, env.pools.all, pools)
 		env.stopAndWait()
 	})
--- a/proxy/operatorenv_test.go
+++ b/proxy/operatorenv_test.go
@@ -115,6 +115,7 @@
 
 // startOperatorEnv serves the operator file, with servers that all behave alike.
 func startOperatorEnv(t *testing.T, behaviors map[string][]string) *testEnv {
+	t.Helper()
 	env := newEnv(t, behaviors, nil)
 	s, faults := config.Read("f.toml", []byte(operatorFile))
 	require.Empty(t, faults)
@@ -170,7 +171,7 @@
 	if chunked {
 		write(end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	} else {
-		fmt.Fprintf(end, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bytes)
+		write(end, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", bytes))
 	}
 	if cutHalfway {
 		bytes /= 2
--- a/proxy/operatorroute_test.go
+++ b/proxy/operatorroute_test.go
@@ -33,16 +33,16 @@
 		"other, error":            {plainRequest("GET", "/other", ""), broke, "", "500 sorry", 1},
 		"post, never ran":         {plainRequest("POST", "/a", post), neverRanResponse, "", "200 body", 2},
 		"post, no connection":     {plainRequest("POST", "/a", post), refuseConnection, "", "200 body", 1},
-		"marked, where no server knows it": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
+		"keyed, where no server knows keys": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
 			"502 forfeited", 1},
-		"marked, where servers know it": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
+		"keyed, where servers know keys": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
 			"", "200 body", 2},
 		"a method that nobody knows": {plainRequest("BREW", "/a", post), cutConnection, "", "502 forfeited", 1},
 		"moved": {plainRequest("GET", "/moved/x?y", ""), okResponse, "Location",
 			"308 https://example.org/moved/x?y", 0},
 		"fixed": {plainRequest("GET", "/robots.txt", ""), okResponse, "Content-Type",
 			"200 text/plain none", 0},
-		"climbs": {plainRequest("GET", "/../a", ""), okResponse, "",
+		"above the root": {plainRequest("GET", "/../a", ""), okResponse, "",
 			`400 400: path "/../a": it climbs above its root`, 0},
 		"another host": {plainRequest("GET", "http://other.org/a", ""), okResponse, "",
 			"400 400: the target is for another host than Host", 0},
@@ -53,13 +53,13 @@
 			"400 400: malformed Host", 0},
 		"two hosts": {plainRequest("GET", "/a", "Host: x\r\n"), okResponse, "",
 			"400 400: Host twice", 0},
-		"two framings": {plainRequest("POST", "/a",
+		"a length and chunks": {plainRequest("POST", "/a",
 			"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n"), okResponse, "", "400 400: a length with chunks", 0},
 		"a tunnel": {plainRequest("CONNECT", "example.org:80", ""), okResponse, "",
 			"501 501: method not served", 0},
 		"its client's own patience": {plainRequest("GET", "/a", "X-Expires-In: 0.1\r\n"), noResponse, "",
 			"503 dismissed", 1},
-		"silent: the tariff's hard stop":     {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
+		"no response: the class's deadline":  {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
 		"a second server is out of the pool": {plainRequest("GET", "/other", ""), cutConnection, "", "503 dismissed", 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -83,11 +83,21 @@
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		env.recordHeads = true
 		env.operatorRoundTrip(plainRequest("GET", "/sign/%61/../b?c=/../d",
-			"X-Forwarded-For: 1.2.3.4\r\nForwarded: for=1.2.3.4\r\nVia: 1.0 x\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Trace-Id: mine\r\nCookie: c\r\n"))
+			"X-Forwarded-For: 1.2.3.4\r\nForwarded: for=1.2.3.4\r\nVia: 1.0 x\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"+
+				"X-Trace-Id: mine\r\nCookie: c\r\n"))
 		head := strings.Join(env.received, "")
-		for _, part := range []string{"GET /v2/b?c=/../d", "Host: example.org", "X-Forwarded-For: 1.2.3.4, pipe",
+		for _, part := range []string{
+			"GET /v2/b?c=/../d",
+			"Host: example.org",
+			"X-Forwarded-For: 1.2.3.4, pipe",
 			"X-Forwarded-Proto: http",
-			"X-Forwarded-Host: example.org", `Forwarded: for=1.2.3.4, for="pipe";host="example.org";proto=http`, "Via: 1.0 x, 1.1 lockloom", "X-Trace-Id: mine", "Cookie: c", "X-Expires-In: 0.8"} {
+			"X-Forwarded-Host: example.org",
+			`Forwarded: for=1.2.3.4, for="pipe";host="example.org";proto=http`,
+			"Via: 1.0 x, 1.1 lockloom",
+			"X-Trace-Id: mine",
+			"Cookie: c",
+			"X-Expires-In: 0.8",
+		} {
 			assert.Contains(t, head, part)
 		}
 		assert.NotContains(t, head, "X-Hop")
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 
 	"lockloom/balance"
 	"lockloom/internal/upstream"
@@ -20,21 +21,21 @@
 		name, request, play string
 		status, sent        int
 	}{
-		{"honoured", lookRequest, okResponse, 200, 1},
-		{"replayable, cut", lookRequest, cutConnection, 200, 2},
-		{"replayable, error", lookRequest, faultResponse, 200, 2},
-		{"replayable, turned away", lookRequest, neverRanResponse, 200, 2},
-		{"replayable, no answer", lookRequest, noResponse, 503, 1},
-		{"replayable, found at fault", lookRequest, invalidRequestResponse, 400, 1},
-		{"single-use, honoured", smsRequest, okResponse, 200, 1},
-		{"single-use, turned away", smsRequest, neverRanResponse, 200, 2},
-		{"single-use, no connection", smsRequest, refuseConnection, 200, 1},
-		{"single-use, cut", smsRequest, cutConnection, 502, 1},
-		{"single-use, error", smsRequest, faultResponse, 502, 1},
-		{"single-use, a backend's own 503", smsRequest, own503Response, 502, 1}, // danger: passed on it would be a dismissal
-		{"single-use, no answer", smsRequest, noResponse, 502, 1},
-		{"referenced, cut", signRequest, cutConnection, 200, 2},
-		{"referenced, no answer", signRequest, noResponse, 502, 1},
+		{"succeeds", lookRequest, okResponse, 200, 1},
+		{"idempotent, cut", lookRequest, cutConnection, 200, 2},
+		{"idempotent, error", lookRequest, faultResponse, 200, 2},
+		{"idempotent, rejected", lookRequest, neverRanResponse, 200, 2},
+		{"idempotent, no response", lookRequest, noResponse, 503, 1},
+		{"idempotent, request fault", lookRequest, invalidRequestResponse, 400, 1},
+		{"not idempotent, succeeds", smsRequest, okResponse, 200, 1},
+		{"not idempotent, rejected", smsRequest, neverRanResponse, 200, 2},
+		{"not idempotent, no connection", smsRequest, refuseConnection, 200, 1},
+		{"not idempotent, cut", smsRequest, cutConnection, 502, 1},
+		{"not idempotent, error", smsRequest, faultResponse, 502, 1},
+		{"not idempotent, a server's own 503", smsRequest, own503Response, 502, 1}, // passed on, it would look safe to retry
+		{"not idempotent, no response", smsRequest, noResponse, 502, 1},
+		{"keyed, cut", signRequest, cutConnection, 200, 2},
+		{"keyed, no response", signRequest, noResponse, 502, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
@@ -130,7 +131,7 @@
 			ours, end = net.Pipe()
 			return ours, nil
 		}
-		b := env.registry.Endpoint(listEntry("b1", balance.Ready, 0).Entry)
+		b := env.registry.Endpoint(listEntry("b1", balance.Ready).Entry)
 		env.upstream.SetEndpoint(b.Index, "b1", 0)
 		env.applyEndpointState(b.Index, balance.Ready, env.now(), 0)
 		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], handle: &recordingHandle{},
@@ -138,13 +139,14 @@
 		env.requests.byRef = append(env.requests.byRef, req)
 		env.startAttempt(req, b.Index, env.now()+1)
 		synctest.Wait()
-		end.Read(make([]byte, 1)) // it is being written: only calling it off stops it
+		_, err := end.Read(make([]byte, 1)) // it is being written: only canceling stops it
+		require.NoError(t, err)
 		go env.decide(env.pools.platform, func(float64) *balance.Actions {
 			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
 		})
 		synctest.Wait() // held up at the answer, which nobody takes
-		_, err := end.Read(make([]byte, 1000))
-		assert.Error(t, err, "called off before anybody hears the answer")
+		_, err = end.Read(make([]byte, 1000))
+		assert.Error(t, err, "canceled before anybody gets the response")
 		<-req.response
 	})
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -33,7 +33,7 @@
 		}
 		assert.Equal(t, "503", at(10*time.Millisecond), "paused, and its backup not yet in its place")
 		assert.Equal(t, "200 c1", at(time.Second))
-		assert.Equal(t, "500 f1", at(8*time.Second), "cooled down, it is tried with one lookup, and fails it")
+		assert.Equal(t, "500 f1", at(8*time.Second), "cooled down, it is tried with one request, which fails")
 		assert.Equal(t, "200 c1", at(time.Second))
 		assert.Equal(t, "200 f1", at(8*time.Second), "the next trial goes well")
 		assert.Equal(t, "200 c1", at(time.Second), "but it must stay well for a time")
@@ -71,7 +71,7 @@
 }
 
 // A pool that fails wholly leaves the other as it is without it, and its own servers get few attempts.
-func TestFailingPoolLeavesOthersAlone(t *testing.T) {
+func TestFailingPoolDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"b1:80": {faultResponse}, "b2:80": {faultResponse},
 			"b3:80": {faultResponse}, "c1:80": {okResponse}})
@@ -92,7 +92,7 @@
 			}
 		}
 		assert.Equal(t, 100, served)
-		assert.LessOrEqual(t, attempts, requests, "its servers are paused, and tried one leg at a time")
+		assert.LessOrEqual(t, attempts, requests, "its servers are paused, and tried one attempt at a time")
 		env.stopAndWait()
 	})
 }
@@ -107,7 +107,8 @@
 			}
 		})
 		env.operatorConns = make(chan net.Conn, 100)
-		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
+		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n" +
+			"[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
 		s, faults := config.Read("f.toml", []byte(text))
 		require.Empty(t, faults)
 		require.NoError(t, env.Configure(s, operatorListener{env}))
@@ -129,7 +130,8 @@
 		for range 5 {
 			assert.Equal(t, "200 b2", at())
 		}
-		env.listUpdates["agent"] <- `{"version":9,"full":false,"servers":[{"id":"b2","addr":"b2:1","zone":"a","kind":"old","cell":0,"state":"leaving","started_ms":0}]}`
+		env.listUpdates["agent"] <- `{"version":9,"full":false,"servers":[{"id":"b2",` +
+			`"addr":"b2:1","zone":"a","kind":"old","cell":0,"state":"leaving","started_ms":0}]}`
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, "503", at(), "it drains")
 		env.stopAndWait()
--- a/proxy/readrequest_test.go
+++ b/proxy/readrequest_test.go
@@ -110,7 +110,7 @@
 	body := len(flowing) - len(longBodyChunked)
 	for _, c := range []struct {
 		in       string
-		taken    int64
+		bytes    int64
 		from, to int // where it is cut
 	}{{few, 3, 1, len(few)}, {flowing, int64(len(longBody)), body - 2, body + 20}, {flowing, int64(len(longBody)),
 		body + 10_010, body + 10_040},
@@ -129,7 +129,7 @@
 				}()
 				status, _, _, err := readResponse(conn)
 				assert.NoError(t, err)
-				assert.Equal(t, []any{200, c.taken}, []any{status, env.bodyBytes}, "cut after %q", c.in[max(at-20, 0):at])
+				assert.Equal(t, []any{200, c.bytes}, []any{status, env.bodyBytes}, "cut after %q", c.in[max(at-20, 0):at])
 				conn.Close()
 			}
 			env.stopAndWait()
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -31,9 +31,9 @@
 	env.endpoints.stopSendAt = []float64{math.Inf(1), 0}
 	env.upstream, env.registry = upstream.New(nil, nil), settings.Settings{}.NewRegistry()
 	for _, id := range []string{"b1", "b2"} {
-		env.registry.Endpoint(listEntry(id, balance.Ready, 0).Entry)
+		env.registry.Endpoint(listEntry(id, balance.Ready).Entry)
 	}
-	for _, c := range []struct { // danger: whatever the decisions order, a rule is not broken
+	for _, c := range []struct { // whatever the decisions order, no rule is broken
 		l       *request
 		backend int
 	}{
--- a/proxy/requestbody_test.go
+++ b/proxy/requestbody_test.go
@@ -50,13 +50,15 @@
 func TestSlowRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
-		taken    int
+		bytes    int
 		slowHead bool
-	}{{"told", withBody(len(longBody), longBody), len(longBody), false}, {"in chunks", chunkedRequest(longBodyChunked),
-		len(longBody), false},
-		{"kept", withBody(60_000, longBody[:60_000]), 60_000, true},
-		{"a slow head alone", smsRequest, 3, true}, {"a few chunks", chunkedRequest("1;x\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 3,
-			true}} {
+	}{
+		{"with a length", withBody(len(longBody), longBody), len(longBody), false},
+		{"in chunks", chunkedRequest(longBodyChunked), len(longBody), false},
+		{"not streamed", withBody(60_000, longBody[:60_000]), 60_000, true},
+		{"a slow head alone", smsRequest, 3, true},
+		{"a few chunks", chunkedRequest("1;x\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 3, true},
+	} {
 		for _, first := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
@@ -86,7 +88,7 @@
 				assert.NoError(t, err, c.name)
 				assert.Equal(t, 200, status, "%s %s", c.name, text)
 				assert.Len(t, env.received, 1)
-				assert.Equal(t, int64(c.taken), env.bodyBytes, c.name)
+				assert.Equal(t, int64(c.bytes), env.bodyBytes, c.name)
 				conn.Close()
 				errors := make(chan int, 1)
 				env.post(func() { errors <- env.pools.platform.decisions.ServerStatuses(env.now())[0].Errors })
@@ -124,19 +126,19 @@
 // Large bodies are streamed to one server at its pace, and to no other once that has begun.
 func TestStreamedUploads(t *testing.T) {
 	const size = 3_000_000
-	told := fmt.Sprintf("Content-Length: %d\r\n", size)
+	length := fmt.Sprintf("Content-Length: %d\r\n", size)
 	for name, c := range map[string]struct {
 		method, framing, play, want string
 		sent                        int   // requests whose heads reached a server
 		least                       int64 // bytes that reached one
 	}{
-		"told":                          {"POST", told, okResponse, "200 body", 1, size},
+		"with a length":                 {"POST", length, okResponse, "200 body", 1, size},
 		"in chunks":                     {"POST", "Transfer-Encoding: chunked\r\n", okResponse, "200 body", 1, size},
-		"the first server is not there": {"POST", told, refuseConnection, "200 body", 1, size},
-		"replayable, but not kept: cut": {"GET", told, cutInBody, "503 dismissed", 1, 0},
-		"post: cut in the middle":       {"POST", told, cutInBody, "502 forfeited", 1, 0},
-		"answered before it is read":    {"POST", told, earlyResponse, "400", 1, 0},
-		"its route answers":             {"PUT", told, "moved", "308", 0, 0},
+		"the first server is not there": {"POST", length, refuseConnection, "200 body", 1, size},
+		"idempotent, but streamed: cut": {"GET", length, cutInBody, "503 dismissed", 1, 0},
+		"post: cut in the middle":       {"POST", length, cutInBody, "502 forfeited", 1, 0},
+		"answered before it is read":    {"POST", length, earlyResponse, "400", 1, 0},
+		"its route answers":             {"PUT", length, "moved", "308", 0, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startOperatorEnv(t, map[string][]string{"any": {c.play, okResponse}})
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -22,8 +22,8 @@
 		closes           bool
 		pause            time.Duration // after the head
 	}{
-		{"told", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false, 0},
-		{"told, a while after its head", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false,
+		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false, 0},
+		{"with a length, a while after its head", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false,
 			100 * time.Millisecond},
 		{"in chunks, a while after its head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", longBodyChunked,
 			false, 100 * time.Millisecond},
@@ -51,7 +51,7 @@
 			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
 			assert.NoError(t, err, c.name)
 			assert.True(t, longBody == string(got), c.name)
-			assert.Greater(t, time.Since(began), 3*time.Second, "past the hard stop")
+			assert.Greater(t, time.Since(began), 3*time.Second, "past the deadline")
 			conn.Close()
 			env.stopAndWait()
 		})
@@ -63,8 +63,8 @@
 func TestBrokenLargeResponses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
 	for _, c := range []struct {
-		sent  int
-		whole bool
+		sent     int
+		complete bool
 	}{{1000, true}, {50_000, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
@@ -85,7 +85,7 @@
 			h, err := r.Response()
 			assert.NoError(t, err)
 			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
-			if c.whole {
+			if c.complete {
 				assert.NoError(t, err)
 				assert.Equal(t, "body", string(got))
 			} else {
@@ -161,14 +161,14 @@
 	for name, c := range map[string]struct {
 		version         string
 		chunked, breaks bool
-		whole           bool
+		complete        bool
 	}{
-		"told":                     {"1.1", false, false, true},
-		"in chunks":                {"1.1", true, false, true},
-		"in chunks, to an old one": {"1.0", true, false, true},
-		"told, breaks":             {"1.1", false, true, false},
-		"in chunks, breaks":        {"1.1", true, true, false},
-		"told, breaks, an old one": {"1.0", false, true, false},
+		"with a length":                   {"1.1", false, false, true},
+		"in chunks":                       {"1.1", true, false, true},
+		"in chunks, to HTTP/1.0":          {"1.0", true, false, true},
+		"with a length, breaks":           {"1.1", false, true, false},
+		"in chunks, breaks":               {"1.1", true, true, false},
+		"with a length, breaks, HTTP/1.0": {"1.0", false, true, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
@@ -178,13 +178,13 @@
 			env.operatorConns <- theirs
 			write(ours, strings.Replace(plainRequest("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
 			time.Sleep(3 * time.Second) // a client that does not read; the deadline is long past
-			assert.Less(t, written.Load(), int64(200_000), "%s: what is not taken is not read", name)
+			assert.Less(t, written.Load(), int64(200_000), "%s: what the client does not take is not read", name)
 			r := http1.NewReader(ours)
 			h, err := r.Response()
 			require.NoError(t, err, name)
 			assert.Equal(t, c.chunked && c.version == "1.1", h.Chunked, name)
 			n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked))
-			if c.whole {
+			if c.complete {
 				assert.Equal(t, []any{int64(size), nil}, []any{n, err}, name)
 			} else {
 				assert.Error(t, err, name)
@@ -201,7 +201,8 @@
 		ours, theirs := net.Pipe()
 		env.operatorConns <- theirs
 		go write(ours, plainRequest("GET", "/a", ""))
-		io.ReadFull(ours, make([]byte, 100_000))
+		_, err := io.ReadFull(ours, make([]byte, 100_000))
+		assert.NoError(t, err)
 		ours.Close()
 		synctest.Wait()
 		assert.Equal(t, 1, env.closedConns, "the server's connection has ended")
@@ -224,7 +225,8 @@
 			ours, theirs := net.Pipe()
 			env.operatorConns <- theirs
 			write(ours, plainRequest("GET", "/a", ""))
-			io.ReadFull(ours, make([]byte, 20_000))
+			_, err := io.ReadFull(ours, make([]byte, 20_000))
+			assert.NoError(t, err)
 			clients = append(clients, ours)
 		}
 		assert.Equal(t, downloads, env.counters.Succeeded)
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -37,7 +37,7 @@
 			go env.runServer("b1", c)
 		}
 	}()
-	e := listEntry("b1", balance.Ready, 0)
+	e := listEntry("b1", balance.Ready)
 	e.Addr = behind.Addr().String()
 	log, _ := test.NewNullLogger()
 	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{e}},
@@ -76,10 +76,10 @@
 		synctest.Wait()
 		status, _, _, _ := env.roundTrip(up)
 		assert.Equal(t, 200, status)
-		waiting, kept, unused, partly := env.connect(), env.connect(), env.connect(), env.connect()
+		waiting, idle, unused, partly := env.connect(), env.connect(), env.connect(), env.connect()
 		defer waiting.Close()
-		go write(kept, up)
-		readResponse(kept)
+		go write(idle, up)
+		env.readOK(idle)
 		go write(waiting, lookRequest)
 		go write(partly, smsRequest[:20])
 		synctest.Wait()
@@ -88,14 +88,14 @@
 		env.cancel()
 		synctest.Wait()
 		status, _, _, _ = env.roundTrip(up)
-		assert.Equal(t, 503, status, "the front is told")
+		assert.Equal(t, 503, status, "the load balancer in front sees it")
 		time.Sleep(400 * time.Millisecond)
 		late := env.connect()
 		for _, c := range []struct {
 			on    net.Conn
 			after time.Duration // the order to stop
 			close bool
-		}{{kept, 0, false}, {late, 0, false}, {kept, 1200 * time.Millisecond, false}, {late, 1500 * time.Millisecond, true}} {
+		}{{idle, 0, false}, {late, 0, false}, {idle, 1200 * time.Millisecond, false}, {late, 1500 * time.Millisecond, true}} {
 			time.Sleep(c.after - time.Since(ordered))
 			if c.close {
 				env.behaviors["b1"] = []string{noResponse}
@@ -104,19 +104,19 @@
 			status, h, _, err := readResponse(c.on)
 			assert.NoError(t, err)
 			assert.Equal(t, c.close, h.Close, c.after)
-			if !c.close { // danger: clients keep their connections, and there may be no other proxy
+			if !c.close { // clients keep their connections: there may be no other proxy
 				assert.Equal(t, 200, status)
 			} else {
-				assert.Equal(t, 502, status, "what it has taken is answered before it is killed")
+				assert.Equal(t, 502, status, "what it has admitted is answered before it is killed")
 			}
 		}
 		status, h, _, err := readResponse(waiting)
 		assert.NoError(t, err)
-		assert.Equal(t, 503, status, "what it had taken is answered")
+		assert.Equal(t, 503, status, "what it had admitted is answered")
 		assert.False(t, h.Close)
 		assert.NoError(t, <-env.serveResult)
 		assert.Less(t, time.Since(ordered), env.maxDeadline+killMargin)
-		for _, c := range []net.Conn{kept, unused, partly} {
+		for _, c := range []net.Conn{idle, unused, partly} {
 			_, err = c.Read(make([]byte, 1))
 			assert.Error(t, err)
 		}
@@ -130,7 +130,7 @@
 		status, _, _, _ := env.roundTrip("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 503, status)
 		time.Sleep(firstListTimeout)
-		synctest.Wait() // danger: what wakes at the same instant may run after this
+		synctest.Wait() // what wakes at the same instant may run after this
 		status, _, _, _ = env.roundTrip("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 200, status)
 		env.stopAndWait()
@@ -140,14 +140,15 @@
 // The platform waits 3 s for the longest deadline and no longer; a proxy that plans for more is killed with requests in
 // flight.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
-	for _, c := range []struct{ hardStop, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
+	for _, c := range []struct{ deadline, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(l *BootstrapConfig) {
-				l.Classes[0].Deadline, l.Classes[1].Deadline, l.Classes[2].Deadline = c.hardStop, 0.1, c.hardStop
+				l.Classes[0].Deadline, l.Classes[1].Deadline, l.Classes[2].Deadline = c.deadline, 0.1, c.deadline
 			})
 			conn := env.connect()
 			go write(conn, "GET /up HTTP/1.1\r\n\r\n")
-			readResponse(conn)
+			_, _, _, err := readResponse(conn)
+			assert.NoError(t, err)
 			waiting, harmless, over := env.connect(), env.connect(), make(chan bool, 2)
 			go write(waiting, strings.NewReplacer("t3", "t4", "In: 0.5", "In: 60").Replace(smsRequest))
 			go write(harmless, strings.Replace(lookRequest, "In: 0.5", "In: 60", 1))
@@ -158,11 +159,11 @@
 			for i, held := range []net.Conn{waiting, harmless} { // in hand before, for as long
 				go func() {
 					status, h, _, err := readResponse(held)
-					if assert.NoError(t, err, "in hand, hard stop %v", c.hardStop) {
-						assert.Equal(t, 502+i, status, "in hand, hard stop %v", c.hardStop)
+					if assert.NoError(t, err, "in flight, deadline %v", c.deadline) {
+						assert.Equal(t, 502+i, status, "in flight, deadline %v", c.deadline)
 						assert.Equal(t, i == 1, h.Get("Retry-After") != nil)
 					}
-					assert.Less(t, time.Since(ordered), left, "in hand, hard stop %v", c.hardStop)
+					assert.Less(t, time.Since(ordered), left, "in flight, deadline %v", c.deadline)
 					held.Close()
 					over <- true
 				}()
@@ -170,13 +171,13 @@
 			time.Sleep(left - idleCloseMargin - 10*time.Millisecond) // the last moment to take it
 			go write(conn, strings.Replace(smsRequest, "In: 0.5", "In: 60", 1))
 			status, h, _, err := readResponse(conn)
-			assert.NoError(t, err, "hard stop %v", c.hardStop)
+			assert.NoError(t, err, "deadline %v", c.deadline)
 			assert.Equal(t, 502, status, "it may have run")
 			assert.True(t, h.Close)
 			<-over
 			<-over
 			assert.NoError(t, <-env.serveResult)
-			assert.Less(t, time.Since(ordered), left, "hard stop %v", c.hardStop)
+			assert.Less(t, time.Since(ordered), left, "deadline %v", c.deadline)
 			conn.Close()
 			time.Sleep(time.Minute)
 		})
--- a/proxy/socketenv_test.go
+++ b/proxy/socketenv_test.go
@@ -32,10 +32,12 @@
 
 // startSocketEnv serves; respond is what a server does with the n-th request that any of them receives.
 func startSocketEnv(t *testing.T, respond func(n int, end net.Conn)) *socketEnv {
+	t.Helper()
 	return startSocketEnvWithSockets(t, 1024, respond)
 }
 
 func startSocketEnvWithSockets(t *testing.T, sockets int, respond func(n int, end net.Conn)) *socketEnv {
+	t.Helper()
 	s := &socketEnv{t: t, dialGate: make(chan struct{}), respond: respond}
 	l := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true},
 		Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
@@ -52,7 +54,7 @@
 				go s.runServer(end)
 			}
 		}()
-		e := listEntry(id, balance.Ready, 0)
+		e := listEntry(id, balance.Ready)
 		e.Addr = ln.Addr().String()
 		l.Known.Entries = append(l.Known.Entries, e)
 	}
@@ -92,7 +94,9 @@
 		if err != nil {
 			return
 		}
-		r.Body(h.Length, h.Chunked)
+		if _, err = r.Body(h.Length, h.Chunked); err != nil {
+			return
+		}
 		s.respond(int(s.received.Add(1)), end)
 	}
 }
