--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -47,7 +47,7 @@
 	return state.Clone()
 }
 
-// applyAdminState has the decisions hear of servers that were disabled or enabled. The owner calls it.
+// applyAdminState tells the decisions which servers were disabled or enabled. The owner calls it.
 func (p *Proxy) applyAdminState() {
 	state := readLifecycle(p.process, cloneAdminState)
 	previous := p.endpoints.adminState
@@ -77,7 +77,7 @@
 	}
 }
 
-// updateStaticPools has the pools hear that have a server in their configuration.
+// updateStaticPools updates the pools that have a server in their configuration.
 func (p *Proxy) updateStaticPools(index int) {
 	isServer := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
 	for _, pool := range p.pools.all {
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -53,7 +53,7 @@
 	})
 	resp, err := c.awaitResponse(req)
 	if err != nil {
-		c.abandoned.Store(true) // the owner may hear of it late
+		c.abandoned.Store(true) // the owner may get the event late
 		p.post(func() { p.clientDisconnected(req) })
 	}
 	return resp, err
@@ -191,7 +191,7 @@
 	if req.retryRule == nil { // the platform's
 		return true
 	}
-	if req.pool.retired { // it hears of no drains any more
+	if req.pool.retired { // it is not told of drains any more
 		p.rejectBeforeDecision(req, response{status: http.StatusServiceUnavailable, body: []byte("its pool has gone\n")})
 		return false
 	}
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -12,7 +12,7 @@
 // uploadResponseMargin is how long before its deadline the attempt of a streamed request is given up.
 const uploadResponseMargin = 15 * time.Millisecond
 
-// minForwardedWaitSeconds is the least that a server is told its client waits.
+// minForwardedWaitSeconds is the least client wait that is forwarded to a server.
 const minForwardedWaitSeconds = 0.001
 
 // attempt is one attempt of a request. It belongs to the owner, its exchange to the upstream pool.
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -43,24 +43,35 @@
 type testEnv struct {
 	*Proxy
 	t             *testing.T
-	platformConns chan net.Conn      // clients' connections on their way in
-	operatorConns chan net.Conn      // the same of the operator's listener
-	respond       func(end net.Conn) // what each server answers instead of its plays
-	streamBodies  bool               // bodies are read as they come, whatever their size
-	bodyBytes     int64              // read of them
-	recordHeads   bool               // received has whole heads
-	closed        chan struct{}
-	mu            sync.Mutex
-	behaviors     map[string][]string // by address, or for any: what servers do in turn; the last stays
-	received      []string            // requests at servers: address and head
-	dialed        []string
-	dialDelay     time.Duration          // that opening a connection takes
-	closedConns   int                    // connections that ended at a server's end
-	listUpdates   map[string]chan string // discovery, by address: changes to tell
-	watchLog      []string               // address and question of each watch, and its end
+	platformConns chan net.Conn // client connections on their way in
+	operatorConns chan net.Conn // the same of the operator's listener
+	closed        chan struct{} // the listeners
 	cancel        context.CancelFunc
-	brokenBefore  int // invariants, before
 	serveResult   chan error
+	brokenBefore  int // invariants, when it was made
+
+	mu sync.Mutex // of what follows
+	fakeServers
+	fakeDiscovery
+}
+
+// fakeServers are what servers do and have received.
+type fakeServers struct {
+	behaviors    map[string][]string // by address, or for any: what servers do in turn; the last stays
+	respondWith  func(end net.Conn)  // what each server does instead; nil: its behavior
+	streamBodies bool                // bodies are read as they come, whatever their size
+	recordHeads  bool                // received has complete heads
+	dialDelay    time.Duration       // that opening a connection takes
+	dialed       []string            // addresses
+	received     []string            // requests: address and head
+	bodyBytes    int64               // read of streamed bodies
+	closedConns  int                 // connections that have ended at a server's end
+}
+
+// fakeDiscovery is discovery at one or more addresses.
+type fakeDiscovery struct {
+	listUpdates map[string]chan string // by address: changes to send
+	watchLog    []string               // address and question of each watch, and its end
 }
 
 func (env *testEnv) Accept() (net.Conn, error) {
@@ -129,11 +140,11 @@
 		t:             t,
 		platformConns: make(chan net.Conn, 100),
 		closed:        make(chan struct{}),
-		behaviors:     behaviors,
-		listUpdates:   map[string]chan string{"agent": make(chan string, 10), "agent2": make(chan string, 10)},
 		serveResult:   make(chan error, 1),
 		brokenBefore:  brokenInvariants(),
+		fakeServers:   fakeServers{behaviors: behaviors},
 	}
+	env.listUpdates = map[string]chan string{"agent": make(chan string, 10), "agent2": make(chan string, 10)}
 	p.Dial = env.dialServer
 	return env
 }
@@ -270,8 +281,8 @@
 				return
 			}
 		}
-		if env.respond != nil {
-			env.respond(end)
+		if env.respondWith != nil {
+			env.respondWith(end)
 			continue
 		}
 		switch behavior {
--- a/proxy/estimates.go
+++ b/proxy/estimates.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// OnEstimates has a control plane beside the proxy hear what the proxy holds of each operator's pool: at an interval,
+// OnEstimates reports what the proxy holds of each operator's pool to a control plane beside it: at an interval,
 // and at once when the list or the admin state changes. The owner makes the call, which must not wait. Set it before
 // Serve.
 func (p *Proxy) OnEstimates(observe EstimatesFunc) { p.estimates.observe = observe }
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -146,17 +146,16 @@
 	arrivedAt := p.stamp(r.receivedAt)
 	r.info.Deadline = p.shutdown.bound(arrivedAt+clientWait(head, class.Deadline), p.clock)
 	r.req = &request{
-		pool:        pool,
-		class:       class,
-		arrivedAt:   arrivedAt,
-		deadline:    r.info.Deadline,
-		id:          "w" + strconv.FormatUint(rand.Uint64(), 16),
-		traceID:     string(head.Get("X-Trace-Id")),
-		response:    make(chan response, 1),
-		retryRule:   rule,
-		passthrough: true,
-		headOnly:    r.isHead,
+		pool:      pool,
+		class:     class,
+		arrivedAt: arrivedAt,
+		deadline:  r.info.Deadline,
+		id:        "w" + strconv.FormatUint(rand.Uint64(), 16),
+		traceID:   string(head.Get("X-Trace-Id")),
+		response:  make(chan response, 1),
+		retryRule: rule,
 	}
+	r.req.passthrough, r.req.headOnly = true, r.isHead
 	r.req.quota = requestQuota{
 		limits: cfg.Limits,
 		keys:   routing.limitKeys(match.Route, route, target.clientAddr, head),
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -110,7 +110,7 @@
 		env := newEnv(t, nil, nil)
 		now := time.Now()
 		h := &recordingHandle{}
-		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], handle: h,
+		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], requestState: requestState{handle: h},
 			response: make(chan response, 1)}
 		att := &attempt{sentAt: env.stamp(now.Add(-c.ordered))}
 		req.attempts = []*attempt{att}
@@ -134,8 +134,8 @@
 		b := env.registry.Endpoint(listEntry("b1", balance.Ready).Entry)
 		env.upstream.SetEndpoint(b.Index, "b1", 0)
 		env.applyEndpointState(b.Index, balance.Ready, env.now(), 0)
-		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], handle: &recordingHandle{},
-			response: make(chan response), deadline: env.now() + 1}
+		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], response: make(chan response),
+			deadline: env.now() + 1, requestState: requestState{handle: &recordingHandle{}}}
 		env.requests.byRef = append(env.requests.byRef, req)
 		env.startAttempt(req, b.Index, env.now()+1)
 		synctest.Wait()
@@ -154,14 +154,15 @@
 // The time in which a client sends is none of its server's, whenever the response comes.
 func TestLatencyCountsFromLastByte(t *testing.T) {
 	flows := &upstream.Upload{}
+	streamed := func(s bodyStream) request { return request{forwardedRequest: forwardedRequest{stream: s}} }
 	for _, c := range []struct {
 		l    request
 		want float64
 	}{
 		{request{}, 9},
-		{request{stream: bodyStream{upload: flows, completedAt: 8}}, 2},
-		{request{stream: bodyStream{upload: flows, completedAt: 11}}, 0},
-		{request{stream: bodyStream{upload: flows}}, 0},
+		{streamed(bodyStream{upload: flows, completedAt: 8}), 2},
+		{streamed(bodyStream{upload: flows, completedAt: 11}), 0},
+		{streamed(bodyStream{upload: flows}), 0},
 	} {
 		assert.Equal(t, c.want, c.l.latency(1, 10))
 	}
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -16,8 +16,8 @@
 	bodyBytesPerWorkUnit = 32 << 10 // of a body cost this core as much as all else of its request
 	requestsPerCore      = 8        // in a core's work at a time, from reading to sending
 	minPriorityWeight    = 1e-3
-	minDelayFactorStep   = 1.1   // factor by which the delay factor changes before the decisions are told
-	minLagStepSeconds    = 0.001 // by which the lag changes before the decisions are told
+	minDelayFactorStep   = 1.1   // the least change of the delay factor that is reported to the decisions
+	minLagStepSeconds    = 0.001 // the least change of the lag that is reported to the decisions
 )
 
 // overloadMonitor queues requests for this proxy's own cores and measures how far these are behind. All goroutines use
@@ -27,7 +27,7 @@
 	*limits.Overload
 	waiting chan struct{} // holds a value while requests wait for their turn
 
-	delayFactor float64 // as the decisions were told last
+	delayFactor float64 // as reported to the decisions last
 	lagSeconds  float64 // likewise
 }
 
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -189,8 +189,8 @@
 	p.updatePool(pool, list, true, endpoints)
 }
 
-// removeIfRetired forgets a pool that a reload has removed, once its last request has ended. Until then it hears of
-// drains.
+// removeIfRetired forgets a pool that a reload has removed, once its last request has ended. Until then it is
+// told of drains.
 func (p *Proxy) removeIfRetired(pool *serverPool) {
 	if !pool.retired || pool.inFlight > 0 {
 		return
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -13,24 +13,34 @@
 // backstopMarginSeconds is how long before its deadline a request without a response is failed.
 const backstopMarginSeconds = 0.002
 
-// request is a request from its reading to its end. Its client's goroutine makes it and sets its fields; from its
-// admission on it is the owner's, which sends the one response.
+// request is a request from its reading to its end. Its client's goroutine makes it; from its admission on it is the
+// owner's, which sends the one response.
 type request struct {
-	pool        *serverPool // of its route; from its admission on the one that serves for that
-	class       *balance.Class
-	id          string
-	traceID     string  // that the client and the servers know; empty: id
-	arrivedAt   float64 // seconds since 1970
-	deadline    float64 // seconds since 1970
-	head, body  []byte  // what goes to a server, the same in all attempts
-	passthrough bool    // by an operator's listener: a server's response goes on as it is
-	headOnly    bool    // it asks for a head only
+	pool      *serverPool // of its route; from its admission on the one that serves for that
+	class     *balance.Class
+	id        string
+	traceID   string            // that the client and the servers know; empty: id
+	arrivedAt float64           // seconds since 1970
+	deadline  float64           // seconds since 1970
+	client    *clientConn       // nil: none
+	retryRule *limits.RetryRule // nil: the platform's, which the deployment sets
+	quota     requestQuota
+	response  chan response // holds the one response: the owner never waits for the client
+
+	forwardedRequest
+	requestState
+}
+
+// forwardedRequest is what goes to a server, the same in all attempts.
+type forwardedRequest struct {
+	head, body  []byte
 	stream      bodyStream
-	retryRule   *limits.RetryRule // nil: the platform's, which the deployment sets
-	quota       requestQuota
-	response    chan response // holds the one response: the owner never waits for the client
-	client      *clientConn   // nil: none
+	passthrough bool // by an operator's listener: a server's response goes on as it is
+	headOnly    bool // it asks for a head only
+}
 
+// requestState is the owner's state of a request. The zero value is that of one before its admission.
+type requestState struct {
 	ref           int // in the requestTable
 	handle        RequestHandle
 	timer         timer // for the decisions' wakeups and the backstop
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -37,8 +37,9 @@
 		l       *request
 		backend int
 	}{
-		{&request{class: &balance.Class{}, answered: true}, 0},
-		{&request{class: &balance.Class{Idempotency: balance.NonIdempotent}, attempts: []*attempt{{}}}, 0},
+		{&request{class: &balance.Class{}, requestState: requestState{answered: true}}, 0},
+		{&request{class: &balance.Class{Idempotency: balance.NonIdempotent},
+			requestState: requestState{attempts: []*attempt{{}}}}, 0},
 		{&request{class: &balance.Class{}}, 1},
 	} {
 		env.startAttempt(c.l, c.backend, env.now()+1)
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -32,7 +32,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := newEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1 << 20 })
-			env.respond = func(end net.Conn) {
+			env.respondWith = func(end net.Conn) {
 				write(end, c.head)
 				time.Sleep(c.pause)
 				trickle(end, c.rest, 64_000)
@@ -69,7 +69,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
 			broke := false
-			env.respond = func(end net.Conn) {
+			env.respondWith = func(end net.Conn) {
 				if broke {
 					write(end, okResponse)
 					return
@@ -139,7 +139,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
-		env.respond = func(end net.Conn) {
+		env.respondWith = func(end net.Conn) {
 			write(end, "HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n")
 			for {
 				if _, err := io.WriteString(end, "3e8\r\n"+strings.Repeat("x", 1000)+"\r\n"); err != nil {
@@ -173,7 +173,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 			var written atomic.Int64
-			env.respond = func(end net.Conn) { writeLargeBody(end, size, c.chunked, c.breaks, &written) }
+			env.respondWith = func(end net.Conn) { writeLargeBody(end, size, c.chunked, c.breaks, &written) }
 			ours, theirs := net.Pipe()
 			env.operatorConns <- theirs
 			write(ours, strings.Replace(plainRequest("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
@@ -197,7 +197,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		var written atomic.Int64
-		env.respond = func(end net.Conn) { writeLargeBody(end, 1<<40, true, false, &written) } // an answer without end
+		env.respondWith = func(end net.Conn) { writeLargeBody(end, 1<<40, true, false, &written) } // an answer without end
 		ours, theirs := net.Pipe()
 		env.operatorConns <- theirs
 		go write(ours, plainRequest("GET", "/a", ""))
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		var written atomic.Int64
-		env.respond = func(end net.Conn) { writeLargeBody(end, 1<<40, false, false, &written) }
+		env.respondWith = func(end net.Conn) { writeLargeBody(end, 1<<40, false, false, &written) }
 		const downloads = 30 // a server that was never heard is given two attempts
 		var clients []net.Conn
 		for range downloads {
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -31,7 +31,7 @@
 	}
 	behind, front := listen(), listen()
 	defer behind.Close()
-	env := &testEnv{behaviors: map[string][]string{"b1": {okResponse}}}
+	env := &testEnv{fakeServers: fakeServers{behaviors: map[string][]string{"b1": {okResponse}}}}
 	go func() {
 		for c, err := behind.Accept(); err == nil; c, err = behind.Accept() {
 			go env.runServer("b1", c)
