--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -83,7 +83,7 @@
 	for id, n := range s.runs {
 		assert.Equal(t, 1, n, "%s ran once", id)
 	}
-	assert.Contains(t, next.log(), "handed over")
+	assert.Contains(t, next.log(), "hot restart: took over from the predecessor")
 	t.Logf("%d requests, over an upgrade", clients.sent)
 }
 
