--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -44,8 +44,8 @@
 // startedAtOf is when a server counts as started, in seconds since 1970.
 func (env *testEnv) startedAtOf(id string) float64 {
 	index, _ := env.registry.Find(id)
-	e, _ := env.underAdminState(env.endpoints.known[index])
-	return e.StartedAt
+	entry, _ := env.underAdminState(env.endpoints.known[index])
+	return entry.StartedAt
 }
 
 // A drained proxy is not ready at once, serves until the load balancer in front has noticed, then closes all
--- a/proxy/conntable.go
+++ b/proxy/conntable.go
@@ -8,6 +8,8 @@
 )
 
 const (
+	overflowFraction   = 0.2                     // of all client connections: accepted over the bound
+	maxIdleFraction    = 0.25                    // of the client connections served: idle between requests
 	nearlyFullFraction = 0.75                    // of the client connections served
 	firstByteTimeout   = 2100 * time.Millisecond // from a connection's start to its first request's first byte
 	clientIdleTimeout  = 75 * time.Second        // of a connection between requests
--- a/proxy/conntable_test.go
+++ b/proxy/conntable_test.go
@@ -163,8 +163,8 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	d := &connTable{connLimits: connLimits{maxServed: 1, maxIdle: 1}, all: map[*clientConn]bool{}}
-	d.changed.L = &d.mu
+	table := &connTable{connLimits: connLimits{maxServed: 1, maxIdle: 1}, all: map[*clientConn]bool{}}
+	table.changed.L = &table.mu
 	var clients []*clientConn
 	var ends []net.Conn
 	for range 2 {
@@ -175,65 +175,65 @@
 		assert.NoError(t, err)
 		defer nc.Close()
 		c := &clientConn{conn: nc}
-		d.all[c] = true
-		d.markIdle(c, false)
+		table.all[c] = true
+		table.markIdle(c, false)
 		clients, ends = append(clients, c), append(ends, end)
 	}
 	write(ends[0], lookRequest)
 	for !upstream.HasUnreadBytes(clients[0].conn) {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Nil(t, d.evictionCandidate(), "one that was served just now is likely to be used again")
+	assert.Nil(t, table.evictionCandidate(), "one that was served just now is likely to be used again")
 	for _, c := range clients {
 		c.queuedAt = time.Now().Add(-crowdedIdleTimeout)
 	}
-	assert.Same(t, clients[1], d.evictionCandidate(), "the other one makes room")
-	d.closeLongIdle()
+	assert.Same(t, clients[1], table.evictionCandidate(), "the other one makes room")
+	table.closeLongIdle()
 	assert.False(t, clients[0].closeRequested.Load())
 	assert.True(t, clients[1].closeRequested.Load())
 }
 
 // A connection in two queues at once would break both: those behind it would be found no more and fill the table.
 func TestConnectionIsInOneQueue(t *testing.T) {
-	d := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
-	d.changed.L = &d.mu
+	table := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
+	table.changed.L = &table.mu
 	var all []*clientConn
 	for i := range 20 {
 		ours, _ := net.Pipe()
 		c := &clientConn{conn: ours, connSignals: connSignals{wake: make(chan struct{}, 1)}}
 		all = append(all, c)
-		d.all[c] = true
-		d.markIdle(c, true)
-		d.markBegun(c, true)
+		table.all[c] = true
+		table.markIdle(c, true)
+		table.markBegun(c, true)
 		switch i % 4 {
 		case 0: // rejected before its request is complete
-			d.markLingering(c)
+			table.markLingering(c)
 		case 1:
-			d.markComplete(c)
-			d.markIdle(c, false)
+			table.markComplete(c)
+			table.markIdle(c, false)
 		case 2:
-			d.markComplete(c)
+			table.markComplete(c)
 		}
 	}
 	for i, c := range all {
 		if i%3 == 0 {
-			d.remove(c)
+			table.remove(c)
 		}
 	}
-	for _, l := range []*connQueue{&d.pending, &d.idle, &d.longIdle} {
+	for _, queue := range []*connQueue{&table.pending, &table.idle, &table.longIdle} {
 		n := 0
 		var before *clientConn
-		for c := l.first; c != nil && n <= l.n; c = c.next {
-			assert.Same(t, l, c.queue)
+		for c := queue.first; c != nil && n <= queue.n; c = c.next {
+			assert.Same(t, queue, c.queue)
 			assert.Same(t, before, c.prev)
 			before = c
 			n++
 		}
-		assert.Equal(t, l.n, n)
-		assert.Same(t, before, l.last)
+		assert.Equal(t, queue.n, n)
+		assert.Same(t, before, queue.last)
 	}
-	assert.Equal(t, 10-4, d.pending.n) // those rejected and those whose request has begun, but for those that left
-	assert.Equal(t, 4, d.idle.n)
+	assert.Equal(t, 10-4, table.pending.n) // those rejected and those whose request has begun, but for those that left
+	assert.Equal(t, 4, table.idle.n)
 }
 
 // Clients that send one request and keep their connections must leave some for those that still send.
@@ -274,17 +274,17 @@
 		all, idle, longIdle int
 		want                bool
 	}{{5, 2, 0, false}, {6, 2, 0, true}, {6, 1, 0, false}, {6, 1, 1, true}, {2, 0, 2, true}} {
-		d := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
+		table := connTable{connLimits: connLimits{maxServed: 8, maxIdle: 2}, all: map[*clientConn]bool{}}
 		for i := range c.all {
-			m := &clientConn{queueState: queueState{queuedAt: time.Now()}}
-			d.all[m] = true
+			conn := &clientConn{queueState: queueState{queuedAt: time.Now()}}
+			table.all[conn] = true
 			if i < c.idle {
-				d.idle.append(m)
+				table.idle.append(conn)
 			} else if i < c.idle+c.longIdle {
-				d.longIdle.append(m)
+				table.longIdle.append(conn)
 			}
 		}
-		assert.Equal(t, c.want, d.closesFirstResponse(), "%+v", c)
+		assert.Equal(t, c.want, table.closesFirstResponse(), "%+v", c)
 	}
 }
 
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -73,9 +73,9 @@
 			"nowhere": {refuseConnection}}
 		env := startEnv(t, plays, nil)
 		reload := func(addr string) {
-			l := env.bootstrap
-			l.Discovery = addr
-			env.ReloadBootstrap(l)
+			cfg := env.bootstrap
+			cfg.Discovery = addr
+			env.ReloadBootstrap(cfg)
 			synctest.Wait()
 		}
 		waits := env.connect()
@@ -193,14 +193,16 @@
 // is sent to.
 func TestManyServersDrainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		env := startEnv(t, map[string][]string{"any": {okResponse}}, func(l *BootstrapConfig) { l.SlowStartDuration = 0 })
+		env := startEnv(t, map[string][]string{"any": {okResponse}}, func(cfg *BootstrapConfig) {
+			cfg.SlowStartDuration = 0
+		})
 		say := func(version int, full bool, state balance.EndpointState, ids ...string) {
-			l := List{Version: int64(version), Full: full}
+			list := List{Version: int64(version), Full: full}
 			for _, id := range ids {
-				l.Entries = append(l.Entries, listEntry(id, state))
-				l.Entries[len(l.Entries)-1].Addr += ":1"
+				list.Entries = append(list.Entries, listEntry(id, state))
+				list.Entries[len(list.Entries)-1].Addr += ":1"
 			}
-			text, err := json.MarshalIndent(l, "", "    ")
+			text, err := json.MarshalIndent(list, "", "    ")
 			assert.NoError(t, err)
 			env.updateList(string(text))
 		}
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -367,12 +367,12 @@
 func (env *testEnv) requestsByServer() map[string]int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	n := map[string]int{}
-	for _, g := range env.received {
-		n[g[:2]]++
+	counts := map[string]int{}
+	for _, request := range env.received {
+		counts[request[:2]]++
 	}
 	env.received = nil
-	return n
+	return counts
 }
 
 func (env *testEnv) sendRequests(n int) {
--- a/proxy/estimates_test.go
+++ b/proxy/estimates_test.go
@@ -22,12 +22,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "w1:80": {okResponse}}, nil)
 		env.operatorConns = make(chan net.Conn, 100)
-		s, faults := config.Read("f.toml",
+		cfg, faults := config.Read("f.toml",
 			[]byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n"+
 				"[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
 				"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
 		require.Empty(t, faults)
-		require.NoError(t, env.Configure(s, operatorListener{env}))
+		require.NoError(t, env.Configure(cfg, operatorListener{env}))
 		var mu sync.Mutex
 		var lastPools map[string]assignment.Observation
 		var removedSoFar []string
@@ -44,10 +44,10 @@
 			return lastPools[pool], removedSoFar
 		}
 		of := func(pool, id string) *assignment.ServerEstimate {
-			s, _ := now(pool)
-			i := slices.IndexFunc(s.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
-			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, s)
-			return &s.Servers[i]
+			cfg, _ := now(pool)
+			i := slices.IndexFunc(cfg.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
+			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, cfg)
+			return &cfg.Servers[i]
 		}
 		assert.Equal(t, "b1", of("all", "b1").Addr)
 		assert.Equal(t, "w1:80", of("own", "own/w1:80").Addr)
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -86,12 +86,15 @@
 // A message numbers the platform's classes; one of an operator's pool would be taken for those.
 func TestOperatorPoolsSendNoGossip(t *testing.T) {
 	env := newFleetMember(t, 0, "", "", nil)
-	s, faults := config.Read("f.toml", []byte(operatorFile))
+	cfg, faults := config.Read("f.toml", []byte(operatorFile))
 	require.Empty(t, faults)
-	o, err := env.buildRouting(s, nil)
+	routing, err := env.buildRouting(cfg, nil)
 	require.NoError(t, err)
-	for b, tells := range map[Decisions]bool{env.pools.platform.decisions: true, o.pools["first"].decisions: false} {
-		_, orders := b.RequestArrived(env.now(), balance.RequestInfo{Deadline: env.now() + 1}, "")
-		assert.Equal(t, tells, orders.Gossip != nil)
+	for decisions, sendsGossip := range map[Decisions]bool{
+		env.pools.platform.decisions:     true,
+		routing.pools["first"].decisions: false,
+	} {
+		_, actions := decisions.RequestArrived(env.now(), balance.RequestInfo{Deadline: env.now() + 1}, "")
+		assert.Equal(t, sendsGossip, actions.Gossip != nil)
 	}
 }
--- a/proxy/memory.go
+++ b/proxy/memory.go
@@ -5,6 +5,9 @@
 	"sync/atomic"
 )
 
+// bufferMemoryFraction is the part of the memory limit for bodies and large responses that are held at a time.
+const bufferMemoryFraction = 0.25
+
 // memoryBudget bounds the bytes that are held at a time: requests to be sent to servers, and large responses. It may
 // be used by any goroutine.
 type memoryBudget struct {
@@ -13,12 +16,12 @@
 	total    float64      // bytes that this proxy's processes may hold together
 }
 
-// init sets the limit in bytes; 0 stands for none.
-func (m *memoryBudget) init(limit float64) {
-	if limit == 0 {
-		limit = math.MaxInt64 / 2
+// init sets the budget by the memory limit in bytes; 0 stands for none.
+func (m *memoryBudget) init(memoryLimit int64) {
+	m.total = bufferMemoryFraction * float64(memoryLimit)
+	if m.total == 0 {
+		m.total = math.MaxInt64 / 2
 	}
-	m.total = limit
 	m.setShare(1)
 }
 
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -109,14 +109,15 @@
 	} {
 		env := newEnv(t, nil, nil)
 		now := time.Now()
-		h := &recordingHandle{}
-		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], requestState: requestState{handle: h},
-			response: make(chan response, 1)}
+		handle := &recordingHandle{}
+		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0],
+			requestState: requestState{handle: handle},
+			response:     make(chan response, 1)}
 		att := &attempt{sentAt: env.stamp(now.Add(-c.ordered))}
 		req.attempts = []*attempt{att}
 		env.recordOutcome(req, att, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent),
 			EndedAt: now.Add(-c.came)})
-		assert.InDelta(t, c.want, h.latency, 1e-6, c.name)
+		assert.InDelta(t, c.want, handle.latency, 1e-6, c.name)
 		assert.Equal(t, c.slack, env.overload.DelayFactor() > 1.5, c.name)
 		assert.Equal(t, 200, (<-req.response).status)
 	}
@@ -131,13 +132,13 @@
 			ours, end = net.Pipe()
 			return ours, nil
 		}
-		b := env.registry.Endpoint(listEntry("b1", balance.Ready).Entry)
-		env.upstream.SetEndpoint(b.Index, "b1", 0)
-		env.applyEndpointState(b.Index, balance.Ready, env.now(), 0)
+		endpoint := env.registry.Endpoint(listEntry("b1", balance.Ready).Entry)
+		env.upstream.SetEndpoint(endpoint.Index, "b1", 0)
+		env.applyEndpointState(endpoint.Index, balance.Ready, env.now(), 0)
 		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0], response: make(chan response),
 			deadline: env.now() + 1, requestState: requestState{handle: &recordingHandle{}}}
 		env.requests.byRef = append(env.requests.byRef, req)
-		env.startAttempt(req, b.Index, env.now()+1)
+		env.startAttempt(req, endpoint.Index, env.now()+1)
 		synctest.Wait()
 		_, err := end.Read(make([]byte, 1)) // it is being written: only canceling stops it
 		require.NoError(t, err)
@@ -153,16 +154,16 @@
 
 // The time in which a client sends is none of its server's, whenever the response comes.
 func TestLatencyCountsFromLastByte(t *testing.T) {
-	flows := &upstream.Upload{}
+	upload := &upstream.Upload{}
 	streamed := func(s bodyStream) request { return request{forwardedRequest: forwardedRequest{stream: s}} }
 	for _, c := range []struct {
 		l    request
 		want float64
 	}{
 		{request{}, 9},
-		{streamed(bodyStream{upload: flows, completedAt: 8}), 2},
-		{streamed(bodyStream{upload: flows, completedAt: 11}), 0},
-		{streamed(bodyStream{upload: flows}), 0},
+		{streamed(bodyStream{upload: upload, completedAt: 8}), 2},
+		{streamed(bodyStream{upload: upload, completedAt: 11}), 0},
+		{streamed(bodyStream{upload: upload}), 0},
 	} {
 		assert.Equal(t, c.want, c.l.latency(1, 10))
 	}
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -109,9 +109,9 @@
 		env.operatorConns = make(chan net.Conn, 100)
 		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n" +
 			"[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
-		s, faults := config.Read("f.toml", []byte(text))
+		cfg, faults := config.Read("f.toml", []byte(text))
 		require.Empty(t, faults)
-		require.NoError(t, env.Configure(s, operatorListener{env}))
+		require.NoError(t, env.Configure(cfg, operatorListener{env}))
 		env.start()
 		at := func() string {
 			env.received = nil
@@ -124,9 +124,9 @@
 		for range 5 {
 			assert.Equal(t, "200 b1", at())
 		}
-		s, faults = config.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
+		cfg, faults = config.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
 		require.Empty(t, faults)
-		require.NoError(t, env.ReloadConfig(s))
+		require.NoError(t, env.ReloadConfig(cfg))
 		for range 5 {
 			assert.Equal(t, "200 b2", at())
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -49,9 +49,6 @@
 	reservedSockets      = 64   // descriptors for files, listeners, discovery and connections that are closing
 	minSockets           = 4    // descriptors for clients and servers together, however low the limit is
 	clientSocketFraction = 0.75 // of the sockets that are not reserved; a request may wait longer than its attempts take
-	overflowFraction     = 0.2  // of the clients' sockets: accepted over the bound, to be rejected at once
-	maxIdleFraction      = 0.25 // of the client connections served: idle between requests
-	bufferMemoryFraction = 0.25 // of the memory limit: bodies and large responses held at a time
 
 	defaultConnectTimeout    = time.Second
 	defaultServerIdleTimeout = 2 * time.Second // where the deployment does not say when servers close idle connections
@@ -121,7 +118,7 @@
 	clients, servers := divideSockets(cfg.Limits.Sockets)
 	p.conns.init(clients)
 	p.maxServerConns = servers
-	p.memory.init(bufferMemoryFraction * float64(cfg.Limits.Memory))
+	p.memory.init(cfg.Limits.Memory)
 	p.overload.init(len(cfg.Tenants))
 	p.upstream = p.newUpstreamPool()
 	return p, nil
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -29,24 +29,24 @@
 		assert.NoError(t, err)
 		return ln
 	}
-	behind, front := listen(), listen()
-	defer behind.Close()
+	upstreamListener, listener := listen(), listen()
+	defer upstreamListener.Close()
 	env := &testEnv{fakeServers: fakeServers{behaviors: map[string][]string{"b1": {okResponse}}}}
 	go func() {
-		for c, err := behind.Accept(); err == nil; c, err = behind.Accept() {
+		for c, err := upstreamListener.Accept(); err == nil; c, err = upstreamListener.Accept() {
 			go env.runServer("b1", c)
 		}
 	}()
-	e := listEntry("b1", balance.Ready)
-	e.Addr = behind.Addr().String()
+	entry := listEntry("b1", balance.Ready)
+	entry.Addr = upstreamListener.Addr().String()
 	log, _ := test.NewNullLogger()
-	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{e}},
+	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{entry}},
 		Settings: settings.Settings{Deployment: balance.Deployment{Classes: []balance.Class{{Name: "look",
 			Deadline: 20}}}}}, log)
 	assert.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error)
-	go func() { served <- p.Serve(ctx, front) }()
+	go func() { served <- p.Serve(ctx, listener) }()
 	for _, c := range []struct {
 		in     string
 		status int
@@ -56,7 +56,7 @@
 			strings.Repeat("x", http1.DefaultMaxBytes), 200},
 		{strings.Replace(lookRequest, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
-		conn, err := net.Dial("tcp", front.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		assert.NoError(t, err)
 		go write(conn, c.in)
 		status, _, _, err := readResponse(conn)
--- a/proxy/socketenv_test.go
+++ b/proxy/socketenv_test.go
@@ -39,7 +39,7 @@
 func startSocketEnvWithSockets(t *testing.T, sockets int, respond func(n int, end net.Conn)) *socketEnv {
 	t.Helper()
 	s := &socketEnv{t: t, dialGate: make(chan struct{}), respond: respond}
-	l := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true},
+	cfg := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true},
 		Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
 		Settings: Settings{ConnectTimeout: 5, DrainGrace: 2.5, Deployment: balance.Deployment{Proxies: 1, MaxAttempts: 4,
 			CancelAllowed: true, HedgingAllowed: true,
@@ -54,12 +54,12 @@
 				go s.runServer(end)
 			}
 		}()
-		e := listEntry(id, balance.Ready)
-		e.Addr = ln.Addr().String()
-		l.Known.Entries = append(l.Known.Entries, e)
+		entry := listEntry(id, balance.Ready)
+		entry.Addr = ln.Addr().String()
+		cfg.Known.Entries = append(cfg.Known.Entries, entry)
 	}
 	log, _ := test.NewNullLogger()
-	p, err := New(l, log)
+	p, err := New(cfg, log)
 	require.NoError(t, err)
 	s.Proxy = p
 	p.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
