--- a/proxy/listeners_bench_test.go
+++ b/proxy/listeners_bench_test.go
@@ -61,7 +61,7 @@
 	fields := "X-Trace-Id: %d\r\nX-Qos: page\r\nX-Expires-In: 4\r\n"
 	ways := []benchWay{{"no-proxy", server, "", "/page"},
 		{"platform", platform.Addr().String(), fields, "/page"},
-		{"ordinary", operators.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
+		{"operator", operators.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
 	for _, way := range ways[:len(ways):len(ways)] {
 		way.name, way.path = way.name+"-large", "/page?large"
 		ways = append(ways, way)
