--- a/proxy/conntable_test.go
+++ b/proxy/conntable_test.go
@@ -288,6 +288,23 @@
 	}
 }
 
+// waitForPlace waits until no connection was accepted lately, so that none waits to be accepted, and a new one has a
+// place: below the bound, or that of a connection that may be evicted. New connections may not be evicted within their
+// grace period; one that arrives among many others meets none but such, and is rejected as it should be.
+func waitForPlace(t *testing.T, conns *connTable) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		conns.mu.Lock()
+		defer conns.mu.Unlock()
+		for c := range conns.all {
+			if time.Since(c.acceptedAt) < 3*newConnectionGracePeriod {
+				return false
+			}
+		}
+		return len(conns.all) < conns.maxServed || conns.evictionCandidate() != nil
+	}, 10*time.Second, 10*time.Millisecond)
+}
+
 // Idle clients in every place that they may have, while discovery is down, leave places for new clients, for servers
 // and for discovery.
 func TestIdleClientsLeaveCapacity(t *testing.T) {
@@ -309,6 +326,7 @@
 			require.Eventually(t, func() bool { return s.discoveryDials.Load() > calls }, 5*time.Second, time.Millisecond,
 				"discovery is asked on")
 			for range 3 {
+				waitForPlace(t, &s.conns)
 				c := s.connect()
 				write(c, strings.Replace(longWaitRequest, "t1", fmt.Sprint(rand.Int()), 1))
 				status, _, _, err := readResponse(c)
