--- a/internal/cli/controlplanecmd/extension.go
+++ b/internal/cli/controlplanecmd/extension.go
@@ -126,16 +126,16 @@
 func (e *extension) startCapture(p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig) error {
 	c := config.Capture
 	recorder, err := capture.Open(capture.Options{
-		Dir:       c.Dir,
-		Name:      bootstrap.Name,
-		Program:   cli.BuildVersion(),
-		Total:     int64(c.TotalMB) << 20,
-		Segment:   int64(c.SegmentMB) << 20,
-		Age:       time.Duration(c.Age * float64(time.Second)),
-		Ring:      int64(c.RingMB) << 20,
-		On:        c.On,
-		Dismissed: c.RejectedShare,
-		Log:       e.log,
+		Dir:             c.Dir,
+		Proxy:           bootstrap.Name,
+		Program:         cli.BuildVersion(),
+		MaxTotalBytes:   int64(c.TotalMB) << 20,
+		MaxSegmentBytes: int64(c.SegmentMB) << 20,
+		MaxSegmentAge:   time.Duration(c.Age * float64(time.Second)),
+		RingBytes:       int64(c.RingMB) << 20,
+		StartOn:         c.On,
+		RejectedShare:   c.RejectedShare,
+		Log:             e.log,
 	})
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
@@ -149,7 +149,7 @@
 		return nil
 	}
 	return e.serveAt("capture", "address", c.Address, func(ln net.Listener) error {
-		return e.serveHTTP(ln, recorder.Door())
+		return e.serveHTTP(ln, recorder.Handler())
 	})
 }
 
--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		var status capture.Standing
+		var status capture.Status
 		if err := json.Unmarshal(body, &status); err != nil {
 			return err
 		}
--- a/internal/cli/ctlcmd/excerpt.go
+++ b/internal/cli/ctlcmd/excerpt.go
@@ -16,7 +16,7 @@
 func excerptCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("excerpt")
 	wanted := flags.String("shows", "",
-		"what it must still show: `"+strings.Join(capture.Wanted, ", ")+"`, or paused:BACKEND")
+		"what it must still show: `"+strings.Join(capture.MatcherNames, ", ")+"`, or paused:BACKEND")
 	pool := flags.String("pool", "", "the `pool` (default: the platform's)")
 	to := flags.String("to", "", "write it to this `FILE`")
 	help := "cut a capture down to little that still shows something"
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			newSight, err := capture.Seen(*wanted)
+			newSight, err := capture.NewMatcher(*wanted)
 			if err != nil {
 				return cli.UsageErrorf("-shows: %w", err)
 			}
@@ -41,7 +41,7 @@
 			if err := report.File(*to, write); err != nil {
 				return err
 			}
-			out.Printf("%d calls that show it, after %d replays\n", len(excerpt.Calls), excerpt.Tries)
+			out.Printf("%d calls that show it, after %d replays\n", len(excerpt.Calls), excerpt.Replays)
 			return nil
 		})
 }
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -180,13 +180,13 @@
 		return recorder, nil
 	}
 	recorder, err := capture.Open(capture.Options{
-		Dir:     r.dir,
-		Name:    fmt.Sprint("n", proxy),
-		Program: cli.BuildVersion(),
-		On:      true,
-		Wait:    true,
-		Segment: captureSegmentBytes,
-		Age:     time.Hour,
+		Dir:             r.dir,
+		Proxy:           fmt.Sprint("n", proxy),
+		Program:         cli.BuildVersion(),
+		StartOn:         true,
+		WaitForWriter:   true,
+		MaxSegmentBytes: captureSegmentBytes,
+		MaxSegmentAge:   time.Hour,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/cli/ctlcmd/replay.go
+++ b/internal/cli/ctlcmd/replay.go
@@ -60,8 +60,8 @@
 		return err
 	}
 	out.Printf("%d calls, %d requests, %.1f s of %s replayed in %.2f s: %d differ, %d passed over\n",
-		player.Played, player.Lookups, player.Last-player.First, player.Began.Proxy, time.Since(began).Seconds(),
-		player.Differ, player.Skipped)
+		player.Played, player.Requests, player.LastCallAt-player.FirstCallAt, player.FileHead.Proxy, time.Since(began).Seconds(),
+		player.Different, player.Skipped)
 	return nil
 }
 
--- a/internal/cli/ctlcmd/timeline.go
+++ b/internal/cli/ctlcmd/timeline.go
@@ -24,15 +24,15 @@
 			if err != nil {
 				return err
 			}
-			line := &capture.Line{Every: interval.Seconds()}
+			line := &capture.Timeline{Interval: interval.Seconds()}
 			player := newPlayer(errOut)
-			player.After = line.Tell
+			player.After = line.Observe
 			if err := player.Play(files, openFile); err != nil {
 				return err
 			}
 			if *html != "" {
 				return report.File(*html, func(w io.Writer) error {
-					return report.Beliefs(w, player.Began.Proxy, line.Moments)
+					return report.Beliefs(w, player.FileHead.Proxy, line.Samples)
 				})
 			}
 			printTimeline(out, line)
@@ -41,10 +41,10 @@
 }
 
 // printTimeline prints a line for each moment and server, with tabs between its columns.
-func printTimeline(out cli.Output, line *capture.Line) {
+func printTimeline(out cli.Output, line *capture.Timeline) {
 	out.Println("pool\tat\tserver\tin_flight\tlimit\tpayoff\tpaused\twarming_up\tsucceeded\tfailed\trejected")
-	for _, m := range line.Moments {
+	for _, m := range line.Samples {
 		out.Printf("%s\t%.2f\t%d\t%d\t%.1f\t%.2f\t%v\t%v\t%d\t%d\t%d\n", m.Pool, m.At, m.Endpoint, m.InFlight, m.Limit,
-			m.Payoff, m.Paused, m.WarmingUp, m.Honoured, m.Failed, m.Turned)
+			m.Payoff, m.Paused, m.WarmingUp, m.Succeeded, m.Failed, m.Rejected)
 	}
 }
--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -66,10 +66,10 @@
 	unknown := map[string]int{}
 	player.Loose = true
 	player.After = func(pool *capture.Pool, call *capture.Call, _ *balance.Actions) {
-		if call.Kind != capture.Take || call.Arrival.ClientRetry {
+		if call.Kind != capture.RequestArrived || call.Arrival.ClientRetry {
 			return
 		}
-		name := pool.B.Deployment().Classes[call.Arrival.Class].Name
+		name := pool.Balancer.Deployment().Classes[call.Arrival.Class].Name
 		class, ok := classes[name]
 		if !ok {
 			unknown[name]++
@@ -77,7 +77,7 @@
 		}
 		arrivals = append(arrivals, loadgen.Intent{
 			Number:   len(arrivals),
-			At:       call.Now - player.First,
+			At:       call.Now - player.FirstCallAt,
 			Tariff:   class,
 			Customer: -1,
 			Key:      call.Arrival.Key,
--- a/internal/cli/ctlcmd/why.go
+++ b/internal/cli/ctlcmd/why.go
@@ -19,7 +19,7 @@
 	flags := cli.NewFlagSet("why")
 	id := flags.String("lookup", "", "the request's `id`")
 	number := flags.Uint64("number", 0, "or its `number` in its pool")
-	first := flags.String("first", "", "or the first that is `"+strings.Join(capture.Wanted, ", ")+"`")
+	first := flags.String("first", "", "or the first that is `"+strings.Join(capture.MatcherNames, ", ")+"`")
 	pool := flags.String("pool", "", "the `pool` (default: whichever has it)")
 	help := "explain how one request was served, and what was weighed"
 	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", help, flags,
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			story := &capture.Story{W: out, Pool: *pool, Number: *number, ID: capture.IDOf(*id)}
+			story := &capture.RequestHistory{Out: out, Pool: *pool, Number: *number, ID: capture.IDOf(*id)}
 			switch {
 			case *first != "":
 				if err := findFirst(story, *first, files); err != nil {
@@ -38,7 +38,7 @@
 				return cli.UsageErrorf("it takes one of -lookup, -number and -first")
 			}
 			player := newPlayer(errOut)
-			player.After = story.Tell
+			player.After = story.Observe
 			if err := player.Play(files, openFile); err != nil {
 				return err
 			}
@@ -50,8 +50,8 @@
 }
 
 // findFirst sets which request a story is of: the first that shows what is wanted, in the story's pool if it has one.
-func findFirst(story *capture.Story, wanted string, files []string) error {
-	newSight, err := capture.Seen(wanted)
+func findFirst(story *capture.RequestHistory, wanted string, files []string) error {
+	newSight, err := capture.NewMatcher(wanted)
 	if err != nil {
 		return cli.UsageErrorf("-first: %w", err)
 	}
@@ -61,10 +61,10 @@
 		if story.Number > 0 || story.Pool != "" && story.Pool != pool.Name {
 			return
 		}
-		sight.After(pool, call, actions)
-		if sight.Shown() {
+		sight.Observe(pool, call, actions)
+		if sight.Matched() {
 			story.Pool = pool.Name
-			story.Number = sight.Lookup()
+			story.Number = sight.Request()
 		}
 	}
 	if err := player.Play(files, openFile); err != nil {
