--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -18,22 +18,22 @@
 type Kind uint8
 
 const (
-	Slack Kind = iota // the last that was added: four bits hold no more
-	Take
-	Ended
-	Left
-	Started
-	Whole
-	LookupWake
-	Wake
-	Listed
-	ListFailed
-	Probed
-	Heard
-	Reported
-	Part
-	Remember
-	Look // Beliefs, Admits or Recall: they change nothing but how far the clock has come
+	LocalDelaySet Kind = iota // the last that was added: four bits hold no more
+	RequestArrived
+	AttemptEnded
+	ClientDisconnected
+	ResponseStarted
+	BodyCompleted
+	RequestTimerFired
+	TimerFired
+	EndpointsUpdated
+	PollFailed
+	HealthChecked
+	GossipReceived
+	OutcomesReported
+	BudgetShareSet
+	SnapshotRestored
+	StateRead // Beliefs, Admits or Recall: they change nothing but how far the clock has come
 )
 
 func (k Kind) String() string {
@@ -43,30 +43,30 @@
 
 // Call is one call on a Balancer, and a digest of the orders that it returned.
 type Call struct {
-	Kind    Kind
-	Pool    int
-	Now     float64
-	Digest  uint16
-	Lookup  uint64 // which, counted from 1 by pool; of Take and of calls on a handle
-	ID      uint32 // of Take: the hash of the id, see IDOf
-	Arrival balance.RequestInfo
-	Leg     int
-	Outcome balance.Outcome
-	Latency float64
-	Over    bool
-	Full    bool // of Listed
-	First   bool
-	List    []balance.Endpoint
-	Backend int // of Probed
-	OK      bool
-	Report  balance.LoadReport
-	From    int // of Heard
-	Note    balance.GossipMessage
-	Results []balance.ReportedOutcomes
-	Part    float64
-	Slack   float64
-	Lag     float64
-	Memory  balance.Snapshot
+	Kind         Kind
+	Pool         int
+	Now          float64
+	Digest       uint16
+	Request      uint64 // which, counted from 1 by pool; of Take and of calls on a handle
+	IDHash       uint32 // of Take: the hash of the id, see IDOf
+	Arrival      balance.RequestInfo
+	Attempt      int
+	Outcome      balance.Outcome
+	Latency      float64
+	BodyComplete bool
+	Full         bool // of Listed
+	First        bool
+	Endpoints    []balance.Endpoint
+	Endpoint     int // of Probed
+	OK           bool
+	LoadReport   balance.LoadReport
+	GossipPeer   int // of Heard
+	Gossip       balance.GossipMessage
+	Outcomes     []balance.ReportedOutcomes
+	BudgetShare  float64
+	DelayStretch float64
+	Delay        float64
+	Snapshot     balance.Snapshot
 }
 
 // IDOf is the hash under which a request's id is recorded.
@@ -234,10 +234,10 @@
 		c.out = append(c.out, byte(lo), byte(hi))
 	}
 	switch x.Kind {
-	case Take:
+	case RequestArrived:
 		a := &x.Arrival
-		c.uint(&x.Lookup)
-		c.u32(&x.ID)
+		c.uint(&x.Request)
+		c.u32(&x.IDHash)
 		c.int(&a.Ref)
 		c.int(&a.Class)
 		c.int(&a.Tenant)
@@ -250,25 +250,25 @@
 		c.float(&a.ExpectedWork)
 		c.bool(&a.ClientRetry)
 		c.bool(&a.Streaming)
-	case Ended:
-		c.uint(&x.Lookup)
-		c.int(&x.Leg)
+	case AttemptEnded:
+		c.uint(&x.Request)
+		c.int(&x.Attempt)
 		o := uint64(x.Outcome)
-		if x.Over {
+		if x.BodyComplete {
 			o |= 16
 		}
 		c.uint(&o)
-		x.Outcome, x.Over = balance.Outcome(o&15), o&16 != 0
+		x.Outcome, x.BodyComplete = balance.Outcome(o&15), o&16 != 0
 		c.float(&x.Latency)
-	case Left, Whole, LookupWake:
-		c.uint(&x.Lookup)
-	case Started:
-		c.uint(&x.Lookup)
-		c.int(&x.Leg)
-	case Listed:
+	case ClientDisconnected, BodyCompleted, RequestTimerFired:
+		c.uint(&x.Request)
+	case ResponseStarted:
+		c.uint(&x.Request)
+		c.int(&x.Attempt)
+	case EndpointsUpdated:
 		c.bool(&x.Full)
 		c.bool(&x.First)
-		all(c, &x.List, func(b *balance.Endpoint) {
+		all(c, &x.Endpoints, func(b *balance.Endpoint) {
 			c.int(&b.Index)
 			c.u64(&b.NameHash)
 			c.int(&b.Zone)
@@ -280,35 +280,35 @@
 			c.float(&b.Cores)
 			c.float(&b.StartedAt)
 		})
-	case Probed:
-		c.int(&x.Backend)
+	case HealthChecked:
+		c.int(&x.Endpoint)
 		c.bool(&x.OK)
-		c.float(&x.Report.InFlight)
-		c.float(&x.Report.Utilization)
-	case Heard:
-		c.int(&x.From)
-		c.float(&x.Note.Rate)
-		all(c, &x.Note.Observations, func(s *balance.Observation) {
+		c.float(&x.LoadReport.InFlight)
+		c.float(&x.LoadReport.Utilization)
+	case GossipReceived:
+		c.int(&x.GossipPeer)
+		c.float(&x.Gossip.Rate)
+		all(c, &x.Gossip.Observations, func(s *balance.Observation) {
 			c.u32(&s.NameHash)
 			c.int(&s.Class)
 			c.float(&s.Age)
 			c.float(&s.Value)
 		})
-	case Reported:
-		all(c, &x.Results, func(r *balance.ReportedOutcomes) {
+	case OutcomesReported:
+		all(c, &x.Outcomes, func(r *balance.ReportedOutcomes) {
 			c.int(&r.Endpoint)
 			c.int(&r.Class)
 			c.int(&r.Succeeded)
 			c.int(&r.Failed)
 		})
-	case Part:
-		c.float(&x.Part)
-	case Slack:
-		c.float(&x.Slack)
-		c.float(&x.Lag)
-	case Remember:
-		all(c, &x.Memory.BaseLatencies, c.float)
-		all(c, &x.Memory.Servers, func(l *balance.ServerSnapshot) {
+	case BudgetShareSet:
+		c.float(&x.BudgetShare)
+	case LocalDelaySet:
+		c.float(&x.DelayStretch)
+		c.float(&x.Delay)
+	case SnapshotRestored:
+		all(c, &x.Snapshot.BaseLatencies, c.float)
+		all(c, &x.Snapshot.Servers, func(l *balance.ServerSnapshot) {
 			c.u64(&l.NameHash)
 			for _, f := range []*float64{&l.StartedAt, &l.Limit, &l.RelativeLatency, &l.Payoff, &l.Confidence, &l.Age, &l.PauseRemaining} {
 				c.float(f)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -125,7 +125,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		require.NoError(t, err)
-		rec, err := Open(Options{Dir: dir, Name: "n0", On: true, Wait: true, Segment: int64(rapid.IntRange(500, 20_000).Draw(r, "segment"))})
+		rec, err := Open(Options{Dir: dir, Proxy: "n0", StartOn: true, WaitForWriter: true, MaxSegmentBytes: int64(rapid.IntRange(500, 20_000).Draw(r, "segment"))})
 		require.NoError(t, err)
 		a := begin(t, rec, "a", rapid.Uint64().Draw(r, "seed"))
 		b := begin(t, rec, "b", 2)
@@ -142,7 +142,7 @@
 		assert.Zero(r, rec.Gaps.Load())
 		os.RemoveAll(dir)
 	})
-	rec, _, dir := record(t, 3000, Options{Segment: 20_000, Wait: true})
+	rec, _, dir := record(t, 3000, Options{MaxSegmentBytes: 20_000, WaitForWriter: true})
 	require.NoError(t, rec.Close())
 	for range 10 {
 		assert.Equal(t, rec.Calls.Load(), replayed(t, dir).Played)
@@ -151,7 +151,7 @@
 
 // record writes one capture.
 func record(t *testing.T, calls int, o Options) (*Recorder, *live, string) {
-	o.Dir, o.Name, o.On = t.TempDir(), "n0", true
+	o.Dir, o.Proxy, o.StartOn = t.TempDir(), "n0", true
 	rec, err := Open(o)
 	require.NoError(t, err)
 	v := begin(t, rec, "a", 5)
@@ -163,7 +163,7 @@
 
 // A file cut at any byte, as by a kill, is read to its last whole block; a flipped bit is named, and what cannot be proved is not replayed.
 func TestCutAndFlipped(t *testing.T) {
-	rec, _, dir := record(t, 800, Options{Wait: true})
+	rec, _, dir := record(t, 800, Options{WaitForWriter: true})
 	require.NoError(t, rec.Close())
 	files, err := Files(dir)
 	require.NoError(t, err)
@@ -193,13 +193,13 @@
 		q, said, err := play(bad)
 		assert.True(t, err != nil || said != "", "a flipped bit at %d is named", at)
 		assert.LessOrEqual(t, q.Played, p.Played)
-		assert.Zero(t, q.Differ)
+		assert.Zero(t, q.Different)
 	}
 }
 
 // Other orders than those recorded stop a replay, with both sides.
 func TestDiffers(t *testing.T) {
-	rec, v, dir := record(t, 500, Options{Wait: true})
+	rec, v, dir := record(t, 500, Options{WaitForWriter: true})
 	v.Balancer.Balancer.RequestArrived(v.now, balance.RequestInfo{Ref: 1 << 20, Deadline: v.now + 1, Tenant: -1}) // past the recorder
 	for range 500 {
 		v.step()
@@ -211,7 +211,7 @@
 	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": the orders differ: digest [0-9a-f]{4} was recorded, [0-9a-f]{4} came of it`, err.Error())
 	p := &Player{Loose: true}
 	require.NoError(t, p.Play(files, openFile))
-	assert.Greater(t, p.Differ, uint64(0))
+	assert.Greater(t, p.Different, uint64(0))
 }
 
 // Danger: a disk that is slow must not hold up the owner. What is missing is counted, and what follows stands alone.
@@ -241,7 +241,7 @@
 
 func TestFailingDisk(t *testing.T) {
 	log, hook := test.NewNullLogger()
-	rec, v, dir := record(t, 100, Options{Log: log, Segment: 2000})
+	rec, v, dir := record(t, 100, Options{Log: log, MaxSegmentBytes: 2000})
 	require.Eventually(t, func() bool { return len(rec.to.chunks) == 0 }, 5*time.Second, time.Millisecond)
 	require.NoError(t, os.RemoveAll(dir))
 	for range 5000 {
@@ -258,7 +258,7 @@
 // What is kept in memory is the newest, stands alone, and is written when it is asked for or a trigger fires.
 func TestRing(t *testing.T) {
 	log, hook := test.NewNullLogger()
-	rec, v, dir := record(t, 20_000, Options{Wait: true, Ring: 60_000, Segment: 20_000, Log: log, Dismissed: .01})
+	rec, v, dir := record(t, 20_000, Options{WaitForWriter: true, RingBytes: 60_000, MaxSegmentBytes: 20_000, Log: log, RejectedShare: .01})
 	rec.Flush()
 	require.Eventually(t, func() bool { return len(rec.to.chunks) == 0 }, 5*time.Second, time.Millisecond)
 	n, err := rec.Dump()
@@ -277,7 +277,7 @@
 
 // Files of a proxy stay within their total; another's are let alone.
 func TestTotal(t *testing.T) {
-	rec, v, dir := record(t, 100, Options{Segment: 4000, Total: 30_000})
+	rec, v, dir := record(t, 100, Options{MaxSegmentBytes: 4000, MaxTotalBytes: 30_000})
 	other := filepath.Join(dir, "other-1-000001"+suffix)
 	require.NoError(t, os.WriteFile(other, make([]byte, 50_000), 0o600))
 	for range 30_000 {
@@ -314,7 +314,7 @@
 func BenchmarkRecord(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("on=", on), func(b *testing.B) {
-			rec, err := Open(Options{Dir: b.TempDir(), Name: "n0", On: on})
+			rec, err := Open(Options{Dir: b.TempDir(), Proxy: "n0", StartOn: on})
 			require.NoError(b, err)
 			v := begin(b, rec, "a", 5)
 			for b.Loop() {
@@ -330,7 +330,7 @@
 // BenchmarkReplay tells how many calls a second are replayed.
 func BenchmarkReplay(b *testing.B) {
 	dir := b.TempDir()
-	rec, err := Open(Options{Dir: dir, Name: "n0", On: true, Wait: true})
+	rec, err := Open(Options{Dir: dir, Proxy: "n0", StartOn: true, WaitForWriter: true})
 	require.NoError(b, err)
 	v := begin(b, rec, "a", 5)
 	for range 200_000 {
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -11,11 +11,11 @@
 	"lockloom/internal/graphcodec"
 )
 
-// Shows says whether a replay of calls shows something. It is told every call of a fresh replay, and asked at the end.
-type Shows interface {
-	After(p *Pool, x *Call, o *balance.Actions)
-	Shown() bool
-	Lookup() uint64 // that showed it; 0: none is known
+// Matcher says whether a replay of calls shows something. It is told every call of a fresh replay, and asked at the end.
+type Matcher interface {
+	Observe(p *Pool, x *Call, o *balance.Actions)
+	Matched() bool
+	Request() uint64 // that showed it; 0: none is known
 }
 
 const (
@@ -23,23 +23,23 @@
 	fewest    = 8    // groups of calls, the last ones, that are tried first
 )
 
-// ErrNotShown is an excerpt of what does not show it.
-var ErrNotShown = errors.New("the capture does not show it")
+// ErrNoMatch is an excerpt of what does not show it.
+var ErrNoMatch = errors.New("the capture does not show it")
 
 // Excerpt is the shortest that was found of a pool's calls that still shows something.
 type Excerpt struct {
-	Made  balance.Deployment
-	At    float64 // when it was made
-	Pool  string
-	Calls []Call
-	Tries int
+	Deployment balance.Deployment
+	CreatedAt  float64 // when it was made
+	Pool       string
+	Calls      []Call
+	Replays    int
 }
 
 // gatherer gathers one pool's calls of a run, from the pool's making on.
 type gatherer struct {
 	Player
 	pool string
-	made *born
+	made *creation
 	list []Call
 }
 
@@ -59,20 +59,20 @@
 		if err != nil {
 			return err
 		}
-		g.made = &born{Pool: s.Pool, Name: s.Name, Deployment: pool.B.Deployment()}
+		g.made = &creation{Pool: s.Pool, Name: s.Name, Deployment: pool.Balancer.Deployment()}
 	}
 	return nil
 }
 
-func (g *gatherer) Born(text []byte) error {
-	var b born
+func (g *gatherer) Created(text []byte) error {
+	var b creation
 	if err := json.Unmarshal(text, &b); err != nil {
 		return err
 	}
 	if b.Name == g.pool && g.made == nil {
 		g.made = &b
 	}
-	return g.Player.Born(text)
+	return g.Player.Created(text)
 }
 
 func (g *gatherer) Calls(text []byte) error {
@@ -86,7 +86,7 @@
 
 // Shorten cuts a capture down: first to the call that shows it, then, by leaving out more and more requests (delta debugging), and other calls,
 // as long as what is left shows it too. What an ending was told of an attempt that is not sent any more is passed over.
-func Shorten(files []string, open func(string) (io.ReadCloser, error), pool string, shows func() Shows) (*Excerpt, error) {
+func Shorten(files []string, open func(string) (io.ReadCloser, error), pool string, shows func() Matcher) (*Excerpt, error) {
 	g := &gatherer{pool: pool}
 	for _, name := range files {
 		f, err := open(name)
@@ -102,13 +102,13 @@
 	if g.made == nil || len(g.list) == 0 {
 		return nil, fmt.Errorf("the capture has no calls on a pool %q", pool)
 	}
-	e := &Excerpt{Made: g.made.Deployment, At: g.list[0].Now, Pool: pool, Calls: g.list}
-	if e.At > g.made.At && g.made.At > 0 {
-		e.At = g.made.At
+	e := &Excerpt{Deployment: g.made.Deployment, CreatedAt: g.list[0].Now, Pool: pool, Calls: g.list}
+	if e.CreatedAt > g.made.At && g.made.At > 0 {
+		e.CreatedAt = g.made.At
 	}
 	end := e.first(e.Calls, shows())
 	if end < 0 {
-		return nil, ErrNotShown
+		return nil, ErrNoMatch
 	}
 	e.Calls = e.Calls[:end+1]
 	groups := grouped(e.Calls)
@@ -118,9 +118,9 @@
 			break
 		}
 	}
-	for size := (len(groups) + 1) / 2; size >= 1 && e.Tries < triesMost; {
+	for size := (len(groups) + 1) / 2; size >= 1 && e.Replays < triesMost; {
 		cut := false
-		for at := 0; at < len(groups) && e.Tries < triesMost; {
+		for at := 0; at < len(groups) && e.Replays < triesMost; {
 			less := append(append([][]int(nil), groups[:at]...), groups[min(at+size, len(groups)):]...)
 			if list := e.pick(less); e.first(list, shows()) >= 0 {
 				groups, cut = less, true
@@ -148,15 +148,15 @@
 	by := map[uint64]int{}
 	for i := range list {
 		x := &list[i]
-		if x.Kind >= Take && x.Kind <= LookupWake {
-			at, ok := by[x.Lookup]
+		if x.Kind >= RequestArrived && x.Kind <= RequestTimerFired {
+			at, ok := by[x.Request]
 			if !ok {
 				at = len(groups)
-				by[x.Lookup] = at
+				by[x.Request] = at
 				groups = append(groups, nil)
 			}
 			groups[at] = append(groups[at], i)
-		} else if !(x.Kind == Listed && x.First) {
+		} else if !(x.Kind == EndpointsUpdated && x.First) {
 			groups = append(groups, []int{i})
 		}
 	}
@@ -173,7 +173,7 @@
 	}
 	var out []Call
 	for i := range e.Calls {
-		if keep[i] || e.Calls[i].Kind == Listed && e.Calls[i].First {
+		if keep[i] || e.Calls[i].Kind == EndpointsUpdated && e.Calls[i].First {
 			out = append(out, e.Calls[i])
 		}
 	}
@@ -181,8 +181,8 @@
 }
 
 // first replays calls and tells with which of them it shows; -1: it does not.
-func (e *Excerpt) first(list []Call, shows Shows) int {
-	e.Tries++
+func (e *Excerpt) first(list []Call, shows Matcher) int {
+	e.Replays++
 	p, err := e.fresh()
 	if err != nil {
 		return -1
@@ -190,7 +190,7 @@
 	for i := range list {
 		x := list[i]
 		if o, ok := p.apply(&x); ok {
-			if shows.After(p, &x, o); shows.Shown() {
+			if shows.Observe(p, &x, o); shows.Matched() {
 				return i
 			}
 		}
@@ -199,11 +199,11 @@
 }
 
 func (e *Excerpt) fresh() (*Pool, error) {
-	b, err := balance.New(e.Made, e.At)
+	b, err := balance.New(e.Deployment, e.CreatedAt)
 	if err != nil {
 		return nil, err
 	}
-	return &Pool{Name: e.Pool, B: b, Hand: map[uint64]*balance.Request{}}, nil
+	return &Pool{Name: e.Pool, Balancer: b, InFlight: map[uint64]*balance.Request{}}, nil
 }
 
 // Write writes an excerpt as a capture of its own, with the digests that came of it.
@@ -223,11 +223,11 @@
 		x.Digest = Digest(o)
 		code.call(&x)
 	}
-	head, err := json.Marshal(Head{Format: format, Program: program, Proxy: "excerpt", Began: time.Unix(int64(e.At), 0).UTC(), Part: 1})
+	head, err := json.Marshal(Head{Format: format, Program: program, Proxy: "excerpt", Began: time.Unix(int64(e.CreatedAt), 0).UTC(), Part: 1})
 	if err != nil {
 		return err
 	}
-	made, err := json.Marshal(born{Name: e.Pool, At: e.At, Deployment: e.Made})
+	made, err := json.Marshal(creation{Name: e.Pool, At: e.CreatedAt, Deployment: e.Deployment})
 	if err != nil {
 		return err
 	}
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -58,19 +58,19 @@
 
 // Options say where a capture goes.
 type Options struct {
-	Dir     string        // files are written there; empty: nowhere
-	Name    string        // the proxy's
-	Program string        // the version
-	Total   int64         // bytes of all files of this proxy there; the oldest go first
-	Segment int64         // bytes of calls, before they are compressed, in one segment
-	Age     time.Duration // of a segment
-	Ring    int64         // bytes kept in memory until Dump; 0: all goes to files at once
-	On      bool          // from the start
+	Dir             string        // files are written there; empty: nowhere
+	Proxy           string        // the proxy's
+	Program         string        // the version
+	MaxTotalBytes   int64         // bytes of all files of this proxy there; the oldest go first
+	MaxSegmentBytes int64         // bytes of calls, before they are compressed, in one segment
+	MaxSegmentAge   time.Duration // of a segment
+	RingBytes       int64         // bytes kept in memory until Dump; 0: all goes to files at once
+	StartOn         bool          // from the start
 	// Rejected is the share of a second's requests whose dismissal has what is kept in memory written; 0: none has.
-	Dismissed float64
-	// Wait has the one who calls wait for a slow disk, where that hurts nobody: in virtual time.
-	Wait bool
-	Log  logrus.FieldLogger
+	RejectedShare float64
+	// WaitForWriter has the one who calls wait for a slow disk, where that hurts nobody: in virtual time.
+	WaitForWriter bool
+	Log           logrus.FieldLogger
 }
 
 // Bounds of options that are not told.
@@ -102,14 +102,14 @@
 
 // Open begins a capture. Nothing is recorded until it is on.
 func Open(o Options) (*Recorder, error) {
-	if o.Total == 0 {
-		o.Total = totalUsual
+	if o.MaxTotalBytes == 0 {
+		o.MaxTotalBytes = totalUsual
 	}
-	if o.Segment == 0 {
-		o.Segment = segmentUsual
+	if o.MaxSegmentBytes == 0 {
+		o.MaxSegmentBytes = segmentUsual
 	}
-	if o.Age == 0 {
-		o.Age = ageUsual
+	if o.MaxSegmentAge == 0 {
+		o.MaxSegmentAge = ageUsual
 	}
 	form, err := stateForm()
 	if err != nil {
@@ -122,9 +122,9 @@
 	}
 	w := newWriter()
 	w.Options, w.module = o, form
-	w.wanted.Store(o.On)
+	w.wanted.Store(o.StartOn)
 	r := &Recorder{to: w}
-	r.segment.bytes, r.segment.age = o.Segment, o.Age.Seconds()
+	r.segment.bytes, r.segment.age = o.MaxSegmentBytes, o.MaxSegmentAge.Seconds()
 	go w.run()
 	return r, nil
 }
@@ -132,7 +132,7 @@
 // Set turns a capture on or off; anyone may.
 func (r *Recorder) Set(on bool) { r.to.wanted.Store(on && !r.to.Failed.Load()) }
 
-// On tells whether it is.
+// StartOn tells whether it is.
 func (r *Recorder) On() bool { return r.to.wanted.Load() }
 
 // Bytes is how much was written.
@@ -184,7 +184,7 @@
 				w.fail(err)
 			}
 		case why := <-w.triggers:
-			if w.Ring == 0 || time.Since(last) < triggerRest {
+			if w.RingBytes == 0 || time.Since(last) < triggerRest {
 				continue
 			}
 			last = time.Now()
@@ -211,7 +211,7 @@
 	var out []byte
 	if c.begins {
 		w.part++
-		head, err := json.Marshal(Head{format, w.Program, w.module, w.Name, time.Now().UTC(), w.part, c.missed})
+		head, err := json.Marshal(Head{format, w.Program, w.module, w.Proxy, time.Now().UTC(), w.part, c.missed})
 		if err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 		out = appendBlock(out, c.kind, w.pack(text))
 	}
 	w.Bytes.Add(int64(len(out)))
-	if w.Ring > 0 {
+	if w.RingBytes > 0 {
 		return w.keep(out, c.begins)
 	}
 	if c.begins {
@@ -255,7 +255,7 @@
 	last := &w.ring[len(w.ring)-1]
 	*last = append(*last, out...)
 	w.size += int64(len(out))
-	for w.size > w.Ring && len(w.ring) > 1 {
+	for w.size > w.RingBytes && len(w.ring) > 1 {
 		w.size -= int64(len(w.ring[0]))
 		w.ring = slices.Delete(w.ring, 0, 1)
 	}
@@ -282,7 +282,7 @@
 }
 
 func (w *writer) path(part int) string {
-	return filepath.Join(w.Dir, fmt.Sprintf("%s-%d-%06d%s", w.Name, os.Getpid(), part, suffix))
+	return filepath.Join(w.Dir, fmt.Sprintf("%s-%d-%06d%s", w.Proxy, os.Getpid(), part, suffix))
 }
 
 // rotate opens the next file, and drops the oldest while there is too much.
@@ -308,10 +308,10 @@
 	sum := int64(0)
 	for _, f := range slices.Backward(list) {
 		info, err := os.Stat(f)
-		if err != nil || !strings.HasPrefix(filepath.Base(f), w.Name+"-") {
+		if err != nil || !strings.HasPrefix(filepath.Base(f), w.Proxy+"-") {
 			continue
 		}
-		if sum += info.Size(); sum > w.Total {
+		if sum += info.Size(); sum > w.MaxTotalBytes {
 			os.Remove(f)
 		}
 	}
@@ -368,7 +368,7 @@
 type Visitor interface {
 	Head(h Head) error
 	State(text []byte) error
-	Born(text []byte) error
+	Created(text []byte) error
 	Calls(text []byte) error
 	Gap(missed uint64) error
 	Broken(at int64, why string) error // a block that cannot be read is passed over
@@ -440,7 +440,7 @@
 		}
 		return v.Head(h)
 	case blockBorn:
-		return v.Born(body)
+		return v.Created(body)
 	case blockGap:
 		n, size := binary.Uvarint(body)
 		if size <= 0 {
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -41,16 +41,16 @@
 		return err
 	}
 	results := 0
-	for _, learned := range pool.B.Snapshot(0).Servers {
+	for _, learned := range pool.Balancer.Snapshot(0).Servers {
 		results += learned.Results
 	}
-	r.hand, r.results = append(r.hand, len(pool.Hand)), append(r.results, results)
+	r.hand, r.results = append(r.hand, len(pool.InFlight)), append(r.results, results)
 	return r.Player.State(text)
 }
 
-func (r *reading) Born(text []byte) error {
+func (r *reading) Created(text []byte) error {
 	r.born = append(r.born, append([]byte(nil), text...))
-	return r.Player.Born(text)
+	return r.Player.Created(text)
 }
 
 // The present code replays what build f83df88 captured, call for call; testdata/f83df88/README.md says how the files were made.
@@ -75,7 +75,7 @@
 		require.NoError(t, err)
 		defer f.Close()
 		require.NoError(t, Read(f, r), c.file)
-		assert.Equal(t, []uint64{c.calls, 0, 0}, []uint64{r.Played, r.Skipped, r.Differ}, "%s: calls replayed, passed over, with other orders", c.file)
+		assert.Equal(t, []uint64{c.calls, 0, 0}, []uint64{r.Played, r.Skipped, r.Different}, "%s: calls replayed, passed over, with other orders", c.file)
 		assert.Equal(t, c.hand, r.hand, c.file)
 		assert.Equal(t, c.results, r.results, c.file)
 		kinds := 0
@@ -90,7 +90,7 @@
 			continue
 		}
 		require.Len(t, r.born, 1)
-		var b born
+		var b creation
 		require.NoError(t, json.Unmarshal(r.born[0], &b))
 		again, err := json.Marshal(b)
 		require.NoError(t, err)
--- a/internal/capture/door.go
+++ b/internal/capture/handler.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Standing is how a capture stands.
-type Standing struct {
+// Status is how a capture stands.
+type Status struct {
 	On      bool   `json:"on"`
 	Failed  bool   `json:"failed"`
 	Calls   uint64 `json:"calls"`
@@ -17,12 +17,12 @@
 	Written int    `json:"written"` // segments, by this call
 }
 
-// Door answers those who turn a capture on and off: POST /on?for=60s, /off and /dump, GET /. It is for staff, on loopback.
-func (r *Recorder) Door() http.Handler {
+// Handler answers those who turn a capture on and off: POST /on?for=60s, /off and /dump, GET /. It is for staff, on loopback.
+func (r *Recorder) Handler() http.Handler {
 	mux := http.NewServeMux()
 	answer := func(w http.ResponseWriter, written int) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(Standing{r.On(), r.to.Failed.Load(), r.Calls.Load(), r.Gaps.Load(), r.Bytes(), written})
+		json.NewEncoder(w).Encode(Status{r.On(), r.to.Failed.Load(), r.Calls.Load(), r.Gaps.Load(), r.Bytes(), written})
 	}
 	var mu sync.Mutex
 	var off *time.Timer
--- a/internal/capture/story.go
+++ b/internal/capture/history.go
@@ -11,10 +11,10 @@
 )
 
 // What an excerpt or a story may be asked for by.
-var Wanted = []string{"dismissed", "forfeited", "retried", "paused"}
+var MatcherNames = []string{"dismissed", "forfeited", "retried", "paused"}
 
-// seen shows one of Wanted, or the pause of one server ("paused:3").
-type seen struct {
+// eventMatcher shows one of Wanted, or the pause of one server ("paused:3").
+type eventMatcher struct {
 	what    string
 	backend int
 	shown   bool
@@ -22,41 +22,41 @@
 	number  map[int]uint64
 }
 
-// Seen makes what shows one of Wanted.
-func Seen(what string) (func() Shows, error) {
+// NewMatcher makes what shows one of Wanted.
+func NewMatcher(what string) (func() Matcher, error) {
 	name, number, one := strings.Cut(what, ":")
 	server := -1
 	if one {
 		n, err := strconv.Atoi(number)
 		if err != nil || name != "paused" {
-			return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(Wanted, ", "))
+			return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(MatcherNames, ", "))
 		}
 		server = n
 	}
-	if !slices.Contains(Wanted, name) {
-		return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(Wanted, ", "))
+	if !slices.Contains(MatcherNames, name) {
+		return nil, fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(MatcherNames, ", "))
 	}
-	return func() Shows { return &seen{what: name, backend: server, number: map[int]uint64{}} }, nil
+	return func() Matcher { return &eventMatcher{what: name, backend: server, number: map[int]uint64{}} }, nil
 }
 
-func (s *seen) Shown() bool { return s.shown }
+func (s *eventMatcher) Matched() bool { return s.shown }
 
-func (s *seen) Lookup() uint64 { return s.lookup }
+func (s *eventMatcher) Request() uint64 { return s.lookup }
 
-func (s *seen) After(p *Pool, x *Call, o *balance.Actions) {
+func (s *eventMatcher) Observe(p *Pool, x *Call, o *balance.Actions) {
 	if s.shown {
 		return
 	}
-	if x.Kind == Take {
-		s.number[x.Arrival.Ref] = x.Lookup
+	if x.Kind == RequestArrived {
+		s.number[x.Arrival.Ref] = x.Request
 	}
 	if s.what == "paused" {
-		if x.Kind != Ended && x.Kind != LookupWake && x.Kind != Reported { // nothing else pauses
+		if x.Kind != AttemptEnded && x.Kind != RequestTimerFired && x.Kind != OutcomesReported { // nothing else pauses
 			return
 		}
-		for _, b := range p.B.CurrentStatuses() {
+		for _, b := range p.Balancer.CurrentStatuses() {
 			if b.Paused && (s.backend < 0 || s.backend == b.Endpoint) {
-				s.shown, s.lookup = true, x.Lookup
+				s.shown, s.lookup = true, x.Request
 			}
 		}
 		return
@@ -72,7 +72,7 @@
 		case "forfeited":
 			s.shown = step.Reply == balance.Failed
 		case "retried":
-			s.shown = step.Send && p.Last != nil && x.Kind != Take && x.Kind <= LookupWake && step.Ref == p.Last.RequestInfo.Ref
+			s.shown = step.Send && p.LastRequest != nil && x.Kind != RequestArrived && x.Kind <= RequestTimerFired && step.Ref == p.LastRequest.RequestInfo.Ref
 		}
 		if s.shown {
 			s.lookup = s.number[step.Ref]
@@ -81,9 +81,9 @@
 	}
 }
 
-// Story tells all that became of one request, as it is replayed. Give Tell to a Player as After.
-type Story struct {
-	W      io.Writer
+// RequestHistory tells all that became of one request, as it is replayed. Give Tell to a Player as After.
+type RequestHistory struct {
+	Out    io.Writer
 	Pool   string
 	Number uint64 // of the request in its pool; 0: by ID
 	ID     uint32
@@ -96,38 +96,38 @@
 	done  bool
 }
 
-// Tell is told of each call.
-func (s *Story) Tell(p *Pool, x *Call, o *balance.Actions) {
+// Observe is told of each call.
+func (s *RequestHistory) Observe(p *Pool, x *Call, o *balance.Actions) {
 	if s.done || s.l != nil && p.Number != s.pool || s.l == nil && s.Pool != "" && p.Name != s.Pool {
 		return
 	}
 	if s.l == nil {
-		if x.Kind != Take || !(s.Number > 0 && x.Lookup == s.Number || s.Number == 0 && x.ID == s.ID) {
+		if x.Kind != RequestArrived || !(s.Number > 0 && x.Request == s.Number || s.Number == 0 && x.IDHash == s.ID) {
 			return
 		}
-		s.Found, s.pool, s.l, s.taken, s.Number = true, p.Number, p.Last, x.Now, x.Lookup
-		d := p.B.Deployment()
+		s.Found, s.pool, s.l, s.taken, s.Number = true, p.Number, p.LastRequest, x.Now, x.Request
+		d := p.Balancer.Deployment()
 		t := d.Classes[x.Arrival.Class]
-		fmt.Fprintf(s.W, "lookup %d of pool %q, id hash %08x, taken at %.6f\n", x.Lookup, p.Name, x.ID, x.Now)
-		fmt.Fprintf(s.W, "  tariff %s, value %g, due in %.0f ms, hard stop in %.0f ms", t.Name, t.PriorityWeight, t.LatencyObjective*1000, (x.Arrival.Deadline-x.Now)*1000)
+		fmt.Fprintf(s.Out, "lookup %d of pool %q, id hash %08x, taken at %.6f\n", x.Request, p.Name, x.IDHash, x.Now)
+		fmt.Fprintf(s.Out, "  tariff %s, value %g, due in %.0f ms, hard stop in %.0f ms", t.Name, t.PriorityWeight, t.LatencyObjective*1000, (x.Arrival.Deadline-x.Now)*1000)
 		if x.Arrival.Key != 0 {
-			fmt.Fprintf(s.W, ", key %016x", x.Arrival.Key)
+			fmt.Fprintf(s.Out, ", key %016x", x.Arrival.Key)
 		}
-		fmt.Fprintln(s.W)
+		fmt.Fprintln(s.Out)
 	}
-	mine := p.Last == s.l && x.Kind >= Take && x.Kind <= LookupWake
-	if mine && x.Kind != Take {
-		what := map[Kind]string{Left: "its client has left", Whole: "its body has come whole", LookupWake: "its own timer: a leg is overdue, or the hard stop is near"}[x.Kind]
+	mine := p.LastRequest == s.l && x.Kind >= RequestArrived && x.Kind <= RequestTimerFired
+	if mine && x.Kind != RequestArrived {
+		what := map[Kind]string{ClientDisconnected: "its client has left", BodyCompleted: "its body has come whole", RequestTimerFired: "its own timer: a leg is overdue, or the hard stop is near"}[x.Kind]
 		switch x.Kind {
-		case Ended:
-			what = fmt.Sprintf("leg %d ended after %.1f ms: %s", x.Leg+1, x.Latency*1000, x.Outcome)
-			if x.Leg < len(s.legs) {
-				what += ", at " + s.legs[x.Leg]
+		case AttemptEnded:
+			what = fmt.Sprintf("leg %d ended after %.1f ms: %s", x.Attempt+1, x.Latency*1000, x.Outcome)
+			if x.Attempt < len(s.legs) {
+				what += ", at " + s.legs[x.Attempt]
 			}
-		case Started:
-			what = fmt.Sprintf("leg %d began to answer", x.Leg+1)
+		case ResponseStarted:
+			what = fmt.Sprintf("leg %d began to answer", x.Attempt+1)
 		}
-		fmt.Fprintf(s.W, "%+8.1f ms  %s\n", (x.Now-s.taken)*1000, what)
+		fmt.Fprintf(s.Out, "%+8.1f ms  %s\n", (x.Now-s.taken)*1000, what)
 	}
 	moved := false
 	if o != nil {
@@ -151,26 +151,26 @@
 				continue
 			}
 			moved = true
-			fmt.Fprintf(s.W, "%+8.1f ms  %s", (x.Now-s.taken)*1000, line)
+			fmt.Fprintf(s.Out, "%+8.1f ms  %s", (x.Now-s.taken)*1000, line)
 			if !mine {
-				fmt.Fprintf(s.W, " (in a %s of another)", x.Kind)
+				fmt.Fprintf(s.Out, " (in a %s of another)", x.Kind)
 			}
-			fmt.Fprintln(s.W)
+			fmt.Fprintln(s.Out)
 		}
 	}
-	if mine && x.Kind == Take && !moved {
-		fmt.Fprintf(s.W, "%+8.1f ms  it is held: no backend has room for it\n", 0.0)
+	if mine && x.Kind == RequestArrived && !moved {
+		fmt.Fprintf(s.Out, "%+8.1f ms  it is held: no backend has room for it\n", 0.0)
 	}
-	if moved || mine && x.Kind == Take {
+	if moved || mine && x.Kind == RequestArrived {
 		s.reasons()
 	}
 	s.done = s.l.Done()
 }
 
 // reasons tells what spoke for and against each server just then.
-func (s *Story) reasons() {
+func (s *RequestHistory) reasons() {
 	out, space, held := s.l.Capacity()
-	fmt.Fprintf(s.W, "             %d legs out, %.1f places for its value, %d held\n", out, space, held)
+	fmt.Fprintf(s.Out, "             %d legs out, %.1f places for its value, %d held\n", out, space, held)
 	list := s.l.ScoreBreakdown()
 	slices.SortStableFunc(list, func(a, b balance.ScoreBreakdown) int {
 		switch {
@@ -202,38 +202,38 @@
 		if len(notes) > 0 {
 			line += "  " + strings.Join(notes, "; ")
 		}
-		fmt.Fprintln(s.W, line)
+		fmt.Fprintln(s.Out, line)
 	}
 }
 
-// Moment is what is believed of one server at one time.
-type Moment struct {
+// Sample is what is believed of one server at one time.
+type Sample struct {
 	Pool string
 	At   float64 // s since the first call
 	balance.ServerStatus
-	Honoured, Failed, Turned int // attempts that ended there since the moment before
+	Succeeded, Failed, Rejected int // attempts that ended there since the moment before
 }
 
-// Line gathers moments as calls are replayed, every so often. Give Tell to a Player as After.
-type Line struct {
-	Every   float64 // s
-	Moments []Moment
-	begun   float64
-	next    map[string]float64
-	ends    map[string]map[int]*[3]int
-	legs    map[*balance.Request][]int
+// Timeline gathers moments as calls are replayed, every so often. Give Tell to a Player as After.
+type Timeline struct {
+	Interval float64 // s
+	Samples  []Sample
+	begun    float64
+	next     map[string]float64
+	ends     map[string]map[int]*[3]int
+	legs     map[*balance.Request][]int
 }
 
-// Tell is told of each call.
-func (l *Line) Tell(p *Pool, x *Call, o *balance.Actions) {
+// Observe is told of each call.
+func (l *Timeline) Observe(p *Pool, x *Call, o *balance.Actions) {
 	if l.next == nil {
 		l.begun, l.next, l.ends, l.legs = x.Now, map[string]float64{}, map[string]map[int]*[3]int{}, map[*balance.Request][]int{}
 	}
 	if l.ends[p.Name] == nil {
 		l.ends[p.Name] = map[int]*[3]int{}
 	}
-	if x.Kind == Ended && p.Last != nil && x.Leg < len(l.legs[p.Last]) {
-		at := l.legs[p.Last][x.Leg]
+	if x.Kind == AttemptEnded && p.LastRequest != nil && x.Attempt < len(l.legs[p.LastRequest]) {
+		at := l.legs[p.LastRequest][x.Attempt]
 		n := l.ends[p.Name][at]
 		if n == nil {
 			n = &[3]int{}
@@ -249,26 +249,26 @@
 			n[1]++
 		}
 	}
-	if o != nil && p.Last != nil {
+	if o != nil && p.LastRequest != nil {
 		for i := range o.Requests {
-			if o.Requests[i].Send && o.Requests[i].Ref == p.Last.RequestInfo.Ref {
-				l.legs[p.Last] = append(l.legs[p.Last], o.Requests[i].Endpoint)
+			if o.Requests[i].Send && o.Requests[i].Ref == p.LastRequest.RequestInfo.Ref {
+				l.legs[p.LastRequest] = append(l.legs[p.LastRequest], o.Requests[i].Endpoint)
 			}
 		}
 	}
-	if p.Last != nil && p.Last.Done() {
-		delete(l.legs, p.Last)
+	if p.LastRequest != nil && p.LastRequest.Done() {
+		delete(l.legs, p.LastRequest)
 	}
 	if x.Now < l.next[p.Name] {
 		return
 	}
-	l.next[p.Name] = x.Now + l.Every
-	for _, b := range p.B.CurrentStatuses() {
-		m := Moment{Pool: p.Name, At: x.Now - l.begun, ServerStatus: b}
+	l.next[p.Name] = x.Now + l.Interval
+	for _, b := range p.Balancer.CurrentStatuses() {
+		m := Sample{Pool: p.Name, At: x.Now - l.begun, ServerStatus: b}
 		if n := l.ends[p.Name][b.Endpoint]; n != nil {
-			m.Honoured, m.Failed, m.Turned = n[0], n[1], n[2]
+			m.Succeeded, m.Failed, m.Rejected = n[0], n[1], n[2]
 			*n = [3]int{}
 		}
-		l.Moments = append(l.Moments, m)
+		l.Samples = append(l.Samples, m)
 	}
 }
--- a/internal/capture/story_test.go
+++ b/internal/capture/history_test.go
@@ -15,7 +15,7 @@
 	"lockloom/balance"
 )
 
-// Moments of emulated incidents, cut down: the decisions of today still show what they showed then. Where they choose otherwise meanwhile the
+// Samples of emulated incidents, cut down: the decisions of today still show what they showed then. Where they choose otherwise meanwhile the
 // digests differ, which is no fault; where one does not show any more what its name says, it is to be cut anew, knowing why.
 func TestPastIncidents(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.loomcap")
@@ -23,23 +23,23 @@
 	require.GreaterOrEqual(t, len(files), 5)
 	for _, name := range files {
 		what := name[strings.LastIndex(name, "-")+1 : len(name)-len(".loomcap")]
-		made, err := Seen(what)
+		made, err := NewMatcher(what)
 		require.NoError(t, err)
 		s := made()
-		p := &Player{Loose: true, After: s.After}
+		p := &Player{Loose: true, After: s.Observe}
 		require.NoError(t, p.Play([]string{name}, openFile))
-		assert.True(t, s.Shown(), name)
+		assert.True(t, s.Matched(), name)
 		assert.Less(t, p.Played, uint64(60), "it is short")
 	}
 }
 
 // An excerpt is shorter, shows the same, and is a capture that replays.
 func TestExcerpt(t *testing.T) {
-	rec, _, dir := record(t, 2000, Options{Segment: 1 << 30, Wait: true})
+	rec, _, dir := record(t, 2000, Options{MaxSegmentBytes: 1 << 30, WaitForWriter: true})
 	require.NoError(t, rec.Close())
 	files, _ := Files(dir)
 	for _, what := range []string{"dismissed", "forfeited", "retried"} { // pauses need a longer life
-		made, err := Seen(what)
+		made, err := NewMatcher(what)
 		require.NoError(t, err)
 		e, err := Shorten(files, openFile, "a", made)
 		require.NoError(t, err, what)
@@ -47,61 +47,61 @@
 		var out bytes.Buffer
 		require.NoError(t, e.Write(&out, "test"))
 		s := made()
-		p := &Player{After: s.After}
+		p := &Player{After: s.Observe}
 		require.NoError(t, Read(&out, p), "its digests are its own")
-		assert.True(t, s.Shown(), what)
+		assert.True(t, s.Matched(), what)
 	}
-	_, err := Shorten(files, openFile, "b", func() Shows { return &seen{} })
+	_, err := Shorten(files, openFile, "b", func() Matcher { return &eventMatcher{} })
 	assert.ErrorContains(t, err, `no calls on a pool "b"`)
-	_, err = Shorten(files, openFile, "a", func() Shows { return &seen{what: "nothing", number: map[int]uint64{}} })
-	assert.ErrorIs(t, err, ErrNotShown)
+	_, err = Shorten(files, openFile, "a", func() Matcher { return &eventMatcher{what: "nothing", number: map[int]uint64{}} })
+	assert.ErrorIs(t, err, ErrNoMatch)
 	for _, bad := range []string{"nothing", "paused:x", "dismissed:3"} {
-		_, err := Seen(bad)
+		_, err := NewMatcher(bad)
 		assert.ErrorContains(t, err, "it is one of dismissed, forfeited, retried, paused", bad)
 	}
 }
 
 // A request's story has its attempts and how they ended, and what was weighed; asking changes nothing of the replay.
 func TestStory(t *testing.T) {
-	rec, _, dir := record(t, 3000, Options{Wait: true})
+	rec, _, dir := record(t, 3000, Options{WaitForWriter: true})
 	require.NoError(t, rec.Close())
 	files, _ := Files(dir)
-	made, _ := Seen("retried")
+	made, _ := NewMatcher("retried")
 	shows := made()
-	require.NoError(t, (&Player{After: shows.After}).Play(files, openFile))
-	require.NotZero(t, shows.Lookup())
+	require.NoError(t, (&Player{After: shows.Observe}).Play(files, openFile))
+	require.NotZero(t, shows.Request())
 	var out strings.Builder
-	s := &Story{W: &out, Number: shows.Lookup()}
-	require.NoError(t, (&Player{After: s.Tell}).Play(files, openFile), "the digests fit")
+	s := &RequestHistory{Out: &out, Number: shows.Request()}
+	require.NoError(t, (&Player{After: s.Observe}).Play(files, openFile), "the digests fit")
 	assert.True(t, s.Found)
 	for _, part := range []string{`of pool "a"`, "tariff ", "leg 1 is sent to backend", "leg 1 ended after", "leg 2 is sent to backend", "payoff", "legs out"} {
 		assert.Contains(t, out.String(), part)
 	}
-	by := &Story{W: &strings.Builder{}, ID: IDOf("id9")}
-	require.NoError(t, (&Player{After: by.Tell}).Play(files, openFile))
+	by := &RequestHistory{Out: &strings.Builder{}, ID: IDOf("id9")}
+	require.NoError(t, (&Player{After: by.Observe}).Play(files, openFile))
 	assert.True(t, by.Found)
 
-	l := &Line{Every: .5}
+	l := &Timeline{Interval: .5}
 	ends := 0
 	p := &Player{After: func(p *Pool, x *Call, o *balance.Actions) {
-		if x.Kind == Ended && x.Outcome == balance.Succeeded {
+		if x.Kind == AttemptEnded && x.Outcome == balance.Succeeded {
 			ends++
 		}
-		l.Tell(p, x, o)
+		l.Observe(p, x, o)
 	}}
 	require.NoError(t, p.Play(files, openFile))
 	honoured := 0
-	for _, m := range l.Moments {
-		honoured += m.Honoured
+	for _, m := range l.Samples {
+		honoured += m.Succeeded
 	}
 	assert.Greater(t, honoured, ends/2)
 	assert.LessOrEqual(t, honoured, ends)
 }
 
 func TestDoor(t *testing.T) {
-	rec, v, dir := record(t, 100, Options{Ring: 1 << 20})
+	rec, v, dir := record(t, 100, Options{RingBytes: 1 << 20})
 	defer rec.Close()
-	door := rec.Door()
+	door := rec.Handler()
 	ask := func(method, path string) (int, string) { return answered(door, method, path) }
 	for _, c := range []struct {
 		method, path string
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -42,10 +42,10 @@
 
 // share triggers where more than a share of a second's requests were rejected.
 func (r *Recorder) share(x *Call, o *balance.Actions) {
-	if r.to.Dismissed == 0 {
+	if r.to.RejectedShare == 0 {
 		return
 	}
-	if x.Kind == Take {
+	if x.Kind == RequestArrived {
 		r.taken++
 	}
 	if o != nil {
@@ -58,7 +58,7 @@
 	if x.Now < r.second+shareOver {
 		return
 	}
-	if r.taken >= shareOf && float64(r.dismissed) > r.to.Dismissed*float64(r.taken) {
+	if r.taken >= shareOf && float64(r.dismissed) > r.to.RejectedShare*float64(r.taken) {
 		r.Trigger("dismissals above their share")
 	}
 	r.second, r.taken, r.dismissed = x.Now, 0, 0
@@ -143,7 +143,7 @@
 
 // begin writes down the state of all pools, if the writer has room for it.
 func (r *Recorder) begin(now float64) {
-	if len(r.to.chunks) > chunksMost/2 && !r.to.Wait { // it is behind: not yet
+	if len(r.to.chunks) > chunksMost/2 && !r.to.WaitForWriter { // it is behind: not yet
 		r.missed++
 		return
 	}
@@ -171,7 +171,7 @@
 		return
 	}
 	c := chunk{kind: blockCalls, texts: [][]byte{append([]byte(nil), r.code.out...)}}
-	if r.to.Wait {
+	if r.to.WaitForWriter {
 		r.to.chunks <- c
 		r.missed, r.code.out = 0, r.code.out[:0]
 		return
@@ -200,7 +200,7 @@
 }
 
 func (l *Request) did(x Call, o *balance.Actions) *balance.Actions {
-	x.Lookup = l.number
+	x.Request = l.number
 	l.of.did(x, o)
 	if l.Done() {
 		delete(l.of.hand, l.number)
@@ -216,97 +216,97 @@
 	b.next++
 	h := &Request{l, b, b.next}
 	b.hand[b.next] = l
-	return h, h.did(Call{Kind: Take, Now: now, Arrival: a, ID: IDOf(id)}, o)
+	return h, h.did(Call{Kind: RequestArrived, Now: now, Arrival: a, IDHash: IDOf(id)}, o)
 }
 
 func (l *Request) AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Ended, Now: now, Leg: attempt, Outcome: o, Latency: latency, Over: over}, l.Request.AttemptEnded(now, attempt, o, latency, over))
+	return l.did(Call{Kind: AttemptEnded, Now: now, Attempt: attempt, Outcome: o, Latency: latency, BodyComplete: over}, l.Request.AttemptEnded(now, attempt, o, latency, over))
 }
 
 func (l *Request) ClientDisconnected(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Left, Now: now}, l.Request.ClientDisconnected(now))
+	return l.did(Call{Kind: ClientDisconnected, Now: now}, l.Request.ClientDisconnected(now))
 }
 
 func (l *Request) ResponseStarted(now float64, attempt int) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Started, Now: now, Leg: attempt}, l.Request.ResponseStarted(now, attempt))
+	return l.did(Call{Kind: ResponseStarted, Now: now, Attempt: attempt}, l.Request.ResponseStarted(now, attempt))
 }
 
 func (l *Request) BodyCompleted(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: Whole, Now: now}, l.Request.BodyCompleted(now))
+	return l.did(Call{Kind: BodyCompleted, Now: now}, l.Request.BodyCompleted(now))
 }
 
 func (l *Request) TimerFired(now float64) *balance.Actions {
 	l.of.rec.ready(now)
-	return l.did(Call{Kind: LookupWake, Now: now}, l.Request.TimerFired(now))
+	return l.did(Call{Kind: RequestTimerFired, Now: now}, l.Request.TimerFired(now))
 }
 
 func (b *Balancer) TimerFired(now float64) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Wake, Now: now}, b.Balancer.TimerFired(now))
+	return b.did(Call{Kind: TimerFired, Now: now}, b.Balancer.TimerFired(now))
 }
 
 func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Listed, Now: now, Full: full, First: first, List: list}, b.Balancer.EndpointsUpdated(now, full, first, list))
+	return b.did(Call{Kind: EndpointsUpdated, Now: now, Full: full, First: first, Endpoints: list}, b.Balancer.EndpointsUpdated(now, full, first, list))
 }
 
 func (b *Balancer) PollFailed(now float64) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: ListFailed, Now: now}, b.Balancer.PollFailed(now))
+	return b.did(Call{Kind: PollFailed, Now: now}, b.Balancer.PollFailed(now))
 }
 
 func (b *Balancer) HealthChecked(now float64, server int, ok bool, r balance.LoadReport) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Probed, Now: now, Backend: server, OK: ok, Report: r}, b.Balancer.HealthChecked(now, server, ok, r))
+	return b.did(Call{Kind: HealthChecked, Now: now, Endpoint: server, OK: ok, LoadReport: r}, b.Balancer.HealthChecked(now, server, ok, r))
 }
 
 func (b *Balancer) GossipReceived(now float64, from int, n balance.GossipMessage) *balance.Actions {
 	b.rec.ready(now)
-	return b.did(Call{Kind: Heard, Now: now, From: from, Note: n}, b.Balancer.GossipReceived(now, from, n))
+	return b.did(Call{Kind: GossipReceived, Now: now, GossipPeer: from, Gossip: n}, b.Balancer.GossipReceived(now, from, n))
 }
 
 func (b *Balancer) OutcomesReported(now float64, all []balance.ReportedOutcomes) {
 	b.rec.ready(now)
 	b.Balancer.OutcomesReported(now, all)
-	b.did(Call{Kind: Reported, Now: now, Results: all}, nil)
+	b.did(Call{Kind: OutcomesReported, Now: now, Outcomes: all}, nil)
 }
 
 func (b *Balancer) SetBudgetShare(part float64) {
 	b.rec.ready(b.rec.begun)
 	b.Balancer.SetBudgetShare(part)
-	b.did(Call{Kind: Part, Now: b.rec.begun, Part: part}, nil)
+	b.did(Call{Kind: BudgetShareSet, Now: b.rec.begun, BudgetShare: part}, nil)
 }
 
 func (b *Balancer) SetLocalDelay(times, lag float64) {
 	b.rec.ready(b.rec.begun)
 	b.Balancer.SetLocalDelay(times, lag)
-	b.did(Call{Kind: Slack, Now: b.rec.begun, Slack: times, Lag: lag}, nil)
+	b.did(Call{Kind: LocalDelaySet, Now: b.rec.begun, DelayStretch: times, Delay: lag}, nil)
 }
 
 func (b *Balancer) Restore(now float64, m balance.Snapshot) {
 	b.rec.ready(now)
 	b.Balancer.Restore(now, m)
-	b.did(Call{Kind: Remember, Now: now, Memory: m}, nil)
+	b.did(Call{Kind: SnapshotRestored, Now: now, Snapshot: m}, nil)
 }
 
 func (b *Balancer) Snapshot(now float64) balance.Snapshot {
 	b.rec.ready(now)
-	defer b.did(Call{Kind: Look, Now: now}, nil)
+	defer b.did(Call{Kind: StateRead, Now: now}, nil)
 	return b.Balancer.Snapshot(now)
 }
 
 func (b *Balancer) ServerStatuses(now float64) []balance.ServerStatus {
 	b.rec.ready(now)
-	defer b.did(Call{Kind: Look, Now: now}, nil)
+	defer b.did(Call{Kind: StateRead, Now: now}, nil)
 	return b.Balancer.ServerStatuses(now)
 }
 
 func (b *Balancer) Availability(now float64) (any, trial bool) {
 	b.rec.ready(now)
-	defer b.did(Call{Kind: Look, Now: now}, nil)
+	defer b.did(Call{Kind: StateRead, Now: now}, nil)
 	return b.Balancer.Availability(now)
 }
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -20,26 +20,26 @@
 	// Warn is told what cannot be proved, and from where; nil: nobody.
 	Warn func(text string)
 
-	Pools    map[int]*Pool
-	Played   uint64 // calls
-	Skipped  uint64 // that stand before a state, or are of a request that is not known
-	Differ   uint64 // orders, where it is loose
-	Lookups  uint64
-	First    float64 // the time of the first call
-	Last     float64
-	Began    Head
-	proved   bool // since the last state nothing is missing
-	foreign  bool // made by a program whose decisions have another form of state
-	segments int
+	Pools       map[int]*Pool
+	Played      uint64 // calls
+	Skipped     uint64 // that stand before a state, or are of a request that is not known
+	Different   uint64 // orders, where it is loose
+	Requests    uint64
+	FirstCallAt float64 // the time of the first call
+	LastCallAt  float64
+	FileHead    Head
+	proved      bool // since the last state nothing is missing
+	foreign     bool // made by a program whose decisions have another form of state
+	segments    int
 }
 
 // Pool is one Balancer in replay.
 type Pool struct {
-	Number int
-	Name   string
-	B      *balance.Balancer
-	Hand   map[uint64]*balance.Request // requests in hand, by their number
-	Last   *balance.Request            // the one that the last call was on; nil: none
+	Number      int
+	Name        string
+	Balancer    *balance.Balancer
+	InFlight    map[uint64]*balance.Request // requests in hand, by their number
+	LastRequest *balance.Request            // the one that the last call was on; nil: none
 }
 
 // restore builds the pool of a stored state.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a pool's state: %w", err)
 	}
-	return &Pool{Number: s.Pool, Name: s.Name, B: b, Hand: requests}, nil
+	return &Pool{Number: s.Pool, Name: s.Name, Balancer: b, InFlight: requests}, nil
 }
 
 // errDiffers is where a replay stops.
@@ -75,7 +75,7 @@
 		return err
 	}
 	p.foreign = h.Module != form
-	p.Began, p.proved = h, false
+	p.FileHead, p.proved = h, false
 	p.Pools = map[int]*Pool{}
 	p.segments++
 	return nil
@@ -88,7 +88,7 @@
 		return nil
 	}
 	if p.foreign {
-		return fmt.Errorf("it was made by a program (%s) whose decisions have another form of state: replay it with that one", p.Began.Program)
+		return fmt.Errorf("it was made by a program (%s) whose decisions have another form of state: replay it with that one", p.FileHead.Program)
 	}
 	s, err := graphcodec.Read[state](text)
 	if err != nil {
@@ -103,17 +103,17 @@
 	return nil
 }
 
-// born is a pool as it was made.
-type born struct {
+// creation is a pool as it was made.
+type creation struct {
 	Pool       int                `json:"pool"`
 	Name       string             `json:"name"`
 	At         float64            `json:"at"`
 	Deployment balance.Deployment `json:"deployment"`
 }
 
-// Born makes a pool.
-func (p *Player) Born(text []byte) error {
-	var b born
+// Created makes a pool.
+func (p *Player) Created(text []byte) error {
+	var b creation
 	if err := json.Unmarshal(text, &b); err != nil {
 		return fmt.Errorf("a pool as it was made: %w", err)
 	}
@@ -124,14 +124,14 @@
 	if p.Pools == nil {
 		return nil
 	}
-	p.Pools[b.Pool] = &Pool{Number: b.Pool, Name: b.Name, B: made, Hand: map[uint64]*balance.Request{}}
+	p.Pools[b.Pool] = &Pool{Number: b.Pool, Name: b.Name, Balancer: made, InFlight: map[uint64]*balance.Request{}}
 	p.proved = true
 	return nil
 }
 
 // Gap tells that calls are missing; a state follows.
 func (p *Player) Gap(missed uint64) error {
-	p.warn(fmt.Sprintf("%d calls or more are missing before part %d, which begins with a state of its own", missed, p.Began.Part))
+	p.warn(fmt.Sprintf("%d calls or more are missing before part %d, which begins with a state of its own", missed, p.FileHead.Part))
 	return nil
 }
 
@@ -157,9 +157,9 @@
 			return nil
 		}
 		if p.Played == 0 {
-			p.First = x.Now
+			p.FirstCallAt = x.Now
 		}
-		p.Last = x.Now
+		p.LastCallAt = x.Now
 		if p.Before != nil {
 			p.Before(pool, x)
 		}
@@ -169,12 +169,12 @@
 			return nil
 		}
 		p.Played++
-		if x.Kind == Take {
-			p.Lookups++
+		if x.Kind == RequestArrived {
+			p.Requests++
 		}
 		got := Digest(o)
 		if got != x.Digest {
-			if p.Differ++; !p.Loose {
+			if p.Different++; !p.Loose {
 				return &errDiffers{x, got, p.Played, pool.Name, told(o)}
 			}
 		}
@@ -211,62 +211,62 @@
 
 // apply makes a call. It is false for one of a request that is not known.
 func (p *Pool) apply(x *Call) (*balance.Actions, bool) {
-	b := p.B
-	p.Last = nil
-	if x.Kind == Take {
+	b := p.Balancer
+	p.LastRequest = nil
+	if x.Kind == RequestArrived {
 		l, o := b.RequestArrived(x.Now, x.Arrival)
-		p.Hand[x.Lookup] = l
+		p.InFlight[x.Request] = l
 		return p.after(x, l, o), true
 	}
-	if x.Kind >= Ended && x.Kind <= LookupWake {
-		l := p.Hand[x.Lookup]
+	if x.Kind >= AttemptEnded && x.Kind <= RequestTimerFired {
+		l := p.InFlight[x.Request]
 		if l == nil {
 			return nil, false
 		}
 		var o *balance.Actions
 		switch x.Kind {
-		case Ended:
-			o = l.AttemptEnded(x.Now, x.Leg, x.Outcome, x.Latency, x.Over)
-		case Left:
+		case AttemptEnded:
+			o = l.AttemptEnded(x.Now, x.Attempt, x.Outcome, x.Latency, x.BodyComplete)
+		case ClientDisconnected:
 			o = l.ClientDisconnected(x.Now)
-		case Started:
-			o = l.ResponseStarted(x.Now, x.Leg)
-		case Whole:
+		case ResponseStarted:
+			o = l.ResponseStarted(x.Now, x.Attempt)
+		case BodyCompleted:
 			o = l.BodyCompleted(x.Now)
-		case LookupWake:
+		case RequestTimerFired:
 			o = l.TimerFired(x.Now)
 		}
 		return p.after(x, l, o), true
 	}
 	switch x.Kind {
-	case Wake:
+	case TimerFired:
 		return b.TimerFired(x.Now), true
-	case Listed:
-		return b.EndpointsUpdated(x.Now, x.Full, x.First, x.List), true
-	case ListFailed:
+	case EndpointsUpdated:
+		return b.EndpointsUpdated(x.Now, x.Full, x.First, x.Endpoints), true
+	case PollFailed:
 		return b.PollFailed(x.Now), true
-	case Probed:
-		return b.HealthChecked(x.Now, x.Backend, x.OK, x.Report), true
-	case Heard:
-		return b.GossipReceived(x.Now, x.From, x.Note), true
-	case Reported:
-		b.OutcomesReported(x.Now, x.Results)
-	case Part:
-		b.SetBudgetShare(x.Part)
-	case Slack:
-		b.SetLocalDelay(x.Slack, x.Lag)
-	case Remember:
-		b.Restore(x.Now, x.Memory)
-	case Look:
+	case HealthChecked:
+		return b.HealthChecked(x.Now, x.Endpoint, x.OK, x.LoadReport), true
+	case GossipReceived:
+		return b.GossipReceived(x.Now, x.GossipPeer, x.Gossip), true
+	case OutcomesReported:
+		b.OutcomesReported(x.Now, x.Outcomes)
+	case BudgetShareSet:
+		b.SetBudgetShare(x.BudgetShare)
+	case LocalDelaySet:
+		b.SetLocalDelay(x.DelayStretch, x.Delay)
+	case SnapshotRestored:
+		b.Restore(x.Now, x.Snapshot)
+	case StateRead:
 		b.ServerStatuses(x.Now)
 	}
 	return nil, true
 }
 
 func (p *Pool) after(x *Call, l *balance.Request, o *balance.Actions) *balance.Actions {
-	p.Last = l
+	p.LastRequest = l
 	if l.Done() {
-		delete(p.Hand, x.Lookup)
+		delete(p.InFlight, x.Request)
 	}
 	return o
 }
--- a/internal/cli/controlplanecmd/controlplanecmd.go
+++ b/internal/cli/controlplanecmd/controlplanecmd.go
@@ -126,8 +126,8 @@
 // record captures the decisions of every pool.
 func (f *fronts) record(p *proxy.Proxy, s *proxy.Config, l *proxy.BootstrapConfig) error {
 	c := s.Capture
-	r, err := capture.Open(capture.Options{Dir: c.Dir, Name: l.Name, Program: cli.Version(), Total: int64(c.TotalMB) << 20, Segment: int64(c.SegmentMB) << 20,
-		Age: time.Duration(c.Age * float64(time.Second)), Ring: int64(c.RingMB) << 20, On: c.On, Dismissed: c.RejectedShare, Log: f.log})
+	r, err := capture.Open(capture.Options{Dir: c.Dir, Proxy: l.Name, Program: cli.Version(), MaxTotalBytes: int64(c.TotalMB) << 20, MaxSegmentBytes: int64(c.SegmentMB) << 20,
+		MaxSegmentAge: time.Duration(c.Age * float64(time.Second)), RingBytes: int64(c.RingMB) << 20, StartOn: c.On, RejectedShare: c.RejectedShare, Log: f.log})
 	if err != nil {
 		return fmt.Errorf("capture: %w", err)
 	}
@@ -138,7 +138,7 @@
 		return nil
 	}
 	return f.open("capture", "address", c.Address, func(ln net.Listener) error {
-		server := &http.Server{Handler: r.Door(), ReadHeaderTimeout: headWait, IdleTimeout: headWait}
+		server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: headWait, IdleTimeout: headWait}
 		go func() {
 			<-f.quit
 			server.Close()
--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -80,8 +80,8 @@
 					return err
 				}
 				if !*choices {
-					fmt.Fprintf(out, "%d calls, %d lookups, %.1f s of %s replayed in %.2f s: %d differ, %d passed over\n", p.Played, p.Lookups, p.Last-p.First, p.Began.Proxy,
-						time.Since(began).Seconds(), p.Differ, p.Skipped)
+					fmt.Fprintf(out, "%d calls, %d lookups, %.1f s of %s replayed in %.2f s: %d differ, %d passed over\n", p.Played, p.Requests, p.LastCallAt-p.FirstCallAt, p.FileHead.Proxy,
+						time.Since(began).Seconds(), p.Different, p.Skipped)
 				}
 			}
 			return nil
@@ -109,7 +109,7 @@
 	set := flags("why")
 	id := set.String("lookup", "", "the lookup's `id`")
 	number := set.Uint64("number", 0, "or its `number` in its pool")
-	first := set.String("first", "", "or the first that is `"+strings.Join(capture.Wanted, ", ")+"`")
+	first := set.String("first", "", "or the first that is `"+strings.Join(capture.MatcherNames, ", ")+"`")
 	pool := set.String("pool", "", "the `pool` (default: whichever has it)")
 	return cli.New("why", "why FILE|FOLDER... [FLAGS]", "tell the story of one lookup, and what was weighed", set,
 		func(_ context.Context, words []string) error {
@@ -117,10 +117,10 @@
 			if err != nil {
 				return err
 			}
-			s := &capture.Story{W: out, Pool: *pool, Number: *number, ID: capture.IDOf(*id)}
+			s := &capture.RequestHistory{Out: out, Pool: *pool, Number: *number, ID: capture.IDOf(*id)}
 			switch {
 			case *first != "":
-				made, err := capture.Seen(*first)
+				made, err := capture.NewMatcher(*first)
 				if err != nil {
 					return cli.Wrong("-first: %w", err)
 				}
@@ -129,8 +129,8 @@
 					if s.Number > 0 || s.Pool != "" && s.Pool != pool.Name {
 						return
 					}
-					if shows.After(pool, x, o); shows.Shown() {
-						s.Pool, s.Number = pool.Name, shows.Lookup()
+					if shows.Observe(pool, x, o); shows.Matched() {
+						s.Pool, s.Number = pool.Name, shows.Request()
 					}
 				}
 				if err := p.Play(files, openFile); err != nil {
@@ -143,7 +143,7 @@
 				return cli.Wrong("it takes one of -lookup, -number and -first")
 			}
 			p := player(errs)
-			p.After = s.Tell
+			p.After = s.Observe
 			if err := p.Play(files, openFile); err != nil {
 				return err
 			}
@@ -164,18 +164,18 @@
 			if err != nil {
 				return err
 			}
-			line := &capture.Line{Every: every.Seconds()}
+			line := &capture.Timeline{Interval: every.Seconds()}
 			p := player(errs)
-			p.After = line.Tell
+			p.After = line.Observe
 			if err := p.Play(files, openFile); err != nil {
 				return err
 			}
 			if *html != "" {
-				return report.File(*html, func(w io.Writer) error { return report.Beliefs(w, p.Began.Proxy, line.Moments) })
+				return report.File(*html, func(w io.Writer) error { return report.Beliefs(w, p.FileHead.Proxy, line.Samples) })
 			}
 			fmt.Fprintln(out, "pool\tat\tbackend\tout\tlimit\tpayoff\tpaused\tcold\thonoured\tfailed\tturned")
-			for _, m := range line.Moments {
-				fmt.Fprintf(out, "%s\t%.2f\t%d\t%d\t%.1f\t%.2f\t%v\t%v\t%d\t%d\t%d\n", m.Pool, m.At, m.Endpoint, m.InFlight, m.Limit, m.Payoff, m.Paused, m.WarmingUp, m.Honoured, m.Failed, m.Turned)
+			for _, m := range line.Samples {
+				fmt.Fprintf(out, "%s\t%.2f\t%d\t%d\t%.1f\t%.2f\t%v\t%v\t%d\t%d\t%d\n", m.Pool, m.At, m.Endpoint, m.InFlight, m.Limit, m.Payoff, m.Paused, m.WarmingUp, m.Succeeded, m.Failed, m.Rejected)
 			}
 			return nil
 		})
@@ -234,7 +234,7 @@
 
 func excerpting(out, errs io.Writer) *ffcli.Command {
 	set := flags("excerpt")
-	shows := set.String("shows", "", "what it must still show: `"+strings.Join(capture.Wanted, ", ")+"`, or paused:BACKEND")
+	shows := set.String("shows", "", "what it must still show: `"+strings.Join(capture.MatcherNames, ", ")+"`, or paused:BACKEND")
 	pool := set.String("pool", "", "the `pool` (default: the platform's)")
 	to := set.String("to", "", "write it to this `FILE`")
 	return cli.New("excerpt", "excerpt FILE|FOLDER... -shows WHAT -to FILE", "cut a capture down to little that still shows something", set,
@@ -243,7 +243,7 @@
 			if err != nil {
 				return err
 			}
-			made, err := capture.Seen(*shows)
+			made, err := capture.NewMatcher(*shows)
 			if err != nil {
 				return cli.Wrong("-shows: %w", err)
 			}
@@ -257,7 +257,7 @@
 			if err := report.File(*to, func(w io.Writer) error { return e.Write(w, cli.Version()) }); err != nil {
 				return err
 			}
-			fmt.Fprintf(out, "%d calls that show it, after %d replays\n", len(e.Calls), e.Tries)
+			fmt.Fprintf(out, "%d calls that show it, after %d replays\n", len(e.Calls), e.Replays)
 			return nil
 		})
 }
@@ -292,16 +292,16 @@
 			p := player(errs)
 			p.Loose = true
 			p.After = func(pool *capture.Pool, x *capture.Call, _ *balance.Actions) {
-				if x.Kind != capture.Take || x.Arrival.ClientRetry {
+				if x.Kind != capture.RequestArrived || x.Arrival.ClientRetry {
 					return
 				}
-				name := pool.B.Deployment().Classes[x.Arrival.Class].Name
+				name := pool.Balancer.Deployment().Classes[x.Arrival.Class].Name
 				class, ok := classes[name]
 				if !ok {
 					unknown[name]++
 					return
 				}
-				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Tariff: class, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
+				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.FirstCallAt, Tariff: class, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
@@ -356,7 +356,7 @@
 			if answer.StatusCode != http.StatusOK {
 				return fmt.Errorf("%s: %s: %s", words[0], answer.Status, bytes.TrimSpace(text))
 			}
-			var s capture.Standing
+			var s capture.Status
 			if err := json.Unmarshal(text, &s); err != nil {
 				return err
 			}
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -105,7 +105,7 @@
 	policy := func(d balance.Deployment, now float64) (simulation.Decider, error) {
 		number := d.Seed >> 32 // see rehearse's start
 		if all[number] == nil {
-			r, err := capture.Open(capture.Options{Dir: folder, Name: fmt.Sprint("n", number), Program: cli.Version(), On: true, Wait: true, Segment: 1 << 30, Age: time.Hour})
+			r, err := capture.Open(capture.Options{Dir: folder, Proxy: fmt.Sprint("n", number), Program: cli.Version(), StartOn: true, WaitForWriter: true, MaxSegmentBytes: 1 << 30, MaxSegmentAge: time.Hour})
 			if err != nil {
 				return nil, err
 			}
--- a/internal/report/beliefs.go
+++ b/internal/report/beliefs.go
@@ -19,19 +19,19 @@
 
 var beliefs = []struct {
 	title, unit string
-	value       func(m *capture.Moment) float64
+	value       func(m *capture.Sample) float64
 }{
-	{"Payoff of a leg", "payoff", func(m *capture.Moment) float64 { return m.Payoff }},
-	{"Limit", "legs", func(m *capture.Moment) float64 { return m.Limit }},
-	{"Legs out", "legs", func(m *capture.Moment) float64 { return float64(m.InFlight) }},
-	{"Paused", "1: paused", func(m *capture.Moment) float64 {
+	{"Payoff of a leg", "payoff", func(m *capture.Sample) float64 { return m.Payoff }},
+	{"Limit", "legs", func(m *capture.Sample) float64 { return m.Limit }},
+	{"Legs out", "legs", func(m *capture.Sample) float64 { return float64(m.InFlight) }},
+	{"Paused", "1: paused", func(m *capture.Sample) float64 {
 		if m.Paused {
 			return 1
 		}
 		return 0
 	}},
-	{"Legs honoured", "since the look before", func(m *capture.Moment) float64 { return float64(m.Honoured) }},
-	{"Legs failed or turned away", "since the look before", func(m *capture.Moment) float64 { return float64(m.Failed + m.Turned) }},
+	{"Legs honoured", "since the look before", func(m *capture.Sample) float64 { return float64(m.Succeeded) }},
+	{"Legs failed or turned away", "since the look before", func(m *capture.Sample) float64 { return float64(m.Failed + m.Rejected) }},
 }
 
 var beliefsPage = template.Must(template.New("beliefs").Parse(`<!doctype html><meta charset="utf-8"><title>{{.Title}}</title>
@@ -41,7 +41,7 @@
 `))
 
 // Beliefs writes a page of what a captured proxy believed of its servers over time, by pool.
-func Beliefs(w io.Writer, title string, moments []capture.Moment) error {
+func Beliefs(w io.Writer, title string, moments []capture.Sample) error {
 	type pool struct {
 		Name  string
 		More  int
@@ -51,11 +51,11 @@
 		Title string
 		Pools []pool
 	}{Title: title}
-	by := map[string]map[int][]*capture.Moment{}
+	by := map[string]map[int][]*capture.Sample{}
 	for i := range moments {
 		m := &moments[i]
 		if by[m.Pool] == nil {
-			by[m.Pool] = map[int][]*capture.Moment{}
+			by[m.Pool] = map[int][]*capture.Sample{}
 		}
 		by[m.Pool][m.Endpoint] = append(by[m.Pool][m.Endpoint], m)
 	}
