--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -208,7 +208,7 @@
 	files, _ := Files(dir)
 	err := (&Player{}).Play(files, openFile)
 	require.Error(t, err)
-	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": the orders differ: digest [0-9a-f]{4} was recorded, [0-9a-f]{4} came of it`, err.Error())
+	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": the actions differ: digest [0-9a-f]{4} was recorded, [0-9a-f]{4} came of it`, err.Error())
 	p := &Player{Loose: true}
 	require.NoError(t, p.Play(files, openFile))
 	assert.Greater(t, p.Different, uint64(0))
@@ -217,7 +217,7 @@
 // Danger: a disk that is slow must not hold up the owner. What is missing is counted, and what follows stands alone.
 func TestGaps(t *testing.T) {
 	rec, v, dir := record(t, 100, Options{})
-	rec.to.mu.Lock() // the writer stands still
+	rec.writer.mu.Lock() // the writer stands still
 	for n := 0; rec.Gaps.Load() == 0; n++ {
 		require.Less(t, n, 1_000_000)
 		v.step()
@@ -225,8 +225,8 @@
 	for range 1000 {
 		v.step()
 	}
-	rec.to.mu.Unlock()
-	require.Eventually(t, func() bool { v.step(); return rec.on }, 10*time.Second, time.Millisecond)
+	rec.writer.mu.Unlock()
+	require.Eventually(t, func() bool { v.step(); return rec.recording }, 10*time.Second, time.Millisecond)
 	for range 1000 {
 		v.step()
 	}
@@ -242,12 +242,12 @@
 func TestFailingDisk(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	rec, v, dir := record(t, 100, Options{Log: log, MaxSegmentBytes: 2000})
-	require.Eventually(t, func() bool { return len(rec.to.chunks) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(rec.writer.chunks) == 0 }, 5*time.Second, time.Millisecond)
 	require.NoError(t, os.RemoveAll(dir))
 	for range 5000 {
 		v.step()
 	}
-	require.Eventually(t, rec.to.Failed.Load, 5*time.Second, time.Millisecond)
+	require.Eventually(t, rec.writer.failed.Load, 5*time.Second, time.Millisecond)
 	v.step()
 	rec.Set(true)
 	assert.False(t, rec.On(), "it has ended")
@@ -260,7 +260,7 @@
 	log, hook := test.NewNullLogger()
 	rec, v, dir := record(t, 20_000, Options{WaitForWriter: true, RingBytes: 60_000, MaxSegmentBytes: 20_000, Log: log, RejectedShare: .01})
 	rec.Flush()
-	require.Eventually(t, func() bool { return len(rec.to.chunks) == 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(rec.writer.chunks) == 0 }, 5*time.Second, time.Millisecond)
 	n, err := rec.Dump()
 	require.NoError(t, err)
 	assert.Greater(t, n, 1)
@@ -271,14 +271,14 @@
 		v.step()
 	}
 	require.Eventually(t, func() bool { return len(hook.AllEntries()) > 0 }, 5*time.Second, time.Millisecond, "many are dismissed")
-	assert.Equal(t, "dismissals above their share", hook.LastEntry().Data["why"])
+	assert.Equal(t, "rejections above their share", hook.LastEntry().Data["why"])
 	require.NoError(t, rec.Close())
 }
 
 // Files of a proxy stay within their total; another's are let alone.
 func TestTotal(t *testing.T) {
 	rec, v, dir := record(t, 100, Options{MaxSegmentBytes: 4000, MaxTotalBytes: 30_000})
-	other := filepath.Join(dir, "other-1-000001"+suffix)
+	other := filepath.Join(dir, "other-1-000001"+fileSuffix)
 	require.NoError(t, os.WriteFile(other, make([]byte, 50_000), 0o600))
 	for range 30_000 {
 		v.step()
@@ -296,10 +296,17 @@
 	assert.Less(t, sum, int64(60_000))
 }
 
+func compressed(t *testing.T, text string) []byte {
+	t.Helper()
+	out, err := newCompressor().compress([]byte(text))
+	require.NoError(t, err)
+	return out
+}
+
 func TestNoCapture(t *testing.T) {
 	for text, says := range map[string]string{"": "no capture", "hello, world, this is no capture": "no capture",
-		string(appendBlock([]byte(magic), blockHead, []byte(`{"format":9}`))):                                                                                   "format 9, this program reads 1",
-		string(appendBlock(appendBlock([]byte(magic), blockHead, []byte(`{"format":1,"module":7,"program":"v0"}`)), blockState, newWriter().pack([]byte("x")))): "made by a program (v0) whose decisions have another form"} {
+		string(appendBlock([]byte(magic), blockHead, []byte(`{"format":9}`))):                                                                        "format 9, this program reads 1",
+		string(appendBlock(appendBlock([]byte(magic), blockHead, []byte(`{"format":1,"module":7,"program":"v0"}`)), blockState, compressed(t, "x"))): "made by a program (v0) whose decisions have another form"} {
 		assert.ErrorContains(t, Read(strings.NewReader(text), &Player{}), says)
 	}
 }
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -71,7 +71,7 @@
 		r := &reading{}
 		r.Warn = func(text string) { assert.Fail(t, text, c.file) }
 		r.After = func(_ *Pool, x *Call, _ *balance.Actions) { r.kinds[x.Kind]++ }
-		f, err := openFile(filepath.Join("testdata", "f83df88", c.file+suffix))
+		f, err := openFile(filepath.Join("testdata", "f83df88", c.file+fileSuffix))
 		require.NoError(t, err)
 		defer f.Close()
 		require.NoError(t, Read(f, r), c.file)
--- a/internal/capture/handler.go
+++ b/internal/capture/handler.go
@@ -7,59 +7,89 @@
 	"time"
 )
 
-// Status is how a capture stands.
+// Status is the state of a capture, as Handler returns it.
 type Status struct {
 	On      bool   `json:"on"`
 	Failed  bool   `json:"failed"`
-	Calls   uint64 `json:"calls"`
+	Calls   uint64 `json:"calls"` // recorded
 	Gaps    uint64 `json:"gaps"`
 	Bytes   int64  `json:"bytes"`
-	Written int    `json:"written"` // segments, by this call
+	Written int    `json:"written"` // segments, by this request
 }
 
-// Handler answers those who turn a capture on and off: POST /on?for=60s, /off and /dump, GET /. It is for staff, on loopback.
+// Handler returns the endpoint that controls the capture: POST /on?for=60s, POST /off, POST /dump and GET /. Each
+// returns a Status. It has no access control and belongs on a loopback address.
 func (r *Recorder) Handler() http.Handler {
+	c := &controller{recorder: r}
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, written int) {
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(Status{r.On(), r.to.Failed.Load(), r.Calls.Load(), r.Gaps.Load(), r.Bytes(), written})
+	mux.HandleFunc("GET /{$}", c.status)
+	mux.HandleFunc("POST /on", c.on)
+	mux.HandleFunc("POST /off", c.off)
+	mux.HandleFunc("POST /dump", c.dump)
+	return mux
+}
+
+// controller serves the requests of Handler.
+type controller struct {
+	recorder *Recorder
+
+	mu       sync.Mutex
+	offTimer *time.Timer // turns the capture off; nil: never set
+}
+
+// set turns the capture on or off, or on for a duration.
+func (c *controller) set(on bool, duration time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.offTimer != nil {
+		c.offTimer.Stop()
 	}
-	var mu sync.Mutex
-	var off *time.Timer
-	set := func(on bool, long time.Duration) {
-		mu.Lock()
-		defer mu.Unlock()
-		if off != nil {
-			off.Stop()
-		}
-		if r.Set(on); on && long > 0 {
-			off = time.AfterFunc(long, func() { r.Set(false) })
-		}
+	c.recorder.Set(on)
+	if on && duration > 0 {
+		c.offTimer = time.AfterFunc(duration, func() { c.recorder.Set(false) })
 	}
-	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, _ *http.Request) { answer(w, 0) })
-	mux.HandleFunc("POST /on", func(w http.ResponseWriter, q *http.Request) {
-		var long time.Duration
-		if text := q.FormValue("for"); text != "" {
-			var err error
-			if long, err = time.ParseDuration(text); err != nil || long < 0 {
-				http.Error(w, "for: a time, such as 60s", http.StatusBadRequest)
-				return
-			}
-		}
-		set(true, long)
-		answer(w, 0)
-	})
-	mux.HandleFunc("POST /off", func(w http.ResponseWriter, _ *http.Request) {
-		set(false, 0)
-		answer(w, 0)
-	})
-	mux.HandleFunc("POST /dump", func(w http.ResponseWriter, _ *http.Request) {
-		n, err := r.Dump()
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusInternalServerError)
+}
+
+func (c *controller) status(w http.ResponseWriter, _ *http.Request) { c.writeStatus(w, 0) }
+
+func (c *controller) on(w http.ResponseWriter, request *http.Request) {
+	var duration time.Duration
+	if text := request.FormValue("for"); text != "" {
+		var err error
+		duration, err = time.ParseDuration(text)
+		if err != nil || duration < 0 {
+			http.Error(w, "for: a time, such as 60s", http.StatusBadRequest)
 			return
 		}
-		answer(w, n)
-	})
-	return mux
+	}
+	c.set(true, duration)
+	c.writeStatus(w, 0)
+}
+
+func (c *controller) off(w http.ResponseWriter, _ *http.Request) {
+	c.set(false, 0)
+	c.writeStatus(w, 0)
+}
+
+func (c *controller) dump(w http.ResponseWriter, _ *http.Request) {
+	written, err := c.recorder.Dump()
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	c.writeStatus(w, written)
+}
+
+func (c *controller) writeStatus(w http.ResponseWriter, written int) {
+	r := c.recorder
+	status := Status{
+		On:      r.On(),
+		Failed:  r.writer.failed.Load(),
+		Calls:   r.Calls.Load(),
+		Gaps:    r.Gaps.Load(),
+		Bytes:   r.Bytes(),
+		Written: written,
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(status) // it fails only if the client has gone
 }
--- a/internal/capture/history_test.go
+++ b/internal/capture/history_test.go
@@ -51,9 +51,9 @@
 		require.NoError(t, Read(&out, p), "its digests are its own")
 		assert.True(t, s.Matched(), what)
 	}
-	_, err := Shorten(files, openFile, "b", func() Matcher { return &eventMatcher{} })
+	_, err := Shorten(files, openFile, "b", func() Matcher { return newEventMatcher("", anyServer) })
 	assert.ErrorContains(t, err, `no calls on a pool "b"`)
-	_, err = Shorten(files, openFile, "a", func() Matcher { return &eventMatcher{what: "nothing", number: map[int]uint64{}} })
+	_, err = Shorten(files, openFile, "a", func() Matcher { return newEventMatcher("nothing", anyServer) })
 	assert.ErrorIs(t, err, ErrNoMatch)
 	for _, bad := range []string{"nothing", "paused:x", "dismissed:3"} {
 		_, err := NewMatcher(bad)
@@ -84,7 +84,7 @@
 	l := &Timeline{Interval: .5}
 	ends := 0
 	p := &Player{After: func(p *Pool, x *Call, o *balance.Actions) {
-		if x.Kind == AttemptEnded && x.Outcome == balance.Succeeded {
+		if x.Kind == AttemptEnded && x.Attempt.Outcome == balance.Succeeded {
 			ends++
 		}
 		l.Observe(p, x, o)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -1,312 +1,209 @@
 package capture
 
 import (
+	"bytes"
 	"sync/atomic"
 
 	"lockloom/balance"
 	"lockloom/internal/graphcodec"
 )
 
-// What the owner gathers before the writer has it.
+// Limits of what is gathered before the writer gets it.
 const (
-	chunkBytes = 32 << 10 // of calls
-	chunkAge   = 0.25     // s
-	chunksMost = 64       // on their way to the writer: then there is a gap
+	maxChunkBytes = 32 << 10 // of calls
+	maxChunkAge   = 0.25     // s
 )
 
-// Recorder takes in calls on the owner's goroutine. Where the writer cannot follow it leaves a gap, and begins anew with the whole state
-// as soon as it can.
+// Recorder records the calls on the Balancers of one owner. Calls are made on the owner's goroutine; the methods On,
+// Set, Trigger, Dump, Bytes and Handler, and the counters, may be used by any.
+//
+// If the writer cannot keep up, calls are left out, and a new segment with the whole state begins as soon as it can.
 type Recorder struct {
-	to      *writer
-	pools   []*Balancer
-	code    coder
-	since   float64 // of the first call in code
-	begun   float64 // of the segment
-	bytes   int64   // of calls in it
-	on      bool
-	missed  uint64 // calls since the last that was written
-	segment struct {
-		bytes int64
-		age   float64
-	}
-	Calls, Gaps atomic.Uint64 // calls recorded; gaps left
+	Calls, Gaps atomic.Uint64 // calls recorded; gaps between them
+
+	writer        *writer
+	waits         bool // for the writer, instead of leaving a gap
+	segmentLimits segmentLimits
+	rejections    rejectionTrigger
 
-	second           float64 // when dismissals were counted from
-	taken, dismissed int
+	pools     []*Balancer // by number; nil: dropped
+	recording bool        // a segment has begun
+	segment   segment
+	buffer    callBuffer
+	missed    uint64 // calls since the last that the writer got
 }
 
-const (
-	shareOver = 1.0 // s over which dismissals are counted
-	shareOf   = 50  // requests in it; fewer are chance
-)
+// segmentLimits are those at which a segment ends.
+type segmentLimits struct {
+	bytes int64   // of calls
+	age   float64 // s
+}
 
-// share triggers where more than a share of a second's requests were rejected.
-func (r *Recorder) share(x *Call, o *balance.Actions) {
-	if r.to.RejectedShare == 0 {
-		return
-	}
-	if x.Kind == RequestArrived {
-		r.taken++
-	}
-	if o != nil {
-		for i := range o.Requests {
-			if o.Requests[i].Reply == balance.Rejected {
-				r.dismissed++
-			}
-		}
-	}
-	if x.Now < r.second+shareOver {
-		return
-	}
-	if r.taken >= shareOf && float64(r.dismissed) > r.to.RejectedShare*float64(r.taken) {
-		r.Trigger("dismissals above their share")
+// segment is the one that is being recorded.
+type segment struct {
+	beganAt float64 // s, of the balancers' clock
+	bytes   int64   // of calls
+}
+
+// callBuffer holds the calls that the writer does not have yet.
+type callBuffer struct {
+	coder   coder
+	beganAt float64 // s, time of the first call
+}
+
+func (b *callBuffer) empty() bool { return len(b.coder.out) == 0 }
+
+func (b *callBuffer) clear() { b.coder.out = b.coder.out[:0] }
+
+// add encodes a call, and returns how many bytes it takes.
+func (b *callBuffer) add(call *Call) int {
+	if b.empty() {
+		b.beganAt = call.Now
+		b.coder.lastTime = 0
 	}
-	r.second, r.taken, r.dismissed = x.Now, 0, 0
+	before := len(b.coder.out)
+	b.coder.call(call)
+	return len(b.coder.out) - before
 }
 
-// state is the stored form of a pool, with which a segment begins. Its layout is published: see form.go.
-type state struct {
-	Pool     int
-	Name     string
-	Balancer *balance.Checkpoint
-	Requests map[uint64]*balance.RequestCheckpoint
-	Next     uint64
+// due reports whether the calls should go to the writer.
+func (b *callBuffer) due(now float64) bool {
+	return len(b.coder.out) >= maxChunkBytes || now-b.beganAt >= maxChunkAge
 }
 
-// Balancer is a Balancer whose calls are recorded.
-type Balancer struct {
-	*balance.Balancer
-	rec  *Recorder
-	pool int
-	name string
-	hand map[uint64]*balance.Request
-	next uint64
+// Set turns the capture on or off. One that has failed stays off.
+func (r *Recorder) Set(on bool) { r.writer.wanted.Store(on && !r.writer.failed.Load()) }
+
+// On reports whether the capture is on.
+func (r *Recorder) On() bool { return r.writer.wanted.Load() }
+
+// Bytes returns how much was written, to files or to memory.
+func (r *Recorder) Bytes() int64 { return r.writer.writtenBytes.Load() }
+
+// Trigger has what is kept in memory written to files soon, and at most every 10 s. The reason is logged.
+func (r *Recorder) Trigger(reason string) {
+	select {
+	case r.writer.triggers <- reason:
+	default: // another is pending
+	}
 }
 
-// Request is a handle of one.
-type Request struct {
-	*balance.Request
-	of     *Balancer
-	number uint64
+// Dump writes what is kept in memory to files, and returns how many segments it wrote.
+func (r *Recorder) Dump() (int, error) { return r.writer.dump() }
+
+// Close ends the capture when no more calls are made. Once it has returned, all that was recorded is in the files.
+func (r *Recorder) Close() error {
+	r.Flush()
+	return r.writer.close()
 }
 
-// Balancer has a pool's calls recorded.
+// Flush passes what was recorded on to the writer. It is called on the owner's goroutine, or once that has ended.
+func (r *Recorder) Flush() {
+	if r.recording {
+		r.flush()
+	}
+}
+
+// Balancer returns a Balancer for a pool whose calls are recorded.
 func (r *Recorder) Balancer(name string, b *balance.Balancer) *Balancer {
-	out := &Balancer{Balancer: b, rec: r, pool: len(r.pools), name: name, hand: map[uint64]*balance.Request{}}
+	recorded := &Balancer{
+		Balancer: b,
+		recorder: r,
+		pool:     len(r.pools),
+		name:     name,
+		inFlight: map[uint64]*balance.Request{},
+	}
 	r.Flush()
-	r.pools = append(r.pools, out)
-	r.on = false // the next call begins a segment that has it
-	return out
+	r.pools = append(r.pools, recorded)
+	r.recording = false // the next call begins a segment that has the pool's state
+	return recorded
 }
 
-// Dropped forgets a pool that is gone.
-func (b *Balancer) Dropped() { b.rec.pools[b.pool] = nil }
-
-// note records a call that was made.
-func (r *Recorder) note(x *Call, o *balance.Actions) {
-	if !r.on {
+// prepare is called before each call. It begins a segment if one is due, while the state is that before the call.
+func (r *Recorder) prepare(now float64) {
+	if !r.writer.wanted.Load() {
+		r.endSegment()
 		return
 	}
-	x.Digest = Digest(o)
-	r.share(x, o)
-	if len(r.code.out) == 0 {
-		r.since = x.Now
-		r.code.last = 0
+	if r.recording && r.segmentFull(now) {
+		r.endSegment()
 	}
-	before := len(r.code.out)
-	r.code.call(x)
-	r.bytes += int64(len(r.code.out) - before)
-	r.Calls.Add(1)
-	r.missed++
-	if len(r.code.out) >= chunkBytes || x.Now-r.since >= chunkAge {
-		r.flush()
+	if !r.recording {
+		r.beginSegment(now)
 	}
 }
 
-// ready is called before each call: it begins a segment where one is due, while the state is still that before the call.
-func (r *Recorder) ready(now float64) {
-	if !r.to.wanted.Load() {
-		if r.on {
-			r.flush()
-			r.on = false
-		}
-		return
-	}
-	if r.on && (r.bytes >= r.segment.bytes || now-r.begun >= r.segment.age) {
+func (r *Recorder) segmentFull(now float64) bool {
+	return r.segment.bytes >= r.segmentLimits.bytes || now-r.segment.beganAt >= r.segmentLimits.age
+}
+
+func (r *Recorder) endSegment() {
+	if r.recording {
 		r.flush()
-		r.on = false
-	}
-	if !r.on {
-		r.begin(now)
+		r.recording = false
 	}
 }
 
-// begin writes down the state of all pools, if the writer has room for it.
-func (r *Recorder) begin(now float64) {
-	if len(r.to.chunks) > chunksMost/2 && !r.to.WaitForWriter { // it is behind: not yet
+// beginSegment encodes the state of all pools, if the writer has room for it.
+func (r *Recorder) beginSegment(now float64) {
+	if len(r.writer.chunks) > maxQueuedChunks/2 && !r.waits {
 		r.missed++
 		return
 	}
-	var texts [][]byte
+	var states [][]byte
 	for _, b := range r.pools {
 		if b == nil {
 			continue
 		}
-		balancer, requests := b.Checkpoint(b.hand)
-		text, err := graphcodec.Write(&state{b.pool, b.name, balancer, requests, b.next})
-		if err != nil { // a type that cannot be written down: a fault of the program
-			r.to.fail(err)
+		text, err := graphcodec.Write(b.state())
+		if err != nil { // the balancer has a type that cannot be encoded
+			r.writer.fail(err)
 			return
 		}
-		texts = append(texts, text)
+		states = append(states, text)
+	}
+	r.writer.chunks <- chunk{kind: blockState, startsSegment: true, texts: states, missed: r.missed}
+	r.recording = true
+	r.segment = segment{beganAt: now}
+	r.missed = 0
+	r.buffer.clear()
+}
+
+// record adds a call that was made, and the digest of what it returned.
+func (r *Recorder) record(call *Call, actions *balance.Actions) {
+	if !r.recording {
+		return
+	}
+	call.Digest = Digest(actions)
+	if r.rejections.observe(call, actions) {
+		r.Trigger("rejections above their share")
+	}
+	r.segment.bytes += int64(r.buffer.add(call))
+	r.Calls.Add(1)
+	r.missed++
+	if r.buffer.due(call.Now) {
+		r.flush()
 	}
-	r.to.chunks <- chunk{kind: blockState, begins: true, texts: texts, missed: r.missed}
-	r.on, r.begun, r.bytes, r.missed = true, now, 0, 0
-	r.code.out = r.code.out[:0]
 }
 
-// flush hands the calls so far to the writer.
+// flush passes the calls in the buffer on to the writer. If that has no room they are lost, since waiting for a slow
+// disk would stop service.
 func (r *Recorder) flush() {
-	if len(r.code.out) == 0 {
+	if r.buffer.empty() {
 		return
 	}
-	c := chunk{kind: blockCalls, texts: [][]byte{append([]byte(nil), r.code.out...)}}
-	if r.to.WaitForWriter {
-		r.to.chunks <- c
-		r.missed, r.code.out = 0, r.code.out[:0]
+	c := chunk{kind: blockCalls, texts: [][]byte{bytes.Clone(r.buffer.coder.out)}}
+	r.buffer.clear()
+	if r.waits {
+		r.writer.chunks <- c
+		r.missed = 0
 		return
 	}
 	select {
-	case r.to.chunks <- c:
+	case r.writer.chunks <- c:
 		r.missed = 0
-	default: // danger: waiting for a slow disk would stop service
+	default:
 		r.Gaps.Add(1)
-		r.on = false
-	}
-	r.code.out = r.code.out[:0]
-}
-
-// Flush has the writer have what was recorded; on the owner's goroutine, or once it has ended.
-func (r *Recorder) Flush() {
-	if r.on {
-		r.flush()
+		r.recording = false
 	}
 }
-
-func (b *Balancer) did(x Call, o *balance.Actions) *balance.Actions {
-	x.Pool = b.pool
-	b.rec.note(&x, o)
-	return o
-}
-
-func (l *Request) did(x Call, o *balance.Actions) *balance.Actions {
-	x.Request = l.number
-	l.of.did(x, o)
-	if l.Done() {
-		delete(l.of.hand, l.number)
-	}
-	return o
-}
-
-// The calls of a Balancer, as it has them; Take is told the request's id besides.
-
-func (b *Balancer) RequestArrived(now float64, a balance.RequestInfo, id string) (*Request, *balance.Actions) {
-	b.rec.ready(now)
-	l, o := b.Balancer.RequestArrived(now, a)
-	b.next++
-	h := &Request{l, b, b.next}
-	b.hand[b.next] = l
-	return h, h.did(Call{Kind: RequestArrived, Now: now, Arrival: a, IDHash: IDOf(id)}, o)
-}
-
-func (l *Request) AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions {
-	l.of.rec.ready(now)
-	return l.did(Call{Kind: AttemptEnded, Now: now, Attempt: attempt, Outcome: o, Latency: latency, BodyComplete: over}, l.Request.AttemptEnded(now, attempt, o, latency, over))
-}
-
-func (l *Request) ClientDisconnected(now float64) *balance.Actions {
-	l.of.rec.ready(now)
-	return l.did(Call{Kind: ClientDisconnected, Now: now}, l.Request.ClientDisconnected(now))
-}
-
-func (l *Request) ResponseStarted(now float64, attempt int) *balance.Actions {
-	l.of.rec.ready(now)
-	return l.did(Call{Kind: ResponseStarted, Now: now, Attempt: attempt}, l.Request.ResponseStarted(now, attempt))
-}
-
-func (l *Request) BodyCompleted(now float64) *balance.Actions {
-	l.of.rec.ready(now)
-	return l.did(Call{Kind: BodyCompleted, Now: now}, l.Request.BodyCompleted(now))
-}
-
-func (l *Request) TimerFired(now float64) *balance.Actions {
-	l.of.rec.ready(now)
-	return l.did(Call{Kind: RequestTimerFired, Now: now}, l.Request.TimerFired(now))
-}
-
-func (b *Balancer) TimerFired(now float64) *balance.Actions {
-	b.rec.ready(now)
-	return b.did(Call{Kind: TimerFired, Now: now}, b.Balancer.TimerFired(now))
-}
-
-func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
-	b.rec.ready(now)
-	return b.did(Call{Kind: EndpointsUpdated, Now: now, Full: full, First: first, Endpoints: list}, b.Balancer.EndpointsUpdated(now, full, first, list))
-}
-
-func (b *Balancer) PollFailed(now float64) *balance.Actions {
-	b.rec.ready(now)
-	return b.did(Call{Kind: PollFailed, Now: now}, b.Balancer.PollFailed(now))
-}
-
-func (b *Balancer) HealthChecked(now float64, server int, ok bool, r balance.LoadReport) *balance.Actions {
-	b.rec.ready(now)
-	return b.did(Call{Kind: HealthChecked, Now: now, Endpoint: server, OK: ok, LoadReport: r}, b.Balancer.HealthChecked(now, server, ok, r))
-}
-
-func (b *Balancer) GossipReceived(now float64, from int, n balance.GossipMessage) *balance.Actions {
-	b.rec.ready(now)
-	return b.did(Call{Kind: GossipReceived, Now: now, GossipPeer: from, Gossip: n}, b.Balancer.GossipReceived(now, from, n))
-}
-
-func (b *Balancer) OutcomesReported(now float64, all []balance.ReportedOutcomes) {
-	b.rec.ready(now)
-	b.Balancer.OutcomesReported(now, all)
-	b.did(Call{Kind: OutcomesReported, Now: now, Outcomes: all}, nil)
-}
-
-func (b *Balancer) SetBudgetShare(part float64) {
-	b.rec.ready(b.rec.begun)
-	b.Balancer.SetBudgetShare(part)
-	b.did(Call{Kind: BudgetShareSet, Now: b.rec.begun, BudgetShare: part}, nil)
-}
-
-func (b *Balancer) SetLocalDelay(times, lag float64) {
-	b.rec.ready(b.rec.begun)
-	b.Balancer.SetLocalDelay(times, lag)
-	b.did(Call{Kind: LocalDelaySet, Now: b.rec.begun, DelayStretch: times, Delay: lag}, nil)
-}
-
-func (b *Balancer) Restore(now float64, m balance.Snapshot) {
-	b.rec.ready(now)
-	b.Balancer.Restore(now, m)
-	b.did(Call{Kind: SnapshotRestored, Now: now, Snapshot: m}, nil)
-}
-
-func (b *Balancer) Snapshot(now float64) balance.Snapshot {
-	b.rec.ready(now)
-	defer b.did(Call{Kind: StateRead, Now: now}, nil)
-	return b.Balancer.Snapshot(now)
-}
-
-func (b *Balancer) ServerStatuses(now float64) []balance.ServerStatus {
-	b.rec.ready(now)
-	defer b.did(Call{Kind: StateRead, Now: now}, nil)
-	return b.Balancer.ServerStatuses(now)
-}
-
-func (b *Balancer) Availability(now float64) (any, trial bool) {
-	b.rec.ready(now)
-	defer b.did(Call{Kind: StateRead, Now: now}, nil)
-	return b.Balancer.Availability(now)
-}
--- /dev/null
+++ b/internal/capture/rejections.go
@@ -0,0 +1,46 @@
+package capture
+
+import "lockloom/balance"
+
+const (
+	rejectionWindow      = 1.0 // s over which rejections are counted
+	minRequestsForReject = 50  // in a window: a share of fewer requests says little
+)
+
+// rejectionTrigger tells when more than a share of a second's requests were rejected.
+type rejectionTrigger struct {
+	maxShare float64 // 0: it never tells
+
+	windowBeganAt      float64 // s
+	requests, rejected int     // in the window
+}
+
+// observe counts a call, and reports whether a window with too many rejections ends with it.
+func (t *rejectionTrigger) observe(call *Call, actions *balance.Actions) bool {
+	if t.maxShare == 0 {
+		return false
+	}
+	if call.Kind == RequestArrived {
+		t.requests++
+	}
+	t.rejected += rejectedIn(actions)
+	if call.Now < t.windowBeganAt+rejectionWindow {
+		return false
+	}
+	exceeded := t.requests >= minRequestsForReject && float64(t.rejected) > t.maxShare*float64(t.requests)
+	t.windowBeganAt, t.requests, t.rejected = call.Now, 0, 0
+	return exceeded
+}
+
+func rejectedIn(actions *balance.Actions) int {
+	if actions == nil {
+		return 0
+	}
+	rejected := 0
+	for i := range actions.Requests {
+		if actions.Requests[i].Reply == balance.Rejected {
+			rejected++
+		}
+	}
+	return rejected
+}
--- /dev/null
+++ b/internal/capture/writer.go
@@ -0,0 +1,202 @@
+package capture
+
+import (
+	"bytes"
+	"compress/flate"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+const (
+	maxQueuedChunks = 64 // between recorder and writer; over it there is a gap
+	minDumpInterval = 10 * time.Second
+)
+
+// chunk is what the recorder passes to the writer: the states that a segment begins with, or calls.
+type chunk struct {
+	kind          uint8
+	startsSegment bool
+	texts         [][]byte
+	missed        uint64 // calls before it that are not recorded
+}
+
+// writer compresses chunks and writes them to files, or keeps the newest segments in memory. It runs in a goroutine of
+// its own, so that the recorder never waits for the disk.
+type writer struct {
+	chunks   chan chunk // closed to end the goroutine
+	triggers chan string
+	done     chan struct{} // closed when the goroutine has ended
+
+	wanted       atomic.Bool // whether the capture is on
+	failed       atomic.Bool
+	writtenBytes atomic.Int64
+
+	head Head // without what differs by file
+	log  logrus.FieldLogger
+
+	mu         sync.Mutex // guards what follows
+	part       int
+	compressor *compressor
+	files      segmentFiles
+	ring       ring
+}
+
+func newWriter(o Options, form uint64) *writer {
+	w := &writer{
+		chunks:     make(chan chunk, maxQueuedChunks),
+		triggers:   make(chan string, 1),
+		done:       make(chan struct{}),
+		head:       Head{Format: formatVersion, Program: o.Program, Module: form, Proxy: o.Proxy},
+		log:        o.Log,
+		compressor: newCompressor(),
+		files:      segmentFiles{dir: o.Dir, proxy: o.Proxy, maxBytes: o.MaxTotalBytes},
+		ring:       ring{maxBytes: o.RingBytes},
+	}
+	w.wanted.Store(o.StartOn)
+	return w
+}
+
+func (w *writer) run() {
+	defer close(w.done)
+	var lastDump time.Time
+	for {
+		select {
+		case c, ok := <-w.chunks:
+			if !ok {
+				return
+			}
+			if err := w.write(c); err != nil {
+				w.fail(err)
+			}
+		case reason := <-w.triggers:
+			if w.ring.maxBytes == 0 || time.Since(lastDump) < minDumpInterval {
+				continue
+			}
+			lastDump = time.Now()
+			w.dumpAndLog(reason)
+		}
+	}
+}
+
+// fail ends the capture, never the service.
+func (w *writer) fail(err error) {
+	w.wanted.Store(false)
+	if !w.failed.Swap(true) && w.log != nil {
+		w.log.WithError(err).Error("the capture has ended")
+	}
+}
+
+func (w *writer) write(c chunk) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.failed.Load() {
+		return nil
+	}
+	out, err := w.encode(c)
+	if err != nil {
+		return err
+	}
+	w.writtenBytes.Add(int64(len(out)))
+	if w.ring.maxBytes > 0 {
+		w.ring.add(out, c.startsSegment)
+		return nil
+	}
+	if c.startsSegment {
+		if err := w.files.begin(w.part); err != nil {
+			return err
+		}
+	}
+	return w.files.write(out)
+}
+
+// encode returns a chunk's blocks. A chunk that starts a segment begins the next part.
+func (w *writer) encode(c chunk) ([]byte, error) {
+	var out []byte
+	if c.startsSegment {
+		w.part++
+		head := w.head
+		head.Began, head.Part, head.Missing = time.Now().UTC(), w.part, c.missed
+		text, err := json.Marshal(head)
+		if err != nil {
+			return nil, err
+		}
+		out = appendBlock([]byte(magic), blockHead, text)
+		if c.missed > 0 && w.part > 1 {
+			out = appendBlock(out, blockGap, binary.AppendUvarint(nil, c.missed))
+		}
+	}
+	for _, text := range c.texts {
+		compressed, err := w.compressor.compress(text)
+		if err != nil {
+			return nil, err
+		}
+		out = appendBlock(out, c.kind, compressed)
+	}
+	return out, nil
+}
+
+func (w *writer) dumpAndLog(reason string) {
+	segments, err := w.dump()
+	if w.log != nil {
+		w.log.WithError(err).WithFields(logrus.Fields{"why": reason, "segments": segments}).Warn("captured")
+	}
+}
+
+// dump writes the segments that are kept in memory to files, and returns how many it wrote.
+func (w *writer) dump() (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.files.dir == "" {
+		return 0, errors.New("capture: no folder to write to")
+	}
+	written := 0
+	firstPart := w.part - len(w.ring.segments) + 1
+	for i, segment := range w.ring.segments {
+		if len(segment) == 0 {
+			continue
+		}
+		if err := w.files.save(firstPart+i, segment); err != nil {
+			return written, err
+		}
+		written++
+	}
+	return written, w.files.trim()
+}
+
+// close waits until all chunks are written, once no more are passed on.
+func (w *writer) close() error {
+	close(w.chunks)
+	<-w.done
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.files.close()
+}
+
+// compressor compresses the bodies of blocks, one after the other.
+type compressor struct{ deflate *flate.Writer }
+
+func newCompressor() *compressor {
+	deflate, err := flate.NewWriter(nil, flate.BestSpeed)
+	if err != nil {
+		panic(err) // NewWriter rejects nothing but an unknown level
+	}
+	return &compressor{deflate}
+}
+
+func (c *compressor) compress(text []byte) ([]byte, error) {
+	var out bytes.Buffer
+	c.deflate.Reset(&out)
+	if _, err := c.deflate.Write(text); err != nil {
+		return nil, err
+	}
+	if err := c.deflate.Close(); err != nil {
+		return nil, err
+	}
+	return out.Bytes(), nil
+}
