--- a/internal/capture/rejections.go
+++ b/internal/capture/rejections.go
@@ -3,8 +3,8 @@
 import "lockloom/balance"
 
 const (
-	rejectionWindow      = 1.0 // s over which rejections are counted
-	minRequestsForReject = 50  // in a window: a share of fewer requests says little
+	rejectionWindowDuration = 1.0 // s
+	minWindowRequests       = 50  // a share of fewer requests says little
 )
 
 // rejectionTrigger tells when more than a share of a second's requests were rejected.
@@ -24,10 +24,10 @@
 		t.requests++
 	}
 	t.rejected += rejectedIn(actions)
-	if call.Now < t.windowBeganAt+rejectionWindow {
+	if call.Now < t.windowBeganAt+rejectionWindowDuration {
 		return false
 	}
-	exceeded := t.requests >= minRequestsForReject && float64(t.rejected) > t.maxShare*float64(t.requests)
+	exceeded := t.requests >= minWindowRequests && float64(t.rejected) > t.maxShare*float64(t.requests)
 	t.windowBeganAt, t.requests, t.rejected = call.Now, 0, 0
 	return exceeded
 }
