--- a/internal/graphcodec/read.go
+++ b/internal/graphcodec/read.go
@@ -11,8 +11,9 @@
 // Limits on what is decoded, so that corrupt input cannot take all memory.
 const (
 	maxBlocks = 1 << 22
-	maxBytes  = 1 << 30 // of all blocks together
-	// A block's count is at most maxCountPerByte for each byte of input, and minCountLimit more.
+	maxBytes  = 1 << 30 // of all blocks together; also the maximum length of a block or a slice, in elements
+
+	// A block has at most maxCountPerByte elements for each byte of input, and minCountLimit more.
 	maxCountPerByte = 8
 	minCountLimit   = 64
 )
@@ -21,6 +22,7 @@
 // recovers.
 var errCorrupt = errors.New("input is incomplete or does not have this type")
 
+// decoder decodes the list of blocks, then the values in them.
 type decoder struct {
 	*typeTable
 	blocks []block
--- a/internal/graphcodec/graphcodec.go
+++ b/internal/graphcodec/types.go
@@ -1,10 +1,3 @@
-// Package graphcodec encodes a value with everything that it refers to, and decodes the same graph again: unexported
-// fields, shared pointers and pointers into the middle of other values included. Captures begin with the state of a
-// running process in this form.
-//
-// The package knows nothing of what the values mean, and the form holds no names: a program can decode only what was
-// encoded by one whose types have the same layout, which Layout identifies. A value must not be changed while it is
-// encoded.
 package graphcodec
 
 import (
