--- a/internal/capture/breakdown.go
+++ b/internal/capture/breakdown.go
@@ -15,14 +15,14 @@
 // endpointNotes tell what a server's state means for a request.
 var endpointNotes = [...]string{
 	balance.Ready:    "",
-	balance.Draining: "drains",
-	balance.Removed:  "gone",
+	balance.Draining: "draining",
+	balance.Removed:  "removed",
 }
 
 // printBreakdown prints what spoke for and against each server in a request's last draw.
 func printBreakdown(out io.Writer, r *balance.Request) {
 	inFlight, available, waiting := r.Capacity()
-	fmt.Fprintf(out, "%s%d legs out, %.1f places for its value, %d held\n",
+	fmt.Fprintf(out, "%s%d attempts in flight, capacity for %.1f at its priority, %d queued\n",
 		breakdownIndent, inFlight, available, waiting)
 	servers := r.ScoreBreakdown()
 	slices.SortStableFunc(servers, compareBreakdowns)
@@ -43,10 +43,10 @@
 }
 
 func breakdownLine(s *balance.ScoreBreakdown) string {
-	line := fmt.Sprintf("%sbackend %-3d payoff %.2f  %.1f of %.1f legs",
+	line := fmt.Sprintf("%sserver %-3d payoff %.2f  %.1f of %.1f attempts",
 		breakdownIndent, s.Endpoint, s.Payoff, s.Load, s.Capacity)
 	if s.Considered {
-		line += fmt.Sprintf("  weighed %.2f", s.Score)
+		line += fmt.Sprintf("  score %.2f", s.Score)
 	}
 	if notes := breakdownNotes(s); len(notes) > 0 {
 		line += "  " + strings.Join(notes, "; ")
@@ -63,10 +63,10 @@
 	}
 	addIf(s.State != balance.Ready, endpointNotes[s.State])
 	addIf(s.Paused && !s.Trial, fmt.Sprintf("paused: %d of %d failed", s.Errors, s.Results))
-	addIf(s.Trial, "paused, cooled down: one leg may try")
-	addIf(s.ClassPaused, fmt.Sprintf("paused for this tariff: %d of %d failed", s.ClassErrors, s.ClassResults))
-	addIf(!s.RetrySafe, "another leg there is not harmless, or was just tried")
-	addIf(s.WarmingUp, "cold")
+	addIf(s.Trial, "paused, cooled down: one attempt may try")
+	addIf(s.ClassPaused, fmt.Sprintf("paused for this class: %d of %d failed", s.ClassErrors, s.ClassResults))
+	addIf(!s.RetrySafe, "another attempt there is not safe, or was just made")
+	addIf(s.WarmingUp, "warming up")
 	addIf(s.Load >= max(s.Capacity, 1), "full")
 	return notes
 }
--- a/internal/capture/history.go
+++ b/internal/capture/history.go
@@ -45,7 +45,7 @@
 	}
 	acted := h.printActions(call, own, actions)
 	if arrival && !acted {
-		h.printEvent(call.Now, "it is held: no backend has room for it")
+		h.printEvent(call.Now, "it is queued: no server has capacity for it")
 	}
 	if acted || arrival {
 		printBreakdown(h.Out, h.request)
@@ -71,9 +71,9 @@
 	h.request = p.LastRequest
 	h.arrivedAt = call.Now
 	class := p.Balancer.Deployment().Classes[call.Arrival.Class]
-	fmt.Fprintf(h.Out, "lookup %d of pool %q, id hash %08x, taken at %.6f\n",
+	fmt.Fprintf(h.Out, "request %d of pool %q, id hash %08x, arrived at %.6f\n",
 		call.Request, p.Name, call.IDHash, call.Now)
-	fmt.Fprintf(h.Out, "  tariff %s, value %g, due in %.0f ms, hard stop in %.0f ms", class.Name,
+	fmt.Fprintf(h.Out, "  class %s, priority weight %g, latency objective %.0f ms, deadline in %.0f ms", class.Name,
 		class.PriorityWeight, class.LatencyObjective*msPerS, (call.Arrival.Deadline-call.Now)*msPerS)
 	if call.Arrival.Key != 0 {
 		fmt.Fprintf(h.Out, ", key %016x", call.Arrival.Key)
@@ -91,19 +91,19 @@
 	case AttemptEnded:
 		return h.describeEnd(&call.Attempt)
 	case ResponseStarted:
-		return fmt.Sprintf("leg %d began to answer", call.Attempt.Index+1)
+		return fmt.Sprintf("attempt %d: the response started", call.Attempt.Index+1)
 	case ClientDisconnected:
-		return "its client has left"
+		return "its client has disconnected"
 	case BodyCompleted:
-		return "its body has come whole"
+		return "its body is complete"
 	case RequestTimerFired:
-		return "its own timer: a leg is overdue, or the hard stop is near"
+		return "its timer: an attempt is overdue, or the deadline is near"
 	}
 	return ""
 }
 
 func (h *RequestHistory) describeEnd(a *AttemptEvent) string {
-	text := fmt.Sprintf("leg %d ended after %.1f ms: %s", a.Index+1, a.Latency*msPerS, a.Outcome)
+	text := fmt.Sprintf("attempt %d ended after %.1f ms: %s", a.Index+1, a.Latency*msPerS, a.Outcome)
 	if a.Index < len(h.servers) {
 		text += ", at " + h.servers[a.Index]
 	}
@@ -138,14 +138,14 @@
 func (h *RequestHistory) describeAction(action *balance.RequestAction) string {
 	switch {
 	case action.Send:
-		h.servers = append(h.servers, fmt.Sprint("backend ", action.Endpoint))
-		return fmt.Sprintf("leg %d is sent to backend %d", len(h.servers), action.Endpoint)
+		h.servers = append(h.servers, fmt.Sprint("server ", action.Endpoint))
+		return fmt.Sprintf("attempt %d is sent to server %d", len(h.servers), action.Endpoint)
 	case action.Reply == balance.Rejected:
-		return fmt.Sprintf("it is dismissed: trying again is harmless, after %.0f ms", action.RetryAfter*msPerS)
+		return fmt.Sprintf("it is rejected: a retry by the client is harmless, after %.0f ms", action.RetryAfter*msPerS)
 	case action.Reply == balance.Failed:
-		return "it is forfeited: it may have run"
+		return "it failed: it may have run"
 	case action.CancelAttempt > 0:
-		return fmt.Sprintf("leg %d is called off", action.CancelAttempt)
+		return fmt.Sprintf("the proxy cancels attempt %d", action.CancelAttempt)
 	}
 	return ""
 }
--- a/internal/capture/history_test.go
+++ b/internal/capture/history_test.go
@@ -34,12 +34,12 @@
 	assert.True(t, byNumber.Found)
 	for _, part := range []string{
 		`of pool "a"`,
-		"tariff ",
-		"leg 1 is sent to backend",
-		"leg 1 ended after",
-		"leg 2 is sent to backend",
+		"class ",
+		"attempt 1 is sent to server",
+		"attempt 1 ended after",
+		"attempt 2 is sent to server",
 		"payoff",
-		"legs out",
+		"attempts in flight",
 	} {
 		assert.Contains(t, out.String(), part)
 	}
