--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -176,6 +176,12 @@
 		first && c.proxy.conns.closesFirstResponse() || resp.endsWithConnection()
 }
 
+// Bodies of responses to requests that are not complete; clients know these texts.
+const (
+	lateRequestBody       = "request not whole in time"
+	incompleteRequestBody = "request not whole"
+)
+
 // rejectBadRequest answers what can't be served and closes the connection; it returns false.
 func (c *clientConn) rejectBadRequest(err error) bool {
 	if c.readNoMore.Load() {
@@ -183,14 +189,15 @@
 	}
 	var status int
 	text := err.Error()
+	body := text
 	var invalid *http1.Error
 	switch {
 	case errors.As(err, &invalid):
 		status = invalid.Status
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		status, text = http.StatusRequestTimeout, "request not complete in time"
+		status, text, body = http.StatusRequestTimeout, "request not complete in time", lateRequestBody
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		status, text = http.StatusBadRequest, "request not complete"
+		status, text, body = http.StatusBadRequest, "request not complete", incompleteRequestBody
 	default:
 		c.lost = true
 		return false
@@ -198,7 +205,7 @@
 	c.proxy.post(func() { c.proxy.counters.BadRequests++ })
 	c.proxy.log.WithField("client", c.conn.RemoteAddr().String()).Debug("bad request: ", text, ": ", err)
 	c.evicted.Store(false)
-	c.lost = c.writeResponse(response{status: status, body: []byte(text + "\n")}, true) != nil
+	c.lost = c.writeResponse(response{status: status, body: []byte(body + "\n")}, true) != nil
 	return false
 }
 
