--- a/internal/nginx/verdict.go
+++ b/internal/nginx/directives.go
@@ -2,35 +2,16 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 )
 
-// Grade is how a directive was taken.
-type Grade uint8
+// blocks is a set of the blocks that a directive may stand in, a bit each.
+type blocks uint8
 
 const (
-	Carried Grade = iota // its meaning is in the operator file, or it has none for routing
-	Differs              // carried, with a stated difference
-	Refused              // not carried: the reason, and what to do
-)
-
-func (g Grade) String() string { return [...]string{"carried", "differs", "refused"}[g] }
-
-// Verdict is that on one directive.
-type Verdict struct {
-	Place Place  `json:"-"`
-	At    string `json:"at"`
-	Name  string `json:"directive"`
-	Grade string `json:"verdict"`
-	Text  string `json:"text,omitempty"`
-}
-
-// where are the blocks that a directive may stand in, a bit each.
-type where uint8
-
-const (
-	inMain where = 1 << iota
+	inMain blocks = 1 << iota
 	inHTTP
 	inServer
 	inLocation
@@ -40,19 +21,19 @@
 
 const inAll = inHTTP | inServer | inLocation
 
-func (w where) String() string {
+func (b blocks) String() string {
 	var list []string
 	for i, name := range []string{"main", "http", "server", "location", "upstream", "if"} {
-		if w&(1<<i) != 0 {
+		if b&(1<<i) != 0 {
 			list = append(list, name)
 		}
 	}
 	return strings.Join(list, ", ")
 }
 
-// rule is what is known of a directive. Its grade is the usual one: what is read of it may make it worse.
-type rule struct {
-	in    where
+// directive is what is known of a directive by its name. Its grade is the usual one: its arguments may make it worse.
+type directive struct {
+	in    blocks
 	grade Grade
 	text  string
 }
@@ -60,62 +41,85 @@
 const (
 	ownWay   = "lockloom has its own"
 	noFiles  = "lockloom serves no files: put a server that does behind a pool"
-	noTLS    = "no TLS at the ordinary door: end it in front"
+	noTLS    = "no TLS at the HTTP listener: end it in front"
 	noFields = "no fields are added or hidden on the way back: have the server do it"
-	noBuffer = "bodies and answers flow, at the pace of the slower side"
+	noBuffer = "bodies are streamed both ways, at the pace of the slower side"
 )
 
-// rules are the directives that are known. The table in docs/operators/nginx.md is made of it.
-var rules = map[string]rule{
-	"http":                          {inMain, Carried, ""},
-	"events":                        {inMain, Differs, ownWay + " bounds on connections"},
-	"user":                          {inMain, Differs, "by whoever starts lockloom"},
-	"worker_processes":              {inMain, Differs, ownWay + ": cores are told at start"},
-	"worker_rlimit_nofile":          {inMain, Differs, ownWay + ": descriptors are told at start"},
-	"worker_connections":            {inMain, Differs, ownWay + ": descriptors are told at start"},
-	"pid":                           {inMain, Differs, "by whoever starts lockloom"},
-	"daemon":                        {inMain, Differs, "by whoever starts lockloom"},
-	"error_log":                     {inMain | inAll, Differs, "its log is on standard error"},
-	"access_log":                    {inAll, Differs, "no line for each lookup: counts, and captures"},
-	"log_format":                    {inHTTP, Differs, "no line for each lookup"},
-	"upstream":                      {inHTTP, Carried, "a pool"},
-	"server":                        {inHTTP | inUpstream, Carried, "routes of its names; in an upstream, a server of the pool"},
-	"listen":                        {inServer, Carried, "without ssl, http2, unix sockets; all servers on the same addresses"},
-	"server_name":                   {inServer, Carried, "exact names and wildcards; expressions are refused"},
-	"location":                      {inServer | inLocation, Carried, "=, ^~, ~, ~* and prefixes, nested; named ones are refused"},
-	"proxy_pass":                    {inLocation, Carried, "http to an upstream, a server, or by map and split_clients"},
-	"return":                        {inServer | inLocation | inIf, Carried, "redirects and fixed answers"},
-	"rewrite":                       {inLocation, Carried, "with break; with redirect or permanent where the replacement ends with ?"},
-	"if":                            {inLocation, Carried, "only ($request_method = M) { return N; }"},
-	"map":                           {inHTTP, Carried, "of a field, a parameter or the method, to name a pool"},
-	"split_clients":                 {inHTTP, Carried, "of $remote_addr, to name a pool"},
-	"limit_req_zone":                {inHTTP, Carried, "by address or field"},
-	"limit_req":                     {inAll, Differs, "over it 429 at once: nothing is delayed, whatever limit_req_status says"},
-	"limit_conn_zone":               {inHTTP, Carried, "by address or field"},
-	"limit_conn":                    {inAll, Differs, "lookups in hand; over it 429"},
-	"limit_req_status":              {inAll, Differs, "429"},
-	"limit_conn_status":             {inAll, Differs, "429"},
-	"limit_req_log_level":           {inAll, Differs, ownWay + " log"},
-	"limit_conn_log_level":          {inAll, Differs, ownWay + " log"},
-	"least_conn":                    {inUpstream, Differs, "the pool's own decision: by payoffs, under limits"},
-	"random":                        {inUpstream, Differs, "the pool's own decision: by payoffs, under limits"},
-	"keepalive":                     {inUpstream, Differs, "connections are kept by what they cost"},
-	"keepalive_requests":            {inAll | inUpstream, Differs, ownWay + " bounds"},
-	"keepalive_timeout":             {inAll | inUpstream, Differs, ownWay + " bounds"},
-	"keepalive_time":                {inAll | inUpstream, Differs, ownWay + " bounds"},
-	"zone":                          {inUpstream, Differs, "one process: nothing to share"},
-	"hash":                          {inUpstream, Refused, "no server is kept to a key at the ordinary door: have sessions outside of the servers, or split by client address"},
-	"ip_hash":                       {inUpstream, Refused, "no server is kept to an address: have sessions outside of the servers"},
-	"sticky":                        {inUpstream, Refused, "no server is kept to a client"},
-	"proxy_set_header":              {inAll, Carried, "Host, Connection, X-Forwarded-For and -Proto as lockloom sets them; others are refused"},
-	"proxy_http_version":            {inAll, Differs, "HTTP/1.1 always"},
-	"proxy_redirect":                {inAll, Refused, "Location goes on as the server has it: have it know its public name"},
-	"proxy_connect_timeout":         {inAll, Differs, "a second, or what the deployment tells"},
-	"proxy_send_timeout":            {inAll, Differs, "by the tariff's hard stop"},
-	"proxy_read_timeout":            {inAll, Differs, "the tariff's hard stop: of the whole lookup, legs and waits included"},
-	"proxy_next_upstream":           {inAll, Differs, "a retry rule: what never ran is sent again, what may run twice too; the decisions choose"},
-	"proxy_next_upstream_tries":     {inAll, Carried, "legs of the retry rule"},
-	"proxy_next_upstream_timeout":   {inAll, Differs, "by the tariff's hard stop"},
+// directives are those that are known, by name. The table in docs/operators/nginx.md is made of them.
+var directives = map[string]directive{
+	"http":                 {inMain, Carried, ""},
+	"events":               {inMain, Differs, ownWay + " bounds on connections"},
+	"user":                 {inMain, Differs, "by whoever starts lockloom"},
+	"worker_processes":     {inMain, Differs, ownWay + ": cores are set at start"},
+	"worker_rlimit_nofile": {inMain, Differs, ownWay + ": descriptors are set at start"},
+	"worker_connections":   {inMain, Differs, ownWay + ": descriptors are set at start"},
+	"pid":                  {inMain, Differs, "by whoever starts lockloom"},
+	"daemon":               {inMain, Differs, "by whoever starts lockloom"},
+	"error_log":            {inMain | inAll, Differs, "its log is on standard error"},
+	"access_log":           {inAll, Differs, "no line for each request: counts, and captures"},
+	"log_format":           {inHTTP, Differs, "no line for each request"},
+	"upstream":             {inHTTP, Carried, "a pool"},
+	"server": {
+		inHTTP | inUpstream, Carried, "routes of its names; in an upstream, a server of the pool",
+	},
+	"listen": {
+		inServer, Carried, "without ssl, http2, unix sockets; all servers on the same addresses",
+	},
+	"server_name": {inServer, Carried, "exact names and wildcards; expressions are refused"},
+	"location": {
+		inServer | inLocation, Carried, "=, ^~, ~, ~* and prefixes, nested; named ones are refused",
+	},
+	"proxy_pass": {inLocation, Carried, "http to an upstream, a server, or by map and split_clients"},
+	"return":     {inServer | inLocation | inIf, Carried, "redirects and fixed answers"},
+	"rewrite": {
+		inLocation, Carried, "with break; with redirect or permanent where the replacement ends with ?",
+	},
+	"if":             {inLocation, Carried, "only ($request_method = M) { return N; }"},
+	"map":            {inHTTP, Carried, "of a field, a parameter or the method, to name a pool"},
+	"split_clients":  {inHTTP, Carried, "of $remote_addr, to name a pool"},
+	"limit_req_zone": {inHTTP, Carried, "by address or field"},
+	"limit_req": {
+		inAll, Differs, "over it 429 at once: nothing is delayed, whatever limit_req_status says",
+	},
+	"limit_conn_zone":      {inHTTP, Carried, "by address or field"},
+	"limit_conn":           {inAll, Differs, "requests in flight; over it 429"},
+	"limit_req_status":     {inAll, Differs, "429"},
+	"limit_conn_status":    {inAll, Differs, "429"},
+	"limit_req_log_level":  {inAll, Differs, ownWay + " log"},
+	"limit_conn_log_level": {inAll, Differs, ownWay + " log"},
+	"least_conn":           {inUpstream, Differs, "the pool's own choice: by score, under limits"},
+	"random":               {inUpstream, Differs, "the pool's own choice: by score, under limits"},
+	"keepalive":            {inUpstream, Differs, "connections are kept by what they cost"},
+	"keepalive_requests":   {inAll | inUpstream, Differs, ownWay + " bounds"},
+	"keepalive_timeout":    {inAll | inUpstream, Differs, ownWay + " bounds"},
+	"keepalive_time":       {inAll | inUpstream, Differs, ownWay + " bounds"},
+	"zone":                 {inUpstream, Differs, "one process: nothing to share"},
+	"hash": {
+		inUpstream, Refused,
+		"no server is kept to a key at the HTTP listener: have sessions outside of the servers, or split by client address",
+	},
+	"ip_hash": {
+		inUpstream, Refused, "no server is kept to an address: have sessions outside of the servers",
+	},
+	"sticky": {inUpstream, Refused, "no server is kept to a client"},
+	"proxy_set_header": {
+		inAll, Carried, "Host, Connection, X-Forwarded-For and -Proto as lockloom sets them; others are refused",
+	},
+	"proxy_http_version": {inAll, Differs, "HTTP/1.1 always"},
+	"proxy_redirect": {
+		inAll, Refused, "Location goes on as the server has it: have it know its public name",
+	},
+	"proxy_connect_timeout": {inAll, Differs, "a second, or what the deployment sets"},
+	"proxy_send_timeout":    {inAll, Differs, "by the class's deadline"},
+	"proxy_read_timeout": {
+		inAll, Differs, "the class's deadline: of the whole request, all attempts and waits included",
+	},
+	"proxy_next_upstream": {
+		inAll, Differs, "a retry policy: what never ran is sent again, what may run twice too; the balancer chooses",
+	},
+	"proxy_next_upstream_tries":     {inAll, Carried, "attempts of the retry policy"},
+	"proxy_next_upstream_timeout":   {inAll, Differs, "by the class's deadline"},
 	"proxy_buffering":               {inAll, Differs, noBuffer},
 	"proxy_request_buffering":       {inAll, Differs, noBuffer},
 	"proxy_buffers":                 {inAll, Differs, noBuffer},
@@ -143,7 +147,7 @@
 	"sendfile":                      {inAll, Carried, "of no meaning here"},
 	"tcp_nopush":                    {inAll, Carried, "of no meaning here"},
 	"tcp_nodelay":                   {inAll, Carried, "of no meaning here"},
-	"server_tokens":                 {inAll, Carried, "lockloom tells no Server of its own"},
+	"server_tokens":                 {inAll, Carried, "lockloom sends no Server field of its own"},
 	"server_names_hash_bucket_size": {inHTTP, Carried, "of no meaning here"},
 	"server_names_hash_max_size":    {inHTTP, Carried, "of no meaning here"},
 	"types_hash_max_size":           {inAll, Carried, "of no meaning here"},
@@ -184,7 +188,7 @@
 	"scgi_pass":                     {inLocation, Refused, "it is not spoken"},
 	"grpc_pass":                     {inLocation, Refused, "HTTP/2 is not spoken yet"},
 	"memcached_pass":                {inLocation, Refused, "it is not spoken"},
-	"mirror":                        {inAll, Refused, "a lookup has one server at a time"},
+	"mirror":                        {inAll, Refused, "a request goes to one server at a time"},
 	"ssl_certificate":               {inHTTP | inServer, Refused, noTLS},
 	"ssl_certificate_key":           {inHTTP | inServer, Refused, noTLS},
 	"ssl_protocols":                 {inHTTP | inServer, Refused, noTLS},
@@ -195,18 +199,14 @@
 	"load_module":                   {inMain, Refused, "what a module means is not known"},
 }
 
-// Table is the rules as a table of Markdown.
+// Table is the known directives as a table in Markdown, in order of their names.
 func Table() string {
-	var names []string
-	for name := range rules {
-		names = append(names, name)
-	}
-	slices.Sort(names)
 	var b strings.Builder
 	b.WriteString("| directive | in | usual verdict | |\n| --- | --- | --- | --- |\n")
-	for _, name := range names {
-		r := rules[name]
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", name, r.in, r.grade, strings.ReplaceAll(r.text, "|", "\\|"))
+	for _, name := range slices.Sorted(maps.Keys(directives)) {
+		d := directives[name]
+		text := strings.ReplaceAll(d.text, "|", "\\|")
+		b.WriteString(fmt.Sprintf("| `%s` | %s | %s | %s |\n", name, d.in, d.grade, text))
 	}
 	return b.String()
 }
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -26,8 +26,8 @@
 
 var server = regexp.MustCompile(`10\.0\.0\.\d+(:\d+)?`)
 
-// Every sample that is carried whole is imported and served by the program, with stand-in servers behind it that say who they are: over
-// loopback the same server, path, status and address as the reference tells.
+// Every sample that is carried whole is imported and served by the program, with stand-in servers behind it that say
+// who they are: over loopback the same server, path, status and address as the reference tells.
 func TestOverLoopback(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "lockloom")
--- a/internal/nginx/nginx_test.go
+++ b/internal/nginx/nginx_test.go
@@ -196,8 +196,8 @@
 	return all
 }
 
-// For every sample that is carried whole, lockloom with the imported file chooses what the reference does, which is written from nginx's
-// documentation alone.
+// For every sample that is carried whole, lockloom with the imported file chooses what the reference does, which is
+// written from nginx's documentation alone.
 func TestAgainstTheReference(t *testing.T) {
 	const ofOne = 20_000 // requests of one sample, at most
 	asked, whole := 0, 0
--- a/internal/nginx/read.go
+++ b/internal/nginx/read.go
@@ -1,7 +1,3 @@
-// Package nginx reads configuration files of nginx by their published syntax, and writes what their upstream, server and location blocks
-// mean as an operator file. Each directive gets a verdict: carried, carried with a stated difference, or refused with what to do about it;
-// one that is not known is refused. It runs nothing, opens no files but those it is given or that an include names below a root, and
-// decides no routing: what it writes is read by internal/operator like any other file.
 package nginx
 
 import (
@@ -15,41 +11,19 @@
 
 // Bounds of what is read.
 const (
-	bytesMost    = 64 << 20  // of all files
-	nodesMost    = 2_000_000 // directives
-	depthMost    = 64        // of blocks within blocks
-	includesMost = 16        // files within files
+	maxBytes        = 64 << 20 // of all files
+	maxIncludeDepth = 16       // files within files
 )
 
-// Place is where a directive stands.
-type Place struct {
-	File         string
-	Line, Column int
-}
-
-func (p Place) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
-
-// Node is a directive, with its block if it has one.
-type Node struct {
-	Place
-	Name  string
-	Args  []string
-	Block []*Node
-	Opens bool // it has a block, which may be empty
-}
-
-func (n *Node) fault(format string, args ...any) error {
-	return fmt.Errorf("%s: %s: %s", n.Place, n.Name, fmt.Sprintf(format, args...))
-}
-
-// Reader reads files.
+// Reader reads files with what they include. It is for one goroutine; its bounds hold for all files that it reads.
 type Reader struct {
-	Root  string // includes lead nowhere outside of it
-	Open  func(name string) ([]byte, error)
-	Glob  func(pattern string) ([]string, error)
-	bytes int
-	nodes int
-	stack []string
+	Root string // includes lead nowhere outside of it
+	Open func(name string) ([]byte, error)
+	Glob func(pattern string) ([]string, error)
+
+	bytes      int // read so far
+	directives int // read so far
+	including  []string
 }
 
 // NewReader reads files of the disk below a folder; what is not absolute is relative to it.
@@ -59,322 +33,98 @@
 
 // File reads one file with all that it includes.
 func (r *Reader) File(name string) ([]*Node, error) {
-	if slices.Contains(r.stack, name) {
-		return nil, fmt.Errorf("%s: it includes itself, by way of %s", name, strings.Join(r.stack, ", "))
+	if slices.Contains(r.including, name) {
+		return nil, fmt.Errorf("%s: it includes itself, by way of %s", name, strings.Join(r.including, ", "))
 	}
-	if len(r.stack) >= includesMost {
-		return nil, fmt.Errorf("%s: files are included %d deep: no deeper", name, includesMost)
+	if len(r.including) >= maxIncludeDepth {
+		return nil, fmt.Errorf("%s: files are included %d deep: no deeper", name, maxIncludeDepth)
 	}
 	text, err := r.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	if r.bytes += len(text); r.bytes > bytesMost {
-		return nil, fmt.Errorf("%s: more than %d bytes in all", name, bytesMost)
+	if r.bytes += len(text); r.bytes > maxBytes {
+		return nil, fmt.Errorf("%s: more than %d bytes in all", name, maxBytes)
 	}
-	r.stack = append(r.stack, name)
-	defer func() { r.stack = r.stack[:len(r.stack)-1] }()
-	p := &parser{lexer: lexer{text: text, place: Place{name, 1, 1}}, r: r}
-	list, err := p.block(0)
+	r.including = append(r.including, name)
+	defer func() { r.including = r.including[:len(r.including)-1] }()
+	list, err := newParser(name, text, &r.directives).block(0)
 	if err != nil {
 		return nil, err
 	}
-	return r.include(list)
-}
-
-// Parse reads a text without includes.
-func Parse(name string, text []byte) ([]*Node, error) {
-	p := &parser{lexer: lexer{text: text, place: Place{name, 1, 1}}, r: &Reader{}}
-	return p.block(0)
+	return r.expand(list)
 }
 
-// include puts what files have in the place of directives that name them.
-func (r *Reader) include(list []*Node) ([]*Node, error) {
-	var out []*Node
+// expand replaces include directives, in all blocks, by the directives of the files that they name.
+func (r *Reader) expand(list []*Node) ([]*Node, error) {
+	var expanded []*Node
 	for _, n := range list {
 		if n.Name != "include" || n.Opens {
 			var err error
-			if n.Block, err = r.include(n.Block); err != nil {
+			if n.Block, err = r.expand(n.Block); err != nil {
 				return nil, err
 			}
-			out = append(out, n)
+			expanded = append(expanded, n)
 			continue
 		}
-		if len(n.Args) != 1 {
-			return nil, n.fault("it takes one file or pattern")
-		}
-		pattern := n.Args[0]
-		if !filepath.IsAbs(pattern) {
-			pattern = filepath.Join(r.Root, pattern)
-		}
-		if rel, err := filepath.Rel(r.Root, pattern); err != nil || rel == ".." || strings.HasPrefix(rel, ".."+string(filepath.Separator)) {
-			return nil, n.fault("%s lies outside of %s", n.Args[0], r.Root)
-		}
-		names := []string{pattern}
-		if strings.ContainsAny(pattern, "*?[") {
-			var err error
-			if names, err = r.Glob(pattern); err != nil {
-				return nil, n.fault("%s: %v", pattern, err)
-			}
-			slices.Sort(names) // nothing that fits is nothing included, as in nginx
-		}
-		for _, name := range names {
-			more, err := r.File(name)
-			if err != nil {
-				if errors.Is(err, os.ErrNotExist) {
-					return nil, n.fault("%v", err)
-				}
-				return nil, err
-			}
-			out = append(out, more...)
+		included, err := r.include(n)
+		if err != nil {
+			return nil, err
 		}
+		expanded = append(expanded, included...)
 	}
-	return out, nil
-}
-
-type parser struct {
-	lexer
-	r *Reader
+	return expanded, nil
 }
 
-// block reads directives up to the end of a block, or of the file.
-func (p *parser) block(depth int) ([]*Node, error) {
-	if depth > depthMost {
-		return nil, fmt.Errorf("%s: blocks are %d deep: no deeper", p.place, depthMost)
+// include reads the files that an include directive names.
+func (r *Reader) include(n *Node) ([]*Node, error) {
+	names, err := r.includedFiles(n)
+	if err != nil {
+		return nil, err
 	}
-	var list []*Node
-	for {
-		t, err := p.next()
+	var included []*Node
+	for _, name := range names {
+		list, err := r.File(name)
+		if errors.Is(err, os.ErrNotExist) {
+			return nil, n.errorf("%v", err)
+		}
 		if err != nil {
 			return nil, err
 		}
-		switch t.kind {
-		case end:
-			if depth > 0 {
-				return nil, fmt.Errorf("%s: it ends within a block: } is missing", t.place)
-			}
-			return list, nil
-		case closes:
-			if depth == 0 {
-				return nil, fmt.Errorf("%s: } without a block", t.place)
-			}
-			return list, nil
-		case opens, stops:
-			return nil, fmt.Errorf("%s: %q without a directive", t.place, t.kind)
-		}
-		if p.r.nodes++; p.r.nodes > nodesMost {
-			return nil, fmt.Errorf("%s: more than %d directives", t.place, nodesMost)
-		}
-		n := &Node{Place: t.place, Name: t.text}
-		for done := false; !done; {
-			if t, err = p.next(); err != nil {
-				return nil, err
-			}
-			switch t.kind {
-			case word:
-				n.Args = append(n.Args, t.text)
-			case stops:
-				done = true
-			case opens:
-				if strings.HasSuffix(n.Name, "_by_lua_block") {
-					return nil, n.fault("blocks of another language are not read")
-				}
-				n.Opens, done = true, true
-				if n.Block, err = p.block(depth + 1); err != nil {
-					return nil, err
-				}
-			default:
-				return nil, fmt.Errorf("%s: %s: it does not end: ; or { is missing", n.Place, n.Name)
-			}
-		}
-		list = append(list, n)
-	}
-}
-
-type kind uint8
-
-const (
-	word kind = iota
-	stops
-	opens
-	closes
-	end
-)
-
-func (k kind) String() string { return [...]string{"word", ";", "{", "}", "end of file"}[k] }
-
-type token struct {
-	kind  kind
-	text  string
-	place Place
-}
-
-// lexer splits a text into tokens. A quote begins a string only where a word begins, # a comment likewise; { behind $ belongs to a variable.
-type lexer struct {
-	text  []byte
-	at    int
-	place Place
-	tight bool // behind a string: a word must not follow at once
-}
-
-func (l *lexer) step() byte {
-	c := l.text[l.at]
-	l.at++
-	if c == '\n' {
-		l.place.Line++
-		l.place.Column = 1
-	} else {
-		l.place.Column++
+		included = append(included, list...)
 	}
-	return c
+	return included, nil
 }
 
-func space(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
-
-func (l *lexer) next() (token, error) {
-	for l.at < len(l.text) {
-		switch c := l.text[l.at]; {
-		case space(c):
-			l.step()
-			l.tight = false
-			continue
-		case c == '#' && !l.tight:
-			for l.at < len(l.text) && l.text[l.at] != '\n' {
-				l.step()
-			}
-			continue
-		}
-		break
+// includedFiles are the names of the files that an include directive names. As in nginx, a pattern that nothing fits
+// includes nothing.
+func (r *Reader) includedFiles(n *Node) ([]string, error) {
+	if len(n.Args) != 1 {
+		return nil, n.errorf("it takes one file or pattern")
 	}
-	t := token{place: l.place}
-	if l.at == len(l.text) {
-		t.kind = end
-		return t, nil
+	pattern := n.Args[0]
+	if !filepath.IsAbs(pattern) {
+		pattern = filepath.Join(r.Root, pattern)
 	}
-	switch c := l.text[l.at]; c {
-	case ';', '{', '}':
-		l.step()
-		l.tight = false
-		switch c {
-		case ';':
-			t.kind = stops
-		case '{':
-			t.kind = opens
-		default:
-			t.kind = closes
-		}
-		return t, nil
-	case '"', '\'':
-		if l.tight {
-			return t, fmt.Errorf("%s: a space is missing behind a string", t.place)
-		}
-		l.step()
-		var out []byte
-		for l.at < len(l.text) {
-			x := l.step()
-			switch {
-			case x == c:
-				l.tight = true
-				t.text = string(out)
-				return t, nil
-			case x == '\\' && l.at < len(l.text):
-				out = escaped(out, l.step())
-			default:
-				out = append(out, x)
-			}
-		}
-		return t, fmt.Errorf("%s: a string that does not end", t.place)
+	if !r.contains(pattern) {
+		return nil, n.errorf("%s lies outside of %s", n.Args[0], r.Root)
 	}
-	if l.tight {
-		return t, fmt.Errorf("%s: a space is missing behind a string", t.place)
+	if !strings.ContainsAny(pattern, "*?[") {
+		return []string{pattern}, nil
 	}
-	var out []byte
-	from, dollar := l.at, false // from: what is not in out yet
-	for l.at < len(l.text) {
-		c := l.text[l.at]
-		if space(c) || c == ';' || c == '{' && !dollar {
-			break
-		}
-		l.step()
-		dollar = c == '$'
-		if c == '\\' && l.at < len(l.text) {
-			out = escaped(append(out, l.text[from:l.at-1]...), l.step())
-			from = l.at
-		}
-	}
-	if out == nil {
-		t.text = string(l.text[from:l.at])
-	} else {
-		t.text = string(append(out, l.text[from:l.at]...))
-	}
-	return t, nil
-}
-
-// escaped is what a backslash and a character stand for.
-func escaped(out []byte, c byte) []byte {
-	switch c {
-	case '"', '\'', '\\':
-		return append(out, c)
-	case 't':
-		return append(out, '\t')
-	case 'r':
-		return append(out, '\r')
-	case 'n':
-		return append(out, '\n')
-	}
-	return append(out, '\\', c)
-}
-
-// Print writes directives so that reading gives them back.
-func Print(list []*Node) string {
-	var b strings.Builder
-	show(&b, list, "")
-	return b.String()
-}
-
-func show(b *strings.Builder, list []*Node, indent string) {
-	for _, n := range list {
-		b.WriteString(indent + quoted(n.Name))
-		for _, a := range n.Args {
-			b.WriteString(" " + quoted(a))
-		}
-		if !n.Opens {
-			b.WriteString(";\n")
-			continue
-		}
-		b.WriteString(" {\n")
-		show(b, n.Block, indent+"    ")
-		b.WriteString(indent + "}\n")
+	names, err := r.Glob(pattern)
+	if err != nil {
+		return nil, n.errorf("%s: %v", pattern, err)
 	}
+	slices.Sort(names)
+	return names, nil
 }
 
-// quoted is a word as it is read back.
-func quoted(w string) string {
-	plain := w != ""
-	for i := 0; i < len(w) && plain; i++ {
-		c := w[i]
-		plain = c > ' ' && c < 0x7f && !strings.ContainsRune("\"'\\;{}#", rune(c))
-	}
-	if plain {
-		return w
-	}
-	var b strings.Builder
-	b.WriteByte('"')
-	for i := 0; i < len(w); i++ {
-		switch c := w[i]; c {
-		case '"', '\\':
-			b.WriteByte('\\')
-			b.WriteByte(c)
-		case '\n':
-			b.WriteString(`\n`)
-		case '\r':
-			b.WriteString(`\r`)
-		case '\t':
-			b.WriteString(`\t`)
-		default:
-			b.WriteByte(c)
-		}
+// contains tells whether a path lies below the root.
+func (r *Reader) contains(path string) bool {
+	relative, err := filepath.Rel(r.Root, path)
+	if err != nil {
+		return false
 	}
-	b.WriteByte('"')
-	return b.String()
+	return relative != ".." && !strings.HasPrefix(relative, ".."+string(filepath.Separator))
 }
--- a/internal/nginx/reference_test.go
+++ b/internal/nginx/reference_test.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// reference is a plain and slow router, written from nginx's documentation and apart from the importer. It knows what the samples use.
+// reference is a plain and slow router, written from nginx's documentation and apart from the importer. It knows what
+// the samples use.
 func reference(list []*Node, q *request) outcome {
 	http := list
 	for _, n := range list {
@@ -94,8 +95,8 @@
 	return regexp.MustCompile(path)
 }
 
-// location: an exact one ends the search; else the longest prefix is remembered, and what is nested in it searched; then, unless it has ^~,
-// the expressions in their order; else the prefix.
+// location: an exact one ends the search; else the longest prefix is remembered, and what is nested in it searched;
+// then, unless it has ^~, the expressions in their order; else the prefix.
 func (r *router) location(list []*Node) (*Node, []string) {
 	uri := r.q.path
 	var longest *Node
