--- a/internal/nginx/directives.go
+++ b/internal/nginx/directives.go
@@ -206,7 +206,7 @@
 	for _, name := range slices.Sorted(maps.Keys(directives)) {
 		d := directives[name]
 		text := strings.ReplaceAll(d.text, "|", "\\|")
-		b.WriteString(fmt.Sprintf("| `%s` | %s | %s | %s |\n", name, d.in, d.grade, text))
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", name, d.in, d.grade, text)
 	}
 	return b.String()
 }
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -185,7 +185,9 @@
 
 // locationRoutes are the routes of a location without its conditions and what is nested in it. There are none if it
 // could not be carried.
-func (c *serverConverter) locationRoutes(l *location, body locationBody, effective settings, regexInScope bool) []*route {
+func (c *serverConverter) locationRoutes(
+	l *location, body locationBody, effective settings, regexInScope bool,
+) []*route {
 	r := &route{from: l.Place, match: match{path: l.path}}
 	switch {
 	case body.returns != nil:
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -1,6 +1,7 @@
 package nginx
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -12,6 +13,7 @@
 	"regexp"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -22,43 +24,17 @@
 	"lockloom/routes"
 )
 
-const overLoopback = 2000 // requests of one sample, at most
+const (
+	maxLoopbackRequests = 2000 // of one sample
+	maxPrograms         = 4    // at a time
+)
 
-var server = regexp.MustCompile(`10\.0\.0\.\d+(:\d+)?`)
+var sampleServer = regexp.MustCompile(`10\.0\.0\.\d+(:\d+)?`)
 
 // Every sample that is carried whole is imported and served by the program, with stand-in servers behind it that say
-// who they are: over loopback the same server, path, status and address as the reference tells.
-func TestOverLoopback(t *testing.T) {
-	dir := t.TempDir()
-	program := filepath.Join(dir, "lockloom")
-	out, err := exec.Command("go", "build", "-o", program, "lockloom/cmd/lockloom").CombinedOutput()
-	require.NoError(t, err, string(out))
-	var mu sync.Mutex
-	stand := map[string]string{} // the sample's address of a server, and its stand-in's
-	at := func(name string) string {
-		if !strings.Contains(name, ":") {
-			name += ":80"
-		}
-		mu.Lock()
-		defer mu.Unlock()
-		if stand[name] == "" {
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name, " ", r.URL.RequestURI()) }))
-			t.Cleanup(s.Close)
-			stand[name] = strings.TrimPrefix(s.URL, "http://")
-		}
-		return stand[name]
-	}
-	free := func() string {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		require.NoError(t, err)
-		defer ln.Close()
-		return ln.Addr().String()
-	}
-	launch := filepath.Join(dir, "launch.json")
-	require.NoError(t, os.WriteFile(launch, []byte(`{"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":512},"known":{"version":0,"full":true,"servers":[]},
-		"settings":{"Ceilings":{"MaxLegs":3},"Profiles":[{"Name":"x","Effect":"retryable","HardStopMs":1000,"Value":1}]}}`), 0o600))
-	slots := make(chan bool, 4)
-	var asked int
+// who they are: over loopback the same server, path, status and address as the reference has.
+func TestServedRoutesMatchReference(t *testing.T) {
+	suite := newLoopbackSuite(t)
 	t.Run("samples", func(t *testing.T) {
 		for i, s := range samples(t) {
 			if len(s.refused) > 0 || s.name == "limits" { // which would answer 429 at this pace
@@ -66,90 +42,195 @@
 			}
 			t.Run(s.name, func(t *testing.T) {
 				t.Parallel()
-				slots <- true
-				defer func() { <-slots }()
-				im := Convert(parsed(t, s.text), false)
-				setup, faults := config.Read("x", []byte(im.Text))
-				require.Empty(t, faults)
-				door := free()
-				text := server.ReplaceAllStringFunc(im.Text, at)
-				for n, l := range setup.Listeners { // one listener of the sample's, wherever it is
-					to := door
-					if n > 0 {
-						to = free()
-					}
-					text = strings.Replace(text, fmt.Sprintf("address = %q", l.Address), fmt.Sprintf("address = %q", to), 1)
-				}
-				own := filepath.Join(dir, fmt.Sprint(i))
-				require.NoError(t, os.MkdirAll(own, 0o755))
-				file := filepath.Join(own, "site.toml")
-				require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-				var log strings.Builder
-				serve := exec.Command(program, "serve", "-operator", file)
-				serve.Stderr = &log
-				serve.Env = append(os.Environ(), "ROUTER_NAME=n0", "ROUTER_LISTEN="+free(), "ROUTER_DISCOVERY="+free(), "ROUTER_CONFIG="+launch, "TMPDIR="+own)
-				require.NoError(t, serve.Start())
-				defer func() { serve.Process.Kill(); serve.Wait() }()
-				client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{}}
-				defer client.CloseIdleConnections()
-				ask := func(q *request) (outcome, error) {
-					url := "http://" + door + q.path
-					if q.query != "" {
-						url += "?" + q.query
-					}
-					r, err := http.NewRequest(q.method, url, nil)
-					if err != nil {
-						return outcome{}, err
-					}
-					r.Host = q.host
-					for name, v := range q.fields {
-						if v != "" {
-							r.Header.Set(name, v)
-						}
-					}
-					a, err := client.Do(r)
-					if err != nil {
-						return outcome{}, err
-					}
-					defer a.Body.Close()
-					body, err := io.ReadAll(a.Body)
-					if who, path, ok := strings.Cut(string(body), " "); ok && strings.HasPrefix(who, "10.0.0.") {
-						path, _, _ = strings.Cut(path, "?")
-						return outcome{servers: []string{who}, path: path}, err
-					}
-					return outcome{status: a.StatusCode, location: a.Header.Get("Location"), body: string(body)}, err
-				}
-				require.Eventually(t, func() bool {
-					_, err := ask(&request{host: "x", method: "GET", path: "/"})
-					return err == nil
-				}, 10*time.Second, 20*time.Millisecond, "%s", &log)
-				list := parsed(t, s.text)
-				all := requests(list)
-				for k := 0; k < len(all); k += max(len(all)/overLoopback, 1) {
-					q := &all[k]
-					want := reference(list, q)
-					got, err := ask(q)
-					require.NoError(t, err)
-					if len(want.servers) > 0 && len(got.servers) == 1 {
-						assert.Contains(t, want.servers, got.servers[0], "%+v", q)
-						want.servers = got.servers
-						want.path, err = routes.NormalizePath(want.path)
-						require.NoError(t, err)
-					}
-					if want.location != "" || want.status == 404 && len(want.body) == 0 {
-						want.body, got.body = "", ""
-					}
-					want.body, got.body = strings.TrimSpace(want.body), strings.TrimSpace(got.body)
-					if !assert.Equal(t, want, got, "%+v", q) {
-						break
-					}
-					mu.Lock()
-					asked++
-					mu.Unlock()
-				}
+				suite.slots <- true
+				t.Cleanup(func() { <-suite.slots }) // after the program has ended
+				suite.compare(t, s, fmt.Sprint(i))
 			})
 		}
 	})
-	t.Log(asked, "requests,", len(stand), "stand-in servers")
-	assert.Greater(t, asked, 20_000)
+	t.Log(suite.compared.Load(), "requests,", len(suite.standIns.addresses), "stand-in servers")
+	assert.Greater(t, suite.compared.Load(), int64(20_000))
+}
+
+// loopbackSuite is what the samples share.
+type loopbackSuite struct {
+	dir      string
+	program  string
+	launch   string // the launch file
+	slots    chan bool
+	standIns *standIns
+	compared atomic.Int64 // requests
+}
+
+func newLoopbackSuite(t *testing.T) *loopbackSuite {
+	t.Helper()
+	dir := t.TempDir()
+	suite := &loopbackSuite{
+		dir:      dir,
+		program:  filepath.Join(dir, "lockloom"),
+		launch:   filepath.Join(dir, "launch.json"),
+		slots:    make(chan bool, maxPrograms),
+		standIns: &standIns{t: t, addresses: map[string]string{}},
+	}
+	out, err := exec.Command("go", "build", "-o", suite.program, "lockloom/cmd/lockloom").CombinedOutput()
+	require.NoError(t, err, string(out))
+	require.NoError(t, os.WriteFile(suite.launch, []byte(`{"seed":"1",
+		"limits":{"cores":1,"memory_mb":64,"sockets":512},"known":{"version":0,"full":true,"servers":[]},
+		"settings":{"Ceilings":{"MaxLegs":3},
+			"Profiles":[{"Name":"x","Effect":"retryable","HardStopMs":1000,"Value":1}]}}`), 0o600))
+	return suite
+}
+
+// standIns are servers that answer with the sample's address of them and the request's path.
+type standIns struct {
+	t         *testing.T
+	mu        sync.Mutex
+	addresses map[string]string // by the sample's
+}
+
+// address is that of the stand-in for a sample's server.
+func (s *standIns) address(name string) string {
+	if !strings.Contains(name, ":") {
+		name += ":80"
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.addresses[name] == "" {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, name, " ", r.URL.RequestURI())
+		}))
+		s.t.Cleanup(server.Close)
+		s.addresses[name] = strings.TrimPrefix(server.URL, "http://")
+	}
+	return s.addresses[name]
+}
+
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// compare serves a sample, and compares the answers to its requests with the reference's.
+func (suite *loopbackSuite) compare(t *testing.T, s sample, name string) {
+	t.Helper()
+	own := filepath.Join(suite.dir, name)
+	require.NoError(t, os.MkdirAll(own, 0o755))
+	text, address := suite.operatorFile(t, s)
+	log := suite.serve(t, own, text)
+	client := newLoopbackClient(t, address)
+	require.Eventually(t, func() bool {
+		_, err := client.send(&request{host: "x", method: "GET", path: "/"})
+		return err == nil
+	}, 10*time.Second, 20*time.Millisecond, "%s", log)
+	list := parsed(t, s.text)
+	all := requests(list)
+	for k := 0; k < len(all); k += max(len(all)/maxLoopbackRequests, 1) {
+		q := &all[k]
+		got, err := client.send(q)
+		require.NoError(t, err)
+		want := reference(list, q)
+		if !sameOutcome(t, want, got, q) {
+			break
+		}
+		suite.compared.Add(1)
+	}
+}
+
+// operatorFile is a sample's with servers and listeners on loopback, and the address of its first listener.
+func (suite *loopbackSuite) operatorFile(t *testing.T, s sample) (text, address string) {
+	t.Helper()
+	converted := Convert(parsed(t, s.text), false)
+	setup, faults := config.Read("x", []byte(converted.Text))
+	require.Empty(t, faults)
+	text = sampleServer.ReplaceAllStringFunc(converted.Text, suite.standIns.address)
+	for i, l := range setup.Listeners { // wherever they are in the sample
+		loopback := unusedAddress(t)
+		if i == 0 {
+			address = loopback
+		}
+		text = strings.Replace(text, fmt.Sprintf("address = %q", l.Address), fmt.Sprintf("address = %q", loopback), 1)
+	}
+	return text, address
+}
+
+// serve runs the program with an operator file until the test ends. It returns its log.
+func (suite *loopbackSuite) serve(t *testing.T, dir, text string) *strings.Builder {
+	t.Helper()
+	file := filepath.Join(dir, "site.toml")
+	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	log := &strings.Builder{}
+	program := exec.Command(suite.program, "serve", "-operator", file)
+	program.Stderr = log
+	program.Env = append(os.Environ(), "ROUTER_NAME=n0", "ROUTER_LISTEN="+unusedAddress(t),
+		"ROUTER_DISCOVERY="+unusedAddress(t), "ROUTER_CONFIG="+suite.launch, "TMPDIR="+dir)
+	require.NoError(t, program.Start())
+	t.Cleanup(func() {
+		require.NoError(t, program.Process.Kill())
+		require.Error(t, program.Wait(), "it is killed") // and would otherwise have ended by itself
+	})
+	return log
+}
+
+// loopbackClient sends requests to one address, and follows no redirects.
+type loopbackClient struct {
+	http.Client
+	address string
+}
+
+func newLoopbackClient(t *testing.T, address string) *loopbackClient {
+	t.Helper()
+	client := &loopbackClient{address: address}
+	client.Transport = &http.Transport{}
+	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	t.Cleanup(client.CloseIdleConnections)
+	return client
+}
+
+// send is what becomes of a request.
+func (c *loopbackClient) send(q *request) (outcome, error) {
+	url := "http://" + c.address + q.path
+	if q.query != "" {
+		url += "?" + q.query
+	}
+	r, err := http.NewRequest(q.method, url, nil)
+	if err != nil {
+		return outcome{}, err
+	}
+	r.Host = q.host
+	for name, value := range q.fields {
+		if value != "" {
+			r.Header.Set(name, value)
+		}
+	}
+	answer, err := c.Do(r)
+	if err != nil {
+		return outcome{}, err
+	}
+	body, err := io.ReadAll(answer.Body)
+	err = errors.Join(err, answer.Body.Close())
+	if server, path, ok := strings.Cut(string(body), " "); ok && strings.HasPrefix(server, "10.0.0.") {
+		path, _, _ = strings.Cut(path, "?")
+		return outcome{servers: []string{server}, path: path}, err
+	}
+	return outcome{status: answer.StatusCode, location: answer.Header.Get("Location"), body: string(body)}, err
+}
+
+// sameOutcome compares an answer with the reference's. Of a pool any server may have been chosen.
+func sameOutcome(t *testing.T, want, got outcome, q *request) bool {
+	t.Helper()
+	if len(want.servers) > 0 && len(got.servers) == 1 {
+		assert.Contains(t, want.servers, got.servers[0], "%+v", q)
+		want.servers = got.servers
+		var err error
+		want.path, err = routes.NormalizePath(want.path)
+		require.NoError(t, err)
+	}
+	if want.location != "" || want.status == 404 && len(want.body) == 0 {
+		want.body, got.body = "", ""
+	}
+	want.body, got.body = strings.TrimSpace(want.body), strings.TrimSpace(got.body)
+	return assert.Equal(t, want, got, "%+v", q)
 }
--- a/internal/nginx/reference_test.go
+++ b/internal/nginx/reference_test.go
@@ -55,24 +55,12 @@
 			}
 		}
 	}
-	best, grade := def, 0
-	host := r.q.host
+	best, bestRank := def, 0
 	for _, s := range servers {
 		for _, d := range named(s.Block, "server_name") {
 			for _, name := range d.Args {
-				g := 0
-				switch {
-				case name == host || "."+host == name:
-					g = 3_000_000
-				case strings.HasPrefix(name, "*.") && strings.HasSuffix(host, name[1:]):
-					g = 2_000_000 + len(name)
-				case strings.HasPrefix(name, ".") && strings.HasSuffix(host, name):
-					g = 2_000_000 + len(name) + 1
-				case strings.HasSuffix(name, ".*") && strings.HasPrefix(host, name[:len(name)-1]):
-					g = 1_000_000 + len(name)
-				}
-				if g > grade {
-					best, grade = s, g
+				if rank := nameRank(name, r.q.host); rank > bestRank {
+					best, bestRank = s, rank
 				}
 			}
 		}
@@ -81,6 +69,21 @@
 	return best
 }
 
+// nameRank is how well a server's name fits a host; 0 if it does not.
+func nameRank(name, host string) int {
+	switch {
+	case name == host || "."+host == name:
+		return 3_000_000
+	case strings.HasPrefix(name, "*.") && strings.HasSuffix(host, name[1:]):
+		return 2_000_000 + len(name)
+	case strings.HasPrefix(name, ".") && strings.HasSuffix(host, name):
+		return 2_000_000 + len(name) + 1
+	case strings.HasSuffix(name, ".*") && strings.HasPrefix(host, name[:len(name)-1]):
+		return 1_000_000 + len(name)
+	}
+	return 0
+}
+
 func split(n *Node) (mod, path string) {
 	if len(n.Args) == 2 {
 		return n.Args[0], n.Args[1]
@@ -98,22 +101,9 @@
 // location: an exact one ends the search; else the longest prefix is remembered, and what is nested in it searched;
 // then, unless it has ^~, the expressions in their order; else the prefix.
 func (r *router) location(list []*Node) (*Node, []string) {
-	uri := r.q.path
-	var longest *Node
-	for _, n := range named(list, "location") {
-		mod, path := split(n)
-		switch {
-		case mod == "=" && uri == path:
-			return n, nil
-		case mod == "" || mod == "^~":
-			if strings.HasPrefix(uri, path) {
-				if longest == nil {
-					longest = n
-				} else if _, old := split(longest); len(path) > len(old) {
-					longest = n
-				}
-			}
-		}
+	exact, longest := r.literalLocation(list)
+	if exact != nil {
+		return exact, nil
 	}
 	var found *Node
 	var captures []string
@@ -126,17 +116,8 @@
 		}
 	}
 	if !final {
-		for _, n := range named(list, "location") {
-			mod, path := split(n)
-			if mod != "~" && mod != "~*" {
-				continue
-			}
-			if m := expression(mod, path).FindStringSubmatch(uri); m != nil {
-				if inner, c := r.location(n.Block); inner != nil {
-					return inner, c
-				}
-				return n, m
-			}
+		if n, c := r.regexLocation(list); n != nil {
+			return n, c
 		}
 	}
 	if found != nil {
@@ -145,6 +126,44 @@
 	return longest, nil
 }
 
+// literalLocation is the exact location of the path, or that with the longest prefix of it.
+func (r *router) literalLocation(list []*Node) (exact, longest *Node) {
+	for _, n := range named(list, "location") {
+		mod, path := split(n)
+		switch {
+		case mod == "=" && r.q.path == path:
+			return n, nil
+		case mod == "" || mod == "^~":
+			if !strings.HasPrefix(r.q.path, path) {
+				continue
+			}
+			if longest == nil {
+				longest = n
+			} else if _, old := split(longest); len(path) > len(old) {
+				longest = n
+			}
+		}
+	}
+	return nil, longest
+}
+
+// regexLocation is the first expression that the path matches, or what is nested in it.
+func (r *router) regexLocation(list []*Node) (*Node, []string) {
+	for _, n := range named(list, "location") {
+		mod, path := split(n)
+		if mod != "~" && mod != "~*" {
+			continue
+		}
+		if m := expression(mod, path).FindStringSubmatch(r.q.path); m != nil {
+			if inner, c := r.location(n.Block); inner != nil {
+				return inner, c
+			}
+			return n, m
+		}
+	}
+	return nil, nil
+}
+
 // decided tells whether a location ends the search: an exact one or an expression.
 func decided(n *Node) bool {
 	mod, _ := split(n)
@@ -273,7 +292,8 @@
 	if r.q.query != "" {
 		whole += "?" + r.q.query
 	}
-	for from, to := range map[string]string{"$request_uri": whole, "$scheme": "http", "$host": r.q.host, "$server_name": name} {
+	variables := map[string]string{"$request_uri": whole, "$scheme": "http", "$host": r.q.host, "$server_name": name}
+	for from, to := range variables {
 		text = strings.ReplaceAll(text, from, to)
 	}
 	for i, c := range captures {
--- a/internal/nginx/report.go
+++ b/internal/nginx/report.go
@@ -28,7 +28,7 @@
 }
 
 func newVerdict(n *Node, grade Grade, text string) Verdict {
-	return Verdict{Place: n.Place, At: n.Place.String(), Name: n.Name, Grade: grade.String(), Text: text}
+	return Verdict{Place: n.Place, At: n.String(), Name: n.Name, Grade: grade.String(), Text: text}
 }
 
 // report collects the verdicts of a conversion.
@@ -70,7 +70,7 @@
 func (r *report) collect(verdicts []Verdict, list []*Node, in blocks) []Verdict {
 	for _, n := range list {
 		r.judge(n, in)
-		if n.Place.Line > 0 { // not the http block that stands for an included file
+		if n.Line > 0 { // not the http block that stands for an included file
 			verdicts = append(verdicts, r.verdicts[n])
 		}
 		if !n.Opens {
--- a/internal/nginx/write.go
+++ b/internal/nginx/write.go
@@ -45,7 +45,7 @@
 }
 
 func (w *fileWriter) line(format string, args ...any) {
-	_, _ = fmt.Fprintf(w, format+"\n", args...) // writing to a strings.Builder cannot fail
+	fmt.Fprintf(w, format+"\n", args...)
 }
 
 func (w *fileWriter) head(verdicts []Verdict) {
