--- a/internal/nginx/limit.go
+++ b/internal/nginx/limit.go
@@ -12,7 +12,7 @@
 	if variable == "$binary_remote_addr" || variable == "$remote_addr" {
 		return "address", true
 	}
-	name, ok := strings.CutPrefix(variable, "$http_")
+	name, ok := strings.CutPrefix(variable, fieldPrefix)
 	if !ok || strings.Contains(name, "$") {
 		return "", false
 	}
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -15,14 +15,14 @@
 	path pathMatch
 }
 
-// isNormalPath tells whether a path is in the form that requests' paths have once they are matched.
+// isNormalPath reports whether a path is in the form that requests' paths have once they are matched.
 func isNormalPath(path string) bool {
 	normal, err := routes.NormalizePath(path)
 	return err == nil && normal == path
 }
 
 // locations are the routes of the locations in a block. Its parent is the location that it is the block of, if any;
-// regexInScope tells whether a location further out is a regular expression.
+// regexInScope reports whether a location further out is a regular expression.
 func (c *serverConverter) locations(list []*Node, inherited settings, parent *location, regexInScope bool) []*route {
 	found := c.locationBlocks(list, parent)
 	isRegex := func(l *location) bool { return l.path.kind == regexPath }
--- a/internal/nginx/read.go
+++ b/internal/nginx/read.go
@@ -120,7 +120,7 @@
 	return names, nil
 }
 
-// contains tells whether a path lies below the root.
+// contains reports whether a path lies below the root.
 func (r *Reader) contains(path string) bool {
 	relative, err := filepath.Rel(r.Root, path)
 	if err != nil {
--- a/internal/nginx/reference_test.go
+++ b/internal/nginx/reference_test.go
@@ -164,7 +164,7 @@
 	return nil, nil
 }
 
-// decided tells whether a location ends the search: an exact one or an expression.
+// decided reports whether a location ends the search: an exact one or an expression.
 func decided(n *Node) bool {
 	mod, _ := split(n)
 	return mod == "=" || mod == "~" || mod == "~*"
--- a/internal/nginx/report.go
+++ b/internal/nginx/report.go
@@ -91,7 +91,7 @@
 	return verdicts
 }
 
-// holdsData tells whether the words in a directive's block are no directives.
+// holdsData reports whether the words in a directive's block are no directives.
 func holdsData(name string) bool { return name == "types" || name == "map" || name == "split_clients" }
 
 // judge gives a directive the usual verdict of its name if it has none yet.
--- a/internal/nginx/return.go
+++ b/internal/nginx/return.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// HTTP statuses that a return directive tells apart.
+// HTTP statuses that return and rewrite directives distinguish.
 const (
+	statusMoved         = 301
 	statusFound         = 302
 	statusNginxNoAnswer = 444 // nginx closes the connection
 	minResponseStatus   = 200
@@ -16,7 +17,7 @@
 	maxResponseStatus   = 599
 )
 
-var redirectStatuses = []int{301, statusFound, 303, 307, 308}
+var redirectStatuses = []int{statusMoved, statusFound, 303, 307, 308}
 
 // requestURI is nginx's variable for the request's path and query.
 const requestURI = "$request_uri"
@@ -108,5 +109,5 @@
 // braceCaptures writes the captures of a regular expression as lockloom does: ${1} for $1.
 func braceCaptures(text string) string { return nginxCapture.ReplaceAllString(text, "$${$1}") }
 
-// hasVariable tells whether a text has variables other than captures in braces.
+// hasVariable reports whether a text has variables other than captures in braces.
 func hasVariable(text string) bool { return strings.Contains(strings.ReplaceAll(text, "${", ""), "$") }
--- a/internal/nginx/rewrite.go
+++ b/internal/nginx/rewrite.go
@@ -65,9 +65,9 @@
 	case "break":
 		return w.rewritePath(r)
 	case "redirect":
-		return w.redirect(r, 302)
+		return w.redirect(r, statusFound)
 	case "permanent":
-		return w.redirect(r, 301)
+		return w.redirect(r, statusMoved)
 	default:
 		return w.refuseRewrite(d, "%s: locations are searched anew, which lockloom does not", flag)
 	}
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -183,7 +183,7 @@
 	return address, err == nil && port != "" && isNumber(port)
 }
 
-// isNumber tells whether a text has digits only.
+// isNumber reports whether a text has digits only.
 func isNumber(text string) bool { return strings.Trim(text, decimalDigits) == "" }
 
 // listenParameter judges a parameter of a listen directive.
@@ -228,7 +228,7 @@
 	}
 }
 
-// validWildcard tells whether a name has no asterisk, or one that stands for whole labels at one end.
+// validWildcard reports whether a name has no asterisk, or one that stands for whole labels at one end.
 func validWildcard(name string) bool {
 	switch strings.Count(name, "*") {
 	case 0:
--- a/internal/nginx/variable.go
+++ b/internal/nginx/variable.go
@@ -8,9 +8,12 @@
 
 // Sources that a map may have, with the names of fields and parameters behind the prefixes.
 const (
-	methodVariable    = "$request_method"
-	fieldPrefix       = "$http_"
-	queryPrefix       = "$arg_"
+	methodVariable = "$request_method"
+	fieldPrefix    = "$http_"
+	queryPrefix    = "$arg_"
+)
+
+const (
 	unusedVariable    = "nothing uses it that could be carried"
 	roundingTolerance = 1e-9 // percent, of the sum of a split's shares
 )
@@ -131,7 +134,7 @@
 	return true
 }
 
-// mapKeyword tells whether an entry of a map is no value but changes how the map works.
+// mapKeyword reports whether an entry of a map is no value but changes how the map works.
 func mapKeyword(name string) bool {
 	return name == "" || name == "hostnames" || name == "include" || name == "volatile"
 }
