--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -94,9 +94,9 @@
 	require.NoError(t, err, errs)
 	var r simulation.Result
 	require.NoError(t, json.Unmarshal(text, &r))
-	assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.Lost+r.WithProxy+r.Gone+r.Mismatched)
-	assert.Greater(t, r.Legs, 300)
-	assert.Zero(t, r.Mismatched+r.Turned)
+	assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.Lost+r.LostWithProxy+r.ClientGone+r.Mismatched)
+	assert.Greater(t, r.Attempts, 300)
+	assert.Zero(t, r.Mismatched+r.ClientFaults)
 	assert.Equal(t, 12, len(scriptedEvents(r.Events)), "all scripted events happened: %v", r.Events)
 	if r.Void != "" { // the machine was too busy: that is said, and nothing is blamed on the proxy
 		assert.Equal(t, cli.ExitFailure, code)
@@ -114,8 +114,8 @@
 // scriptedEvents returns the events that a scenario scripts.
 func scriptedEvents(all []simulation.Event) (list []string) {
 	for _, e := range all {
-		if !strings.HasPrefix(e.What, "!") {
-			list = append(list, e.What)
+		if !strings.HasPrefix(e.Text, "!") {
+			list = append(list, e.Text)
 		}
 	}
 	return list
@@ -228,7 +228,7 @@
 	require.NoError(t, err)
 	seen := map[string]bool{}
 	for range 2 {
-		st, err := s.Stand(t.TempDir(), 1)
+		st, err := s.StartServers(t.TempDir(), 1)
 		require.NoError(t, err)
 		defer st.Close()
 		require.Len(t, st.Variables, 2)
--- a/internal/cli/ctlcmd/excerpt.go
+++ b/internal/cli/ctlcmd/excerpt.go
@@ -38,7 +38,7 @@
 				return err
 			}
 			write := func(w io.Writer) error { return excerpt.Write(w, cli.BuildVersion()) }
-			if err := report.File(*to, write); err != nil {
+			if err := report.WriteFile(*to, write); err != nil {
 				return err
 			}
 			out.Printf("%d calls that show it, after %d replays\n", len(excerpt.Calls), excerpt.Replays)
--- a/internal/cli/ctlcmd/experiment.go
+++ b/internal/cli/ctlcmd/experiment.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	if err := simulation.Fit(e.policyNames()); err != nil {
+	if err := simulation.CheckPolicies(e.policyNames()); err != nil {
 		return cli.UsageErrorf("-policies: %w", err)
 	}
 	page := report.Page{
@@ -67,7 +67,7 @@
 			return err
 		}
 		for _, results := range byPolicy {
-			page.Rows = append(page.Rows, simulation.Sum(results))
+			page.Rows = append(page.Rows, simulation.Summarize(results))
 			page.Runs = append(page.Runs, results[0])
 			all = append(all, results...)
 		}
@@ -84,7 +84,7 @@
 // checkRules returns errNotHeld if our policy broke a rule. Others are there to compare with, and may.
 func checkRules(page report.Page) error {
 	for _, row := range page.Rows {
-		if row.Policy == ourPolicy && (row.Broken != [5]int{} || row.Void > 0) {
+		if row.Policy == ourPolicy && (row.RulesBroken != [5]int{} || row.VoidSeeds > 0) {
 			return errNotHeld
 		}
 	}
--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -95,7 +95,7 @@
 	if name == "" {
 		return write(out)
 	}
-	return report.File(name, write)
+	return report.WriteFile(name, write)
 }
 
 // printVerdicts prints the verdicts on directives that were not carried over as they were, and how often each verdict
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -30,21 +30,21 @@
 			if *to == "" {
 				return cli.UsageErrorf("-to: missing")
 			}
-			if err := s.Ask(*rate, *duration); err != nil {
+			if err := s.OverrideLoad(*rate, *duration); err != nil {
 				return err
 			}
 			result, err := s.Load(ctx, strings.Split(*to, ","), *seed)
 			if err != nil {
 				return err
 			}
-			if err := report.One(out, result); err != nil {
+			if err := report.Result(out, result); err != nil {
 				return err
 			}
 			if err := writeFile(*file, func(w io.Writer) error { return report.JSON(w, result) }); err != nil {
 				return err
 			}
-			if result.Lost > 0 || result.Mismatched > 0 || result.Unreached > 0 || result.Void != "" {
-				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", result.Lost, result.Mismatched, result.Unreached)
+			if result.Lost > 0 || result.Mismatched > 0 || result.NoProxy > 0 || result.Void != "" {
+				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", result.Lost, result.Mismatched, result.NoProxy)
 			}
 			return nil
 		})
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -71,7 +71,7 @@
 
 // checkFlags returns an error for flags that do not go together.
 func (r *rehearsal) checkFlags() error {
-	if err := simulation.Fit([]string{r.policy}); err != nil {
+	if err := simulation.CheckPolicies([]string{r.policy}); err != nil {
 		return cli.UsageErrorf("-policy: %w", err)
 	}
 	switch {
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	if err := report.One(r.out, result); err != nil {
+	if err := report.Result(r.out, result); err != nil {
 		return err
 	}
 	matches := true
@@ -110,7 +110,7 @@
 	if err := r.files.write(result, page); err != nil {
 		return err
 	}
-	if !result.Kept() || result.Void != "" || !matches {
+	if !result.Passed() || result.Void != "" || !matches {
 		return errNotHeld
 	}
 	return nil
@@ -146,9 +146,9 @@
 	if err != nil {
 		return false, err
 	}
-	differences := s.Differs(onSockets, virtual)
+	differences := s.Differences(onSockets, virtual)
 	r.out.Printf("virtual time: value in time %.3f; beyond the scenario's tolerance: %d\n",
-		virtual.Share, len(differences))
+		virtual.ValueInTime, len(differences))
 	for _, difference := range differences {
 		r.out.Println(" ", difference)
 	}
--- a/internal/cli/ctlcmd/results.go
+++ b/internal/cli/ctlcmd/results.go
@@ -57,5 +57,5 @@
 	if name == "" {
 		return nil
 	}
-	return report.File(name, write)
+	return report.WriteFile(name, write)
 }
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -41,7 +41,7 @@
 func runServers(
 	ctx context.Context, s *simulation.Scenario, dir string, seed uint64, play bool, out cli.Output,
 ) error {
-	servers, err := s.Stand(dir, seed)
+	servers, err := s.StartServers(dir, seed)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/ctlcmd/timeline.go
+++ b/internal/cli/ctlcmd/timeline.go
@@ -31,8 +31,8 @@
 				return err
 			}
 			if *html != "" {
-				return report.File(*html, func(w io.Writer) error {
-					return report.Beliefs(w, player.FileHead.Proxy, line.Samples)
+				return report.WriteFile(*html, func(w io.Writer) error {
+					return report.ServerStatuses(w, player.FileHead.Proxy, line.Samples)
 				})
 			}
 			printTimeline(out, line)
--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -38,20 +38,20 @@
 			if err != nil {
 				return err
 			}
-			if err := simulation.Fit([]string{*policy}); err != nil {
+			if err := simulation.CheckPolicies([]string{*policy}); err != nil {
 				return cli.UsageErrorf("-policy: %w", err)
 			}
 			arrivals, err := capturedArrivals(newPlayer(errOut), files, scenario)
 			if err != nil {
 				return err
 			}
-			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.Given(arrivals))
+			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.SourceOf(arrivals))
 			if err != nil {
 				return err
 			}
 			out.Printf("A MODEL: %d captured arrivals against the servers of %s, under %s. "+
 				"What happened is in the capture alone.\n", len(arrivals), scenario.Name, *policy)
-			return report.One(out, result)
+			return report.Result(out, result)
 		})
 }
 
@@ -59,7 +59,7 @@
 // classes by name.
 func capturedArrivals(player *capture.Player, files []string, s *simulation.Scenario) ([]loadgen.Intent, error) {
 	classes := map[string]int{}
-	for i, class := range s.Tariffs {
+	for i, class := range s.Classes {
 		classes[class.Name] = i
 	}
 	var arrivals []loadgen.Intent
@@ -78,10 +78,10 @@
 		arrivals = append(arrivals, loadgen.Intent{
 			Number:   len(arrivals),
 			At:       call.Now - player.FirstCallAt,
-			Tariff:   class,
-			Customer: -1,
+			Class:   class,
+			Tenant: -1,
 			Key:      call.Arrival.Key,
-			Work:     cmp.Or(call.Arrival.ExpectedWork, s.Tariffs[class].Work),
+			Work:     cmp.Or(call.Arrival.ExpectedWork, s.Classes[class].Work),
 		})
 	}
 	if err := player.Play(files, openFile); err != nil {
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -22,7 +22,7 @@
 
 // Agent tells one proxy the list, over discovery's protocol.
 type Agent struct {
-	y     *Yard
+	y     *ServerGroup
 	proxy int
 	ln    net.Listener
 
@@ -38,13 +38,13 @@
 	closed  bool
 }
 
-func (y *Yard) agent(proxy int) (*Agent, error) {
-	ln, err := y.listen()
+func (group *ServerGroup) agent(proxy int) (*Agent, error) {
+	ln, err := group.listen()
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{y: y, proxy: proxy, ln: ln, news: make(chan struct{}), conns: map[net.Conn]bool{}, version: y.Fleet.Version}
-	y.work.Add(1)
+	a := &Agent{y: group, proxy: proxy, ln: ln, news: make(chan struct{}), conns: map[net.Conn]bool{}, version: group.Fleet.Version}
+	group.work.Add(1)
 	go a.accept()
 	return a, nil
 }
@@ -67,7 +67,7 @@
 }
 
 // Mute has every open watch say nothing more, for good.
-func (a *Agent) Mute() {
+func (a *Agent) MuteWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.muted = time.Now().Add(muteTold)
@@ -77,7 +77,7 @@
 }
 
 // Cut ends every watch, as a network does that loses them.
-func (a *Agent) Cut() {
+func (a *Agent) CloseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for nc := range a.conns {
@@ -126,7 +126,7 @@
 		now := a.y.Now()
 		for i, m := range a.y.Fleet.Members[:len(a.y.owners)] {
 			if m.State != balance.Ready && !m.ChangedAfter(version) {
-				a.y.sight.Told(now, a.proxy, i)
+				a.y.observer.ProxyNotified(now, a.proxy, i)
 			}
 		}
 	}
@@ -270,28 +270,28 @@
 // list is what changed after a version, all for -1, and the version it makes. What it says counts as told.
 func (a *Agent) list(from int64) (string, int64) {
 	out := discovery.List{Full: from < 0}
-	y := a.y
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	out.Version = y.Fleet.Version
-	now := y.Now()
-	for i, m := range y.Fleet.Members[:len(y.owners)] {
+	group := a.y
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	out.Version = group.Fleet.Version
+	now := group.Now()
+	for i, m := range group.Fleet.Members[:len(group.owners)] {
 		if !m.ChangedAfter(from) || out.Full && m.State == balance.Removed {
 			continue
 		}
-		e := discovery.Entry{Addr: y.slots[m.AddressIndex].doors[a.proxy].addr}
+		e := discovery.Entry{Addr: group.addresses[m.AddressIndex].listeners[a.proxy].addr}
 		e.Name, e.ZoneName, e.ModelName, e.Pod, e.State, e.Cores = m.Name, m.Zone, m.Model, m.Pod, m.State, 1
 		e.StartedAt = math.Trunc(m.StartedAt()*1000) / 1000
 		out.Entries = append(out.Entries, e)
 		if m.State != balance.Ready {
-			y.sight.Told(now, a.proxy, i)
+			group.observer.ProxyNotified(now, a.proxy, i)
 		}
 	}
 	if from >= out.Version {
 		return "", from
 	}
 	text, err := json.Marshal(out)
-	if err == nil && y.Indent {
+	if err == nil && group.IndentLists {
 		text, err = json.MarshalIndent(json.RawMessage(text), "", "  ")
 	}
 	if err != nil {
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -19,7 +19,7 @@
 
 // conn is a proxy's connection to a server.
 type conn struct {
-	y      *Yard
+	y      *ServerGroup
 	nc     *net.TCPConn
 	proxy  int
 	member int
@@ -31,18 +31,18 @@
 }
 
 // accept takes connections of one proxy to the server that is at a slot.
-func (y *Yard) accept(s *slot, d *entrance, ln *net.TCPListener, proxy int) {
-	defer y.work.Done()
+func (group *ServerGroup) accept(s *address, d *listener, ln *net.TCPListener, proxy int) {
+	defer group.work.Done()
 	for {
 		nc, err := ln.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			y.mu.Lock()
+			group.mu.Lock()
 			open := d.open
-			y.mu.Unlock()
+			group.mu.Unlock()
 			if open != nil {
 				select {
 				case <-open:
-				case <-y.quit:
+				case <-group.quit:
 					return
 				}
 			}
@@ -51,14 +51,14 @@
 		if err != nil {
 			return
 		}
-		y.mu.Lock()
-		c := &conn{y: y, nc: nc, proxy: proxy, member: s.member, ends: make(chan emulator.Completion, 1), job: -1}
+		group.mu.Lock()
+		c := &conn{y: group, nc: nc, proxy: proxy, member: s.member, ends: make(chan emulator.Completion, 1), job: -1}
 		deaf := s.reach != emulator.Accepting
 		if !deaf {
 			s.conns[c] = true
-			y.work.Add(2)
+			group.work.Add(2)
 		}
-		y.mu.Unlock()
+		group.mu.Unlock()
 		if deaf {
 			c.reset()
 			continue
@@ -75,7 +75,7 @@
 }
 
 // read takes requests in, one at a time, and notices that the proxy has gone.
-func (c *conn) read(s *slot) {
+func (c *conn) read(s *address) {
 	defer c.y.work.Done()
 	defer func() {
 		c.y.mu.Lock()
@@ -88,7 +88,7 @@
 				c.y.free = append(c.y.free, c.job)
 			}
 			c.job = -1
-			c.y.settle(c.member, ends)
+			c.y.reconcile(c.member, ends)
 		}
 		close(c.ends)
 		c.nc.Close()
@@ -117,7 +117,7 @@
 
 // asked is what a request says of its request.
 type asked struct {
-	lookup Lookup
+	lookup RequestClass
 	id     string
 	key    uint64
 	mark   uint64
@@ -125,12 +125,12 @@
 	status int // not 0: it cannot be served
 }
 
-func (y *Yard) ask(h *http1.Head) asked {
+func (group *ServerGroup) ask(h *http1.Head) asked {
 	path, query, _ := strings.Cut(string(h.Target), "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	a := asked{id: string(h.Get("X-Trace-Id"))}
 	var known bool
-	if a.lookup, known = y.lookups[name]; !known || a.id == "" {
+	if a.lookup, known = group.classes[name]; !known || a.id == "" {
 		a.status = 404
 		return a
 	}
@@ -149,35 +149,35 @@
 
 // take hands a whole request to the server.
 func (c *conn) take(began float64, a asked) {
-	y := c.y
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	m := y.Fleet.Members[c.member]
-	now := y.Now()
-	group := a.lookup.Marks(m)
+	group := c.y
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	m := group.Fleet.Members[c.member]
+	now := group.Now()
+	group := a.lookup.DedupGroup(m)
 	j := emulator.Job{Class: a.lookup.Number, Work: a.work, Key: a.key}
 	if group >= 0 {
-		j.DedupKey, j.DedupWindow, j.DedupGroup = a.mark, a.lookup.Window, y.Fleet.DedupGroup(group)
+		j.DedupKey, j.DedupWindow, j.DedupGroup = a.mark, a.lookup.DedupWindow, group.Fleet.DedupGroup(group)
 	}
-	if n := len(y.free); n > 0 {
-		j.Ref, y.free = y.free[n-1], y.free[:n-1]
-		y.jobs[j.Ref] = c
+	if n := len(group.free); n > 0 {
+		j.Ref, group.free = group.free[n-1], group.free[:n-1]
+		group.jobs[j.Ref] = c
 	} else {
-		j.Ref = len(y.jobs)
-		y.jobs = append(y.jobs, c)
+		j.Ref = len(group.jobs)
+		group.jobs = append(group.jobs, c)
 	}
 	c.job, c.id = j.Ref, a.id
 	unheard := m.Unreceived
 	if m.Reachability() == emulator.Accepting {
-		y.sight.Reached(began, a.id, c.proxy, c.member, group)
+		group.observer.AttemptReceived(began, a.id, c.proxy, c.member, group)
 	}
 	ends := m.Receive(now, j)
 	if m.Unreceived > unheard { // lost on its way: no end will tell
-		y.jobs[j.Ref] = nil
-		y.free = append(y.free, j.Ref)
+		group.jobs[j.Ref] = nil
+		group.free = append(group.free, j.Ref)
 		c.job = -1
 	}
-	y.settle(c.member, ends)
+	group.reconcile(c.member, ends)
 }
 
 // write sends the answers.
@@ -203,7 +203,7 @@
 		}
 		c.nc.SetWriteDeadline(time.Now().Add(answerFor))
 		if _, err := c.nc.Write([]byte(head)); err == nil && end.Outcome == balance.Succeeded {
-			c.y.sight.Served(id, end.Work)
+			c.y.observer.AttemptServed(id, end.Work)
 		}
 	}
 }
--- a/internal/fakeserver/yard.go
+++ b/internal/fakeserver/yard.go
@@ -30,56 +30,56 @@
 )
 
 // Sight is what servers and agents see, told as it happens, by several goroutines. An attempt is named by its request's id.
-type Sight interface {
-	Reached(now float64, id string, proxy, member, group int)
-	Turned(id string)
-	Listed(now float64, member int)
-	Told(now float64, proxy, member int)
-	Fell(now float64, member int)
-	Served(id string, work float64) // an attempt's answer went out
+type Observer interface {
+	AttemptReceived(now float64, id string, proxy, member, group int)
+	AttemptRejected(id string)
+	MemberNotReady(now float64, member int)
+	ProxyNotified(now float64, proxy, member int)
+	ServerCrashed(now float64, member int)
+	AttemptServed(id string, work float64) // an attempt's answer went out
 }
 
 // Request is what a server needs to know of one, by its class's name.
-type Lookup struct {
+type RequestClass struct {
 	Number int // the class's
 	Work   float64
-	Window float64
-	Marks  func(m *emulator.Member) int // the group that drops its repeats; -1: none
+	DedupWindow float64
+	DedupGroup  func(m *emulator.Member) int // the group that drops its repeats; -1: none
 }
 
 // Yard is a fleet on sockets.
-type Yard struct {
+type ServerGroup struct {
 	Fleet   *emulator.Fleet
-	Late    func(seconds float64) // how late an end was acted on
-	Indent  bool                  // lists are told indented, over several lines; set before anybody watches
+	OnLate    func(seconds float64) // how late an end was acted on
+	IndentLists  bool                  // lists are told indented, over several lines; set before anybody watches
 	mu      sync.Mutex
-	sight   Sight
-	lookups map[string]Lookup
+	observer   Observer
+	classes map[string]RequestClass
 	proxies int
 	began   time.Time
-	slots   []*slot
+	addresses   []*address
 	owners  []int // by member: its slot's connections are its own while it is the last there
 	jobs    []*conn
 	free    []int
-	kick    chan struct{}
+	wake    chan struct{}
 	dueAt   float64
 	quit    chan struct{}
 	agents  []*Agent
 	port    int
 	work    sync.WaitGroup
-	fault   error
+	err   error
 }
 
 // slot is an address: a listener for each proxy, so that servers can tell who sends.
-type slot struct {
-	doors  []*entrance
+type address struct {
+	listeners  []*listener
 	member int
 	reach  emulator.Reachability
 	conns  map[*conn]bool
 }
 
 // entrance is one listener.
-type entrance struct {
+type listener struct {
 	ln      *net.TCPListener
 	addr    string
 	fillers []net.Conn
@@ -88,58 +88,58 @@
 
 // Open puts a fleet on sockets for so many proxies. It serves until Close. The clock began at a time: the fleet's own times
 // are seconds since 1970.
-func Open(f *emulator.Fleet, proxies int, requests map[string]Lookup, sight Sight) (*Yard, error) {
-	y := &Yard{Fleet: f, sight: sight, lookups: requests, proxies: proxies, began: time.Now(), kick: make(chan struct{}, 1),
-		quit: make(chan struct{}), port: begin(), dueAt: math.Inf(1), Late: func(float64) {}}
+func Open(f *emulator.Fleet, proxies int, requests map[string]RequestClass, sight Observer) (*ServerGroup, error) {
+	group := &ServerGroup{Fleet: f, observer: sight, classes: requests, proxies: proxies, began: time.Now(), wake: make(chan struct{}, 1),
+		quit: make(chan struct{}), port: begin(), dueAt: math.Inf(1), OnLate: func(float64) {}}
 	for i := range proxies {
-		a, err := y.agent(i)
+		a, err := group.agent(i)
 		if err != nil {
-			y.Close()
+			group.Close()
 			return nil, err
 		}
-		y.agents = append(y.agents, a)
+		group.agents = append(group.agents, a)
 	}
-	y.mu.Lock()
-	err := y.grow()
-	y.mu.Unlock()
+	group.mu.Lock()
+	err := group.addMembers()
+	group.mu.Unlock()
 	if err != nil {
-		y.Close()
+		group.Close()
 		return nil, err
 	}
-	y.work.Add(1)
-	go y.run()
-	return y, nil
+	group.work.Add(1)
+	go group.run()
+	return group, nil
 }
 
 // Now is the time in seconds since 1970, never stepping back.
-func (y *Yard) Now() float64 { return y.stamp(time.Now()) }
+func (group *ServerGroup) Now() float64 { return group.stamp(time.Now()) }
 
-func (y *Yard) stamp(t time.Time) float64 {
-	return float64(y.began.UnixMicro())/1e6 + t.Sub(y.began).Seconds()
+func (group *ServerGroup) stamp(t time.Time) float64 {
+	return float64(group.began.UnixMicro())/1e6 + t.Sub(group.began).Seconds()
 }
 
 // Agent is that of a proxy.
-func (y *Yard) Agent(proxy int) *Agent { return y.agents[proxy] }
+func (group *ServerGroup) Agent(proxy int) *Agent { return group.agents[proxy] }
 
 // Do carries out an act and what it leads to later.
-func (y *Yard) Do(a emulator.Change) error {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	e, later := y.Fleet.Apply(y.Now(), a)
-	if err := y.grow(); err != nil {
+func (group *ServerGroup) Apply(a emulator.Change) error {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	e, later := group.Fleet.Apply(group.Now(), a)
+	if err := group.addMembers(); err != nil {
 		return err
 	}
-	y.effect(e)
+	group.carryOut(e)
 	if len(later) > 0 { // danger: with a timer each, the new server could be refused the address before the old one is gone
-		time.AfterFunc(time.Duration((later[0].At-y.Now())*float64(time.Second)), func() {
+		time.AfterFunc(time.Duration((later[0].At-group.Now())*float64(time.Second)), func() {
 			for _, a := range later {
 				select {
-				case <-y.quit:
+				case <-group.quit:
 					return
 				default:
 				}
-				if err := y.Do(a); err != nil {
-					y.fail(err)
+				if err := group.Apply(a); err != nil {
+					group.recordError(err)
 				}
 			}
 		})
@@ -148,45 +148,45 @@
 }
 
 // Look calls back with the fleet brought up to now, while nothing else happens to it.
-func (y *Yard) Look(call func(f *emulator.Fleet)) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.advance()
-	call(y.Fleet)
+func (group *ServerGroup) Inspect(call func(f *emulator.Fleet)) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	group.advance()
+	call(group.Fleet)
 }
 
 // Err is what broke the yard itself, if anything did.
-func (y *Yard) Err() error {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.fault
+func (group *ServerGroup) Err() error {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	return group.err
 }
 
-func (y *Yard) fail(err error) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.fault == nil {
-		y.fault = err
+func (group *ServerGroup) recordError(err error) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	if group.err == nil {
+		group.err = err
 	}
 }
 
 // Close ends everything and waits for it.
-func (y *Yard) Close() {
-	close(y.quit)
-	y.mu.Lock()
-	for _, a := range y.agents {
+func (group *ServerGroup) Close() {
+	close(group.quit)
+	group.mu.Lock()
+	for _, a := range group.agents {
 		a.close()
 	}
-	for _, s := range y.slots {
-		for _, d := range s.doors {
+	for _, s := range group.addresses {
+		for _, d := range s.listeners {
 			d.shut()
 		}
 		for c := range s.conns {
 			c.nc.Close()
 		}
 	}
-	y.mu.Unlock()
-	y.work.Wait()
+	group.mu.Unlock()
+	group.work.Wait()
 }
 
 // begin is where a program's search for ports begins. Danger: two that begin at one place take the ports from each other that they
@@ -194,12 +194,12 @@
 func begin() int { return firstPort + os.Getpid()*portsApart%(lastPort-firstPort) }
 
 // listen takes the next free port.
-func (y *Yard) listen() (*net.TCPListener, error) {
+func (group *ServerGroup) listen() (*net.TCPListener, error) {
 	for range lastPort - firstPort {
-		if y.port++; y.port >= lastPort {
-			y.port = firstPort
+		if group.port++; group.port >= lastPort {
+			group.port = firstPort
 		}
-		ln, err := net.Listen("tcp", "127.0.0.1:"+strconv.Itoa(y.port))
+		ln, err := net.Listen("tcp", "127.0.0.1:"+strconv.Itoa(group.port))
 		if err == nil {
 			return ln.(*net.TCPListener), nil
 		}
@@ -208,12 +208,12 @@
 }
 
 // Ports finds so many ports that are free now.
-func (y *Yard) Ports(n int) ([]string, error) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (group *ServerGroup) FreeAddrs(n int) ([]string, error) {
+	group.mu.Lock()
+	defer group.mu.Unlock()
 	var list []string
 	for range n {
-		ln, err := y.listen()
+		ln, err := group.listen()
 		if err != nil {
 			return nil, err
 		}
@@ -224,26 +224,26 @@
 }
 
 // grow gives new members their addresses. The caller holds the lock, as below.
-func (y *Yard) grow() error {
-	for i := len(y.owners); i < len(y.Fleet.Members); i++ {
-		m := y.Fleet.Members[i]
-		for len(y.slots) <= m.AddressIndex {
-			s := &slot{conns: map[*conn]bool{}}
-			for p := range y.proxies {
-				ln, err := y.listen()
+func (group *ServerGroup) addMembers() error {
+	for i := len(group.owners); i < len(group.Fleet.Members); i++ {
+		m := group.Fleet.Members[i]
+		for len(group.addresses) <= m.AddressIndex {
+			s := &address{conns: map[*conn]bool{}}
+			for p := range group.proxies {
+				ln, err := group.listen()
 				if err != nil {
 					return err
 				}
-				d := &entrance{ln: ln, addr: ln.Addr().String()}
-				s.doors = append(s.doors, d)
-				y.work.Add(1)
-				go y.accept(s, d, ln, p)
+				d := &listener{ln: ln, addr: ln.Addr().String()}
+				s.listeners = append(s.listeners, d)
+				group.work.Add(1)
+				go group.accept(s, d, ln, p)
 			}
-			y.slots = append(y.slots, s)
+			group.addresses = append(group.addresses, s)
 		}
-		y.owners = append(y.owners, m.AddressIndex)
-		y.slots[m.AddressIndex].member = i
-		if err := y.reachable(m.AddressIndex); err != nil {
+		group.owners = append(group.owners, m.AddressIndex)
+		group.addresses[m.AddressIndex].member = i
+		if err := group.updateReachability(m.AddressIndex); err != nil {
 			return err
 		}
 	}
@@ -251,16 +251,16 @@
 }
 
 // reachable brings a slot's listeners to what its server's state is now.
-func (y *Yard) reachable(n int) error {
-	s := y.slots[n]
-	m := y.Fleet.Members[s.member]
+func (group *ServerGroup) updateReachability(n int) error {
+	s := group.addresses[n]
+	m := group.Fleet.Members[s.member]
 	want := m.Reachability()
 	if want == s.reach {
 		return nil
 	}
 	was := s.reach
 	s.reach = want
-	for p, d := range s.doors {
+	for p, d := range s.listeners {
 		if was == emulator.Unreachable {
 			d.hear()
 		}
@@ -268,10 +268,10 @@
 		case emulator.Refusing:
 			d.shut()
 		case emulator.Unreachable:
-			y.deafen(d)
+			group.partition(d)
 		case emulator.Accepting:
 			if was == emulator.Refusing {
-				if err := y.reopen(s, d, p); err != nil {
+				if err := group.relisten(s, d, p); err != nil {
 					return err
 				}
 			}
@@ -281,13 +281,13 @@
 }
 
 // reopen listens at an entrance's address again.
-func (y *Yard) reopen(s *slot, d *entrance, proxy int) error {
+func (group *ServerGroup) relisten(s *address, d *listener, proxy int) error {
 	for began := time.Now(); ; time.Sleep(rebindEach) {
 		ln, err := net.Listen("tcp", d.addr)
 		if err == nil {
 			d.ln = ln.(*net.TCPListener)
-			y.work.Add(1)
-			go y.accept(s, d, d.ln, proxy)
+			group.work.Add(1)
+			go group.accept(s, d, d.ln, proxy)
 			return nil
 		}
 		if time.Since(began) > rebindFor {
@@ -296,38 +296,38 @@
 	}
 }
 
-func (d *entrance) shut() {
+func (d *listener) shut() {
 	d.hear()
 	d.ln.Close()
 }
 
 // deafen lets no connection come up any more: nothing is accepted, and the one place for those that wait is taken.
-func (y *Yard) deafen(d *entrance) {
+func (group *ServerGroup) partition(d *listener) {
 	open := make(chan struct{})
 	d.open = open
 	d.ln.SetDeadline(time.Unix(1, 0))
 	d.backlog(0)
-	y.work.Add(1)
+	group.work.Add(1)
 	go func() { // without the lock: it must wait for a connection that does not come up
-		defer y.work.Done()
+		defer group.work.Done()
 		for range fillers {
 			c, err := net.DialTimeout("tcp", d.addr, fillFor)
 			if err != nil {
 				return
 			}
-			y.mu.Lock()
+			group.mu.Lock()
 			if d.open == open {
 				d.fillers = append(d.fillers, c)
 			} else {
 				c.Close()
 			}
-			y.mu.Unlock()
+			group.mu.Unlock()
 		}
 	}()
 }
 
 // hear undoes deafen.
-func (d *entrance) hear() {
+func (d *listener) hear() {
 	if d.open == nil {
 		return
 	}
@@ -341,63 +341,63 @@
 	d.open = nil
 }
 
-func (d *entrance) backlog(n int) {
+func (d *listener) backlog(n int) {
 	if raw, err := d.ln.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
 }
 
 // run is the clock: it lets the servers' time pass as it comes.
-func (y *Yard) run() {
-	defer y.work.Done()
+func (group *ServerGroup) run() {
+	defer group.work.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-y.quit:
+		case <-group.quit:
 			return
-		case <-y.kick:
+		case <-group.wake:
 		case <-timer.C:
 		}
-		y.mu.Lock()
-		y.advance()
-		wait := min(time.Duration((y.dueAt-y.Now())*float64(time.Second)), sleepMost)
-		y.mu.Unlock()
+		group.mu.Lock()
+		group.advance()
+		wait := min(time.Duration((group.dueAt-group.Now())*float64(time.Second)), sleepMost)
+		group.mu.Unlock()
 		timer.Reset(max(wait, 0))
 	}
 }
 
 // advance carries out all that is due.
-func (y *Yard) advance() {
-	now := y.Now()
-	y.dueAt = math.Inf(1)
-	for i := range y.owners {
-		m := y.Fleet.Members[i]
+func (group *ServerGroup) advance() {
+	now := group.Now()
+	group.dueAt = math.Inf(1)
+	for i := range group.owners {
+		m := group.Fleet.Members[i]
 		if m.NextEvent() <= now {
-			y.settle(i, m.Advance(now))
+			group.reconcile(i, m.Advance(now))
 		}
-		y.dueAt = min(y.dueAt, m.NextEvent())
+		group.dueAt = min(group.dueAt, m.NextEvent())
 	}
 }
 
-func (y *Yard) settle(member int, ends []emulator.Completion) {
-	y.effect(y.Fleet.Reconcile(member, ends))
+func (group *ServerGroup) reconcile(member int, ends []emulator.Completion) {
+	group.carryOut(group.Fleet.Reconcile(member, ends))
 }
 
 // effect carries out what came of a call on a member.
-func (y *Yard) effect(e emulator.Effect) {
-	now := y.Now()
-	m := y.Fleet.Members[e.Member]
+func (group *ServerGroup) carryOut(e emulator.Effect) {
+	now := group.Now()
+	m := group.Fleet.Members[e.Member]
 	for _, end := range e.Completions {
-		y.Late(now - end.At)
-		c := y.jobs[end.Ref]
-		y.jobs[end.Ref] = nil
-		y.free = append(y.free, end.Ref)
+		group.OnLate(now - end.At)
+		c := group.jobs[end.Ref]
+		group.jobs[end.Ref] = nil
+		group.free = append(group.free, end.Ref)
 		if c == nil {
 			continue // nobody waits for it
 		}
 		if end.Outcome == balance.ServerRejected {
-			y.sight.Turned(c.id)
+			group.observer.AttemptRejected(c.id)
 		}
 		if c.job = -1; m.Reachability() != emulator.Unreachable { // else nothing that it says gets out
 			c.ends <- end // has room: one is out at a time
@@ -405,33 +405,33 @@
 	}
 	if e.ResetConnections {
 		if m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
-			y.sight.Fell(now, e.Member)
+			group.observer.ServerCrashed(now, e.Member)
 		}
-		for c := range y.slots[m.AddressIndex].conns {
+		for c := range group.addresses[m.AddressIndex].conns {
 			if c.member == e.Member {
 				c.reset()
 			}
 		}
 	}
-	if y.slots[m.AddressIndex].member == e.Member {
-		if err := y.reachable(m.AddressIndex); err != nil && y.fault == nil {
-			y.fault = err
+	if group.addresses[m.AddressIndex].member == e.Member {
+		if err := group.updateReachability(m.AddressIndex); err != nil && group.err == nil {
+			group.err = err
 		}
 	}
 	if e.ListChanged {
-		for i, m := range y.Fleet.Members {
+		for i, m := range group.Fleet.Members {
 			if m.State != balance.Ready {
-				y.sight.Listed(now, i)
+				group.observer.MemberNotReady(now, i)
 			}
 		}
-		for _, a := range y.agents {
-			a.changed(y.Fleet.Version, time.Now())
+		for _, a := range group.agents {
+			a.changed(group.Fleet.Version, time.Now())
 		}
 	}
-	if next := m.NextEvent(); next < y.dueAt {
-		y.dueAt = next
+	if next := m.NextEvent(); next < group.dueAt {
+		group.dueAt = next
 		select {
-		case y.kick <- struct{}{}:
+		case group.wake <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/loadgen/plan_test.go
+++ b/internal/loadgen/plan_test.go
@@ -11,10 +11,10 @@
 )
 
 func TestPlan(t *testing.T) {
-	m := Mix{Rate: 1000, For: 50, Keys: 100, Skew: 1, Customers: []float64{1, 3},
-		Tariffs: []Asked{{Share: 3, Work: .01, Spread: 1.5, Keyed: .5}, {Share: 1, Work: .02}},
-		Phases: []Phase{{At: 10, For: 10, Times: 2}, {At: 20, For: 10, Shape: Ramp, Times: 3},
-			{At: 30, For: 10, Shape: Bursts, Times: 4, Every: 2, Lasts: .5}, {At: 40, For: 4, Shape: Deadline, Times: 8}}}
+	m := Workload{Rate: 1000, Duration: 50, KeyCount: 100, ZipfExponent: 1, TenantWeights: []float64{1, 3},
+		Classes: []ClassLoad{{Weight: 3, Work: .01, WorkVariation: 1.5, KeyedFraction: .5}, {Weight: 1, Work: .02}},
+		Phases: []Phase{{At: 10, Duration: 10, Factor: 2}, {At: 20, Duration: 10, Shape: Ramp, Factor: 3},
+			{At: 30, Duration: 10, Shape: Bursts, Factor: 4, BurstInterval: 2, BurstDuration: .5}, {At: 40, Duration: 4, Shape: DeadlineRush, Factor: 8}}}
 	list := func(seed uint64) (all []Intent) {
 		p := NewPlan(m, seed)
 		for in, ok := p.Next(); ok; in, ok = p.Next() {
@@ -34,8 +34,8 @@
 		}
 		last = in.At
 		by[int(in.At/10)]++
-		of[in.Tariff]++
-		if in.Tariff == 0 {
+		of[in.Class]++
+		if in.Class == 0 {
 			work += in.Work
 			if in.Key > 0 {
 				keyed++
@@ -58,8 +58,8 @@
 	assert.InDelta(t, 8000, m.RateAt(43.999), 20)
 }
 
-func TestAgain(t *testing.T) {
-	c := Clients{Tries: 3, Backoff: .1}
+func TestRetryDelay(t *testing.T) {
+	c := Clients{MaxRequests: 3, Backoff: .1}
 	for name, x := range map[string]struct {
 		try         int
 		kind        balance.Idempotency
@@ -76,7 +76,7 @@
 		"nor may a referenced one":          {1, balance.Keyed, balance.Failed, 0, 0, 0},
 		"honoured":                          {1, balance.Idempotent, balance.NoReply, 0, 0, 0},
 	} {
-		after, ok := c.Again(x.try, x.kind, x.answer, x.advice, rand.New(rand.NewPCG(1, 1)))
+		after, ok := c.RetryDelay(x.try, x.kind, x.answer, x.advice, rand.New(rand.NewPCG(1, 1)))
 		assert.Equal(t, x.most > 0, ok, name)
 		assert.True(t, after >= x.least && after <= x.most, "%s: %v", name, after)
 	}
--- a/internal/loadgen/sockets.go
+++ b/internal/loadgen/sockets.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	dialFor    = time.Second            // for a connection to a proxy
-	probeEvery = 100 * time.Millisecond // of a proxy's readiness
-	probeFor   = 2 * time.Second        // for its answer: longer, and it counts as not up
-	elseAfter  = 50 * time.Millisecond  // until a client that found no proxy looks again
-	overtime   = 300 * time.Millisecond // past the deadline that a client still listens, to tell late from never
-	headRoom   = 512                    // bytes of a request's head
-	idleMost   = 4096                   // connections kept idle to a proxy
-	tryTail    = 30 * time.Second       // for what is under way when the plan has ended, at most
+	dialTimeout    = time.Second            // for a connection to a proxy
+	readyInterval = 100 * time.Millisecond // of a proxy's readiness
+	readyTimeout   = 2 * time.Second        // for its answer: longer, and it counts as not up
+	reconnectDelay  = 50 * time.Millisecond  // until a client that found no proxy looks again
+	lateListenDuration   = 300 * time.Millisecond // past the deadline that a client still listens, to tell late from never
+	headCapacity   = 512                    // bytes of a request's head
+	maxIdleConnections   = 4096                   // connections kept idle to a proxy
+	drainTimeout    = 30 * time.Second       // for what is under way when the plan has ended, at most
 )
 
 // Seen is what clients see, told by many goroutines. A try is named by the number that Sent gave it.
-type Seen interface {
-	Asked(in *Intent)
-	Sent(in *Intent, late float64) (try int) // it is about to be written
-	Honoured(try int, in *Intent, took, whole float64)
-	Failed(try int, answer balance.Reply, wrong bool) // wrong: told that it is the client's own fault
-	Spoilt(try int)                                   // successful with what no server made for it
-	Lost(try int, withProxy bool)                     // ended with no answer
-	Late(try int)                                     // no answer by the deadline and some more
-	Left(try int)                                     // the client went away first
-	Unreached()                                       // no proxy took it in time
+type Observer interface {
+	IntentDue(in *Intent)
+	RequestSent(in *Intent, late float64) (try int) // it is about to be written
+	RequestSucceeded(try int, in *Intent, took, whole float64)
+	RequestFailed(try int, answer balance.Reply, wrong bool) // wrong: told that it is the client's own fault
+	ResponseCorrupt(try int)                                   // successful with what no server made for it
+	RequestLost(try int, withProxy bool)                     // ended with no answer
+	RequestTimedOut(try int)                                     // no answer by the deadline and some more
+	ClientGone(try int)                                     // the client went away first
+	NoProxy()                                       // no proxy took it in time
 }
 
 // Target is a proxy as clients know it.
 type Target struct {
 	Addr   string
-	Probe  string // where it says whether it is up
-	up     atomic.Bool
+	ReadyAddr  string // where it says whether it is up
+	ready     atomic.Bool
 	killed atomic.Int64 // when it was killed outright; 0: not
 	mu     sync.Mutex
 	idle   []*connection
 }
 
 // Killed notes that it has been killed: what it had in hand is lost with it.
-func (t *Target) Killed() {
+func (t *Target) MarkKilled() {
 	t.killed.Store(time.Now().UnixNano())
-	t.up.Store(false)
+	t.ready.Store(false)
 }
 
 // Found notes that it is up.
-func (t *Target) Found() { t.up.Store(true) }
+func (t *Target) MarkReady() { t.ready.Store(true) }
 
 type connection struct {
 	nc net.Conn
@@ -66,30 +66,30 @@
 }
 
 // Front deals requests out to proxies that are up, in turn.
-type Front struct {
+type RoundRobin struct {
 	Targets []*Target
-	turn    atomic.Uint64
+	picks    atomic.Uint64
 }
 
 // NewFront knows proxies by their addresses; none is up until Watch has found it so.
-func NewFront(addrs []string) *Front {
-	f := &Front{}
+func NewRoundRobin(addrs []string) *RoundRobin {
+	f := &RoundRobin{}
 	for _, addr := range addrs {
-		f.Targets = append(f.Targets, &Target{Addr: addr, Probe: addr})
+		f.Targets = append(f.Targets, &Target{Addr: addr, ReadyAddr: addr})
 	}
 	return f
 }
 
 // Watch asks every proxy again and again whether it is up, until the context ends.
-func (f *Front) Watch(ctx context.Context) {
+func (f *RoundRobin) Watch(ctx context.Context) {
 	var work sync.WaitGroup
 	for _, t := range f.Targets {
 		work.Go(func() {
 			for ctx.Err() == nil {
-				t.up.Store(Ready(t.Probe, probeFor) == nil)
+				t.ready.Store(CheckReady(t.ReadyAddr, readyTimeout) == nil)
 				select {
 				case <-ctx.Done():
-				case <-time.After(probeEvery):
+				case <-time.After(readyInterval):
 				}
 			}
 		})
@@ -98,7 +98,7 @@
 }
 
 // Ready asks a proxy whether it takes requests.
-func Ready(addr string, within time.Duration) error {
+func CheckReady(addr string, within time.Duration) error {
 	nc, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return err
@@ -116,9 +116,9 @@
 }
 
 // next is a proxy that is up, nil without one.
-func (f *Front) next() *Target {
+func (f *RoundRobin) pick() *Target {
 	for range f.Targets {
-		if t := f.Targets[f.turn.Add(1)%uint64(len(f.Targets))]; t.up.Load() {
+		if t := f.Targets[f.picks.Add(1)%uint64(len(f.Targets))]; t.ready.Load() {
 			return t
 		}
 	}
@@ -128,12 +128,12 @@
 // Driver has clients ask on sockets what a plan deals out, at the times intended.
 type Driver struct {
 	Plan      *Plan
-	Tariffs   []balance.Class
-	Customers []string // their names
-	Ordinary  bool     // clients know nothing of the platform's fields but the id by which they are counted
+	Classes   []balance.Class
+	Tenants []string // their names
+	PlainHTTP  bool     // clients know nothing of the platform's fields but the id by which they are counted
 	Clients   Clients
-	Front     *Front
-	Seen      Seen
+	Proxies     *RoundRobin
+	Observer      Observer
 	Seed      uint64
 }
 
@@ -157,20 +157,20 @@
 		if ctx.Err() != nil {
 			break
 		}
-		d.Seen.Asked(&in)
-		work.Go(func() { d.lookup(rush, in, due, start.Add(time.Duration(d.Plan.mix.For*float64(time.Second)))) })
+		d.Observer.IntentDue(&in)
+		work.Go(func() { d.runIntent(rush, in, due, start.Add(time.Duration(d.Plan.workload.Duration*float64(time.Second)))) })
 	}
-	defer time.AfterFunc(tryTail, stop).Stop()
+	defer time.AfterFunc(drainTimeout, stop).Stop()
 	work.Wait()
 }
 
 // request tries one until it has its answer or is given up.
-func (d *Driver) lookup(ctx context.Context, in Intent, due, last time.Time) {
+func (d *Driver) runIntent(ctx context.Context, in Intent, due, last time.Time) {
 	chance := rand.New(rand.NewPCG(d.Seed, uint64(in.Number)+5))
 	whole := due
 	for n := 1; ; n++ {
-		answer, advice := d.try(ctx, &in, n, due, whole)
-		after, ok := d.Clients.Again(n, d.Tariffs[in.Tariff].Idempotency, answer, advice, chance)
+		answer, advice := d.request(ctx, &in, n, due, whole)
+		after, ok := d.Clients.RetryDelay(n, d.Classes[in.Class].Idempotency, answer, advice, chance)
 		due = time.Now().Add(time.Duration(after * float64(time.Second)))
 		if !ok || due.After(last) {
 			return
@@ -184,8 +184,8 @@
 }
 
 // try sends one and tells what it was answered; NoReply where it is not to be tried again.
-func (d *Driver) try(ctx context.Context, in *Intent, n int, due, whole time.Time) (balance.Reply, float64) {
-	row := &d.Tariffs[in.Tariff]
+func (d *Driver) request(ctx context.Context, in *Intent, n int, due, whole time.Time) (balance.Reply, float64) {
+	row := &d.Classes[in.Class]
 	stop := due.Add(time.Duration(row.Deadline * float64(time.Second)))
 	leaves := due.Add(time.Duration(row.Deadline * d.Clients.Patience * float64(time.Second)))
 	id := -1
@@ -193,23 +193,23 @@
 		t, c, kept := d.connect(ctx, leaves, again)
 		if c == nil {
 			if id < 0 {
-				d.Seen.Unreached()
+				d.Observer.NoProxy()
 			} else {
-				d.Seen.Lost(id, true)
+				d.Observer.RequestLost(id, true)
 			}
 			return balance.NoReply, 0
 		}
 		if id < 0 {
-			id = d.Seen.Sent(in, time.Since(due).Seconds())
+			id = d.Observer.RequestSent(in, time.Since(due).Seconds())
 		}
 		sent := time.Now()
-		until := stop.Add(overtime)
+		until := stop.Add(lateListenDuration)
 		if leaves.Before(stop) {
 			until = leaves
 		}
 		c.nc.SetDeadline(until)
 		wait := max(time.Until(stop), time.Millisecond)
-		h, body, err := c.ask(d, row, in, id, n > 1 && d.Clients.Marked, wait.Seconds())
+		h, body, err := c.roundTrip(d, row, in, id, n > 1 && d.Clients.MarksRetries, wait.Seconds())
 		now := time.Now()
 		switch {
 		case err == nil:
@@ -218,53 +218,53 @@
 			if h.Close {
 				c.nc.Close()
 			} else {
-				t.rest(c)
+				t.keepIdle(c)
 			}
-			return d.answered(id, in, status, advice, body, now.Sub(due).Seconds(), now.Sub(whole).Seconds())
+			return d.report(id, in, status, advice, body, now.Sub(due).Seconds(), now.Sub(whole).Seconds())
 		case ctx.Err() != nil:
 			c.nc.Close()
-			d.Seen.Left(id)
+			d.Observer.ClientGone(id)
 			return balance.NoReply, 0
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.nc.Close()
 			if leaves.Before(stop) {
-				d.Seen.Left(id)
+				d.Observer.ClientGone(id)
 			} else {
-				d.Seen.Late(id)
+				d.Observer.RequestTimedOut(id)
 			}
 			return balance.NoReply, 0
 		}
 		c.nc.Close()
 		if killed := t.killed.Load(); killed != 0 && killed >= sent.UnixNano() {
-			d.Seen.Lost(id, true)
+			d.Observer.RequestLost(id, true)
 			return balance.Failed, 0 // it may have run
 		}
 		if !kept || again || h != nil { // a kept connection may have been closed just then, with nothing read
-			d.Seen.Lost(id, false)
+			d.Observer.RequestLost(id, false)
 			return balance.Failed, 0
 		}
 	}
 }
 
-func (d *Driver) customer(in *Intent) string {
-	if in.Customer < 0 || in.Customer >= len(d.Customers) {
+func (d *Driver) tenant(in *Intent) string {
+	if in.Tenant < 0 || in.Tenant >= len(d.Tenants) {
 		return ""
 	}
-	return d.Customers[in.Customer]
+	return d.Tenants[in.Tenant]
 }
 
 // answered tells what an answer is.
-func (d *Driver) answered(id int, in *Intent, status int, advice float64, body []byte, took, whole float64) (balance.Reply, float64) {
+func (d *Driver) report(id int, in *Intent, status int, advice float64, body []byte, took, whole float64) (balance.Reply, float64) {
 	switch {
 	case status == 200 && string(bytes.TrimRight(body, "\n")) != strconv.Itoa(id):
-		d.Seen.Spoilt(id)
+		d.Observer.ResponseCorrupt(id)
 	case status == 200:
-		d.Seen.Honoured(id, in, took, whole)
+		d.Observer.RequestSucceeded(id, in, took, whole)
 	case status == 429 || status == 503:
-		d.Seen.Failed(id, balance.Rejected, false)
+		d.Observer.RequestFailed(id, balance.Rejected, false)
 		return balance.Rejected, advice
 	default:
-		d.Seen.Failed(id, balance.Failed, status >= 400 && status < 500)
+		d.Observer.RequestFailed(id, balance.Failed, status >= 400 && status < 500)
 		return balance.Failed, 0
 	}
 	return balance.NoReply, 0
@@ -273,31 +273,31 @@
 // connect finds a connection to a proxy that is up, a new one if it must be fresh; nil if there is none in time.
 func (d *Driver) connect(ctx context.Context, until time.Time, fresh bool) (*Target, *connection, bool) {
 	for ctx.Err() == nil && time.Now().Before(until) {
-		for range d.Front.Targets {
-			t := d.Front.next()
+		for range d.Proxies.Targets {
+			t := d.Proxies.pick()
 			if t == nil {
 				break
 			}
 			// danger: a proxy that stops closes all that is idle, so a second kept connection is as good as closed too
-			if c := t.take(); c != nil && fresh {
+			if c := t.takeIdle(); c != nil && fresh {
 				c.nc.Close()
 			} else if c != nil {
 				return t, c, true
 			}
-			dialer := net.Dialer{Timeout: min(dialFor, time.Until(until))}
+			dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(until))}
 			if nc, err := dialer.DialContext(ctx, "tcp", t.Addr); err == nil {
 				return t, &connection{nc, http1.NewReader(nc)}, false
 			}
 		}
 		select {
-		case <-time.After(elseAfter):
+		case <-time.After(reconnectDelay):
 		case <-ctx.Done():
 		}
 	}
 	return nil, nil, false
 }
 
-func (t *Target) take() *connection {
+func (t *Target) takeIdle() *connection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := len(t.idle)
@@ -309,10 +309,10 @@
 	return c
 }
 
-func (t *Target) rest(c *connection) {
+func (t *Target) keepIdle(c *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.up.Load() || len(t.idle) >= idleMost {
+	if !t.ready.Load() || len(t.idle) >= maxIdleConnections {
 		c.nc.Close()
 		return
 	}
@@ -320,7 +320,7 @@
 }
 
 // Close ends the idle connections.
-func (f *Front) Close() {
+func (f *RoundRobin) Close() {
 	for _, t := range f.Targets {
 		t.mu.Lock()
 		for _, c := range t.idle {
@@ -332,12 +332,12 @@
 }
 
 // ask writes a request and reads its answer. A head without an error means that an answer had begun.
-func (c *connection) ask(d *Driver, row *balance.Class, in *Intent, id int, again bool, wait float64) (*http1.Head, []byte, error) {
+func (c *connection) roundTrip(d *Driver, row *balance.Class, in *Intent, id int, again bool, wait float64) (*http1.Head, []byte, error) {
 	method := "POST"
 	if row.Idempotency == balance.Idempotent {
 		method = "GET"
 	}
-	b := make([]byte, 0, headRoom)
+	b := make([]byte, 0, headCapacity)
 	b = append(b, method+" /"+row.Name...)
 	if in.Key > 0 {
 		b = append(b, "?user="...)
@@ -345,7 +345,7 @@
 	}
 	b = append(b, " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: "...)
 	b = strconv.AppendInt(b, int64(id), 10)
-	if !d.Ordinary {
+	if !d.PlainHTTP {
 		b = append(b, "\r\nX-Qos: "+row.Name+"\r\nX-Expires-In: "...)
 		b = http1.AppendSeconds(b, wait)
 	}
@@ -355,7 +355,7 @@
 		b = append(b, "\r\nIdempotency-Key: k"...)
 		b = strconv.AppendInt(b, int64(in.Number), 10)
 	}
-	if tenant := d.customer(in); tenant != "" {
+	if tenant := d.tenant(in); tenant != "" {
 		b = append(b, "\r\nX-Customer: "+tenant...)
 	}
 	if again {
--- a/internal/report/beliefs.go
+++ b/internal/report/beliefs.go
@@ -41,7 +41,7 @@
 `))
 
 // Beliefs writes a page of what a captured proxy believed of its servers over time, by pool.
-func Beliefs(w io.Writer, title string, moments []capture.Sample) error {
+func ServerStatuses(w io.Writer, title string, moments []capture.Sample) error {
 	type pool struct {
 		Name  string
 		More  int
