--- a/internal/emulator/dedup.go
+++ b/internal/emulator/dedup.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-const dedupRetention = 60.0 // s past its window that a mark is remembered, so that a late repeat is told from a new one
+const dedupRetention = 60.0 // s past its window that a key is kept, to tell a late duplicate from a new job
 
-// DedupGroup is the memory of a group of servers for keyed jobs, by which duplicates are dropped.
+// DedupGroup holds the keys that a group of servers has seen, by which it drops duplicates of keyed jobs.
 type DedupGroup struct {
-	LateDuplicates int // repeats that came after their window, and ran again
+	LateDuplicates int // came after their window, and ran again
 	firstSeen      map[uint64]float64
 	order          []expiringKey
 	head           int
@@ -18,26 +18,26 @@
 }
 
 // isDuplicate reports whether a key's first job started less than a window ago; if not, this one becomes its first.
-func (m *DedupGroup) isDuplicate(now float64, key uint64, window float64) bool {
-	for m.head < len(m.order) && m.order[m.head].until < now {
-		if x := m.order[m.head]; m.firstSeen[x.key] <= now-window { // not begun anew since
-			delete(m.firstSeen, x.key)
+func (g *DedupGroup) isDuplicate(now float64, key uint64, window float64) bool {
+	for g.head < len(g.order) && g.order[g.head].until < now {
+		if oldest := g.order[g.head]; g.firstSeen[oldest.key] <= now-window { // no later window has begun
+			delete(g.firstSeen, oldest.key)
 		}
-		m.head++
+		g.head++
 	}
-	if m.head > compactLength && m.head > len(m.order)/2 {
-		m.order, m.head = slices.Delete(m.order, 0, m.head), 0
+	if g.head > compactLength && g.head > len(g.order)/2 {
+		g.order, g.head = slices.Delete(g.order, 0, g.head), 0
 	}
-	if first, met := m.firstSeen[key]; met {
+	if first, seen := g.firstSeen[key]; seen {
 		if now <= first+window {
 			return true
 		}
-		m.LateDuplicates++
+		g.LateDuplicates++
 	}
-	if m.firstSeen == nil {
-		m.firstSeen = map[uint64]float64{}
+	if g.firstSeen == nil {
+		g.firstSeen = map[uint64]float64{}
 	}
-	m.firstSeen[key] = now
-	m.order = append(m.order, expiringKey{key, now + window + dedupRetention})
+	g.firstSeen[key] = now
+	g.order = append(g.order, expiringKey{key, now + window + dedupRetention})
 	return false
 }
--- a/internal/emulator/heap.go
+++ b/internal/emulator/heap.go
@@ -1,11 +1,12 @@
 package emulator
 
-// runningJob is a job in work, and when it ends.
+// runningJob is a job that runs, and the value of Server.virtualWork at which it ends.
 type runningJob struct {
 	job    Job
-	endsAt float64 // of passed
+	endsAt float64
 }
 
+// runningJobs is a heap by endsAt, driven by container/heap.
 type runningJobs []runningJob
 
 func (r runningJobs) Len() int           { return len(r) }
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -47,19 +47,19 @@
 	s.virtualWork += s.rate * elapsed
 	s.Work += s.rate * elapsed * float64(len(s.running))
 	if s.spec.Cores > 0 {
-		s.utilization += (1 - math.Exp(-elapsed/utilizationTimeConstant)) * (float64(len(s.running))/float64(s.spec.Cores) - s.utilization)
+		inUse := float64(len(s.running)) / float64(s.spec.Cores)
+		s.utilization += (1 - math.Exp(-elapsed/utilizationTimeConstant)) * (inUse - s.utilization)
 	}
 	s.now = to
 }
 
-// updateSpeed sets the speed of a core and the time of the next look at it.
+// updateSpeed sets the speed of a core and the time of its next update.
 func (s *Server) updateSpeed() {
-	b := &s.spec
-	if s.rate = b.Speed * s.speedFactor * s.slowStartFactor() * (1 - (1-b.DegradedSpeed)*s.degradation); s.now < s.pausedUntil ||
-		!s.up {
+	s.rate = s.spec.Speed * s.speedFactor * s.slowStartFactor() * (1 - (1-s.spec.DegradedSpeed)*s.degradation)
+	if s.now < s.pausedUntil || !s.up {
 		s.rate = 0
 	}
-	switch { // the next look is not put off by a call, or frequent calls would put it off for ever
+	switch { // a call does not postpone the next update, or frequent calls would postpone it for ever
 	case !s.up || !s.WarmingUp() && s.degradation == 0 && !s.overDegradeLength():
 		s.nextStepAt = math.Inf(1)
 	case s.nextStepAt <= s.now || s.nextStepAt > s.now+stepInterval:
@@ -80,9 +80,13 @@
 
 func (s *Server) updateDegradation() {
 	if s.overDegradeLength() {
-		s.degradation += (1 - s.degradation) * (1 - math.Exp(-stepInterval/max(s.spec.DegradeTimeConstant, stepInterval)))
-	} else if s.degradation *= math.Exp(-stepInterval / max(s.spec.RecoverTimeConstant, stepInterval)); s.degradation < minDegradation {
-		s.degradation = 0
+		timeConstant := max(s.spec.DegradeTimeConstant, stepInterval)
+		s.degradation += (1 - s.degradation) * (1 - math.Exp(-stepInterval/timeConstant))
+	} else {
+		s.degradation *= math.Exp(-stepInterval / max(s.spec.RecoverTimeConstant, stepInterval))
+		if s.degradation < minDegradation {
+			s.degradation = 0
+		}
 	}
 	s.updateSpeed()
 }
@@ -105,16 +109,21 @@
 func (s *Server) restart() { s.start(false) }
 
 func (s *Server) start(warm bool) {
-	s.up, s.startedAt, s.restartAt, s.degradation, s.pausedUntil = true, s.now, math.Inf(1), 0, math.Inf(-1)
+	s.up = true
+	s.startedAt = s.now
 	if warm {
 		s.startedAt = math.Inf(-1)
 	}
-	s.cache, s.recentWork = keyCache{capacity: s.spec.CacheSize}, workWindow{}
+	s.restartAt = math.Inf(1)
+	s.degradation = 0
+	s.pausedUntil = math.Inf(-1)
+	s.cache = keyCache{capacity: s.spec.CacheSize}
+	s.recentWork = workWindow{}
 	s.updateSpeed()
 }
 
 // crash loses all jobs and plans the restart.
-func (s *Server) crash(back float64) {
+func (s *Server) crash(restartAt float64) {
 	for _, r := range s.running {
 		s.complete(r.job, balance.ConnectionLost)
 	}
@@ -125,7 +134,9 @@
 		s.complete(j, balance.ConnectionLost)
 	}
 	s.running, s.hanging, s.inbox = s.running[:0], s.hanging[:0], nil
-	s.up, s.restartAt, s.utilization = false, back, 0
+	s.up = false
+	s.restartAt = restartAt
+	s.utilization = 0
 	s.updateSpeed()
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,43 +12,70 @@
 )
 
 const (
-	stepInterval            = 0.1  // s between looks at what changes by and by: warming up, choking
-	minDegradation          = 0.01 // of choking; less is none
-	utilizationTimeConstant = 0.5  // s over which the load report's use of the cores is smoothed
+	stepInterval            = 0.1  // s between updates of what changes gradually: slow start and degradation
+	minDegradation          = 0.01 // fraction; less counts as none
+	utilizationTimeConstant = 0.5  // s, of the smoothed use of the cores in load reports
 )
 
 // Server is one emulated server.
 type Server struct {
 	Counts
+	faults
+	jobs
 	spec        Spec
 	rand        *rand.Rand
 	now         float64
-	startedAt   float64 // it started; -Inf: long ago
+	startedAt   float64 // -Inf: long ago
 	up          bool
-	unreachable bool
+	restartAt   float64 // +Inf: not planned
+	nextStepAt  float64 // next update of the speed; +Inf: it does not change by itself
 	rate        float64 // work that a core does in a second now
 	virtualWork float64 // work that a core busy since the first start would have done
-	running     runningJobs
-	waiting     queue
-	hanging     []Job // hung: answered never
-	inbox       []Job // came while it stood still
-	nextStepAt  float64
-	restartAt   float64 // +Inf: not planned
-	pausedUntil float64
-	speedFactor float64 // factor on its speed
 	degradation float64 // 0 to 1
-	errorShares []float64
-	classHangs  []bool // both by class, and for all at 0
+	utilization float64 // smoothed fraction of the cores in use
 	recentWork  workWindow
 	cache       keyCache
-	utilization float64
-	completions []Completion
+	completions []Completion // of the call in progress
+}
+
+// faults are the faults injected into a server. Those by class have the class plus 1 as their index, and 0 for all.
+type faults struct {
+	unreachable bool
+	pausedUntil float64
+	speedFactor float64
+	errorShares []float64
+	classHangs  []bool
+}
+
+// jobs are the jobs that a server holds, by their state.
+type jobs struct {
+	running runningJobs
+	waiting queue
+	hanging []Job // accepted, and never completed
+	inbox   []Job // arrived while the server was paused
+}
+
+// drop takes away a job that has not begun to run, and reports whether it was held.
+func (j *jobs) drop(ref int) bool {
+	match := func(job Job) bool { return job.Ref == ref }
+	return j.waiting.remove(match) || remove(&j.hanging, match) || remove(&j.inbox, match)
+}
+
+// InFlight is the number of jobs that the server holds in any state.
+func (j *jobs) InFlight() int {
+	return len(j.running) + j.waiting.len() + len(j.hanging) + len(j.inbox)
 }
 
 // New returns a server that has not started. The seed determines which jobs fail where a share of them does.
-func New(b Spec, seed uint64) *Server {
-	return &Server{spec: b, rand: rand.New(rand.NewPCG(seed, 1)), nextStepAt: math.Inf(1), restartAt: math.Inf(1),
-		speedFactor: 1, cache: keyCache{capacity: b.CacheSize}}
+func New(spec Spec, seed uint64) *Server {
+	return &Server{
+		spec:       spec,
+		rand:       rand.New(rand.NewPCG(seed, 1)),
+		nextStepAt: math.Inf(1),
+		restartAt:  math.Inf(1),
+		faults:     faults{speedFactor: 1},
+		cache:      keyCache{capacity: spec.CacheSize},
+	}
 }
 
 // Start begins to serve, warm as if the server had run for long, or in slow start.
@@ -78,15 +105,13 @@
 // goes on and completes as usual.
 func (s *Server) Abandon(now float64, ref int) (dropped bool, completions []Completion) {
 	s.advanceTo(now)
-	match := func(j Job) bool { return j.Ref == ref }
-	dropped = s.waiting.remove(match) || remove(&s.hanging, match) || remove(&s.inbox, match)
-	return dropped, s.completions
+	return s.drop(ref), s.completions
 }
 
-// Crash stops the server and loses all its jobs. It restarts in slow start at the time back; +Inf: not by itself.
-func (s *Server) Crash(now, back float64) []Completion {
+// Crash stops the server and loses all its jobs. It restarts in slow start at restartAt; +Inf: not by itself.
+func (s *Server) Crash(now, restartAt float64) []Completion {
 	s.advanceTo(now)
-	s.crash(back)
+	s.crash(restartAt)
 	return s.completions
 }
 
@@ -121,9 +146,9 @@
 }
 
 // SetUnreachable partitions the server from the network, or reconnects it. The caller resets what had been open.
-func (s *Server) SetUnreachable(now float64, off bool) []Completion {
+func (s *Server) SetUnreachable(now float64, unreachable bool) []Completion {
 	s.advanceTo(now)
-	s.unreachable = off
+	s.unreachable = unreachable
 	return s.completions
 }
 
@@ -164,10 +189,5 @@
 	return len(s.running), s.waiting.len(), s.utilization
 }
 
-// InFlight is the number of jobs that the server holds in any state.
-func (s *Server) InFlight() int {
-	return len(s.running) + s.waiting.len() + len(s.hanging) + len(s.inbox)
-}
-
 // Paused reports whether the server is frozen by Pause.
 func (s *Server) Paused() bool { return s.up && s.now < s.pausedUntil }
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -6,29 +6,29 @@
 type Spec struct {
 	Cores               int
 	Speed               float64 // work that a core does in a second
-	QueueCapacity       int     // requests that may wait; a further one is rejected unseen
-	SlowStartFraction   float64 // of its speed, just after its start
-	SlowStartDuration   float64 // until it has all of it
-	CrashFactor         float64 // cold, and sent more than this many times what it can do ...
-	CrashWindow         float64 // ... over this long, it falls over; 0: never
-	CrashDowntime       float64 // and is back, cold, so much later
-	DegradeQueueLength  int     // requests waiting from which it slows down; 0: never
-	DegradedSpeed       float64 // of its speed that is left then
-	DegradeTimeConstant float64 // time constant of slowing down
-	RecoverTimeConstant float64 // and of getting over it once fewer wait
-	CacheSize           int     // keys that it remembers
-	CachedWorkFraction  float64 // of its work that a request with such a key takes
+	QueueCapacity       int     // jobs that may wait; a further one is rejected without being run
+	SlowStartFraction   float64 // fraction of its speed just after its start
+	SlowStartDuration   float64 // from its start to its full speed
+	CrashFactor         float64 // in slow start it crashes if more than this multiple of what it can do arrives ...
+	CrashWindow         float64 // ... within this duration; 0: never
+	CrashDowntime       float64 // from such a crash to the restart
+	DegradeQueueLength  int     // waiting jobs from which it slows down; 0: never
+	DegradedSpeed       float64 // fraction of its speed that is left in the end
+	DegradeTimeConstant float64 // of slowing down
+	RecoverTimeConstant float64 // of recovering once fewer jobs wait
+	CacheSize           int     // keys; 0: no cache
+	CachedWorkFraction  float64 // fraction of its work that a job with a cached key takes
 }
 
 // Job is a request as a server receives it.
 type Job struct {
-	Ref         int // the caller's, handed back in its End
+	Ref         int // the caller's, returned in its Completion
 	Class       int
 	Work        float64
-	Key         uint64 // of its subject; 0: none
-	DedupKey    uint64 // by which repeats are known; 0: none
+	Key         uint64 // cache-affine key; 0: none
+	DedupKey    uint64 // idempotency key; 0: none
 	DedupWindow float64
-	DedupGroup  *DedupGroup // of the server's group
+	DedupGroup  *DedupGroup // of the server; nil: none
 }
 
 // Completion is how a job ended: succeeded, server error, rejected (it never ran) or connection lost (by a crash).
@@ -36,21 +36,30 @@
 	Ref       int
 	Outcome   balance.Outcome
 	At        float64
-	Work      float64 // that it took
-	Duplicate bool    // dropped as one: answered, not run
+	Work      float64 // that it took; 0 for a duplicate
+	Duplicate bool    // answered, not run
 }
 
 // Reachability is what happens to clients that connect to a server.
 type Reachability uint8
 
+// What a new connection meets, and those that are open.
 const (
 	Accepting   Reachability = iota
-	Refusing                 // refused; what was open is reset
-	Unreachable              // never comes up; what was open says nothing
+	Refusing                 // new ones are refused, open ones are reset
+	Unreachable              // new ones are never established, open ones are silent
 )
 
 // Counts are a server's totals since it was made.
 type Counts struct {
-	Received, Started, Succeeded, Errors, Rejected, Duplicates, Lost, Unreceived, Crashes int
-	Work                                                                                  float64 // done
+	Received   int // jobs that reached the server while it was up
+	Started    int
+	Succeeded  int
+	Errors     int
+	Rejected   int
+	Duplicates int
+	Lost       int
+	Unreceived int // jobs sent to it while it was unreachable
+	Crashes    int
+	Work       float64 // done, of succeeded jobs and of others
 }
--- a/internal/emulator/window.go
+++ b/internal/emulator/window.go
@@ -11,14 +11,17 @@
 
 type arrival struct{ at, work float64 }
 
+// add counts work that arrives now and returns the sum of what arrived within the last seconds.
 func (w *workWindow) add(now, work, within float64) float64 {
-	w.arrivals, w.sum = append(w.arrivals, arrival{now, work}), w.sum+work
+	w.arrivals = append(w.arrivals, arrival{now, work})
+	w.sum += work
 	for w.arrivals[w.head].at <= now-within {
 		w.sum -= w.arrivals[w.head].work
 		w.head++
 	}
 	if w.head > compactLength {
-		w.arrivals, w.head = slices.Delete(w.arrivals, 0, w.head), 0
+		w.arrivals = slices.Delete(w.arrivals, 0, w.head)
+		w.head = 0
 	}
 	return w.sum
 }
@@ -32,19 +35,20 @@
 }
 
 // touch reports whether a key is cached, and caches it.
-func (r *keyCache) touch(key uint64) bool {
-	if r.capacity == 0 || r.known[key] {
-		return r.capacity > 0
+func (c *keyCache) touch(key uint64) bool {
+	if c.capacity == 0 || c.known[key] {
+		return c.capacity > 0
 	}
-	if r.known == nil {
-		r.known = map[uint64]bool{}
+	if c.known == nil {
+		c.known = map[uint64]bool{}
 	}
-	if r.known[key] = true; len(r.order) < r.capacity {
-		r.order = append(r.order, key)
+	c.known[key] = true
+	if len(c.order) < c.capacity {
+		c.order = append(c.order, key)
 		return false
 	}
-	delete(r.known, r.order[r.head])
-	r.order[r.head] = key
-	r.head = (r.head + 1) % r.capacity
+	delete(c.known, c.order[c.head])
+	c.order[c.head] = key
+	c.head = (c.head + 1) % c.capacity
 	return false
 }
