--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -301,7 +301,7 @@
 					unknown[name]++
 					return
 				}
-				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Tariff: class, Customer: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
+				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Class: class, Tenant: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
@@ -309,7 +309,7 @@
 			if len(unknown) > 0 {
 				return fmt.Errorf("the scenario has no tariffs %v", unknown)
 			}
-			r, err := s.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.Given(list))
+			r, err := s.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.SourceOf(list))
 			if err != nil {
 				return err
 			}
--- /dev/null
+++ b/internal/loadgen/proxies.go
@@ -0,0 +1,183 @@
+package loadgen
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"lockloom/internal/http1"
+)
+
+const (
+	dialTimeout        = time.Second            // of a connection to a proxy
+	readyInterval      = 100 * time.Millisecond // between the checks whether a proxy is ready
+	readyTimeout       = 2 * time.Second        // of such a check
+	reconnectDelay     = 50 * time.Millisecond  // until a client that found no proxy looks again
+	maxIdleConnections = 4096                   // to each proxy
+)
+
+// Target is a proxy as clients know it. Its methods are safe for concurrent use.
+type Target struct {
+	Addr      string
+	ReadyAddr string // where it says whether it is ready
+	ready     atomic.Bool
+	killed    atomic.Int64 // ns since 1970; 0: not killed
+	mu        sync.Mutex
+	idle      []*connection
+}
+
+// MarkKilled records that the proxy has been killed: the requests that it held are lost with it.
+func (t *Target) MarkKilled() {
+	t.killed.Store(time.Now().UnixNano())
+	t.ready.Store(false)
+}
+
+// MarkReady records that the proxy is ready.
+func (t *Target) MarkReady() { t.ready.Store(true) }
+
+// killedSince reports whether the proxy has been killed at a time or later.
+func (t *Target) killedSince(since time.Time) bool {
+	killed := t.killed.Load()
+	return killed != 0 && killed >= since.UnixNano()
+}
+
+func (t *Target) takeIdle() *connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	n := len(t.idle)
+	if n == 0 {
+		return nil
+	}
+	c := t.idle[n-1]
+	t.idle = t.idle[:n-1]
+	return c
+}
+
+// keepIdle keeps a connection for a later request, or closes it if the proxy is not ready or there are enough.
+func (t *Target) keepIdle(c *connection) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.ready.Load() || len(t.idle) >= maxIdleConnections {
+		c.nc.Close()
+		return
+	}
+	c.reused = true
+	t.idle = append(t.idle, c)
+}
+
+func (t *Target) closeIdle() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range t.idle {
+		c.nc.Close()
+	}
+	t.idle = nil
+}
+
+// RoundRobin sends requests to the proxies that are ready, in turn. It is safe for concurrent use.
+type RoundRobin struct {
+	Targets []*Target
+	picks   atomic.Uint64
+}
+
+// NewRoundRobin returns the proxies at these addresses; none is ready until Watch has found it so.
+func NewRoundRobin(addrs []string) *RoundRobin {
+	r := &RoundRobin{}
+	for _, addr := range addrs {
+		r.Targets = append(r.Targets, &Target{Addr: addr, ReadyAddr: addr})
+	}
+	return r
+}
+
+// Watch checks again and again whether each proxy is ready, until the context ends.
+func (r *RoundRobin) Watch(ctx context.Context) {
+	var checks sync.WaitGroup
+	for _, target := range r.Targets {
+		checks.Go(func() {
+			for ctx.Err() == nil {
+				target.ready.Store(CheckReady(target.ReadyAddr, readyTimeout) == nil)
+				select {
+				case <-ctx.Done():
+				case <-time.After(readyInterval):
+				}
+			}
+		})
+	}
+	checks.Wait()
+}
+
+// CheckReady returns nil if a proxy says within the timeout that it accepts requests.
+func CheckReady(addr string, timeout time.Duration) error {
+	nc, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		return err
+	}
+	defer nc.Close()
+	nc.SetDeadline(time.Now().Add(timeout))
+	if _, err := fmt.Fprintf(nc, "GET /up HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n\r\n", addr); err != nil {
+		return err
+	}
+	head, err := http1.NewReader(nc).Response()
+	if err == nil && head.Status != http.StatusOK {
+		err = fmt.Errorf("%s: status %d", addr, head.Status)
+	}
+	return err
+}
+
+// pick is the next proxy that is ready; nil without one.
+func (r *RoundRobin) pick() *Target {
+	for range r.Targets {
+		if t := r.Targets[r.picks.Add(1)%uint64(len(r.Targets))]; t.ready.Load() {
+			return t
+		}
+	}
+	return nil
+}
+
+// connect returns a connection to a proxy that is ready, a new one if fresh; nil if there is none by the time until.
+func (r *RoundRobin) connect(ctx context.Context, until time.Time, fresh bool) (*Target, *connection) {
+	for ctx.Err() == nil && time.Now().Before(until) {
+		for range r.Targets {
+			target := r.pick()
+			if target == nil {
+				break
+			}
+			if c := target.connect(ctx, until, fresh); c != nil {
+				return target, c
+			}
+		}
+		select {
+		case <-time.After(reconnectDelay):
+		case <-ctx.Done():
+		}
+	}
+	return nil, nil
+}
+
+// connect returns an idle connection or dials one; nil if that fails. If fresh, an idle connection is closed instead: a
+// proxy that stops closes all that are idle, so the next one would be as stale as the one before.
+func (t *Target) connect(ctx context.Context, until time.Time, fresh bool) *connection {
+	if c := t.takeIdle(); c != nil {
+		if !fresh {
+			return c
+		}
+		c.nc.Close()
+	}
+	dialer := net.Dialer{Timeout: min(dialTimeout, time.Until(until))}
+	nc, err := dialer.DialContext(ctx, "tcp", t.Addr)
+	if err != nil {
+		return nil
+	}
+	return &connection{nc: nc, reader: http1.NewReader(nc)}
+}
+
+// Close closes the idle connections.
+func (r *RoundRobin) Close() {
+	for _, t := range r.Targets {
+		t.closeIdle()
+	}
+}
--- /dev/null
+++ b/internal/loadgen/workload.go
@@ -0,0 +1,234 @@
+// Package loadgen generates the load of a simulation's clients: a workload in the form of a plan of intents, the
+// clients' retries, and an open-loop driver, which sends requests on sockets at the times planned, however late the
+// answers are.
+package loadgen
+
+import (
+	"math"
+	"math/rand/v2"
+	"sort"
+
+	"lockloom/balance"
+)
+
+// Intent is one thing that a client wants answered, by one request or, with retries, by several.
+type Intent struct {
+	Number        int
+	At            float64 // s since the start
+	Class, Tenant int     // Tenant -1: none
+	Key           uint64  // 0: none
+	Work          float64 // s of a core at speed 1
+}
+
+// ClassLoad is the part of a workload that falls to one class.
+type ClassLoad struct {
+	Weight        float64 // of its intents among those of all classes
+	Work          float64 // mean, in s of a core at speed 1
+	WorkVariation float64 // standard deviation of the work over its mean; 0: all alike
+	KeyedFraction float64 // fraction of the intents that have a key
+}
+
+// Phase changes the rate for a time. Times and durations are in seconds.
+type Phase struct {
+	At, Duration  float64
+	Shape         Shape
+	Factor        float64 // on the rate
+	BurstInterval float64 // of Bursts: from one to the next
+	BurstDuration float64 // of Bursts: of each
+}
+
+// Shape is how a phase changes the rate.
+type Shape uint8
+
+// The shapes of phases.
+const (
+	Steady       Shape = iota // Factor throughout
+	Ramp                      // from 1 to Factor, linearly
+	Bursts                    // Factor in each burst, 1 between them
+	DeadlineRush              // exponentially up to Factor at its end, then nothing for as long again
+)
+
+// Workload is all that clients want of an installation.
+type Workload struct {
+	Rate          float64 // intents a second, outside of phases
+	Duration      float64 // s
+	Phases        []Phase
+	Classes       []ClassLoad
+	TenantWeights []float64
+	KeyCount      int
+	ZipfExponent  float64 // of the keys' popularity; 0: all alike
+}
+
+const deadlineSteepness = 5.0 // the rate of a DeadlineRush grows by e in 1/5 of its duration
+
+// RateAt is the rate at a time, in intents a second.
+func (w *Workload) RateAt(t float64) float64 {
+	rate := w.Rate
+	for i := range w.Phases {
+		rate *= w.Phases[i].factorAt(t)
+	}
+	return rate
+}
+
+// factorAt is the phase's factor on the rate at a time; 1 outside the phase.
+func (p *Phase) factorAt(t float64) float64 {
+	x := (t - p.At) / p.Duration
+	switch {
+	case x < 0:
+		return 1
+	case p.Shape == DeadlineRush && x >= 1 && x < 2:
+		return 0
+	case x >= 1:
+		return 1
+	case p.Shape == Steady:
+		return p.Factor
+	case p.Shape == Ramp:
+		return 1 + (p.Factor-1)*x
+	case p.Shape == Bursts && math.Mod(t-p.At, p.BurstInterval) < p.BurstDuration:
+		return p.Factor
+	case p.Shape == DeadlineRush:
+		return 1 + (p.Factor-1)*math.Exp(deadlineSteepness*(x-1))
+	}
+	return 1
+}
+
+// maxRate is an upper bound of the rate. The phases' factors are largest together at the start of one of them.
+func (w *Workload) maxRate() float64 {
+	maxFactor := 1.0
+	for _, start := range w.Phases {
+		factor := 1.0
+		for _, p := range w.Phases {
+			if p.At <= start.At && start.At < p.At+p.Duration {
+				factor *= max(p.Factor, 1)
+			}
+		}
+		maxFactor = max(maxFactor, factor)
+	}
+	return w.Rate * maxFactor
+}
+
+// Plan draws a workload's intents in order of time, the same ones for the same seed.
+type Plan struct {
+	workload   Workload
+	rand       *rand.Rand
+	now        float64
+	number     int
+	maxRate    float64
+	classSums  []float64 // cumulative weights
+	tenantSums []float64
+	keySums    []float64
+}
+
+// NewPlan returns the plan of a workload, at its start.
+func NewPlan(w Workload, seed uint64) *Plan {
+	p := &Plan{workload: w, maxRate: w.maxRate(), rand: rand.New(rand.NewPCG(seed, 2))}
+	for _, class := range w.Classes {
+		p.classSums = appendSum(p.classSums, class.Weight)
+	}
+	for _, weight := range w.TenantWeights {
+		p.tenantSums = appendSum(p.tenantSums, weight)
+	}
+	for i := range w.KeyCount {
+		p.keySums = appendSum(p.keySums, math.Pow(float64(i+1), -w.ZipfExponent))
+	}
+	return p
+}
+
+// appendSum appends the sum up to a further weight.
+func appendSum(sums []float64, weight float64) []float64 {
+	if n := len(sums); n > 0 {
+		weight += sums[n-1]
+	}
+	return append(sums, weight)
+}
+
+// draw is an index drawn by its weight; -1 without weights.
+func (p *Plan) draw(sums []float64) int {
+	if len(sums) == 0 {
+		return -1
+	}
+	return sort.SearchFloat64s(sums, p.rand.Float64()*sums[len(sums)-1])
+}
+
+// Next is the next intent; false after the last.
+func (p *Plan) Next() (Intent, bool) {
+	if !p.advance() {
+		return Intent{}, false
+	}
+	intent := Intent{Number: p.number, At: p.now, Class: p.draw(p.classSums), Tenant: p.draw(p.tenantSums)}
+	p.number++
+	class := &p.workload.Classes[intent.Class]
+	intent.Work = class.Work
+	if class.WorkVariation > 0 {
+		intent.Work *= p.logNormal(class.WorkVariation)
+	}
+	if class.KeyedFraction > 0 && p.workload.KeyCount > 0 && p.rand.Float64() < class.KeyedFraction {
+		intent.Key = uint64(p.draw(p.keySums)) + 1
+	}
+	return intent, true
+}
+
+// advance moves on to the time of the next intent, and reports false past the end. It draws from a Poisson process at
+// maxRate and keeps each time with a probability proportional to the rate then (thinning).
+func (p *Plan) advance() bool {
+	for {
+		p.now += p.rand.ExpFloat64() / p.maxRate
+		if !(p.now < p.workload.Duration) {
+			return false
+		}
+		if rate := p.workload.RateAt(p.now); rate == p.maxRate || p.rand.Float64()*p.maxRate < rate {
+			return true
+		}
+	}
+}
+
+// logNormal draws a log-normal factor with mean 1 and a standard deviation of variation.
+func (p *Plan) logNormal(variation float64) float64 {
+	v := math.Log(1 + variation*variation)
+	return math.Exp(math.Sqrt(v)*p.rand.NormFloat64() - v/2)
+}
+
+// Source returns intents in order of time: a Plan, or a recorded list.
+type Source interface{ Next() (Intent, bool) }
+
+// SourceOf returns the intents of a list.
+func SourceOf(list []Intent) Source { return &intentList{list} }
+
+type intentList struct{ rest []Intent }
+
+func (l *intentList) Next() (Intent, bool) {
+	if len(l.rest) == 0 {
+		return Intent{}, false
+	}
+	next := l.rest[0]
+	l.rest = l.rest[1:]
+	return next, true
+}
+
+// Clients is how clients retry and how long they wait.
+type Clients struct {
+	MaxRequests  int     // for one intent
+	Backoff      float64 // s before the first retry; it doubles with each further one
+	Patience     float64 // fraction of the deadline that they wait
+	MarksRetries bool    // retries say that they are retries
+}
+
+const (
+	minJitter        = 0.5 // a backoff is multiplied by a random factor from this to 1 more than this
+	maxBackoffFactor = 8.0 // multiple of the first backoff
+)
+
+// RetryDelay reports whether a client retries after its n-th request, from 1, and after how many seconds. A rejected
+// request may always be retried, though not before retryAfter; a failed one only if the class is idempotent.
+func (c *Clients) RetryDelay(
+	n int, idempotency balance.Idempotency, reply balance.Reply, retryAfter float64, random *rand.Rand,
+) (float64, bool) {
+	if n >= c.MaxRequests || reply == balance.NoReply {
+		return 0, false
+	}
+	if reply == balance.Failed && idempotency != balance.Idempotent {
+		return 0, false
+	}
+	delay := c.Backoff * min(math.Exp2(float64(n-1)), maxBackoffFactor) * (minJitter + random.Float64())
+	return max(delay, retryAfter), true
+}
--- a/internal/simulation/alone.go
+++ b/internal/simulation/alone.go
@@ -41,21 +41,21 @@
 	sc := &score{now: now, start: now() + settleFor.Seconds(), tally: newTally(s, f.Classes, seed, "as it runs", "sockets"), slow: &lateness{},
 		audit: NewAudit(f.Classes, sliceSlack, s.Deployment.Grace, s.Deployment.CountsAfter)}
 	sc.audit.Clients = true
-	front := loadgen.NewFront(addrs)
+	front := loadgen.NewRoundRobin(addrs)
 	defer front.Close()
 	for _, t := range front.Targets {
-		if err := loadgen.Ready(t.Addr, readyFor/10); err != nil {
+		if err := loadgen.CheckReady(t.Addr, readyFor/10); err != nil {
 			return nil, fmt.Errorf("proxy at %s: %w", t.Addr, err)
 		}
-		t.Found()
+		t.MarkReady()
 	}
 	watching, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() { front.Watch(watching); close(ended) }()
 	defer func() { stop(); <-ended }()
-	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), seed), Tariffs: f.Classes, Clients: loadgen.Clients(s.Clients), Front: front, Seen: sc, Seed: seed}
+	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), seed), Classes: f.Classes, Clients: loadgen.Clients(s.Clients), Proxies: front, Observer: sc, Seed: seed}
 	for _, c := range s.Customers {
-		d.Customers = append(d.Customers, c.Name)
+		d.Tenants = append(d.Tenants, c.Name)
 	}
 	began := time.Now()
 	d.Run(ctx, began.Add(settleFor))
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Sent notes a try that a proxy took, and numbers it.
+// RequestSent notes a try that a proxy took, and numbers it.
 func (a *Audit) Sent(class int, hardStop float64) int {
 	a.tries = append(a.tries, tried{tariff: uint16(class), hardStop: hardStop})
 	return len(a.tries) - 1
@@ -126,7 +126,7 @@
 	}
 }
 
-// Lost notes that a proxy ended a try with no answer.
+// RequestLost notes that a proxy ended a try with no answer.
 func (a *Audit) Lost(now float64, try int) {
 	t := &a.tries[try]
 	a.breach(1, now, "try %d of %s: lost", try, a.tariffs[t.tariff].Name)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -79,7 +79,7 @@
 func (st *stage) drain(i int, lasts time.Duration) error {
 	up := func(want bool, within time.Duration) error {
 		for end := time.Now().Add(within); ; time.Sleep(readyEach) {
-			if (loadgen.Ready(st.addrs[i], readyEach*5) == nil) == want {
+			if (loadgen.CheckReady(st.addrs[i], readyEach*5) == nil) == want {
 				return nil
 			}
 			if time.Now().After(end) || st.ctx.Err() != nil {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -142,10 +142,10 @@
 
 // Clients is how clients take what they are told.
 type Clients struct {
-	Tries    int     `toml:"tries"`
-	Backoff  float64 `toml:"backoff"`
-	Patience float64 `toml:"patience"`
-	Marked   bool    `toml:"marked"`
+	MaxRequests  int     `toml:"tries"`
+	Backoff      float64 `toml:"backoff"`
+	Patience     float64 `toml:"patience"`
+	MarksRetries bool    `toml:"marked"`
 }
 
 // Trouble is something that happens to servers, proxies or the list.
@@ -218,7 +218,7 @@
 	or(&d.ColdFor, 1)
 	or(&d.FallMultiple, 3)
 	or(&d.FallFor, 1)
-	or(&s.Clients.Tries, 1)
+	or(&s.Clients.MaxRequests, 1)
 	or(&s.Clients.Backoff, .1)
 	or(&s.Clients.Patience, 1)
 	or(&s.Match.Seconds, .5)
@@ -260,7 +260,7 @@
 var (
 	kinds  = map[string]balance.Idempotency{"replayable": balance.Idempotent, "referenced": balance.Keyed, "single-use": balance.NonIdempotent}
 	scopes = map[string]balance.DedupScope{"": 0, "all": balance.DedupAll, "zone": balance.DedupZone, "pod": balance.DedupPod}
-	shapes = map[string]loadgen.Shape{"steady": loadgen.Steady, "ramp": loadgen.Ramp, "bursts": loadgen.Bursts, "deadline": loadgen.Deadline}
+	shapes = map[string]loadgen.Shape{"steady": loadgen.Steady, "ramp": loadgen.Ramp, "bursts": loadgen.Bursts, "deadline": loadgen.DeadlineRush}
 )
 
 // bounds is a field with what it may be.
@@ -295,7 +295,7 @@
 			bounds{"fall_multiple", d.FallMultiple, .1, 1000}, bounds{"fall_for", d.FallFor, 0, 600}),
 		s.within("keys", 0, bounds{"count", float64(s.Keys.Count), 0, keysMost}, bounds{"skew", s.Keys.Skew, 0, 5}),
 		s.within("arrivals", 0, bounds{"rate", s.Arrivals.Rate, tiny, rateMost}),
-		s.within("clients", 0, bounds{"tries", float64(s.Clients.Tries), 1, 100}, bounds{"backoff", s.Clients.Backoff, 0, 600},
+		s.within("clients", 0, bounds{"tries", float64(s.Clients.MaxRequests), 1, 100}, bounds{"backoff", s.Clients.Backoff, 0, 600},
 			bounds{"patience", s.Clients.Patience, .01, 1}),
 		s.within("match", 0, bounds{"seconds", s.Match.Seconds, 0, 60}, bounds{"share", s.Match.Share, 0, 1}))
 	for _, step := range []func() error{s.checkTariffs, s.checkServers, s.checkPhases, s.checkTroubles} {
@@ -534,16 +534,16 @@
 }
 
 // Mix is what its clients ask.
-func (s *Scenario) Mix() loadgen.Mix {
-	m := loadgen.Mix{Rate: s.Arrivals.Rate, For: s.Seconds, Keys: s.Keys.Count, Skew: s.Keys.Skew}
+func (s *Scenario) Mix() loadgen.Workload {
+	m := loadgen.Workload{Rate: s.Arrivals.Rate, Duration: s.Seconds, KeyCount: s.Keys.Count, ZipfExponent: s.Keys.Skew}
 	for _, p := range s.Arrivals.Phases {
-		m.Phases = append(m.Phases, loadgen.Phase{At: p.At, For: p.For, Shape: shapes[p.Shape], Times: p.Times, Every: p.Every, Lasts: p.Lasts})
+		m.Phases = append(m.Phases, loadgen.Phase{At: p.At, Duration: p.For, Shape: shapes[p.Shape], Factor: p.Times, BurstInterval: p.Every, BurstDuration: p.Lasts})
 	}
 	for _, t := range s.Tariffs {
-		m.Tariffs = append(m.Tariffs, loadgen.Asked{Share: t.Share, Work: t.Work, Spread: t.Spread, Keyed: t.Keyed})
+		m.Classes = append(m.Classes, loadgen.ClassLoad{Weight: t.Share, Work: t.Work, WorkVariation: t.Spread, KeyedFraction: t.Keyed})
 	}
 	for _, c := range s.Customers {
-		m.Customers = append(m.Customers, c.Share)
+		m.TenantWeights = append(m.TenantWeights, c.Share)
 	}
 	return m
 }
--- a/internal/simulation/score.go
+++ b/internal/simulation/score.go
@@ -47,27 +47,27 @@
 	call(now, now-s.start)
 }
 
-func (s *score) Asked(in *loadgen.Intent) {
+func (s *score) IntentDue(in *loadgen.Intent) {
 	s.locked(func(_, _ float64) { s.tally.asked(in.At, in) })
 }
 
-func (s *score) Sent(in *loadgen.Intent, late float64) (try int) {
+func (s *score) RequestSent(in *loadgen.Intent, late float64) (try int) {
 	s.locked(func(now, _ float64) {
 		s.tally.Tries++
 		s.tally.late.RecordValue(max(int64(late*1e6), 0))
-		try = s.audit.Sent(in.Tariff, now+s.tally.tariffs[in.Tariff].Deadline)
+		try = s.audit.Sent(in.Class, now+s.tally.tariffs[in.Class].Deadline)
 	})
 	return try
 }
 
-func (s *score) Honoured(try int, in *loadgen.Intent, took, whole float64) {
+func (s *score) RequestSucceeded(try int, in *loadgen.Intent, took, whole float64) {
 	s.locked(func(now, at float64) {
 		s.audit.Answered(now, try, balance.NoReply)
 		s.tally.honoured(at, in, took, whole)
 	})
 }
 
-func (s *score) Failed(try int, answer balance.Reply, wrong bool) {
+func (s *score) RequestFailed(try int, answer balance.Reply, wrong bool) {
 	s.locked(func(now, at float64) {
 		s.audit.Answered(now, try, answer)
 		s.tally.failed(at, answer)
@@ -77,14 +77,14 @@
 	})
 }
 
-func (s *score) Spoilt(try int) {
+func (s *score) ResponseCorrupt(try int) {
 	s.locked(func(now, _ float64) {
 		s.audit.Lost(now, try)
 		s.tally.Mismatched++
 	})
 }
 
-func (s *score) Lost(try int, withProxy bool) {
+func (s *score) RequestLost(try int, withProxy bool) {
 	s.locked(func(now, at float64) {
 		s.tally.now(at).Lost++
 		if withProxy {
@@ -97,16 +97,16 @@
 	})
 }
 
-func (s *score) Late(try int) { s.Lost(try, false) }
+func (s *score) RequestTimedOut(try int) { s.RequestLost(try, false) }
 
-func (s *score) Left(try int) {
+func (s *score) ClientGone(try int) {
 	s.locked(func(now, _ float64) {
 		s.audit.Left(now, try)
 		s.tally.Gone++
 	})
 }
 
-func (s *score) Unreached() { s.locked(func(_, _ float64) { s.tally.Unreached++ }) }
+func (s *score) NoProxy() { s.locked(func(_, _ float64) { s.tally.Unreached++ }) }
 
 func (s *score) Reached(now float64, id string, proxy, member, group int) {
 	try, err := strconv.Atoi(id)
--- a/internal/simulation/sockets.go
+++ b/internal/simulation/sockets.go
@@ -48,7 +48,7 @@
 	s       *Scenario
 	o       *Sockets
 	yard    *fakeserver.Yard
-	front   *loadgen.Front
+	front   *loadgen.RoundRobin
 	score   *score
 	dir     string
 	addrs   []string
@@ -121,9 +121,9 @@
 		}
 		st.doorsOf = append(st.doorsOf, doors)
 	}
-	st.front = loadgen.NewFront(st.doors)
+	st.front = loadgen.NewRoundRobin(st.doors)
 	for i, t := range st.front.Targets {
-		t.Probe = st.addrs[i]
+		t.ReadyAddr = st.addrs[i]
 	}
 	defer st.front.Close()
 	for range st.addrs {
@@ -197,7 +197,7 @@
 	}
 	end := time.Now().Add(wait)
 	for i, p := range st.proxies {
-		for loadgen.Ready(st.addrs[i], readyEach*5) != nil {
+		for loadgen.CheckReady(st.addrs[i], readyEach*5) != nil {
 			select {
 			case <-p.ended:
 				return fmt.Errorf("proxy %d ended before it was up: %s", i+1, p.tail())
@@ -209,7 +209,7 @@
 				return fmt.Errorf("proxy %d is not up after %v: %s", i+1, wait, p.tail())
 			}
 		}
-		st.front.Targets[i].Found()
+		st.front.Targets[i].MarkReady()
 	}
 	return nil
 }
@@ -250,10 +250,10 @@
 			}
 		}
 	})
-	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), st.o.Seed), Tariffs: st.score.tally.tariffs, Clients: loadgen.Clients(s.Clients),
-		Front: st.front, Seen: st.score, Seed: st.o.Seed, Ordinary: s.Ordinary()}
+	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Mix(), st.o.Seed), Classes: st.score.tally.tariffs, Clients: loadgen.Clients(s.Clients),
+		Proxies: st.front, Observer: st.score, Seed: st.o.Seed, PlainHTTP: s.Ordinary()}
 	for _, c := range s.Customers {
-		d.Customers = append(d.Customers, c.Name)
+		d.Tenants = append(d.Tenants, c.Name)
 	}
 	d.Run(st.ctx, start)
 }
@@ -282,7 +282,7 @@
 		case Kill, Restart:
 			work.Go(func() {
 				if h.Proxy == Kill {
-					st.front.Targets[i].Killed()
+					st.front.Targets[i].MarkKilled()
 					st.stop(i, syscall.SIGKILL)
 					time.Sleep(seconds(h.Value))
 				} else {
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -141,8 +141,8 @@
 
 func (t *tally) asked(at float64, in *loadgen.Intent) {
 	t.Lookups++
-	t.Tariffs[in.Tariff].Lookups++
-	t.worth[in.Tariff] += t.tariffs[in.Tariff].PriorityWeight
+	t.Tariffs[in.Class].Lookups++
+	t.worth[in.Class] += t.tariffs[in.Class].PriorityWeight
 	t.now(at).Asked++
 }
 
@@ -151,17 +151,17 @@
 	t.Honoured++
 	us := int64(took * 1e6)
 	t.times.RecordValue(us)
-	t.by[in.Tariff].RecordValue(us)
+	t.by[in.Class].RecordValue(us)
 	t.second.RecordValue(us)
-	row := &t.tariffs[in.Tariff]
+	row := &t.tariffs[in.Class]
 	due := row.LatencyObjective
 	if due == 0 {
 		due = row.Deadline
 	}
 	if whole <= due {
 		t.InTime++
-		t.Tariffs[in.Tariff].InTime++
-		t.gained[in.Tariff] += row.PriorityWeight
+		t.Tariffs[in.Class].InTime++
+		t.gained[in.Class] += row.PriorityWeight
 		t.now(at).InTime++
 	} else {
 		t.Late++
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -298,7 +298,7 @@
 func (v *virtual) try(in loadgen.Intent, n int) {
 	i := slot(&v.tries, &v.freeTry)
 	t := &v.tries[i]
-	row := &v.figures.Classes[in.Tariff]
+	row := &v.figures.Classes[in.Class]
 	*t = try{in: in, n: n, gen: t.gen + 1, legs: t.legs[:0], sent: v.now, hardStop: v.now + row.Deadline, proxy: -1, used: true}
 	t.leaves = v.now + row.Deadline*v.clients.Patience
 	v.take(i)
@@ -325,14 +325,14 @@
 	}
 	p := v.proxies[t.proxy]
 	p.open++
-	t.id = v.audit.Sent(t.in.Tariff, t.hardStop)
+	t.id = v.audit.Sent(t.in.Class, t.hardStop)
 	v.tally.Tries++
 	v.agenda.add(event{at: t.leaves, what: evStop, a: i, gen: t.gen})
-	a := balance.RequestInfo{Ref: int(i), Class: t.in.Tariff, Tenant: t.in.Customer, Deadline: t.hardStop, ClientRetry: t.n > 1 && v.clients.Marked}
+	a := balance.RequestInfo{Ref: int(i), Class: t.in.Class, Tenant: t.in.Tenant, Deadline: t.hardStop, ClientRetry: t.n > 1 && v.clients.MarksRetries}
 	if t.in.Key > 0 {
 		a.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
 	}
-	t.pool = v.pool(t.in.Tariff)
+	t.pool = v.pool(t.in.Class)
 	handle, orders := p.pools[t.pool].RequestArrived(v.now, a)
 	v.tries[i].handle = handle
 	v.carry(t.proxy, t.pool, orders)
@@ -379,14 +379,14 @@
 
 // again has a client try again, or not.
 func (v *virtual) again(t *try, answer balance.Reply, advice float64) {
-	after, ok := v.clients.Again(t.n, v.figures.Classes[t.in.Tariff].Idempotency, answer, advice, v.chance)
+	after, ok := v.clients.RetryDelay(t.n, v.figures.Classes[t.in.Class].Idempotency, answer, advice, v.chance)
 	if !ok || v.now+after > epoch+v.s.Seconds {
 		return
 	}
 	in, n := t.in, t.n+1
 	i := slot(&v.tries, &v.freeTry)
 	again := &v.tries[i]
-	row := &v.figures.Classes[in.Tariff]
+	row := &v.figures.Classes[in.Class]
 	at := v.now + wire + after
 	*again = try{in: in, n: n, gen: again.gen + 1, legs: again.legs[:0], sent: at, hardStop: at + row.Deadline, proxy: -1, used: true,
 		leaves: at + row.Deadline*v.clients.Patience}
@@ -438,9 +438,9 @@
 		m.Receive(v.now, emulator.Job{Ref: int(g)})
 		return
 	}
-	row := &v.figures.Classes[t.in.Tariff]
-	j := emulator.Job{Ref: int(g), Class: t.in.Tariff, Work: l.work, Key: t.in.Key}
-	group := marks(*row, t.in.Tariff, m, v.zones[m.Zone])
+	row := &v.figures.Classes[t.in.Class]
+	j := emulator.Job{Ref: int(g), Class: t.in.Class, Work: l.work, Key: t.in.Key}
+	group := marks(*row, t.in.Class, m, v.zones[m.Zone])
 	if group >= 0 {
 		j.DedupKey, j.DedupWindow, j.DedupGroup = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.DedupGroup(group)
 	}
