--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -16,35 +16,43 @@
 )
 
 const (
-	beat     = 2 * time.Second // between empty lines of a watch in which nothing changes
-	muteTold = 6 * time.Second // from a watch's falling silent to when what it misses counts as told
+	keepAliveInterval = 2 * time.Second // between empty lines of a watch in which nothing changes
+	// muteNotifiedDelay is from MuteWatches to when what the watches miss counts as notified.
+	muteNotifiedDelay = 6 * time.Second
 )
 
-// Agent tells one proxy the list, over discovery's protocol.
+// Agent is the discovery agent of one proxy. Its methods are safe for concurrent use.
 type Agent struct {
-	y     *Yard
+	group *ServerGroup
 	proxy int
 	ln    net.Listener
 
-	mu      sync.Mutex
-	version int64
-	due     time.Time // when the last change may be told
-	silent  time.Time // nothing is told until then
-	muted   time.Time // what open watches missed counts as told from then on
-	late    time.Duration
-	lateTo  time.Time
-	news    chan struct{}     // closed when there is something new
-	conns   map[net.Conn]bool // whether it is silent for good
-	closed  bool
+	mu          sync.Mutex
+	version     int64
+	notifyAt    time.Time // when the last change may be sent
+	silentUntil time.Time
+	mutedUntil  time.Time // when what muted watches missed counts as notified
+	delay       time.Duration
+	delayUntil  time.Time
+	changed     chan struct{}     // closed at the next change
+	conns       map[net.Conn]bool // whether the watch is muted
+	closed      bool
 }
 
-func (y *Yard) agent(proxy int) (*Agent, error) {
-	ln, err := y.listen()
+func (g *ServerGroup) newAgent(proxy int) (*Agent, error) {
+	ln, err := g.ports.listen()
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{y: y, proxy: proxy, ln: ln, news: make(chan struct{}), conns: map[net.Conn]bool{}, version: y.Fleet.Version}
-	y.work.Add(1)
+	a := &Agent{
+		group:   g,
+		proxy:   proxy,
+		ln:      ln,
+		changed: make(chan struct{}),
+		conns:   map[net.Conn]bool{},
+		version: g.Fleet.Version,
+	}
+	g.work.Add(1)
 	go a.accept()
 	return a, nil
 }
@@ -52,32 +60,33 @@
 // Addr is where it listens.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
-// Silence lets it say nothing for so long.
+// Silence makes the agent send nothing for a duration.
 func (a *Agent) Silence(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent = time.Now().Add(d)
+	a.silentUntil = time.Now().Add(d)
 }
 
-// Delay lets what changes within a time be told so much later.
-func (a *Agent) Delay(d, within time.Duration) {
+// Delay delays the notification of what changes within a time from now.
+func (a *Agent) Delay(delay, within time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.late, a.lateTo = d, time.Now().Add(within)
+	a.delay = delay
+	a.delayUntil = time.Now().Add(within)
 }
 
-// Mute has every open watch say nothing more, for good.
-func (a *Agent) Mute() {
+// MuteWatches makes every open watch send nothing more, for good.
+func (a *Agent) MuteWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.muted = time.Now().Add(muteTold)
+	a.mutedUntil = time.Now().Add(muteNotifiedDelay)
 	for nc := range a.conns {
 		a.conns[nc] = true
 	}
 }
 
-// Cut ends every watch, as a network does that loses them.
-func (a *Agent) Cut() {
+// CloseWatches ends every watch, as a network does that loses their connections.
+func (a *Agent) CloseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for nc := range a.conns {
@@ -93,47 +102,55 @@
 	for nc := range a.conns {
 		nc.Close()
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	a.wakeWatches()
+}
+
+// wakeWatches wakes every watch. The caller holds the agent's lock.
+func (a *Agent) wakeWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// changed notes a change of the list.
-func (a *Agent) changed(version int64, now time.Time) {
+// listChanged records a change of the list.
+func (a *Agent) listChanged(version int64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.version, a.due = version, now.Add(listLag)
-	if now.Before(a.lateTo) {
-		a.due = a.due.Add(a.late)
+	a.version = version
+	a.notifyAt = now.Add(listDelay)
+	if now.Before(a.delayUntil) {
+		a.notifyAt = a.notifyAt.Add(a.delay)
 	}
-	close(a.news)
-	a.news = make(chan struct{})
-	time.AfterFunc(time.Until(a.due), func() { a.has(version) })
+	a.wakeWatches()
+	time.AfterFunc(time.Until(a.notifyAt), func() { a.markNotified(version) })
 }
 
-// has notes that what the list said at a version counts as told: the agent has it, whether or not anybody watches. While it is silent
-// it learns nothing.
-func (a *Agent) has(version int64) {
+// markNotified records that the proxy counts as notified of the list at a version, whether or not it watches. While the
+// agent is silent this is put off.
+func (a *Agent) markNotified(version int64) {
 	a.mu.Lock()
-	wait, closed := max(time.Until(a.silent), time.Until(a.muted)), a.closed
+	wait := max(time.Until(a.silentUntil), time.Until(a.mutedUntil))
+	closed := a.closed
 	a.mu.Unlock()
-	switch {
-	case closed:
-	case wait > 0:
-		time.AfterFunc(wait, func() { a.has(version) })
-	default:
-		a.y.mu.Lock()
-		defer a.y.mu.Unlock()
-		now := a.y.Now()
-		for i, m := range a.y.Fleet.Members[:len(a.y.owners)] {
-			if m.State != balance.Ready && !m.ChangedAfter(version) {
-				a.y.sight.Told(now, a.proxy, i)
-			}
+	if closed {
+		return
+	}
+	if wait > 0 {
+		time.AfterFunc(wait, func() { a.markNotified(version) })
+		return
+	}
+	g := a.group
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := g.Now()
+	for i, m := range g.Fleet.Members[:g.members] {
+		if m.State != balance.Ready && !m.ChangedAfter(version) {
+			g.observer.ProxyNotified(now, a.proxy, i)
 		}
 	}
 }
 
 func (a *Agent) accept() {
-	defer a.y.work.Done()
+	defer a.group.work.Done()
 	for {
 		nc, err := a.ln.Accept()
 		if err != nil {
@@ -145,95 +162,121 @@
 		}
 		a.conns[nc] = false
 		a.mu.Unlock()
-		a.y.work.Add(1)
+		a.group.work.Add(1)
 		go a.serve(nc)
 	}
 }
 
 func (a *Agent) serve(nc net.Conn) {
-	defer a.y.work.Done()
-	defer func() {
-		a.mu.Lock()
-		delete(a.conns, nc)
-		a.mu.Unlock()
-		nc.Close()
-	}()
+	defer a.group.work.Done()
+	defer a.end(nc)
 	r := http1.NewReader(nc)
-	h, err := r.Request()
+	head, err := r.Request()
 	if err != nil {
 		return
 	}
-	path, query, _ := strings.Cut(string(h.Target), "?")
+	path, query, _ := strings.Cut(string(head.Target), "?")
 	if path != "/discovery/hosts" {
 		fmt.Fprint(nc, "HTTP/1.1 404 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return
 	}
-	from, stream := int64(-1), false
-	for part := range strings.SplitSeq(query, "&") {
-		stream = stream || part == "stream=1"
-		if v, ok := strings.CutPrefix(part, "index="); ok {
-			if from, err = strconv.ParseInt(v, 10, 64); err != nil {
-				from = -1
-			}
-		}
-	}
 	gone := make(chan struct{})
 	go func() { // ends with the connection
-		r.Wait()
-		close(gone)
+		defer close(gone)
+		_ = r.Wait() // any error means that the proxy has gone
 	}()
-	if !a.hush(gone) {
+	if !a.waitSilence(gone) {
 		return
 	}
-	if !stream {
-		text, _ := a.list(-1)
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	stream, version := parseQuery(query)
+	if stream {
+		a.stream(nc, version, gone)
 		return
 	}
+	text, _ := a.listAfter(-1)
+	const answerHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n"
+	fmt.Fprintf(nc, answerHead+"Content-Length: %d\r\n\r\n%s", len(text), text)
+}
+
+func (a *Agent) end(nc net.Conn) {
+	a.mu.Lock()
+	delete(a.conns, nc)
+	a.mu.Unlock()
+	nc.Close()
+}
+
+// parseQuery tells whether a query asks for a stream, and after which version; -1: from the start.
+func parseQuery(query string) (stream bool, version int64) {
+	version = -1
+	for part := range strings.SplitSeq(query, "&") {
+		stream = stream || part == "stream=1"
+		text, ok := strings.CutPrefix(part, "index=")
+		if !ok {
+			continue
+		}
+		var err error
+		if version, err = strconv.ParseInt(text, 10, 64); err != nil {
+			version = -1
+		}
+	}
+	return stream, version
+}
+
+// stream serves a watch: a line for each change after a version, and empty ones between them, until the proxy has gone.
+func (a *Agent) stream(nc net.Conn, version int64, gone chan struct{}) {
 	fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for first := true; ; first = false {
 		a.mu.Lock()
-		news, version, due := a.news, a.version, a.due
+		changed, latest, notifyAt := a.changed, a.version, a.notifyAt
 		a.mu.Unlock()
 		line := "\n"
-		if version > from || first {
-			if !a.wait(time.Until(due), gone) || !a.hush(gone) {
+		if latest > version || first {
+			if !a.sleep(time.Until(notifyAt), gone) || !a.waitSilence(gone) {
 				return
 			}
-			if text, now := a.list(from); text != "" {
-				line, from = text+"\n", now
+			if text, now := a.listAfter(version); text != "" {
+				line, version = text+"\n", now
 			}
 		}
-		a.mu.Lock()
-		mute := a.conns[nc]
-		a.mu.Unlock()
-		if mute {
+		if a.muted(nc) {
 			<-gone
 			return
 		}
 		if _, err := fmt.Fprintf(nc, "%x\r\n%s\r\n", len(line), line); err != nil {
 			return
 		}
-		a.mu.Lock()
-		fresh := a.version > from
-		a.mu.Unlock()
-		if fresh {
-			continue
-		}
-		select {
-		case <-news:
-		case <-gone:
+		if !a.waitChange(version, changed, gone) {
 			return
-		case <-time.After(beat):
-			if !a.hush(gone) {
-				return
-			}
 		}
 	}
 }
 
-// wait sleeps so long, unless the watch ends.
-func (a *Agent) wait(d time.Duration, gone chan struct{}) bool {
+func (a *Agent) muted(nc net.Conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.conns[nc]
+}
+
+// waitChange waits for a change after a version or for the next keep-alive, and reports false once the proxy has gone.
+func (a *Agent) waitChange(version int64, changed, gone chan struct{}) bool {
+	a.mu.Lock()
+	newer := a.version > version
+	a.mu.Unlock()
+	if newer {
+		return true
+	}
+	select {
+	case <-changed:
+		return true
+	case <-gone:
+		return false
+	case <-time.After(keepAliveInterval):
+		return a.waitSilence(gone)
+	}
+}
+
+// sleep waits, and reports false if the proxy or the group has gone meanwhile.
+func (a *Agent) sleep(d time.Duration, gone chan struct{}) bool {
 	if d <= 0 {
 		return true
 	}
@@ -241,61 +284,70 @@
 	case <-time.After(d):
 		return true
 	case <-gone:
-	case <-a.y.quit:
+	case <-a.group.quit:
 	}
 	return false
 }
 
-// hush waits until it may speak.
-func (a *Agent) hush(gone chan struct{}) bool {
+// waitSilence waits until the agent is not silent, and reports false if the proxy or the group has gone meanwhile.
+func (a *Agent) waitSilence(gone chan struct{}) bool {
 	for {
 		a.mu.Lock()
-		d := time.Until(a.silent)
+		d := time.Until(a.silentUntil)
 		a.mu.Unlock()
 		if d <= 0 {
 			return true
 		}
-		if !a.wait(d, gone) {
+		if !a.sleep(d, gone) {
 			return false
 		}
 	}
 }
 
-// List is the whole list as the proxy would be told it now.
+// List is the complete list as the proxy would get it now.
 func (a *Agent) List() json.RawMessage {
-	text, _ := a.list(-1)
+	text, _ := a.listAfter(-1)
 	return json.RawMessage(text)
 }
 
-// list is what changed after a version, all for -1, and the version it makes. What it says counts as told.
-func (a *Agent) list(from int64) (string, int64) {
-	out := discovery.List{Full: from < 0}
-	y := a.y
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	out.Version = y.Fleet.Version
-	now := y.Now()
-	for i, m := range y.Fleet.Members[:len(y.owners)] {
-		if !m.ChangedAfter(from) || out.Full && m.State == balance.Removed {
+// listAfter is what changed after a version, all for -1, and the version that this leads to. The proxy counts as
+// notified of it.
+func (a *Agent) listAfter(version int64) (string, int64) {
+	g := a.group
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	list := discovery.List{Full: version < 0, Version: g.Fleet.Version}
+	now := g.Now()
+	for i, m := range g.Fleet.Members[:g.members] {
+		if !m.ChangedAfter(version) || list.Full && m.State == balance.Removed {
 			continue
 		}
-		e := discovery.Entry{Addr: y.slots[m.AddressIndex].doors[a.proxy].addr}
-		e.Name, e.ZoneName, e.ModelName, e.Pod, e.State, e.Cores = m.Name, m.Zone, m.Model, m.Pod, m.State, 1
-		e.StartedAt = math.Trunc(m.StartedAt()*1000) / 1000
-		out.Entries = append(out.Entries, e)
+		entry := discovery.Entry{Addr: g.addresses[m.AddressIndex].listeners[a.proxy].addr}
+		entry.Name = m.Name
+		entry.ZoneName = m.Zone
+		entry.ModelName = m.Model
+		entry.Pod = m.Pod
+		entry.State = m.State
+		entry.Cores = 1
+		entry.StartedAt = math.Trunc(m.StartedAt()*1000) / 1000
+		list.Entries = append(list.Entries, entry)
 		if m.State != balance.Ready {
-			y.sight.Told(now, a.proxy, i)
+			g.observer.ProxyNotified(now, a.proxy, i)
 		}
 	}
-	if from >= out.Version {
-		return "", from
+	if version >= list.Version {
+		return "", version
 	}
-	text, err := json.Marshal(out)
-	if err == nil && y.Indent {
+	return marshalList(list, g.IndentLists), list.Version
+}
+
+func marshalList(list discovery.List, indent bool) string {
+	text, err := json.Marshal(list)
+	if err == nil && indent {
 		text, err = json.MarshalIndent(json.RawMessage(text), "", "  ")
 	}
 	if err != nil {
-		panic(err) // of plain numbers and strings
+		panic(err) // a list of plain numbers and strings cannot fail
 	}
-	return string(text), out.Version
+	return string(text)
 }
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net"
+	"net/http"
 	"os"
 	"strconv"
 	"strings"
@@ -15,195 +16,228 @@
 	"lockloom/internal/settings"
 )
 
-const answerFor = 5 * time.Second // for an answer to be taken
+const (
+	writeTimeout = 5 * time.Second // of an answer
+	noJob        = -1
+)
 
-// conn is a proxy's connection to a server.
+// conn is a proxy's connection to a server. It serves one request at a time.
 type conn struct {
-	y      *Yard
-	nc     *net.TCPConn
-	proxy  int
-	member int
-	ends   chan emulator.Completion
-
-	// Under the yard's lock.
-	id  string
-	job int // its number; -1: none
+	group       *ServerGroup
+	nc          *net.TCPConn
+	proxy       int
+	member      int
+	completions chan emulator.Completion // of its jobs
+
+	// Under the group's lock.
+	id  string // of the request in work
+	job int    // its Ref, or noJob
 }
 
-// accept takes connections of one proxy to the server that is at a slot.
-func (y *Yard) accept(s *slot, d *entrance, ln *net.TCPListener, proxy int) {
-	defer y.work.Done()
+// accept accepts connections of one proxy to the server that is at an address, until the listener is closed.
+func (g *ServerGroup) accept(a *address, l *listener, ln *net.TCPListener, proxy int) {
+	defer g.work.Done()
 	for {
 		nc, err := ln.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			y.mu.Lock()
-			open := d.open
-			y.mu.Unlock()
-			if open != nil {
-				select {
-				case <-open:
-				case <-y.quit:
-					return
-				}
+			if !g.waitReachable(l) {
+				return
 			}
 			continue
 		}
 		if err != nil {
 			return
 		}
-		y.mu.Lock()
-		c := &conn{y: y, nc: nc, proxy: proxy, member: s.member, ends: make(chan emulator.Completion, 1), job: -1}
-		deaf := s.reach != emulator.Accepting
-		if !deaf {
-			s.conns[c] = true
-			y.work.Add(2)
-		}
-		y.mu.Unlock()
-		if deaf {
-			c.reset()
-			continue
-		}
-		go c.read(s)
-		go c.write()
+		g.serve(a, nc, proxy)
+	}
+}
+
+// waitReachable waits until a listener may accept again, and reports false at the end of the group.
+func (g *ServerGroup) waitReachable(l *listener) bool {
+	g.mu.Lock()
+	reachable := l.reachable
+	g.mu.Unlock()
+	if reachable == nil {
+		return true
+	}
+	select {
+	case <-reachable:
+		return true
+	case <-g.quit:
+		return false
+	}
+}
+
+// serve starts a connection's goroutines, or resets it if the server has become unreachable.
+func (g *ServerGroup) serve(a *address, nc *net.TCPConn, proxy int) {
+	g.mu.Lock()
+	c := &conn{
+		group:       g,
+		nc:          nc,
+		proxy:       proxy,
+		member:      a.member,
+		completions: make(chan emulator.Completion, 1),
+		job:         noJob,
 	}
+	accepting := a.reachability == emulator.Accepting
+	if accepting {
+		a.conns[c] = true
+		g.work.Add(2)
+	}
+	g.mu.Unlock()
+	if !accepting {
+		c.reset()
+		return
+	}
+	go c.read(a)
+	go c.write()
 }
 
-// reset ends a connection as a machine does that knows nothing of it.
+// reset ends a connection as a host does that knows nothing of it.
 func (c *conn) reset() {
-	c.nc.SetLinger(0)
-	c.nc.Close()
+	_ = c.nc.SetLinger(0) // fails only on a connection that is closed already
+	c.close()
 }
 
-// read takes requests in, one at a time, and notices that the proxy has gone.
-func (c *conn) read(s *slot) {
-	defer c.y.work.Done()
-	defer func() {
-		c.y.mu.Lock()
-		defer c.y.mu.Unlock()
-		delete(s.conns, c)
-		if c.job >= 0 {
-			c.y.jobs[c.job] = nil
-			dropped, ends := c.y.Fleet.Members[c.member].Abandon(c.y.Now(), c.job)
-			if dropped {
-				c.y.free = append(c.y.free, c.job)
-			}
-			c.job = -1
-			c.y.settle(c.member, ends)
-		}
-		close(c.ends)
-		c.nc.Close()
-	}()
+// close closes the connection; nobody can act on a failure.
+func (c *conn) close() { _ = c.nc.Close() }
+
+// read receives requests, one at a time, until the proxy has gone.
+func (c *conn) read(a *address) {
+	defer c.group.work.Done()
+	defer c.end(a)
 	r := http1.NewReader(c.nc)
 	for {
 		if r.Wait() != nil {
 			return
 		}
-		began := c.y.Now() // a send counts from its first byte
-		h, err := r.Request()
+		startedAt := c.group.Now() // an attempt counts from its first byte
+		head, err := r.Request()
 		if err != nil {
 			return
 		}
-		ask := c.y.ask(h)
-		if _, err := r.Body(h.Length, h.Chunked); err != nil {
+		request := c.group.parse(head)
+		if _, err := r.Body(head.Length, head.Chunked); err != nil {
 			return
 		}
-		if ask.status != 0 {
-			fmt.Fprintf(c.nc, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", ask.status)
+		if !request.known {
+			fmt.Fprintf(c.nc, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", http.StatusNotFound)
 			continue
 		}
-		c.take(began, ask)
+		c.receive(startedAt, request)
 	}
 }
 
-// asked is what a request says of its request.
-type asked struct {
-	lookup Lookup
-	id     string
-	key    uint64
-	mark   uint64
-	work   float64
-	status int // not 0: it cannot be served
+// end takes the connection out of the group and abandons its job.
+func (c *conn) end(a *address) {
+	g := c.group
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(a.conns, c)
+	if c.job != noJob {
+		g.jobs.abandon(c.job)
+		dropped, completions := g.Fleet.Members[c.member].Abandon(g.Now(), c.job)
+		if dropped {
+			g.jobs.release(c.job)
+		}
+		c.job = noJob
+		g.reconcile(c.member, completions)
+	}
+	close(c.completions)
+	c.close()
 }
 
-func (y *Yard) ask(h *http1.Head) asked {
-	path, query, _ := strings.Cut(string(h.Target), "?")
+// request is what a server reads of a request.
+type request struct {
+	known    bool // its class is known and it has an id
+	class    RequestClass
+	id       string
+	key      uint64 // cache-affine
+	dedupKey uint64
+	work     float64
+}
+
+func (g *ServerGroup) parse(head *http1.Head) request {
+	path, query, _ := strings.Cut(string(head.Target), "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	a := asked{id: string(h.Get("X-Trace-Id"))}
-	var known bool
-	if a.lookup, known = y.lookups[name]; !known || a.id == "" {
-		a.status = 404
-		return a
+	id := string(head.Get("X-Trace-Id"))
+	class, known := g.classes[name]
+	if !known || id == "" {
+		return request{}
 	}
-	a.work = a.lookup.Work
-	if w, err := strconv.ParseFloat(string(h.Get("X-Work")), 64); err == nil && w > 0 {
-		a.work = w
+	r := request{known: true, class: class, id: id, work: class.Work}
+	if work, err := strconv.ParseFloat(string(head.Get("X-Work")), 64); err == nil && work > 0 {
+		r.work = work
 	}
 	for part := range strings.SplitSeq(query, "&") {
 		if key, ok := strings.CutPrefix(part, "user="); ok {
-			a.key = settings.NameHash(key)
+			r.key = settings.NameHash(key)
 		}
 	}
-	a.mark = settings.NameHash(string(h.Get("Idempotency-Key")))
-	return a
+	r.dedupKey = settings.NameHash(string(head.Get("Idempotency-Key")))
+	return r
 }
 
-// take hands a whole request to the server.
-func (c *conn) take(began float64, a asked) {
-	y := c.y
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	m := y.Fleet.Members[c.member]
-	now := y.Now()
-	group := a.lookup.Marks(m)
-	j := emulator.Job{Class: a.lookup.Number, Work: a.work, Key: a.key}
-	if group >= 0 {
-		j.DedupKey, j.DedupWindow, j.DedupGroup = a.mark, a.lookup.Window, y.Fleet.DedupGroup(group)
-	}
-	if n := len(y.free); n > 0 {
-		j.Ref, y.free = y.free[n-1], y.free[:n-1]
-		y.jobs[j.Ref] = c
-	} else {
-		j.Ref = len(y.jobs)
-		y.jobs = append(y.jobs, c)
-	}
-	c.job, c.id = j.Ref, a.id
-	unheard := m.Unreceived
+// receive gives a complete request to the server.
+func (c *conn) receive(startedAt float64, r request) {
+	g := c.group
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	m := g.Fleet.Members[c.member]
+	now := g.Now()
+	dedupGroup := r.class.DedupGroup(m)
+	job := emulator.Job{Ref: g.jobs.add(c), Class: r.class.Number, Work: r.work, Key: r.key}
+	if dedupGroup >= 0 {
+		job.DedupKey = r.dedupKey
+		job.DedupWindow = r.class.DedupWindow
+		job.DedupGroup = g.Fleet.DedupGroup(dedupGroup)
+	}
+	c.job = job.Ref
+	c.id = r.id
+	unreceived := m.Unreceived
 	if m.Reachability() == emulator.Accepting {
-		y.sight.Reached(began, a.id, c.proxy, c.member, group)
+		g.observer.AttemptReceived(startedAt, r.id, c.proxy, c.member, dedupGroup)
 	}
-	ends := m.Receive(now, j)
-	if m.Unreceived > unheard { // lost on its way: no end will tell
-		y.jobs[j.Ref] = nil
-		y.free = append(y.free, j.Ref)
-		c.job = -1
+	completions := m.Receive(now, job)
+	if m.Unreceived > unreceived { // lost on its way: it has no completion
+		g.jobs.release(job.Ref)
+		c.job = noJob
 	}
-	y.settle(c.member, ends)
+	g.reconcile(c.member, completions)
 }
 
 // write sends the answers.
 func (c *conn) write() {
-	defer c.y.work.Done()
-	for end := range c.ends {
-		c.y.mu.Lock()
-		id := c.id
-		inWork, waiting, use := c.y.Fleet.Members[c.member].Load()
-		c.y.mu.Unlock()
-		var head string
-		switch end.Outcome {
-		case balance.Succeeded:
-			head = fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=%d, queue=%d, util=%.2f\r\nContent-Length: %d\r\n\r\n%s\n",
-				inWork+waiting, waiting, use, len(id)+1, id)
-		case balance.ServerError:
-			head = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
-		case balance.ServerRejected:
-			head = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-		default:
+	defer c.group.work.Done()
+	for completion := range c.completions {
+		id, answer := c.answer(completion)
+		if answer == "" {
 			c.reset()
 			continue
 		}
-		c.nc.SetWriteDeadline(time.Now().Add(answerFor))
-		if _, err := c.nc.Write([]byte(head)); err == nil && end.Outcome == balance.Succeeded {
-			c.y.sight.Served(id, end.Work)
+		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write reports the same failure
+		_, err := c.nc.Write([]byte(answer))
+		if err == nil && completion.Outcome == balance.Succeeded {
+			c.group.observer.AttemptServed(id, completion.Work)
 		}
 	}
 }
+
+// answer is the request's id and the response to it; an empty one resets the connection.
+func (c *conn) answer(completion emulator.Completion) (id, response string) {
+	c.group.mu.Lock()
+	id = c.id
+	running, queued, utilization := c.group.Fleet.Members[c.member].Load()
+	c.group.mu.Unlock()
+	switch completion.Outcome {
+	case balance.Succeeded:
+		load := fmt.Sprintf("inflight=%d, queue=%d, util=%.2f", running+queued, queued, utilization)
+		return id, fmt.Sprintf("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT %s\r\nContent-Length: %d\r\n\r\n%s\n",
+			load, len(id)+1, id)
+	case balance.ServerError:
+		return id, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
+	case balance.ServerRejected:
+		return id, "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+	}
+	return id, ""
+}
--- a/internal/simulation/alone.go
+++ b/internal/simulation/alone.go
@@ -75,18 +75,18 @@
 	Variables [][]string // for each proxy, what it needs in its environment
 
 	s    *Scenario
-	yard *fakeserver.Yard
+	yard *fakeserver.ServerGroup
 }
 
 // nobody takes note of nothing.
 type nobody struct{}
 
-func (nobody) Reached(float64, string, int, int, int) {}
-func (nobody) Turned(string)                          {}
-func (nobody) Listed(float64, int)                    {}
-func (nobody) Told(float64, int, int)                 {}
-func (nobody) Fell(float64, int)                      {}
-func (nobody) Served(string, float64)                 {}
+func (nobody) AttemptReceived(float64, string, int, int, int) {}
+func (nobody) AttemptRejected(string)                         {}
+func (nobody) MemberNotReady(float64, int)                    {}
+func (nobody) ProxyNotified(float64, int, int)                {}
+func (nobody) ServerCrashed(float64, int)                     {}
+func (nobody) AttemptServed(string, float64)                  {}
 
 // Stand puts them up, and writes a launch file for each proxy into a folder.
 func (s *Scenario) Stand(folder string, seed uint64) (*Standing, error) {
@@ -98,9 +98,9 @@
 	if err != nil {
 		return nil, err
 	}
-	yard.Indent = s.Deployment.Indented
+	yard.IndentLists = s.Deployment.Indented
 	st := &Standing{s: s, yard: yard}
-	addrs, err := yard.Ports(s.Bank.Proxies)
+	addrs, err := yard.FreeAddrs(s.Bank.Proxies)
 	for i := 0; err == nil && i < len(addrs); i++ {
 		name, file := "p"+strconv.Itoa(i+1), filepath.Join(folder, "p"+strconv.Itoa(i+1)+".json")
 		var text []byte
@@ -134,7 +134,7 @@
 		}
 		switch h.Proxy {
 		case NoTurn:
-			if err := st.yard.Do(h.Act); err != nil {
+			if err := st.yard.Apply(h.Act); err != nil {
 				return err
 			}
 		default:
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -115,7 +115,7 @@
 func (st *stage) ban(i, seat int, lasts time.Duration) error {
 	var id string
 	var member int
-	st.yard.Look(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
+	st.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
 	if err := st.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
--- a/internal/simulation/score.go
+++ b/internal/simulation/score.go
@@ -108,7 +108,7 @@
 
 func (s *score) NoProxy() { s.locked(func(_, _ float64) { s.tally.Unreached++ }) }
 
-func (s *score) Reached(now float64, id string, proxy, member, group int) {
+func (s *score) AttemptReceived(now float64, id string, proxy, member, group int) {
 	try, err := strconv.Atoi(id)
 	if err != nil {
 		try = -1
@@ -119,21 +119,21 @@
 	})
 }
 
-func (s *score) Turned(id string) {
+func (s *score) AttemptRejected(id string) {
 	if try, err := strconv.Atoi(id); err == nil {
 		s.locked(func(_, _ float64) { s.audit.Turned(try) })
 	}
 }
 
-func (s *score) Listed(now float64, member int) {
+func (s *score) MemberNotReady(now float64, member int) {
 	s.locked(func(_, _ float64) { s.audit.Listed(now, member) })
 }
 
-func (s *score) Told(now float64, proxy, member int) {
+func (s *score) ProxyNotified(now float64, proxy, member int) {
 	s.locked(func(_, _ float64) { s.audit.Told(now, proxy, member) })
 }
 
-func (s *score) Fell(now float64, member int) {
+func (s *score) ServerCrashed(now float64, member int) {
 	s.locked(func(_, at float64) {
 		s.audit.Fell(now, member)
 		s.tally.event(at, "!member "+strconv.Itoa(member)+" fell over")
@@ -141,7 +141,7 @@
 }
 
 // Served counts an answer's work as useful unless its client had been answered or had gone: only then does it reach one.
-func (s *score) Served(id string, work float64) {
+func (s *score) AttemptServed(id string, work float64) {
 	if try, err := strconv.Atoi(id); err == nil {
 		s.locked(func(now, _ float64) {
 			if try < len(s.audit.tries) && !s.audit.tries[try].answered {
--- a/internal/simulation/sockets.go
+++ b/internal/simulation/sockets.go
@@ -47,7 +47,7 @@
 type stage struct {
 	s       *Scenario
 	o       *Sockets
-	yard    *fakeserver.Yard
+	servers *fakeserver.ServerGroup
 	front   *loadgen.RoundRobin
 	score   *score
 	dir     string
@@ -104,18 +104,18 @@
 		return nil, err
 	}
 	defer yard.Close()
-	yard.Late, yard.Indent = st.score.slow.note, s.Deployment.Indented
-	st.yard = yard
-	if st.addrs, err = yard.Ports(s.Bank.Proxies); err != nil {
+	yard.OnLate, yard.IndentLists = st.score.slow.note, s.Deployment.Indented
+	st.servers = yard
+	if st.addrs, err = yard.FreeAddrs(s.Bank.Proxies); err != nil {
 		return nil, err
 	}
 	if st.doors = st.addrs; s.Ordinary() {
-		if st.doors, err = yard.Ports(s.Bank.Proxies); err != nil {
+		if st.doors, err = yard.FreeAddrs(s.Bank.Proxies); err != nil {
 			return nil, err
 		}
 	}
 	for range st.addrs {
-		doors, err := yard.Ports(2)
+		doors, err := yard.FreeAddrs(2)
 		if err != nil {
 			return nil, err
 		}
@@ -147,7 +147,7 @@
 	st.stopAll()
 	st.score.audit.Close(st.score.now())
 	var r *Result
-	yard.Look(func(f *emulator.Fleet) { r = st.score.tally.close(f, st.score.audit) })
+	yard.Inspect(func(f *emulator.Fleet) { r = st.score.tally.close(f, st.score.audit) })
 	for i := range st.addrs {
 		r.Peak = max(r.Peak, st.proxy(i).peak)
 	}
@@ -160,15 +160,15 @@
 }
 
 // Requests is what servers need to know of each class's.
-func (s *Scenario) Lookups() map[string]fakeserver.Lookup {
+func (s *Scenario) Lookups() map[string]fakeserver.RequestClass {
 	zones := map[string]int{}
 	for i, z := range s.zones() {
 		zones[z] = i
 	}
-	all := map[string]fakeserver.Lookup{}
+	all := map[string]fakeserver.RequestClass{}
 	for i, t := range s.Figures(0).Classes {
-		all[t.Name] = fakeserver.Lookup{Number: i, Work: s.Tariffs[i].Work, Window: t.DedupWindow,
-			Marks: func(m *emulator.Member) int { return marks(t, i, m, zones[m.Zone]) }}
+		all[t.Name] = fakeserver.RequestClass{Number: i, Work: s.Tariffs[i].Work, DedupWindow: t.DedupWindow,
+			DedupGroup: func(m *emulator.Member) int { return marks(t, i, m, zones[m.Zone]) }}
 	}
 	return all
 }
@@ -244,7 +244,7 @@
 			case <-watching.Done():
 				return
 			}
-			st.yard.Look(func(f *emulator.Fleet) { st.score.look(float64(n-1), f) })
+			st.servers.Inspect(func(f *emulator.Fleet) { st.score.look(float64(n-1), f) })
 			if st.o.Progress != nil {
 				st.o.Progress(n, s.UpTo())
 			}
@@ -261,7 +261,7 @@
 // happen carries out something of the timeline.
 func (st *stage) happen(work *sync.WaitGroup, h Happening) {
 	if h.Proxy == NoTurn {
-		if err := st.yard.Do(h.Act); err != nil {
+		if err := st.servers.Apply(h.Act); err != nil {
 			st.fail(err)
 		}
 		return
@@ -278,7 +278,7 @@
 		case Ban:
 			work.Go(func() { st.try(st.ban(i, h.Act.Position, seconds(h.Value))) })
 		default:
-			h.listed(st.yard.Agent(i))
+			h.listed(st.servers.Agent(i))
 		case Kill, Restart:
 			work.Go(func() {
 				if h.Proxy == Kill {
@@ -306,9 +306,9 @@
 	case ListSilent:
 		a.Silence(seconds(h.Value))
 	case ListReset:
-		a.Cut()
+		a.CloseWatches()
 	case ListMute:
-		a.Mute()
+		a.MuteWatches()
 	}
 }
 
@@ -317,7 +317,7 @@
 	p := st.proxy(i)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name, agent := "p"+strconv.Itoa(i+1), st.yard.Agent(i)
+	name, agent := "p"+strconv.Itoa(i+1), st.servers.Agent(i)
 	door, own := st.doorsOf[i][0], filepath.Join(st.dir, name+".tmp")
 	if p.door == door { // danger: two processes of one proxy never share a door
 		door = st.doorsOf[i][1]
