--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -280,11 +280,11 @@
 			if err != nil {
 				return err
 			}
-			if err := simulation.Fit([]string{*policy}); err != nil {
+			if err := simulation.CheckPolicies([]string{*policy}); err != nil {
 				return cli.Wrong("-policy: %w", err)
 			}
 			classes := map[string]int{}
-			for i, t := range s.Tariffs {
+			for i, t := range s.Classes {
 				classes[t.Name] = i
 			}
 			var list []loadgen.Intent
@@ -301,7 +301,7 @@
 					unknown[name]++
 					return
 				}
-				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Class: class, Tenant: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Tariffs[class].Work)})
+				list = append(list, loadgen.Intent{Number: len(list), At: x.Now - p.First, Class: class, Tenant: -1, Key: x.Arrival.Key, Work: cmp.Or(x.Arrival.ExpectedWork, s.Classes[class].Work)})
 			}
 			if err := p.Play(files, openFile); err != nil {
 				return err
--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -85,9 +85,9 @@
 	require.NoError(t, err, errs)
 	var r simulation.Result
 	require.NoError(t, json.Unmarshal(text, &r))
-	assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.Lost+r.WithProxy+r.Gone+r.Mismatched)
-	assert.Greater(t, r.Legs, 300)
-	assert.Zero(t, r.Mismatched+r.Turned)
+	assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.Lost+r.LostWithProxy+r.ClientGone+r.Mismatched)
+	assert.Greater(t, r.Attempts, 300)
+	assert.Zero(t, r.Mismatched+r.ClientFaults)
 	assert.Equal(t, 12, len(scripted(r.Events)), "all that is scripted happened: %v", r.Events)
 	if r.Void != "" { // the machine had no time for it: that must be said, and nothing blamed on the proxy
 		assert.Equal(t, cli.Failed, code)
@@ -104,8 +104,8 @@
 
 func scripted(all []simulation.Event) (list []string) {
 	for _, e := range all {
-		if !strings.HasPrefix(e.What, "!") {
-			list = append(list, e.What)
+		if !strings.HasPrefix(e.Text, "!") {
+			list = append(list, e.Text)
 		}
 	}
 	return list
@@ -217,7 +217,7 @@
 	require.NoError(t, err)
 	seen := map[string]bool{}
 	for range 2 {
-		st, err := s.Stand(t.TempDir(), 1)
+		st, err := s.StartServers(t.TempDir(), 1)
 		require.NoError(t, err)
 		defer st.Close()
 		require.Len(t, st.Variables, 2)
--- a/internal/cli/ctlcmd/experiment.go
+++ b/internal/cli/ctlcmd/experiment.go
@@ -43,7 +43,7 @@
 				scenarios = append(scenarios, s)
 			}
 			names := strings.Split(*policies, ",")
-			if err := simulation.Fit(names); err != nil {
+			if err := simulation.CheckPolicies(names); err != nil {
 				return cli.Wrong("-policies: %w", err)
 			}
 			list := simulation.Seeds(*first, *seeds)
@@ -67,7 +67,7 @@
 					return err
 				}
 				for _, of := range results {
-					page.Rows = append(page.Rows, simulation.Sum(of))
+					page.Rows = append(page.Rows, simulation.Summarize(of))
 					page.Runs = append(page.Runs, of[0])
 					all = append(all, of...)
 				}
@@ -79,7 +79,7 @@
 				return err
 			}
 			for _, row := range page.Rows { // baselines may break what they like
-				if row.Policy == "lockloom" && (row.Broken != [5]int{} || row.Void > 0) {
+				if row.Policy == "lockloom" && (row.RulesBroken != [5]int{} || row.VoidSeeds > 0) {
 					return errNotHeld
 				}
 			}
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -29,7 +29,7 @@
 			if *to == "" {
 				return cli.Wrong("-to: missing")
 			}
-			if err := s.Ask(*rate, *lasts); err != nil {
+			if err := s.OverrideLoad(*rate, *lasts); err != nil {
 				return err
 			}
 			r, err := s.Load(ctx, strings.Split(*to, ","), *seed)
@@ -44,8 +44,8 @@
 					return err
 				}
 			}
-			if r.Lost > 0 || r.Mismatched > 0 || r.Unreached > 0 || r.Void != "" {
-				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", r.Lost, r.Mismatched, r.Unreached)
+			if r.Lost > 0 || r.Mismatched > 0 || r.NoProxy > 0 || r.Void != "" {
+				return fmt.Errorf("%d lost, %d spoilt, %d found no proxy", r.Lost, r.Mismatched, r.NoProxy)
 			}
 			return nil
 		})
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -37,7 +37,7 @@
 			if err != nil {
 				return err
 			}
-			if err := simulation.Fit([]string{*policy}); err != nil {
+			if err := simulation.CheckPolicies([]string{*policy}); err != nil {
 				return cli.Wrong("-policy: %w", err)
 			}
 			var r *simulation.Result
@@ -82,9 +82,9 @@
 				if err != nil {
 					return err
 				}
-				list := s.Differs(r, v)
+				list := s.Differences(r, v)
 				differs = len(list) > 0
-				fmt.Fprintf(out, "virtual time: value in time %.3f; beyond the scenario's tolerance: %d\n", v.Share, len(list))
+				fmt.Fprintf(out, "virtual time: value in time %.3f; beyond the scenario's tolerance: %d\n", v.ValueInTime, len(list))
 				for _, line := range list {
 					fmt.Fprintln(out, " ", line)
 				}
@@ -92,7 +92,7 @@
 			if err := to.write(r, report.Page{Title: s.Name, About: s.About, Runs: []*simulation.Result{r}}); err != nil {
 				return err
 			}
-			if !r.Kept() || r.Void != "" || differs {
+			if !r.Passed() || r.Void != "" || differs {
 				return errNotHeld
 			}
 			return nil
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -31,7 +31,7 @@
 				}
 				defer os.RemoveAll(folder)
 			}
-			st, err := s.Stand(folder, *seed)
+			st, err := s.StartServers(folder, *seed)
 			if err != nil {
 				return err
 			}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -79,51 +79,51 @@
 	fmt.Fprintln(t, "scenario\tpolicy\tseeds\tvalue in time\tworst\tbest\tspread\tin time\tlate\tunserved\tdismissed\tforfeited\tlost\tlegs\twaste\tp50 ms\tp99 ms\trules broken")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.2f%%\t%d\t%.2f\t%.1f%%\t%.1f\t%.1f\t%s\n", r.Scenario, r.Policy,
-			seeds(r), r.Share, r.Least, r.Most, r.Spread, 100*r.InTime, 100*r.Late, 100*r.Unserved, 100*r.Dismissed, 100*r.Forfeited, r.Lost,
-			r.Legs, 100*r.Waste, 1000*r.P50, 1000*r.P99, Broken(r.Broken))
+			seeds(r), r.ValueInTime, r.MinValueInTime, r.MaxValueInTime, r.ValueStdDev, 100*r.InTime, 100*r.Late, 100*r.Unserved, 100*r.Rejected, 100*r.Failed, r.Lost,
+			r.AttemptsPerTry, 100*r.WastedFraction, 1000*r.P50, 1000*r.P99, Broken(r.RulesBroken))
 	}
 	return t.Flush()
 }
 
 func seeds(r simulation.Row) string {
-	if r.Void > 0 {
-		return fmt.Sprintf("%d (%d void)", r.Seeds, r.Void)
+	if r.VoidSeeds > 0 {
+		return fmt.Sprintf("%d (%d void)", r.Seeds, r.VoidSeeds)
 	}
 	return fmt.Sprint(r.Seeds)
 }
 
 // One writes one run's table, class by class.
 func One(w io.Writer, r *simulation.Result) error {
-	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.Took)
+	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.WallTime)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "tariff\tlookups\tin time\tvalue in time\tp50 ms\tp99 ms")
-	for _, row := range r.Tariffs {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.1f\t%.1f\n", row.Name, row.Lookups, row.InTime, row.Share, 1000*row.P50, 1000*row.P99)
+	for _, row := range r.Classes {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.1f\t%.1f\n", row.Name, row.Intents, row.InTime, row.ValueInTime, 1000*row.P50, 1000*row.P99)
 	}
-	fmt.Fprintf(t, "all\t%d\t%d\t%.3f\t%.1f\t%.1f\n", r.Lookups, r.InTime, r.Share, 1000*r.P50, 1000*r.P99)
+	fmt.Fprintf(t, "all\t%d\t%d\t%.3f\t%.1f\t%.1f\n", r.Intents, r.InTime, r.ValueInTime, 1000*r.P50, 1000*r.P99)
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "\nlookups: %d in time, %d late, %d unserved\n", r.InTime, r.Late, r.Unserved)
 	fmt.Fprintf(w, "tries: %d, of them %d honoured, %d dismissed, %d forfeited, %d lost, %d lost with their proxy, %d gone; %d found no proxy\n",
-		r.Tries, r.Honoured, r.Dismissed, r.Forfeited, r.Lost, r.WithProxy, r.Gone, r.Unreached)
-	if r.Legs == 0 { // no server was seen: the proxies ran already
-		fmt.Fprintf(w, "rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most\n", 1000*r.RigLate, 1000*r.RigMost)
-		fmt.Fprintln(w, "rules broken, of what clients can see:", Broken(r.Broken))
+		r.Tries, r.Succeeded, r.Rejected, r.Failed, r.Lost, r.LostWithProxy, r.ClientGone, r.NoProxy)
+	if r.Attempts == 0 { // no server was seen: the proxies ran already
+		fmt.Fprintf(w, "rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most\n", 1000*r.RigLateP99, 1000*r.RigLateMax)
+		fmt.Fprintln(w, "rules broken, of what clients can see:", Broken(r.RulesBroken))
 		return void(w, r)
 	}
-	fmt.Fprintf(w, "servers: %d legs, %.2f a try; %.1f s of work, %.1f%% of it for nobody; %d repeats dropped, %d pushed over\n", r.Legs,
-		float64(r.Legs)/float64(max(r.Tries, 1)), r.Work, 100*r.Waste, r.Repeats, r.Falls)
+	fmt.Fprintf(w, "servers: %d legs, %.2f a try; %.1f s of work, %.1f%% of it for nobody; %d repeats dropped, %d pushed over\n", r.Attempts,
+		float64(r.Attempts)/float64(max(r.Tries, 1)), r.Work, 100*r.WastedFraction, r.DuplicatesDropped, r.Crashes)
 	if r.Clock == "sockets" {
-		fmt.Fprintf(w, "rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most; proxies' memory %.1f MB at most\n", 1000*r.RigLate, 1000*r.RigMost, r.Peak)
+		fmt.Fprintf(w, "rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most; proxies' memory %.1f MB at most\n", 1000*r.RigLateP99, 1000*r.RigLateMax, r.ProxyMemoryMB)
 	}
-	fmt.Fprintln(w, "rules broken:", Broken(r.Broken))
+	fmt.Fprintln(w, "rules broken:", Broken(r.RulesBroken))
 	return void(w, r)
 }
 
 // void ends a run's table: the first breaches in words, and why the figures count for nothing, if they do.
 func void(w io.Writer, r *simulation.Result) (err error) {
-	for _, line := range r.First {
+	for _, line := range r.FirstBreaches {
 		_, err = fmt.Fprintln(w, " ", line)
 	}
 	if r.Void != "" {
@@ -155,23 +155,23 @@
 	lines       []line
 }{
 	{"Lookups a second, by what became of them", "a second", []line{
-		{"asked", black, func(s simulation.Second) float64 { return float64(s.Asked) }},
+		{"asked", black, func(s simulation.Second) float64 { return float64(s.Intents) }},
 		{"in time", green, func(s simulation.Second) float64 { return float64(s.InTime) }},
 		{"late", yellow, func(s simulation.Second) float64 { return float64(s.Late) }},
-		{"dismissed", blue, func(s simulation.Second) float64 { return float64(s.Dismissed) }},
-		{"forfeited", purple, func(s simulation.Second) float64 { return float64(s.Forfeited) }},
+		{"dismissed", blue, func(s simulation.Second) float64 { return float64(s.Rejected) }},
+		{"forfeited", purple, func(s simulation.Second) float64 { return float64(s.Failed) }},
 		{"lost", red, func(s simulation.Second) float64 { return float64(s.Lost) }},
-		{"legs", grey, func(s simulation.Second) float64 { return float64(s.Legs) }}}},
+		{"legs", grey, func(s simulation.Second) float64 { return float64(s.Attempts) }}}},
 	{"Time of honoured tries, from when they were meant to be sent", "ms", []line{
 		{"median", green, func(s simulation.Second) float64 { return 1000 * s.P50 }},
 		{"99th percentile", red, func(s simulation.Second) float64 { return 1000 * s.P99 }}}},
 	{"Servers by state", "servers", []line{
 		{"ready", green, func(s simulation.Second) float64 { return float64(s.Ready) }},
-		{"cold", blue, func(s simulation.Second) float64 { return float64(s.Cold) }},
-		{"choked", yellow, func(s simulation.Second) float64 { return float64(s.Choked) }},
+		{"cold", blue, func(s simulation.Second) float64 { return float64(s.WarmingUp) }},
+		{"choked", yellow, func(s simulation.Second) float64 { return float64(s.Degraded) }},
 		{"draining", grey, func(s simulation.Second) float64 { return float64(s.Draining) }},
-		{"standing still", purple, func(s simulation.Second) float64 { return float64(s.Still) }},
-		{"silent", black, func(s simulation.Second) float64 { return float64(s.Silent) }},
+		{"standing still", purple, func(s simulation.Second) float64 { return float64(s.Paused) }},
+		{"silent", black, func(s simulation.Second) float64 { return float64(s.Unreachable) }},
 		{"down", red, func(s simulation.Second) float64 { return float64(s.Down) }}}},
 	{"Lookups waiting at servers", "lookups", []line{
 		{"waiting", blue, func(s simulation.Second) float64 { return float64(s.Waiting) }}}},
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -11,63 +11,63 @@
 
 // Row is what a policy came to over the seeds of an experiment.
 type Row struct {
-	Scenario, Policy, Clock string
-	Seeds                   int
-	Share, Least, Most      float64 // value in time: mean, worst and best seed
-	Spread                  float64 // its standard deviation over the seeds
-	InTime, Late, Unserved  float64 // of the requests wanted
-	Dismissed, Forfeited    float64 // of the tries
-	Lost                    int
-	Legs                    float64 // a try
-	Waste                   float64
-	P50, P99                float64 // s; means over the seeds
-	Broken                  [5]int  // summed
-	Void                    int     // seeds whose figures count for nothing, left out of all others
+	Scenario, Policy, Clock                     string
+	Seeds                                       int
+	ValueInTime, MinValueInTime, MaxValueInTime float64 // value in time: mean, worst and best seed
+	ValueStdDev                                 float64 // its standard deviation over the seeds
+	InTime, Late, Unserved                      float64 // of the requests wanted
+	Rejected, Failed                            float64 // of the tries
+	Lost                                        int
+	AttemptsPerTry                              float64 // a try
+	WastedFraction                              float64
+	P50, P99                                    float64 // s; means over the seeds
+	RulesBroken                                 [5]int  // summed
+	VoidSeeds                                   int     // seeds whose figures count for nothing, left out of all others
 }
 
-// Sum is the row of a policy's results.
-func Sum(all []*Result) Row {
+// Summarize is the row of a policy's results.
+func Summarize(all []*Result) Row {
 	var w Row
-	w.Least = math.Inf(1)
+	w.MinValueInTime = math.Inf(1)
 	var shares []float64
 	requests, tries := 0.0, 0.0
 	for _, r := range all {
 		w.Scenario, w.Policy, w.Clock = r.Scenario, r.Policy, r.Clock
 		if r.Void != "" {
-			w.Void++
+			w.VoidSeeds++
 			continue
 		}
-		shares = append(shares, r.Share)
-		w.Least, w.Most = min(w.Least, r.Share), max(w.Most, r.Share)
-		requests, tries = requests+float64(r.Lookups), tries+float64(r.Tries)
+		shares = append(shares, r.ValueInTime)
+		w.MinValueInTime, w.MaxValueInTime = min(w.MinValueInTime, r.ValueInTime), max(w.MaxValueInTime, r.ValueInTime)
+		requests, tries = requests+float64(r.Intents), tries+float64(r.Tries)
 		w.InTime, w.Late, w.Unserved = w.InTime+float64(r.InTime), w.Late+float64(r.Late), w.Unserved+float64(r.Unserved)
-		w.Dismissed, w.Forfeited = w.Dismissed+float64(r.Dismissed), w.Forfeited+float64(r.Forfeited)
+		w.Rejected, w.Failed = w.Rejected+float64(r.Rejected), w.Failed+float64(r.Failed)
 		w.Lost += r.Lost
-		w.Legs += float64(r.Legs)
-		w.Waste, w.P50, w.P99 = w.Waste+r.Waste, w.P50+r.P50, w.P99+r.P99
-		for i, n := range r.Broken {
-			w.Broken[i] += n
+		w.AttemptsPerTry += float64(r.Attempts)
+		w.WastedFraction, w.P50, w.P99 = w.WastedFraction+r.WastedFraction, w.P50+r.P50, w.P99+r.P99
+		for i, n := range r.RulesBroken {
+			w.RulesBroken[i] += n
 		}
 	}
 	if w.Seeds = len(shares); w.Seeds == 0 {
-		w.Least = 0
+		w.MinValueInTime = 0
 		return w
 	}
 	n := float64(w.Seeds)
 	for _, s := range shares {
-		w.Share += s / n
+		w.ValueInTime += s / n
 	}
 	for _, s := range shares {
-		w.Spread += (s - w.Share) * (s - w.Share) / n
+		w.ValueStdDev += (s - w.ValueInTime) * (s - w.ValueInTime) / n
 	}
-	w.Spread = math.Sqrt(w.Spread)
+	w.ValueStdDev = math.Sqrt(w.ValueStdDev)
 	for _, x := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
 		*x = share(*x, requests)
 	}
-	for _, x := range []*float64{&w.Dismissed, &w.Forfeited, &w.Legs} {
+	for _, x := range []*float64{&w.Rejected, &w.Failed, &w.AttemptsPerTry} {
 		*x = share(*x, tries)
 	}
-	w.Waste, w.P50, w.P99 = w.Waste/n, w.P50/n, w.P99/n
+	w.WastedFraction, w.P50, w.P99 = w.WastedFraction/n, w.P50/n, w.P99/n
 	return w
 }
 
@@ -80,10 +80,10 @@
 	return list
 }
 
-// Experiment plays a scenario in virtual time with each policy and seed, as many at once as there are cores. The results
-// come by policy in the order asked for, then by seed, whichever ends first.
+// Experiment plays a scenario in virtual time with each policy and seed, as many at once as there are cores. The
+// results come by policy in the order asked for, then by seed, whichever ends first.
 func (s *Scenario) Experiment(ctx context.Context, policies []string, seeds []uint64) ([][]*Result, error) {
-	if err := Fit(policies); err != nil {
+	if err := CheckPolicies(policies); err != nil {
 		return nil, err
 	}
 	results := make([][]*Result, len(policies))
@@ -118,8 +118,8 @@
 	return results, fault
 }
 
-// Fit says whether a policy has been asked for that there is.
-func Fit(policies []string) error {
+// CheckPolicies says whether a policy has been asked for that there is.
+func CheckPolicies(policies []string) error {
 	for _, name := range policies {
 		if !slices.Contains(sortedNames(Policies), name) {
 			return fmt.Errorf("policy %q: it is one of %v", name, sortedNames(Policies))
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -10,36 +10,36 @@
 	"lockloom/internal/loadgen"
 )
 
-// What operators are owed, as they see it from outside.
+// Text operators are owed, as they see it from outside.
 const (
-	answerFor  = time.Second            // for a call at the door
-	upgradeFor = 6 * time.Second        // for a second process to say that it is ready
-	emptyFor   = 4 * time.Second        // a drained proxy is asked again after this
-	resumeFor  = 2 * time.Second        // for one to be up again
-	noticeFor  = 500 * time.Millisecond // for one to say that it is not up
+	adminTimeout       = time.Second            // for a call at the door
+	upgradeTimeout     = 6 * time.Second        // for a second process to say that it is ready
+	drainCheckDelay    = 4 * time.Second        // a drained proxy is asked again after this
+	resumeTimeout      = 2 * time.Second        // for one to be up again
+	drainNoticeTimeout = 500 * time.Millisecond // for one to say that it is not up
 )
 
 // proxy is the process of a proxy that was started last.
-func (st *stage) proxy(i int) *process {
+func (st *rig) proxy(i int) *process {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.proxies[i]
 }
 
-// try ends the run with an error, if there is one and the run is not over.
-func (st *stage) try(err error) {
+// failOn ends the run with an error, if there is one and the run is not over.
+func (st *rig) failOn(err error) {
 	if err != nil && st.ctx.Err() == nil {
 		st.fail(err)
 	}
 }
 
 // call makes a call at a proxy's door; anything but yes in time is an error.
-func (st *stage) call(i int, c admin.Call) error {
+func (st *rig) call(i int, c admin.Call) error {
 	p := st.proxy(i)
 	p.mu.Lock()
-	door := p.door
+	door := p.adminAddr
 	p.mu.Unlock()
-	status, text, err := admin.Send(door, c, answerFor)
+	status, text, err := admin.Send(door, c, adminTimeout)
 	if err != nil {
 		return fmt.Errorf("proxy %d: %s: %w", i+1, c.Path(), err)
 	}
@@ -50,15 +50,15 @@
 }
 
 // upgrade starts a second process beside a proxy's, and has the first end once the second serves.
-func (st *stage) upgrade(i int) error {
+func (st *rig) upgrade(i int) error {
 	st.mu.Lock()
 	old := st.proxies[i]
-	st.proxies[i] = &process{door: old.door}
+	st.proxies[i] = &process{adminAddr: old.adminAddr}
 	st.mu.Unlock()
 	if err := st.start(i); err != nil {
 		return err
 	}
-	for end := time.Now().Add(upgradeFor); ; time.Sleep(readyEach) {
+	for end := time.Now().Add(upgradeTimeout); ; time.Sleep(readyInterval) {
 		err := st.call(i, admin.Call{Action: admin.Ready})
 		if err == nil {
 			break
@@ -70,16 +70,16 @@
 	st.end(old, syscall.SIGTERM)
 	p := st.proxy(i)
 	p.mu.Lock()
-	p.peak = max(p.peak, old.peak)
+	p.peakMemoryMB = max(p.peakMemoryMB, old.peakMemoryMB)
 	p.mu.Unlock()
 	return nil
 }
 
 // drain drains a proxy for a time, and looks whether it says so.
-func (st *stage) drain(i int, lasts time.Duration) error {
+func (st *rig) drain(i int, lasts time.Duration) error {
 	up := func(want bool, within time.Duration) error {
-		for end := time.Now().Add(within); ; time.Sleep(readyEach) {
-			if (loadgen.CheckReady(st.addrs[i], readyEach*5) == nil) == want {
+		for end := time.Now().Add(within); ; time.Sleep(readyInterval) {
+			if (loadgen.CheckReady(st.proxyAddrs[i], readyInterval*5) == nil) == want {
 				return nil
 			}
 			if time.Now().After(end) || st.ctx.Err() != nil {
@@ -90,12 +90,12 @@
 	if err := st.call(i, admin.Call{Action: admin.Drain}); err != nil {
 		return err
 	}
-	if err := up(false, noticeFor); err != nil {
+	if err := up(false, drainNoticeTimeout); err != nil {
 		return err
 	}
 	resumed := time.After(lasts)
-	if lasts > emptyFor {
-		time.Sleep(emptyFor)
+	if lasts > drainCheckDelay {
+		time.Sleep(drainCheckDelay)
 		if err := up(false, 0); err != nil {
 			return err
 		}
@@ -108,23 +108,23 @@
 	if err := st.call(i, admin.Call{Action: admin.Resume}); err != nil {
 		return err
 	}
-	return up(true, resumeFor)
+	return up(true, resumeTimeout)
 }
 
-// ban has a proxy leave out the server in a seat for a time. The audit holds it to it from its yes on.
-func (st *stage) ban(i, seat int, lasts time.Duration) error {
+// disableServer has a proxy leave out the server in a seat for a time. The audit holds it to it from its yes on.
+func (st *rig) disableServer(i, seat int, lasts time.Duration) error {
 	var id string
 	var member int
 	st.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
 	if err := st.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
-	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, true) })
+	st.score.locked(func(now, _ float64) { st.score.audit.ServerDisabled(now, i, member, true) })
 	select {
 	case <-time.After(lasts):
 	case <-st.ctx.Done():
 		return nil
 	}
-	st.score.locked(func(now, _ float64) { st.score.audit.Banned(now, i, member, false) })
+	st.score.locked(func(now, _ float64) { st.score.audit.ServerDisabled(now, i, member, false) })
 	return st.call(i, admin.Call{Action: admin.Enable, ID: id})
 }
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -24,8 +24,8 @@
 // Policy makes a decider.
 type Policy func(d balance.Deployment, now float64) (Decider, error)
 
-// Policies are those that can be asked for, each made anew for a run; all but lockloom and steered are plain baselines, kept for
-// comparison only.
+// Policies are those that can be asked for, each made anew for a run; all but lockloom and steered are plain baselines,
+// kept for comparison only.
 var Policies = map[string]func() Policy{
 	"lockloom": func() Policy {
 		return func(d balance.Deployment, now float64) (Decider, error) {
@@ -34,9 +34,9 @@
 		}
 	},
 	"steered":     steered,
-	"random":      func() Policy { return plainly(func(p *plain, c []int) int { return c[p.chance.IntN(len(c))] }) },
-	"round-robin": func() Policy { return plainly(inTurn) },
-	"least":       func() Policy { return plainly(leastInFlight) },
+	"random":      func() Policy { return newBaseline(func(p *baseline, c []int) int { return c[p.rand.IntN(len(c))] }) },
+	"round-robin": func() Policy { return newBaseline(roundRobin) },
+	"least":       func() Policy { return newBaseline(leastInFlight) },
 }
 
 // module is the decision module as a Decider.
@@ -46,42 +46,42 @@
 	return m.Balancer.RequestArrived(now, a)
 }
 
-// plain is a proxy as most are set up: every listed server alike, an attempt at once, another one after what never ran or may
-// run twice, no limits, no pauses, no care for cold servers. It keeps rules 1 to 3.
-type plain struct {
-	d      balance.Deployment
-	chance *rand.Rand
-	choose func(*plain, []int) int
-	list   []balance.Endpoint // by index
-	out    []int              // attempts in flight, by index
-	turn   int
-	cands  []int
-	orders balance.Actions
+// baseline is a proxy as most are set up: every listed server alike, an attempt at once, another one after what never
+// ran or may run twice, no limits, no pauses, no care for cold servers. It keeps rules 1 to 3.
+type baseline struct {
+	d          balance.Deployment
+	rand       *rand.Rand
+	choose     func(*baseline, []int) int
+	list       []balance.Endpoint // by index
+	inFlight   []int              // attempts in flight, by index
+	next       int
+	candidates []int
+	actions    balance.Actions
 
-	steward *steward // nil: nobody tells it where to send
+	controller *steeringController // nil: nobody tells it where to send
 }
 
-func plainly(choose func(*plain, []int) int) Policy {
+func newBaseline(choose func(*baseline, []int) int) Policy {
 	return func(d balance.Deployment, now float64) (Decider, error) {
-		return &plain{d: d, choose: choose, chance: rand.New(rand.NewPCG(d.Seed, 3))}, nil
+		return &baseline{d: d, choose: choose, rand: rand.New(rand.NewPCG(d.Seed, 3))}, nil
 	}
 }
 
-// inTurn is round robin over servers, whatever part of them may be used.
-func inTurn(p *plain, cands []int) int {
-	p.turn++
-	return cands[p.turn%len(cands)]
+// roundRobin is round robin over servers, whatever part of them may be used.
+func roundRobin(p *baseline, candidates []int) int {
+	p.next++
+	return candidates[p.next%len(candidates)]
 }
 
 // leastInFlight is the one with the fewest of this proxy's attempts, by chance among equals.
-func leastInFlight(p *plain, cands []int) int {
-	best, ties := cands[0], 0
-	for _, c := range cands {
-		switch n := p.out[c] - p.out[best]; {
+func leastInFlight(p *baseline, candidates []int) int {
+	best, ties := candidates[0], 0
+	for _, c := range candidates {
+		switch n := p.inFlight[c] - p.inFlight[best]; {
 		case n < 0:
 			best, ties = c, 1
 		case n == 0:
-			if ties++; p.chance.IntN(ties) == 0 {
+			if ties++; p.rand.IntN(ties) == 0 {
 				best = c
 			}
 		}
@@ -89,12 +89,12 @@
 	return best
 }
 
-func (p *plain) begin() *balance.Actions {
-	p.orders = balance.Actions{Requests: p.orders.Requests[:0]}
-	return &p.orders
+func (p *baseline) begin() *balance.Actions {
+	p.actions = balance.Actions{Requests: p.actions.Requests[:0]}
+	return &p.actions
 }
 
-func (p *plain) EndpointsUpdated(now float64, full, _ bool, list []balance.Endpoint) *balance.Actions {
+func (p *baseline) EndpointsUpdated(now float64, full, _ bool, list []balance.Endpoint) *balance.Actions {
 	for i := range p.list {
 		if full {
 			p.list[i].State = balance.Removed
@@ -103,37 +103,37 @@
 	for _, b := range list {
 		for len(p.list) <= b.Index {
 			p.list = append(p.list, balance.Endpoint{State: balance.Removed})
-			p.out = append(p.out, 0)
+			p.inFlight = append(p.inFlight, 0)
 		}
 		p.list[b.Index] = b
 	}
-	if p.steward != nil {
-		p.steward.listed(now, p.list)
+	if p.controller != nil {
+		p.controller.listUpdated(now, p.list)
 	}
 	return p.begin()
 }
 
-func (p *plain) TimerFired(float64) *balance.Actions { return p.begin() }
+func (p *baseline) TimerFired(float64) *balance.Actions { return p.begin() }
 
-func (p *plain) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
+func (p *baseline) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
 	p.begin()
-	if p.steward != nil {
-		p.steward.look(now)
+	if p.controller != nil {
+		p.controller.update(now)
 	}
-	l := &asked{p: p, RequestInfo: a, row: &p.d.Classes[a.Class]}
-	p.orders.Requests = append(p.orders.Requests, balance.RequestAction{Ref: a.Ref, WakeAt: a.Deadline - plainEarly})
+	l := &baselineRequest{p: p, RequestInfo: a, class: &p.d.Classes[a.Class]}
+	p.actions.Requests = append(p.actions.Requests, balance.RequestAction{Ref: a.Ref, WakeAt: a.Deadline - baselineReplyMargin})
 	l.next(now)
-	return l, &p.orders
+	return l, &p.actions
 }
 
-const plainEarly = 0.01 // s before the deadline at which a baseline answers
+const baselineReplyMargin = 0.01 // s before the deadline at which a baseline answers
 
-// asked is a request of a baseline's.
-type asked struct {
+// intentDue is a request of a baseline's.
+type baselineRequest struct {
 	balance.RequestInfo
-	p    *plain
-	row  *balance.Class
-	legs []struct {
+	p        *baseline
+	class    *balance.Class
+	attempts []struct {
 		to       int
 		sent     float64
 		neverRan bool
@@ -141,91 +141,91 @@
 	over, out bool
 }
 
-func (l *asked) next(now float64) {
+func (l *baselineRequest) next(now float64) {
 	p := l.p
-	p.cands = p.cands[:0]
+	p.candidates = p.candidates[:0]
 	for i, b := range p.list {
-		if b.State == balance.Ready && l.may(now, b) {
-			p.cands = append(p.cands, i)
+		if b.State == balance.Ready && l.allowed(now, b) {
+			p.candidates = append(p.candidates, i)
 		}
 	}
-	if len(p.cands) == 0 || len(l.legs) >= p.d.MaxAttempts || now >= l.Deadline-plainEarly {
+	if len(p.candidates) == 0 || len(l.attempts) >= p.d.MaxAttempts || now >= l.Deadline-baselineReplyMargin {
 		l.giveUp()
 		return
 	}
-	to := p.choose(p, p.cands)
+	to := p.choose(p, p.candidates)
 	if to < 0 {
 		l.giveUp()
 		return
 	}
-	l.legs = append(l.legs, struct {
+	l.attempts = append(l.attempts, struct {
 		to       int
 		sent     float64
 		neverRan bool
 	}{to: to, sent: now})
-	p.out[to]++
+	p.inFlight[to]++
 	l.out = true
-	p.orders.Requests = append(p.orders.Requests, balance.RequestAction{Ref: l.Ref, Send: true, Endpoint: to, Deadline: l.Deadline})
+	p.actions.Requests = append(p.actions.Requests, balance.RequestAction{Ref: l.Ref, Send: true, Endpoint: to, Deadline: l.Deadline})
 }
 
-func (l *asked) may(now float64, b balance.Endpoint) bool {
-	for _, g := range l.legs {
+func (l *baselineRequest) allowed(now float64, b balance.Endpoint) bool {
+	for _, g := range l.attempts {
 		was := l.p.list[g.to]
-		if g.to == b.Index || !g.neverRan && (l.row.Idempotency == balance.NonIdempotent || l.row.Idempotency == balance.Keyed &&
-			(now > g.sent+l.row.DedupWindow-plainEarly || l.row.DedupScope == balance.DedupZone && was.Zone != b.Zone ||
-				l.row.DedupScope == balance.DedupPod && was.Pod != b.Pod)) {
+		if g.to == b.Index || !g.neverRan && (l.class.Idempotency == balance.NonIdempotent || l.class.Idempotency == balance.Keyed &&
+			(now > g.sent+l.class.DedupWindow-baselineReplyMargin || l.class.DedupScope == balance.DedupZone && was.Zone != b.Zone ||
+				l.class.DedupScope == balance.DedupPod && was.Pod != b.Pod)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *asked) giveUp() {
+func (l *baselineRequest) giveUp() {
 	answer := balance.Rejected
-	for _, g := range l.legs {
-		if !g.neverRan && (l.row.Idempotency == balance.NonIdempotent || l.row.Idempotency == balance.Keyed && l.row.DedupScope != balance.DedupAll) {
+	for _, g := range l.attempts {
+		if !g.neverRan && (l.class.Idempotency == balance.NonIdempotent || l.class.Idempotency == balance.Keyed && l.class.DedupScope != balance.DedupAll) {
 			answer = balance.Failed
 		}
 	}
 	l.over = true
-	l.p.orders.Requests = append(l.p.orders.Requests, balance.RequestAction{Ref: l.Ref, Reply: answer, RetryAfter: min(l.row.LatencyObjective, l.p.d.MaxRetryAfter)})
-	l.callOff()
+	l.p.actions.Requests = append(l.p.actions.Requests, balance.RequestAction{Ref: l.Ref, Reply: answer, RetryAfter: min(l.class.LatencyObjective, l.p.d.MaxRetryAfter)})
+	l.cancel()
 }
 
-func (l *asked) callOff() {
+func (l *baselineRequest) cancel() {
 	if l.out && l.p.d.CancelAllowed {
-		l.p.orders.Requests = append(l.p.orders.Requests, balance.RequestAction{Ref: l.Ref, CancelAttempt: len(l.legs)})
+		l.p.actions.Requests = append(l.p.actions.Requests, balance.RequestAction{Ref: l.Ref, CancelAttempt: len(l.attempts)})
 	}
 }
 
-func (l *asked) AttemptEnded(now float64, attempt int, o balance.Outcome, _ float64, over bool) *balance.Actions {
+func (l *baselineRequest) AttemptEnded(now float64, attempt int, o balance.Outcome, _ float64, over bool) *balance.Actions {
 	l.p.begin()
-	g := &l.legs[attempt]
-	l.p.out[g.to]--
-	if l.p.steward != nil {
-		l.p.steward.ended(g.to, o)
+	g := &l.attempts[attempt]
+	l.p.inFlight[g.to]--
+	if l.p.controller != nil {
+		l.p.controller.attemptEnded(g.to, o)
 	}
 	g.neverRan, l.out = o.NeverRan(), false
 	if l.over = l.over || over || o == balance.Succeeded; !l.over {
 		l.next(now)
 	}
-	return &l.p.orders
+	return &l.p.actions
 }
 
-func (l *asked) ClientDisconnected(float64) *balance.Actions {
+func (l *baselineRequest) ClientDisconnected(float64) *balance.Actions {
 	l.p.begin()
 	l.over = true
-	l.callOff()
-	return &l.p.orders
+	l.cancel()
+	return &l.p.actions
 }
 
-func (l *asked) TimerFired(now float64) *balance.Actions {
+func (l *baselineRequest) TimerFired(now float64) *balance.Actions {
 	l.p.begin()
-	if !l.over && now >= l.Deadline-plainEarly-1e-9 {
+	if !l.over && now >= l.Deadline-baselineReplyMargin-1e-9 {
 		l.giveUp()
 	}
-	return &l.p.orders
+	return &l.p.actions
 }
 
-// farOff is a time that never comes.
-var farOff = math.Inf(1)
+// never is a time that never comes.
+var never = math.Inf(1)
--- a/internal/simulation/score.go
+++ b/internal/simulation/score.go
@@ -12,13 +12,13 @@
 
 // score keeps tally and audit of a run on sockets, from what clients (load.Seen) and servers (standin.Sight) see.
 type score struct {
-	mu    sync.Mutex
-	now   func() float64 // s since 1970
-	start float64
-	tally *tally
-	audit *Audit
-	slow  *lateness
-	last  int // attempts, as of the last second
+	mu             sync.Mutex
+	now            func() float64 // s since 1970
+	start          float64
+	tally          *tally
+	audit          *Audit
+	clockLateness  *lateness
+	attemptsBefore int // attempts, as of the last second
 }
 
 // lateness is how late the servers' clock acted.
@@ -29,12 +29,12 @@
 	all   int
 }
 
-func (l *lateness) note(s float64) {
+func (l *lateness) record(s float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all++
 	l.worst = max(l.worst, s)
-	if s > lateMost {
+	if s > maxLateness {
 		l.over++
 	}
 }
@@ -48,51 +48,51 @@
 }
 
 func (s *score) IntentDue(in *loadgen.Intent) {
-	s.locked(func(_, _ float64) { s.tally.asked(in.At, in) })
+	s.locked(func(_, _ float64) { s.tally.intentDue(in.At, in) })
 }
 
 func (s *score) RequestSent(in *loadgen.Intent, late float64) (try int) {
 	s.locked(func(now, _ float64) {
 		s.tally.Tries++
-		s.tally.late.RecordValue(max(int64(late*1e6), 0))
-		try = s.audit.Sent(in.Class, now+s.tally.tariffs[in.Class].Deadline)
+		s.tally.rigLate.RecordValue(max(int64(late*1e6), 0))
+		try = s.audit.RequestSent(in.Class, now+s.tally.classes[in.Class].Deadline)
 	})
 	return try
 }
 
 func (s *score) RequestSucceeded(try int, in *loadgen.Intent, took, whole float64) {
 	s.locked(func(now, at float64) {
-		s.audit.Answered(now, try, balance.NoReply)
-		s.tally.honoured(at, in, took, whole)
+		s.audit.RequestAnswered(now, try, balance.NoReply)
+		s.tally.succeeded(at, in, took, whole)
 	})
 }
 
 func (s *score) RequestFailed(try int, answer balance.Reply, wrong bool) {
 	s.locked(func(now, at float64) {
-		s.audit.Answered(now, try, answer)
+		s.audit.RequestAnswered(now, try, answer)
 		s.tally.failed(at, answer)
 		if wrong {
-			s.tally.Turned++
+			s.tally.ClientFaults++
 		}
 	})
 }
 
 func (s *score) ResponseCorrupt(try int) {
 	s.locked(func(now, _ float64) {
-		s.audit.Lost(now, try)
+		s.audit.RequestLost(now, try)
 		s.tally.Mismatched++
 	})
 }
 
 func (s *score) RequestLost(try int, withProxy bool) {
 	s.locked(func(now, at float64) {
-		s.tally.now(at).Lost++
+		s.tally.second(at).Lost++
 		if withProxy {
-			s.audit.Left(now, try)
-			s.tally.WithProxy++
+			s.audit.ClientGone(now, try)
+			s.tally.LostWithProxy++
 			return
 		}
-		s.audit.Lost(now, try)
+		s.audit.RequestLost(now, try)
 		s.tally.Lost++
 	})
 }
@@ -101,12 +101,12 @@
 
 func (s *score) ClientGone(try int) {
 	s.locked(func(now, _ float64) {
-		s.audit.Left(now, try)
-		s.tally.Gone++
+		s.audit.ClientGone(now, try)
+		s.tally.ClientGone++
 	})
 }
 
-func (s *score) NoProxy() { s.locked(func(_, _ float64) { s.tally.Unreached++ }) }
+func (s *score) NoProxy() { s.locked(func(_, _ float64) { s.tally.NoProxy++ }) }
 
 func (s *score) AttemptReceived(now float64, id string, proxy, member, group int) {
 	try, err := strconv.Atoi(id)
@@ -114,49 +114,50 @@
 		try = -1
 	}
 	s.locked(func(_, at float64) {
-		s.tally.Legs++
-		s.audit.Reached(now, try, proxy, member, group)
+		s.tally.Attempts++
+		s.audit.AttemptReceived(now, try, proxy, member, group)
 	})
 }
 
 func (s *score) AttemptRejected(id string) {
 	if try, err := strconv.Atoi(id); err == nil {
-		s.locked(func(_, _ float64) { s.audit.Turned(try) })
+		s.locked(func(_, _ float64) { s.audit.AttemptRejected(try) })
 	}
 }
 
 func (s *score) MemberNotReady(now float64, member int) {
-	s.locked(func(_, _ float64) { s.audit.Listed(now, member) })
+	s.locked(func(_, _ float64) { s.audit.MemberNotReady(now, member) })
 }
 
 func (s *score) ProxyNotified(now float64, proxy, member int) {
-	s.locked(func(_, _ float64) { s.audit.Told(now, proxy, member) })
+	s.locked(func(_, _ float64) { s.audit.ProxyNotified(now, proxy, member) })
 }
 
 func (s *score) ServerCrashed(now float64, member int) {
 	s.locked(func(_, at float64) {
-		s.audit.Fell(now, member)
+		s.audit.ServerCrashed(now, member)
 		s.tally.event(at, "!member "+strconv.Itoa(member)+" fell over")
 	})
 }
 
-// Served counts an answer's work as useful unless its client had been answered or had gone: only then does it reach one.
+// Served counts an answer's work as useful unless its client had been answered or had gone: only then does it reach
+// one.
 func (s *score) AttemptServed(id string, work float64) {
 	if try, err := strconv.Atoi(id); err == nil {
 		s.locked(func(now, _ float64) {
 			if try < len(s.audit.tries) && !s.audit.tries[try].answered {
-				s.tally.useful += work
+				s.tally.usefulWork += work
 			}
 		})
 	}
 }
 
-// look notes a second's end.
-func (s *score) look(at float64, f *emulator.Fleet) {
+// endSecond notes a second's end.
+func (s *score) endSecond(at float64, f *emulator.Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tally.look(at, f, s.tally.Legs-s.last)
-	s.last = s.tally.Legs
+	s.tally.endSecond(at, f, s.tally.Attempts-s.attemptsBefore)
+	s.attemptsBefore = s.tally.Attempts
 }
 
 func (s *score) event(what string) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -59,7 +59,7 @@
 	return s
 }
 
-func TestBundled(t *testing.T) {
+func TestBundledScenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../deploy/rehearsals/*.toml")
 	assert.GreaterOrEqual(t, len(files), 5)
 	for _, file := range files {
@@ -71,18 +71,19 @@
 		for i := range lines {
 			r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
 			require.NoError(t, err)
-			assert.True(t, r.Kept(), "%s: rules broken: %v", s.Name, r.First)
+			assert.True(t, r.Passed(), "%s: rules broken: %v", s.Name, r.FirstBreaches)
 			assert.Zero(t, r.Lost)
-			assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.WithProxy, "each try has one end")
-			assert.Greater(t, r.Share, .8)
+			assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.LostWithProxy, "each try has one end")
+			assert.Greater(t, r.ValueInTime, .8)
 			assert.NoError(t, r.Write(&lines[i]))
 		}
 		assert.Equal(t, lines[0].String(), lines[1].String(), "the same seed, the same timeline, byte for byte")
 	}
 }
 
-// A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are killed at once.
-func TestLarge(t *testing.T) {
+// A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are
+// killed at once.
+func TestLargeScenario(t *testing.T) {
 	text := strings.NewReplacer("proxies = 2", "proxies = 350", "count = 6", "count = 1024", "seconds = 4.0", "seconds = 2.0", "cores = 2", "cores = 1").Replace(small)
 	s, err := Read("large.toml", []byte(text+"[[trouble]]\nat = 0.2\nkind = \"list-silent\"\nfor = 0.6\n"+
 		"[[trouble]]\nat = 0.6\nkind = \"replace\"\nservers = \"s\"\ncount = 100\ndrain = 0.5\n"+
@@ -92,7 +93,7 @@
 	for i := range lines {
 		r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
 		require.NoError(t, err)
-		assert.True(t, r.Kept(), "%v", r.First)
+		assert.True(t, r.Passed(), "%v", r.FirstBreaches)
 		assert.NoError(t, r.Write(&lines[i]))
 	}
 	assert.Equal(t, lines[0].String(), lines[1].String(), "byte for byte")
@@ -100,7 +101,7 @@
 	assert.ErrorContains(t, err, "large.toml:4:1: bank: proxies: 350: on sockets each is a program")
 }
 
-func TestRefused(t *testing.T) {
+func TestReadRefuses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"empty":                 {"", "seconds: 0: it is from"},
 		"not TOML":              {"name = ", "f.toml:1:"},
@@ -233,21 +234,22 @@
 	return d.Decider.EndpointsUpdated(now, first, first, list)
 }
 
-// What its agent has at discovery's return counts as told to a proxy that does not hear it; one that does breaks nothing.
-func TestLostListIsTold(t *testing.T) {
+// Text its agent has at discovery's return counts as told to a proxy that does not hear it; one that does breaks
+// nothing.
+func TestLostListCountsAsNotified(t *testing.T) {
 	s := scenario(t, "\n[[trouble]]\nkind = \"list-silent\"\nat = 0.2\nfor = 1.0\n[[trouble]]\nkind = \"drain\"\nservers = \"s\"\nat = 0.5\ncount = 3\ndrain = 30.0\n")
-	s.Deployment.Grace = 0.5
+	s.Deployment.DrainGrace = 0.5
 	for name, wrap := range map[string]func(Decider) Decider{"hears": func(d Decider) Decider { return d }, "deaf": func(d Decider) Decider { return deaf{d} }} {
 		r, err := s.Virtual(name, func(d balance.Deployment, now float64) (Decider, error) {
 			b, err := Policies["lockloom"]()(d, now)
 			return wrap(b), err
 		}, 3)
 		require.NoError(t, err)
-		assert.Equal(t, name == "deaf", r.Broken[3] > 0, "%s: %v", name, r.First)
+		assert.Equal(t, name == "deaf", r.RulesBroken[3] > 0, "%s: %v", name, r.FirstBreaches)
 	}
 }
 
-func TestPlanted(t *testing.T) {
+func TestPlantedDefectsAreFound(t *testing.T) {
 	s := scenario(t, `
 [[trouble]]
 kind = "replace"
@@ -270,13 +272,13 @@
 		r, err := s.Virtual("rogue", policy, 3)
 		require.NoError(t, err)
 		for i := 1; i <= 4; i++ {
-			assert.Equal(t, i == rule, r.Broken[i] > 0, "rule %d planted, rule %d: %v", rule, i, r.First)
+			assert.Equal(t, i == rule, r.RulesBroken[i] > 0, "rule %d planted, rule %d: %v", rule, i, r.FirstBreaches)
 		}
-		assert.Equal(t, rule == 0, r.Kept())
+		assert.Equal(t, rule == 0, r.Passed())
 	}
 }
 
-// What each breach looks like to the audit, and what only resembles one.
+// Text each breach looks like to the audit, and what only resembles one.
 func TestAudit(t *testing.T) {
 	classes := []balance.Class{{Name: "page"}, {Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
 		{Name: "sms", Idempotency: balance.NonIdempotent}}
@@ -285,119 +287,141 @@
 		tariff, rule int // 0: none
 		play         func(a *Audit, try int)
 	}{
-		"answered":              {page, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1.2, n, balance.NoReply) }},
-		"never answered":        {page, 1, func(a *Audit, n int) {}},
-		"lost":                  {page, 1, func(a *Audit, n int) { a.Lost(1, n) }},
-		"its client left":       {page, 0, func(a *Audit, n int) { a.Left(1, n) }},
-		"answered late":         {page, 1, func(a *Audit, n int) { a.Answered(2.2, n, balance.Rejected) }},
-		"just in time":          {page, 0, func(a *Audit, n int) { a.Answered(2.04, n, balance.Rejected) }},
-		"answered twice":        {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Answered(1, n, balance.Rejected) }},
-		"sent after its answer": {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Reached(1.2, n, 0, 0, 0) }},
-		"honoured by nobody":    {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.NoReply) }},
-		"of no lookup":          {page, 1, func(a *Audit, n int) { a.Answered(1, n, balance.Rejected); a.Reached(1, n+7, 0, 0, 0) }},
+		"answered":        {page, 0, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1.2, n, balance.NoReply) }},
+		"never answered":  {page, 1, func(a *Audit, n int) {}},
+		"lost":            {page, 1, func(a *Audit, n int) { a.RequestLost(1, n) }},
+		"its client left": {page, 0, func(a *Audit, n int) { a.ClientGone(1, n) }},
+		"answered late":   {page, 1, func(a *Audit, n int) { a.RequestAnswered(2.2, n, balance.Rejected) }},
+		"just in time":    {page, 0, func(a *Audit, n int) { a.RequestAnswered(2.04, n, balance.Rejected) }},
+		"answered twice": {page, 1, func(a *Audit, n int) {
+			a.RequestAnswered(1, n, balance.Rejected)
+			a.RequestAnswered(1, n, balance.Rejected)
+		}},
+		"sent after its answer": {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1.2, n, 0, 0, 0) }},
+		"honoured by nobody":    {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.NoReply) }},
+		"of no lookup":          {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1, n+7, 0, 0, 0) }},
 		"sent to a banned server": {page, 3, func(a *Audit, n int) {
-			a.Banned(-9, 0, 4, true)
-			a.Banned(1.5, 0, 4, true) // repeated: since the first
-			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoReply)
+			a.ServerDisabled(-9, 0, 4, true)
+			a.ServerDisabled(1.5, 0, 4, true) // repeated: since the first
+			a.AttemptReceived(1.9, n, 0, 4, 0)
+			a.RequestAnswered(1.9, n, balance.NoReply)
 		}},
 		"banned at another proxy": {page, 0, func(a *Audit, n int) {
-			a.Banned(-9, 1, 4, true)
-			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoReply)
+			a.ServerDisabled(-9, 1, 4, true)
+			a.AttemptReceived(1.9, n, 0, 4, 0)
+			a.RequestAnswered(1.9, n, balance.NoReply)
 		}},
 		"banned, and not any more": {page, 0, func(a *Audit, n int) {
-			a.Banned(-9, 0, 4, true)
-			a.Banned(1.8, 0, 4, false)
-			a.Reached(1.9, n, 0, 4, 0)
-			a.Answered(1.9, n, balance.NoReply)
+			a.ServerDisabled(-9, 0, 4, true)
+			a.ServerDisabled(1.8, 0, 4, false)
+			a.AttemptReceived(1.9, n, 0, 4, 0)
+			a.RequestAnswered(1.9, n, balance.NoReply)
 		}},
 		"replayable twice": {page, 0, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 0)
-			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Rejected)
+			a.AttemptReceived(1, n, 0, 0, 0)
+			a.AttemptReceived(1, n, 0, 1, 0)
+			a.RequestAnswered(1, n, balance.Rejected)
 		}},
 		"single-use twice": {sms, 2, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 0)
-			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Failed)
+			a.AttemptReceived(1, n, 0, 0, 0)
+			a.AttemptReceived(1, n, 0, 1, 0)
+			a.RequestAnswered(1, n, balance.Failed)
 		}},
 		"single-use, turned away": {sms, 0, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 0)
-			a.Turned(n)
-			a.Reached(1, n, 0, 1, 0)
-			a.Answered(1, n, balance.Failed)
+			a.AttemptReceived(1, n, 0, 0, 0)
+			a.AttemptRejected(n)
+			a.AttemptReceived(1, n, 0, 1, 0)
+			a.RequestAnswered(1, n, balance.Failed)
+		}},
+		"dismissed, never ran": {sms, 0, func(a *Audit, n int) {
+			a.AttemptReceived(1, n, 0, 0, 0)
+			a.AttemptRejected(n)
+			a.RequestAnswered(1, n, balance.Rejected)
 		}},
-		"dismissed, never ran":    {sms, 0, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Turned(n); a.Answered(1, n, balance.Rejected) }},
-		"dismissed, may have run": {sms, 2, func(a *Audit, n int) { a.Reached(1, n, 0, 0, 0); a.Answered(1, n, balance.Rejected) }},
+		"dismissed, may have run": {sms, 2, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1, n, balance.Rejected) }},
 		"referenced, in its group": {sign, 0, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 5)
-			a.Reached(1.2, n, 0, 1, 5)
-			a.Answered(1.3, n, balance.NoReply)
+			a.AttemptReceived(1, n, 0, 0, 5)
+			a.AttemptReceived(1.2, n, 0, 1, 5)
+			a.RequestAnswered(1.3, n, balance.NoReply)
 		}},
 		"referenced, other group": {sign, 2, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 5)
-			a.Reached(1.2, n, 0, 1, 6)
-			a.Answered(1.3, n, balance.NoReply)
+			a.AttemptReceived(1, n, 0, 0, 5)
+			a.AttemptReceived(1.2, n, 0, 1, 6)
+			a.RequestAnswered(1.3, n, balance.NoReply)
 		}},
 		"referenced, past its window": {sign, 2, func(a *Audit, n int) {
-			a.Reached(1, n, 0, 0, 5)
-			a.Reached(1.4, n, 0, 1, 5)
-			a.Answered(1.5, n, balance.NoReply)
+			a.AttemptReceived(1, n, 0, 0, 5)
+			a.AttemptReceived(1.4, n, 0, 1, 5)
+			a.RequestAnswered(1.5, n, balance.NoReply)
+		}},
+		"within the grace": {page, 0, func(a *Audit, n int) {
+			a.MemberNotReady(.1, 0)
+			a.ProxyNotified(.2, 0, 0)
+			a.AttemptReceived(2.6, n, 0, 0, 0)
+			a.ClientGone(3, n)
+		}},
+		"past the grace": {page, 3, func(a *Audit, n int) {
+			a.MemberNotReady(.1, 0)
+			a.ProxyNotified(.2, 0, 0)
+			a.AttemptReceived(2.8, n, 0, 0, 0)
+			a.ClientGone(3, n)
+		}},
+		"another was told": {page, 0, func(a *Audit, n int) {
+			a.MemberNotReady(.1, 0)
+			a.ProxyNotified(.2, 1, 0)
+			a.AttemptReceived(2.8, n, 0, 0, 0)
+			a.ClientGone(3, n)
 		}},
-		"within the grace": {page, 0, func(a *Audit, n int) { a.Listed(.1, 0); a.Told(.2, 0, 0); a.Reached(2.6, n, 0, 0, 0); a.Left(3, n) }},
-		"past the grace":   {page, 3, func(a *Audit, n int) { a.Listed(.1, 0); a.Told(.2, 0, 0); a.Reached(2.8, n, 0, 0, 0); a.Left(3, n) }},
-		"another was told": {page, 0, func(a *Audit, n int) { a.Listed(.1, 0); a.Told(.2, 1, 0); a.Reached(2.8, n, 0, 0, 0); a.Left(3, n) }},
-		"counts as told":   {page, 3, func(a *Audit, n int) { a.Listed(.1, 0); a.Reached(8.7, n, 0, 0, 0); a.Left(3, n) }},
-		"pushed over":      {page, 4, func(a *Audit, n int) { a.Fell(1, 0); a.Left(1, n) }},
+		"counts as told": {page, 3, func(a *Audit, n int) { a.MemberNotReady(.1, 0); a.AttemptReceived(8.7, n, 0, 0, 0); a.ClientGone(3, n) }},
+		"pushed over":    {page, 4, func(a *Audit, n int) { a.ServerCrashed(1, 0); a.ClientGone(1, n) }},
 	} {
 		a := NewAudit(classes, .05, 2.5, 6)
-		c.play(a, a.Sent(c.tariff, 2))
+		c.play(a, a.RequestSent(c.tariff, 2))
 		a.Close(10)
 		for rule := 1; rule <= 4; rule++ {
-			assert.Equal(t, rule == c.rule, a.Broken[rule] > 0, "%s: rule %d: %v", name, rule, a.First)
+			assert.Equal(t, rule == c.rule, a.RulesBroken[rule] > 0, "%s: rule %d: %v", name, rule, a.FirstBreaches)
 		}
 	}
 }
 
 // The kinds of trouble show in the servers' states and in what baselines make of them.
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	for kind, c := range map[string]struct {
 		more  string
 		state func(Second) int
 	}{
-		"pause":         {"for = 2.0\ncount = 3", func(s Second) int { return s.Still }},
-		"silence":       {"for = 2.0\ncount = 3", func(s Second) int { return s.Silent }},
+		"pause":         {"for = 2.0\ncount = 3", func(s Second) int { return s.Paused }},
+		"silence":       {"for = 2.0\ncount = 3", func(s Second) int { return s.Unreachable }},
 		"crash":         {"for = 2.0\ncount = 3", func(s Second) int { return s.Down }},
 		"drain":         {"drain = 2.0\ncount = 3", func(s Second) int { return s.Draining }},
-		"replace":       {"drain = 2.0\ncount = 3", func(s Second) int { return s.Cold }},
-		"replace-there": {"drain = 0.5\ncount = 3", func(s Second) int { return s.Cold }},
+		"replace":       {"drain = 2.0\ncount = 3", func(s Second) int { return s.WarmingUp }},
+		"replace-there": {"drain = 0.5\ncount = 3", func(s Second) int { return s.WarmingUp }},
 	} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 0.5\n"+c.more+"\n")
 		for name, policy := range Policies {
 			r, err := s.Virtual(name, policy(), 3)
 			require.NoError(t, err)
 			assert.Equal(t, [2]int{0, 3}, [2]int{c.state(r.Seconds[0]) % 3, c.state(r.Seconds[1])}, "%s under %s: %+v", kind, name, r.Seconds[:3])
-			assert.Zero(t, r.Broken[1]+r.Broken[2]+r.Broken[3], "%s under %s: %v", kind, name, r.First)
+			assert.Zero(t, r.RulesBroken[1]+r.RulesBroken[2]+r.RulesBroken[3], "%s under %s: %v", kind, name, r.FirstBreaches)
 		}
 	}
 }
 
 // A proxy killed with requests in hand loses those and no others; one that is restarted in order loses none.
-func TestProxies(t *testing.T) {
+func TestProxyFaults(t *testing.T) {
 	for kind, lost := range map[string]bool{"proxy-kill": true, "proxy-restart": false} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 1.0\nfor = 1.0\nproxy = 1\n")
 		r, err := s.Virtual("lockloom", Policies["lockloom"](), 3)
 		require.NoError(t, err)
-		assert.Equal(t, lost, r.WithProxy > 0, kind)
-		assert.Equal(t, []any{0, 0, true}, []any{r.Lost, r.Unreached, r.Kept()}, "%s: %v", kind, r.First)
-		assert.Equal(t, r.Tries, r.Honoured+r.Dismissed+r.Forfeited+r.WithProxy)
+		assert.Equal(t, lost, r.LostWithProxy > 0, kind)
+		assert.Equal(t, []any{0, 0, true}, []any{r.Lost, r.NoProxy, r.Passed()}, "%s: %v", kind, r.FirstBreaches)
+		assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.LostWithProxy)
 	}
 	s := scenario(t, "[[trouble]]\nkind = \"proxy-kill\"\nat = 1.0\nfor = 1.5\n")
 	r, err := s.Virtual("lockloom", Policies["lockloom"](), 3)
 	require.NoError(t, err)
-	assert.Greater(t, r.Unreached, 0, "with none up there is nobody to take them")
-	assert.True(t, r.Kept(), r.First)
+	assert.Greater(t, r.NoProxy, 0, "with none up there is nobody to take them")
+	assert.True(t, r.Passed(), r.FirstBreaches)
 }
 
 func BenchmarkVirtual(b *testing.B) {
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -9,107 +9,107 @@
 	"lockloom/internal/emulator"
 )
 
-// Happening is one thing of a scenario's timeline: to a server, to a proxy, or to what proxies are told.
-type Happening struct {
-	At    float64
-	Act   emulator.Change // where Proxy is nothing
-	Then  bool            // it follows from another, and is not scripted
-	Proxy Turn
-	Who   int     // the proxy, from 0; -1: all
-	Value float64 // for so long
-	Late  float64 // by so much, for ListLate
+// TimelineEntry is one thing of a scenario's timeline: to a server, to a proxy, or to what proxies are told.
+type TimelineEntry struct {
+	At         float64
+	Change     emulator.Change // where Proxy is nothing
+	FollowUp   bool            // it follows from another, and is not scripted
+	ProxyEvent ProxyEvent
+	ProxyIndex int     // the proxy, from 0; -1: all
+	Duration   float64 // for so long
+	Delay      float64 // by so much, for ListLate
 }
 
-// Turn is what happens to a proxy or to its list.
-type Turn uint8
+// ProxyEvent is what happens to a proxy or to its list.
+type ProxyEvent uint8
 
 const (
-	NoTurn     Turn = iota
-	Kill            // at once; it is started again Value later
-	Restart         // told to stop, and started again when it has
-	ListLate        // for Value, what is told comes Late later
-	ListSilent      // for Value, nothing is told or learnt: discovery is down
-	ListReset       // every open watch is reset
-	ListMute        // every open watch falls silent, for good
-	Upgrade         // a second process starts beside it, and the first is told to stop once it serves
-	Drain           // by a call at its operators' door, and back to work Value later
-	Ban             // the same of the server in Act's seat
+	NoProxyEvent  ProxyEvent = iota
+	ProxyKill                // at once; it is started again Value later
+	ProxyRestart             // told to stop, and started again when it has
+	ListLate                 // for Value, what is told comes Late later
+	ListSilent               // for Value, nothing is told or learnt: discovery is down
+	ListReset                // every open watch is reset
+	ListMute                 // every open watch falls silent, for good
+	ProxyUpgrade             // a second process starts beside it, and the first is told to stop once it serves
+	ProxyDrain               // by a call at its operators' door, and back to work Value later
+	DisableServer            // the same of the server in Act's seat
 )
 
-func (t Turn) String() string {
+func (t ProxyEvent) String() string {
 	return [...]string{"", "killed", "restarted", "list late", "list silent", "watches reset", "watches muted", "upgraded", "drained", "bans"}[t]
 }
 
-func (h Happening) String() string {
-	if h.Proxy == NoTurn {
-		return fmt.Sprintf("seat %d %s %g", h.Act.Position, h.Act.Kind, h.Act.Value)
+func (h TimelineEntry) String() string {
+	if h.ProxyEvent == NoProxyEvent {
+		return fmt.Sprintf("seat %d %s %g", h.Change.Position, h.Change.Kind, h.Change.Value)
 	}
-	if h.Proxy == Ban {
-		return fmt.Sprintf("seat %d banned for %g", h.Act.Position, h.Value)
+	if h.ProxyEvent == DisableServer {
+		return fmt.Sprintf("seat %d banned for %g", h.Change.Position, h.Duration)
 	}
-	if h.Who < 0 {
-		return fmt.Sprintf("all proxies %s %g", h.Proxy, h.Value)
+	if h.ProxyIndex < 0 {
+		return fmt.Sprintf("all proxies %s %g", h.ProxyEvent, h.Duration)
 	}
-	return fmt.Sprintf("proxy %d %s %g", h.Who+1, h.Proxy, h.Value)
+	return fmt.Sprintf("proxy %d %s %g", h.ProxyIndex+1, h.ProxyEvent, h.Duration)
 }
 
 // Timeline is all that happens by itself, in order of time.
-func (s *Scenario) Timeline() []Happening {
-	var all []Happening
-	for _, t := range s.Troubles {
-		turn := map[string]Turn{"proxy-kill": Kill, "proxy-restart": Restart, "list-late": ListLate, "list-silent": ListSilent,
-			"list-reset": ListReset, "list-mute": ListMute, "proxy-upgrade": Upgrade, "proxy-drain": Drain}[t.Kind]
-		if turn != NoTurn {
-			all = append(all, s.turns(t, turn)...)
+func (s *Scenario) Timeline() []TimelineEntry {
+	var all []TimelineEntry
+	for _, t := range s.Faults {
+		turn := map[string]ProxyEvent{"proxy-kill": ProxyKill, "proxy-restart": ProxyRestart, "list-late": ListLate, "list-silent": ListSilent,
+			"list-reset": ListReset, "list-mute": ListMute, "proxy-upgrade": ProxyUpgrade, "proxy-drain": ProxyDrain}[t.Kind]
+		if turn != NoProxyEvent {
+			all = append(all, s.proxyEvents(t, turn)...)
 			continue
 		}
-		kind, n, first := troubles[t.Kind], s.hit(t), s.first(t.Servers)+t.From
-		class, _ := s.tariff(t.Tariff)
+		kind, n, first := faultKinds[t.Kind], s.affected(t), s.firstPosition(t.Servers)+t.From
+		class, _ := s.class(t.Class)
 		for i := range n {
 			if kind.bans {
-				all = append(all, Happening{At: t.At + t.Within*float64(i)/float64(n), Proxy: Ban, Who: t.Proxy - 1, Value: t.For,
-					Act: emulator.Change{Position: first + i}})
+				all = append(all, TimelineEntry{At: t.At + t.Within*float64(i)/float64(n), ProxyEvent: DisableServer, ProxyIndex: t.Proxy - 1, Duration: t.Duration,
+					Change: emulator.Change{Position: first + i}})
 				continue
 			}
 			a := emulator.Change{At: t.At + t.Within*float64(i)/float64(n), Kind: kind.deed, Position: first + i, Class: class, Value: t.Factor}
 			switch kind.deed {
 			case emulator.ChangePause, emulator.ChangeCrash:
-				a.Value = t.For
+				a.Value = t.Duration
 			case emulator.ChangeDrain, emulator.ChangeReplace, emulator.ChangeReplaceInPlace:
 				a.Value = t.Drain
 			case emulator.ChangeHanging, emulator.ChangeUnreachable:
 				a.Value = 1
 			}
-			all = append(all, Happening{At: a.At, Act: a})
+			all = append(all, TimelineEntry{At: a.At, Change: a})
 			if kind.lasts {
-				a.At += t.For
+				a.At += t.Duration
 				if a.Value = 0; kind.deed == emulator.ChangeSpeed {
 					a.Value = 1
 				}
-				all = append(all, Happening{At: a.At, Act: a})
+				all = append(all, TimelineEntry{At: a.At, Change: a})
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Happening) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b TimelineEntry) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// turns is what a trouble does to proxies, one after the other.
-func (s *Scenario) turns(t Trouble, turn Turn) []Happening {
-	h := Happening{At: t.At, Proxy: turn, Who: t.Proxy - 1, Value: t.For, Late: t.Factor}
-	if h.Who >= 0 || troubles[t.Kind].lists {
-		return []Happening{h}
+// proxyEvents is what a trouble does to proxies, one after the other.
+func (s *Scenario) proxyEvents(t Fault, turn ProxyEvent) []TimelineEntry {
+	h := TimelineEntry{At: t.At, ProxyEvent: turn, ProxyIndex: t.Proxy - 1, Duration: t.Duration, Delay: t.Factor}
+	if h.ProxyIndex >= 0 || faultKinds[t.Kind].lists {
+		return []TimelineEntry{h}
 	}
-	var all []Happening
-	for i := range s.Bank.Proxies {
-		h.Who, h.At = i, t.At+t.Within*float64(i)/float64(s.Bank.Proxies)
+	var all []TimelineEntry
+	for i := range s.ProxyFleet.Count {
+		h.ProxyIndex, h.At = i, t.At+t.Within*float64(i)/float64(s.ProxyFleet.Count)
 		all = append(all, h)
 	}
 	return all
 }
 
-// first is the first seat of a group.
-func (s *Scenario) first(group string) (seat int) {
+// firstPosition is the first seat of a group.
+func (s *Scenario) firstPosition(group string) (seat int) {
 	for _, g := range s.Servers {
 		if group == "" || g.Name == group {
 			break
@@ -119,9 +119,9 @@
 	return seat
 }
 
-// marks is the group that drops repeats of a class's requests at a member: -1 none.
-func marks(t balance.Class, class int, m *emulator.Member, zone int) int {
-	const most = serversMost + 2 // groups of one class: all, or zones, or pods
+// dedupGroup is the group that drops repeats of a class's requests at a member: -1 none.
+func dedupGroup(t balance.Class, class int, m *emulator.Member, zone int) int {
+	const most = maxServers + 2 // groups of one class: all, or zones, or pods
 	if t.Idempotency != balance.Keyed {
 		return -1
 	}
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -13,31 +13,31 @@
 	"lockloom/internal/settings"
 )
 
-// Every constant of the virtual world.
+// BurstInterval constant of the virtual world.
 const (
-	epoch      = 1000.0 // the clock at the start: a server that starts then has not been up for long
-	wire       = 0.0001 // s one way between proxy and server, or client
-	listLag    = 0.02   // s from a change of the list to a proxy's being told
-	muteFor    = 3.1    // s until a proxy has a watch again that fell silent
-	tryElse    = 0.05   // s until a client that found no proxy looks again
-	killMargin = 0.7    // s past the longest deadline that a proxy has, once told to stop
-	startUp    = 0.2    // s until a started proxy serves
+	epoch          = 1000.0 // the clock at the start: a server that starts then has not been up for long
+	wireDelay      = 0.0001 // s one way between proxy and server, or client
+	listDelay      = 0.02   // s from a change of the list to a proxy's being told
+	muteDuration   = 3.1    // s until a proxy has a watch again that fell silent
+	reconnectDelay = 0.05   // s until a client that found no proxy looks again
+	killMargin     = 0.7    // s past the longest deadline that a proxy has, once told to stop
+	startDuration  = 0.2    // s until a started proxy serves
 )
 
-// What an event of the agenda is.
+// Text an event of the agenda is.
 const (
-	evWant  uint8 = iota // the next request is wanted
-	evTry                // a: try
-	evStop               // a: try: its deadline
-	evWake               // a: try: its own timer
-	evPump               // a: proxy: its balancer's timer; gen: its era
-	evReach              // a: attempt
-	evBack               // a: attempt, b: outcome
-	evServe              // a: member: something ends there
-	evDo                 // a: of the acts
-	evTold               // a: proxy
-	evStart              // a: proxy
-	evLook               // the end of a second
+	eventIntentDue      uint8 = iota // the next request is wanted
+	eventConnect                     // a: try
+	eventClientLeaves                // a: try: its deadline
+	eventRequestTimer                // a: try: its own timer
+	eventDeciderTimer                // a: proxy: its balancer's timer; gen: its era
+	eventAttemptArrives              // a: attempt
+	eventAttemptEnds                 // a: attempt, b: outcome
+	eventServerDue                   // a: member: something ends there
+	eventTimelineEntry               // a: of the acts
+	eventProxyNotified               // a: proxy
+	eventProxyStarts                 // a: proxy
+	eventSecondEnds                  // the end of a second
 )
 
 type event struct {
@@ -92,7 +92,7 @@
 	}
 }
 
-// try is one of a client's tries of a request.
+// failOn is one of a client's tries of a request.
 type try struct {
 	in       loadgen.Intent
 	n        int // from 1
@@ -101,186 +101,186 @@
 	proxy    int32
 	pool     int32
 	sent     float64
-	hardStop float64
-	leaves   float64
+	deadline float64
+	leavesAt float64
 	handle   RequestHandle
-	legs     []int32
+	attempts []int32
 	open     int // attempts
 	over     bool
 	used     bool
 }
 
 // attempt is one attempt of a try.
-type leg struct {
-	try     int32
-	proxy   int32
-	member  int32
-	index   int32
-	gen     uint32
-	sent    float64
-	work    float64
-	kept    bool // on a connection that was open before
-	closed  bool // the proxy waits for it no more, and has been or is being told
-	reached bool
-	used    bool
-}
-
-// vproxy is one proxy.
-type vproxy struct {
-	pools   []Decider // one, or one for each pool of an ordinary scenario
-	era     uint32
-	up      bool // takes requests
-	alive   bool
-	open    int
-	version int64
-	idle    []int // connections, by member
-	silent  float64
-	late    float64
-	lateTo  float64
-}
-
-// virtual is a run in virtual time.
-type virtual struct {
-	s       *Scenario
-	figures settings.Settings
-	policy  Policy
-	seed    uint64
-	now     float64
-	agenda  agenda
-	plan    loadgen.Source
-	want    loadgen.Intent
-	clients loadgen.Clients
-	chance  *rand.Rand
-	fleet   *emulator.Fleet
-	nextAt  []float64 // by member: when an evServe is due
-	unheard [][]int32 // by member: attempts that were lost on their way, until its connections are reset
-	acts    []Happening
-	proxies []*vproxy
-	turn    int
-	tries   []try
-	freeTry []int32
-	legs    []leg
-	freeLeg []int32
-	zones   map[string]int
-	models  map[string]int
-	audit   *Audit
-	tally   *tally
-	legs1s  int
-	failed  error
+type attempt struct {
+	try              int32
+	proxy            int32
+	member           int32
+	index            int32
+	gen              uint32
+	sent             float64
+	work             float64
+	reusedConnection bool // on a connection that was open before
+	closed           bool // the proxy waits for it no more, and has been or is being told
+	received         bool
+	used             bool
+}
+
+// virtualProxy is one proxy.
+type virtualProxy struct {
+	pools            []Decider // one, or one for each pool of an ordinary scenario
+	incarnation      uint32
+	up               bool // takes requests
+	alive            bool
+	open             int
+	version          int64
+	idle             []int // connections, by member
+	silentUntil      float64
+	listExtraDelay   float64
+	listDelayedUntil float64
+}
+
+// virtualRun is a run in virtual time.
+type virtualRun struct {
+	scenario           *Scenario
+	settings           settings.Settings
+	policy             Policy
+	seed               uint64
+	now                float64
+	agenda             agenda
+	plan               loadgen.Source
+	nextIntent         loadgen.Intent
+	clients            loadgen.Clients
+	rand               *rand.Rand
+	fleet              *emulator.Fleet
+	nextEventAt        []float64 // by member: when an eventServerDue is due
+	silentAttempts     [][]int32 // by member: attempts that were lost on their way, until its connections are reset
+	timeline           []TimelineEntry
+	proxies            []*virtualProxy
+	nextProxy          int
+	tries              []try
+	freeTries          []int32
+	attempts           []attempt
+	freeAttempts       []int32
+	zones              map[string]int
+	models             map[string]int
+	audit              *Audit
+	tally              *tally
+	attemptsThisSecond int
+	err                error
 }
 
 // Virtual plays a scenario in virtual time with one of the policies. The same seed gives the same run.
 func (s *Scenario) Virtual(name string, policy Policy, seed uint64) (*Result, error) {
-	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Mix(), seed))
+	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
 }
 
 // VirtualOf plays it with other requests than its own.
 func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, requests loadgen.Source) (*Result, error) {
 	began := time.Now()
-	f := s.Figures(seed)
-	v := &virtual{s: s, figures: f, policy: policy, seed: seed, now: epoch, plan: requests,
-		clients: loadgen.Clients(s.Clients), chance: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
-		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wire+1e-6, s.Deployment.Grace, s.Deployment.CountsAfter),
+	f := s.Settings(seed)
+	v := &virtualRun{scenario: s, settings: f, policy: policy, seed: seed, now: epoch, plan: requests,
+		clients: loadgen.Clients(s.Clients), rand: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
+		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wireDelay+1e-6, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
 		tally: newTally(s, f.Classes, seed, name, "virtual")}
 	for i, z := range f.Zones {
 		v.zones[z] = i
 	}
-	for range s.Bank.Proxies {
-		v.proxies = append(v.proxies, &vproxy{})
+	for range s.ProxyFleet.Count {
+		v.proxies = append(v.proxies, &virtualProxy{})
 	}
 	for i := range v.proxies {
-		if v.start(i); v.failed != nil {
-			return nil, v.failed
+		if v.start(i); v.err != nil {
+			return nil, v.err
 		}
 	}
-	v.grow()
+	v.addMembers()
 	for _, h := range s.Timeline() {
-		v.later(h)
+		v.schedule(h)
 	}
 	for at := 1.0; at <= math.Ceil(s.Seconds); at++ {
-		v.agenda.add(event{at: epoch + at, what: evLook})
+		v.agenda.add(event{at: epoch + at, what: eventSecondEnds})
 	}
-	v.wanted()
+	v.scheduleIntent()
 	end := epoch + s.Seconds + 2*s.longest()
-	for len(v.agenda.list) > 0 && v.agenda.list[0].at <= end && v.failed == nil {
+	for len(v.agenda.list) > 0 && v.agenda.list[0].at <= end && v.err == nil {
 		e := v.agenda.next()
 		v.now = e.at
 		v.play(e)
 	}
 	v.audit.Close(end + 1)
-	r := v.tally.close(v.fleet, v.audit)
-	r.Took = time.Since(began).Seconds()
-	return r, v.failed
+	r := v.tally.result(v.fleet, v.audit)
+	r.WallTime = time.Since(began).Seconds()
+	return r, v.err
 }
 
-// longest is the longest deadline.
+// maxLatencyMicros is the longest deadline.
 func (s *Scenario) longest() float64 {
 	longest := 0.0
-	for _, t := range s.Tariffs {
-		longest = max(longest, t.HardStop)
+	for _, t := range s.Classes {
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
 
-func (v *virtual) play(e event) {
+func (v *virtualRun) play(e event) {
 	switch e.what {
-	case evWant:
-		in := v.want
-		v.wanted()
-		v.tally.asked(v.now-epoch, &in)
+	case eventIntentDue:
+		in := v.nextIntent
+		v.scheduleIntent()
+		v.tally.intentDue(v.now-epoch, &in)
 		v.try(in, 1)
-	case evTry:
-		v.take(e.a)
-	case evStop:
-		v.stop(e.a, e.gen)
-	case evWake:
+	case eventConnect:
+		v.connect(e.a)
+	case eventClientLeaves:
+		v.clientLeaves(e.a, e.gen)
+	case eventRequestTimer:
 		if t := &v.tries[e.a]; t.gen == e.gen && t.handle != nil {
-			v.carry(t.proxy, t.pool, t.handle.TimerFired(v.now))
+			v.carryOut(t.proxy, t.pool, t.handle.TimerFired(v.now))
 			v.release(e.a)
 		}
-	case evPump:
-		if p := v.proxies[e.a]; p.era == e.gen && p.alive {
-			v.carry(e.a, e.b, p.pools[e.b].TimerFired(v.now))
+	case eventDeciderTimer:
+		if p := v.proxies[e.a]; p.incarnation == e.gen && p.alive {
+			v.carryOut(e.a, e.b, p.pools[e.b].TimerFired(v.now))
 		}
-	case evReach:
-		if v.legs[e.a].gen == e.gen {
-			v.reach(e.a)
+	case eventAttemptArrives:
+		if v.attempts[e.a].gen == e.gen {
+			v.attemptArrives(e.a)
 		}
-	case evBack:
-		if v.legs[e.a].gen == e.gen {
-			v.back(e.a, balance.Outcome(e.b))
+	case eventAttemptEnds:
+		if v.attempts[e.a].gen == e.gen {
+			v.attemptEnds(e.a, balance.Outcome(e.b))
 		}
-	case evServe:
-		if m := int(e.a); v.nextAt[m] == e.at {
-			v.nextAt[m] = farOff
-			v.settle(m, v.fleet.Members[m].Advance(v.now))
+	case eventServerDue:
+		if m := int(e.a); v.nextEventAt[m] == e.at {
+			v.nextEventAt[m] = never
+			v.reconcile(m, v.fleet.Members[m].Advance(v.now))
 		}
-	case evDo:
-		v.do(v.acts[e.a])
-	case evTold:
-		v.tell(int(e.a))
-	case evStart:
+	case eventTimelineEntry:
+		v.applyEntry(v.timeline[e.a])
+	case eventProxyNotified:
+		v.notifyProxy(int(e.a))
+	case eventProxyStarts:
 		v.start(int(e.a))
-	case evLook:
+	case eventSecondEnds:
 		for i, m := range v.fleet.Members {
-			v.settle(i, m.Advance(v.now))
+			v.reconcile(i, m.Advance(v.now))
 		}
-		v.tally.look(v.now-epoch-1, v.fleet, v.legs1s)
-		v.legs1s = 0
+		v.tally.endSecond(v.now-epoch-1, v.fleet, v.attemptsThisSecond)
+		v.attemptsThisSecond = 0
 	}
 }
 
-// wanted plans the next request.
-func (v *virtual) wanted() {
+// scheduleIntent plans the next request.
+func (v *virtualRun) scheduleIntent() {
 	if in, ok := v.plan.Next(); ok {
-		v.want = in
-		v.agenda.add(event{at: epoch + in.At, what: evWant})
+		v.nextIntent = in
+		v.agenda.add(event{at: epoch + in.At, what: eventIntentDue})
 	}
 }
 
-func (v *virtual) later(h Happening) {
-	v.acts = append(v.acts, h)
-	v.agenda.add(event{at: epoch + h.At, what: evDo, a: int32(len(v.acts) - 1)})
+func (v *virtualRun) schedule(h TimelineEntry) {
+	v.timeline = append(v.timeline, h)
+	v.agenda.add(event{at: epoch + h.At, what: eventTimelineEntry, a: int32(len(v.timeline) - 1)})
 }
 
 func slot[T any](list *[]T, free *[]int32) int32 {
@@ -294,55 +294,55 @@
 	return int32(len(*list) - 1)
 }
 
-// try begins a client's n-th try.
-func (v *virtual) try(in loadgen.Intent, n int) {
-	i := slot(&v.tries, &v.freeTry)
+// failOn begins a client's n-th try.
+func (v *virtualRun) try(in loadgen.Intent, n int) {
+	i := slot(&v.tries, &v.freeTries)
 	t := &v.tries[i]
-	row := &v.figures.Classes[in.Class]
-	*t = try{in: in, n: n, gen: t.gen + 1, legs: t.legs[:0], sent: v.now, hardStop: v.now + row.Deadline, proxy: -1, used: true}
-	t.leaves = v.now + row.Deadline*v.clients.Patience
-	v.take(i)
+	row := &v.settings.Classes[in.Class]
+	*t = try{in: in, n: n, gen: t.gen + 1, attempts: t.attempts[:0], sent: v.now, deadline: v.now + row.Deadline, proxy: -1, used: true}
+	t.leavesAt = v.now + row.Deadline*v.clients.Patience
+	v.connect(i)
 }
 
-// take brings a try to the next proxy that takes it.
-func (v *virtual) take(i int32) {
+// connect brings a try to the next proxy that takes it.
+func (v *virtualRun) connect(i int32) {
 	t := &v.tries[i]
 	for range v.proxies {
-		v.turn++
-		if p := v.turn % len(v.proxies); v.proxies[p].up {
+		v.nextProxy++
+		if p := v.nextProxy % len(v.proxies); v.proxies[p].up {
 			t.proxy = int32(p)
 			break
 		}
 	}
 	if t.proxy < 0 {
-		if v.now+tryElse < t.leaves {
-			v.agenda.add(event{at: v.now + tryElse, what: evTry, a: i})
+		if v.now+reconnectDelay < t.leavesAt {
+			v.agenda.add(event{at: v.now + reconnectDelay, what: eventConnect, a: i})
 		} else {
-			v.tally.Unreached++
+			v.tally.NoProxy++
 			v.free(i)
 		}
 		return
 	}
 	p := v.proxies[t.proxy]
 	p.open++
-	t.id = v.audit.Sent(t.in.Class, t.hardStop)
+	t.id = v.audit.RequestSent(t.in.Class, t.deadline)
 	v.tally.Tries++
-	v.agenda.add(event{at: t.leaves, what: evStop, a: i, gen: t.gen})
-	a := balance.RequestInfo{Ref: int(i), Class: t.in.Class, Tenant: t.in.Tenant, Deadline: t.hardStop, ClientRetry: t.n > 1 && v.clients.MarksRetries}
+	v.agenda.add(event{at: t.leavesAt, what: eventClientLeaves, a: i, gen: t.gen})
+	a := balance.RequestInfo{Ref: int(i), Class: t.in.Class, Tenant: t.in.Tenant, Deadline: t.deadline, ClientRetry: t.n > 1 && v.clients.MarksRetries}
 	if t.in.Key > 0 {
 		a.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
 	}
 	t.pool = v.pool(t.in.Class)
-	handle, orders := p.pools[t.pool].RequestArrived(v.now, a)
+	handle, actions := p.pools[t.pool].RequestArrived(v.now, a)
 	v.tries[i].handle = handle
-	v.carry(t.proxy, t.pool, orders)
+	v.carryOut(t.proxy, t.pool, actions)
 	v.release(i)
 }
 
-// carry carries out what a proxy's decider orders.
-func (v *virtual) carry(proxy, pool int32, o *balance.Actions) {
+// carryOut carries out what a proxy's decider orders.
+func (v *virtualRun) carryOut(proxy, pool int32, o *balance.Actions) {
 	if o.WakeAt > 0 {
-		v.agenda.add(event{at: max(o.WakeAt, v.now), what: evPump, a: proxy, b: pool, gen: v.proxies[proxy].era})
+		v.agenda.add(event{at: max(o.WakeAt, v.now), what: eventDeciderTimer, a: proxy, b: pool, gen: v.proxies[proxy].incarnation})
 	}
 	for k := range o.Requests {
 		s := &o.Requests[k]
@@ -351,9 +351,9 @@
 			v.send(int32(s.Ref), s.Endpoint)
 		}
 		if s.CancelAttempt > 0 {
-			if g := t.legs[s.CancelAttempt-1]; v.legs[g].used && !v.legs[g].closed {
+			if g := t.attempts[s.CancelAttempt-1]; v.attempts[g].used && !v.attempts[g].closed {
 				v.drop(g)
-				v.agenda.add(event{at: v.now, what: evBack, a: g, b: int32(balance.Canceled), gen: v.legs[g].gen})
+				v.agenda.add(event{at: v.now, what: eventAttemptEnds, a: g, b: int32(balance.Canceled), gen: v.attempts[g].gen})
 			}
 		}
 		if s.Reply != balance.NoReply && !t.over {
@@ -361,7 +361,7 @@
 			v.answered(t, s.Reply, s.RetryAfter)
 		}
 		if s.WakeAt > 0 {
-			v.agenda.add(event{at: max(s.WakeAt, v.now), what: evWake, a: int32(s.Ref), gen: t.gen})
+			v.agenda.add(event{at: max(s.WakeAt, v.now), what: eventRequestTimer, a: int32(s.Ref), gen: t.gen})
 		}
 	}
 	for k := range o.Requests {
@@ -370,57 +370,57 @@
 }
 
 // answered tells a client that its try was rejected or failed.
-func (v *virtual) answered(t *try, answer balance.Reply, advice float64) {
-	at := v.now + wire
-	v.audit.Answered(at, t.id, answer)
+func (v *virtualRun) answered(t *try, answer balance.Reply, advice float64) {
+	at := v.now + wireDelay
+	v.audit.RequestAnswered(at, t.id, answer)
 	v.tally.failed(at-epoch, answer)
-	v.again(t, answer, advice)
+	v.retry(t, answer, advice)
 }
 
-// again has a client try again, or not.
-func (v *virtual) again(t *try, answer balance.Reply, advice float64) {
-	after, ok := v.clients.RetryDelay(t.n, v.figures.Classes[t.in.Class].Idempotency, answer, advice, v.chance)
-	if !ok || v.now+after > epoch+v.s.Seconds {
+// retry has a client try again, or not.
+func (v *virtualRun) retry(t *try, answer balance.Reply, advice float64) {
+	after, ok := v.clients.RetryDelay(t.n, v.settings.Classes[t.in.Class].Idempotency, answer, advice, v.rand)
+	if !ok || v.now+after > epoch+v.scenario.Seconds {
 		return
 	}
 	in, n := t.in, t.n+1
-	i := slot(&v.tries, &v.freeTry)
+	i := slot(&v.tries, &v.freeTries)
 	again := &v.tries[i]
-	row := &v.figures.Classes[in.Class]
-	at := v.now + wire + after
-	*again = try{in: in, n: n, gen: again.gen + 1, legs: again.legs[:0], sent: at, hardStop: at + row.Deadline, proxy: -1, used: true,
-		leaves: at + row.Deadline*v.clients.Patience}
-	v.agenda.add(event{at: at, what: evTry, a: i})
-}
-
-func (v *virtual) send(i int32, member int) {
-	g := slot(&v.legs, &v.freeLeg)
-	t, l := &v.tries[i], &v.legs[g]
-	*l = leg{try: i, proxy: t.proxy, member: int32(member), index: int32(len(t.legs)), gen: l.gen + 1, sent: v.now, work: t.in.Work, used: true}
-	t.legs = append(t.legs, g)
+	row := &v.settings.Classes[in.Class]
+	at := v.now + wireDelay + after
+	*again = try{in: in, n: n, gen: again.gen + 1, attempts: again.attempts[:0], sent: at, deadline: at + row.Deadline, proxy: -1, used: true,
+		leavesAt: at + row.Deadline*v.clients.Patience}
+	v.agenda.add(event{at: at, what: eventConnect, a: i})
+}
+
+func (v *virtualRun) send(i int32, member int) {
+	g := slot(&v.attempts, &v.freeAttempts)
+	t, l := &v.tries[i], &v.attempts[g]
+	*l = attempt{try: i, proxy: t.proxy, member: int32(member), index: int32(len(t.attempts)), gen: l.gen + 1, sent: v.now, work: t.in.Work, used: true}
+	t.attempts = append(t.attempts, g)
 	t.open++
-	v.tally.Legs++
-	v.legs1s++
-	way := wire
+	v.tally.Attempts++
+	v.attemptsThisSecond++
+	way := wireDelay
 	idle := v.idle(v.proxies[t.proxy], member)
-	if l.kept = *idle > 0; l.kept {
+	if l.reusedConnection = *idle > 0; l.reusedConnection {
 		*idle--
 	} else {
-		way = 3 * wire // there, back, and there with the request
+		way = 3 * wireDelay // there, back, and there with the request
 	}
-	v.agenda.add(event{at: v.now + way, what: evReach, a: g, gen: l.gen})
+	v.agenda.add(event{at: v.now + way, what: eventAttemptArrives, a: g, gen: l.gen})
 }
 
-func (v *virtual) idle(p *vproxy, member int) *int {
+func (v *virtualRun) idle(p *virtualProxy, member int) *int {
 	for len(p.idle) <= member {
 		p.idle = append(p.idle, 0)
 	}
 	return &p.idle[member]
 }
 
-// reach is an attempt's coming to its server.
-func (v *virtual) reach(g int32) {
-	l := &v.legs[g]
+// attemptArrives is an attempt's coming to its server.
+func (v *virtualRun) attemptArrives(g int32) {
+	l := &v.attempts[g]
 	if l.closed {
 		return
 	}
@@ -428,96 +428,98 @@
 	t := &v.tries[l.try]
 	switch reach := m.Reachability(); {
 	case reach == emulator.Refusing || m.State == balance.Removed:
-		v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
+		v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
-	case reach == emulator.Unreachable && !l.kept:
-		v.agenda.add(event{at: l.sent + v.figures.ConnectTimeout, what: evBack, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
+	case reach == emulator.Unreachable && !l.reusedConnection:
+		v.agenda.add(event{at: l.sent + v.settings.ConnectTimeout, what: eventAttemptEnds, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
 		return
 	case reach == emulator.Unreachable:
-		v.unheard[l.member] = append(v.unheard[l.member], g)
+		v.silentAttempts[l.member] = append(v.silentAttempts[l.member], g)
 		m.Receive(v.now, emulator.Job{Ref: int(g)})
 		return
 	}
-	row := &v.figures.Classes[t.in.Class]
+	row := &v.settings.Classes[t.in.Class]
 	j := emulator.Job{Ref: int(g), Class: t.in.Class, Work: l.work, Key: t.in.Key}
-	group := marks(*row, t.in.Class, m, v.zones[m.Zone])
+	group := dedupGroup(*row, t.in.Class, m, v.zones[m.Zone])
 	if group >= 0 {
 		j.DedupKey, j.DedupWindow, j.DedupGroup = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.DedupGroup(group)
 	}
-	l.reached = true
-	v.audit.Reached(v.now, t.id, int(l.proxy), int(l.member), group)
-	v.settle(int(l.member), m.Receive(v.now, j))
+	l.received = true
+	v.audit.AttemptReceived(v.now, t.id, int(l.proxy), int(l.member), group)
+	v.reconcile(int(l.member), m.Receive(v.now, j))
 }
 
-// settle takes in what came of a call on a member.
-func (v *virtual) settle(i int, ends []emulator.Completion) { v.effect(v.fleet.Reconcile(i, ends)) }
+// reconcile takes in what came of a call on a member.
+func (v *virtualRun) reconcile(i int, ends []emulator.Completion) {
+	v.carryOutEffect(v.fleet.Reconcile(i, ends))
+}
 
-func (v *virtual) effect(e emulator.Effect) {
-	v.grow()
+func (v *virtualRun) carryOutEffect(e emulator.Effect) {
+	v.addMembers()
 	m := v.fleet.Members[e.Member]
 	for _, end := range e.Completions {
 		g := int32(end.Ref)
-		l := &v.legs[g]
+		l := &v.attempts[g]
 		if end.Outcome == balance.ServerRejected {
-			v.audit.Turned(v.tries[l.try].id)
+			v.audit.AttemptRejected(v.tries[l.try].id)
 		}
 		switch {
-		case l.closed: // nobody waits for it
-			l.reached = false
+		case l.closed: // noObserver waits for it
+			l.received = false
 			v.freed(g)
 		case m.Reachability() == emulator.Unreachable:
-			l.reached = false
-			v.unheard[e.Member] = append(v.unheard[e.Member], g)
+			l.received = false
+			v.silentAttempts[e.Member] = append(v.silentAttempts[e.Member], g)
 		default:
-			l.reached, l.work = false, end.Work
-			v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(end.Outcome), gen: l.gen})
+			l.received, l.work = false, end.Work
+			v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(end.Outcome), gen: l.gen})
 		}
 	}
 	if e.ResetConnections {
 		v.reset(e.Member)
 	}
 	if e.ListChanged {
-		v.listed()
+		v.listChanged()
 	}
-	if next := m.NextEvent(); next < v.nextAt[e.Member] {
-		v.nextAt[e.Member] = next
-		v.agenda.add(event{at: next, what: evServe, a: int32(e.Member)})
+	if next := m.NextEvent(); next < v.nextEventAt[e.Member] {
+		v.nextEventAt[e.Member] = next
+		v.agenda.add(event{at: next, what: eventServerDue, a: int32(e.Member)})
 	}
 }
 
-// grow makes room for new members.
-func (v *virtual) grow() {
-	for len(v.nextAt) < len(v.fleet.Members) {
-		v.nextAt, v.unheard = append(v.nextAt, farOff), append(v.unheard, nil)
-		i := len(v.nextAt) - 1
-		if next := v.fleet.Members[i].NextEvent(); next < farOff {
-			v.nextAt[i] = next
-			v.agenda.add(event{at: next, what: evServe, a: int32(i)})
+// addMembers makes room for new members.
+func (v *virtualRun) addMembers() {
+	for len(v.nextEventAt) < len(v.fleet.Members) {
+		v.nextEventAt, v.silentAttempts = append(v.nextEventAt, never), append(v.silentAttempts, nil)
+		i := len(v.nextEventAt) - 1
+		if next := v.fleet.Members[i].NextEvent(); next < never {
+			v.nextEventAt[i] = next
+			v.agenda.add(event{at: next, what: eventServerDue, a: int32(i)})
 		}
 	}
 }
 
 // reset ends all connections to a member.
-func (v *virtual) reset(member int) {
+func (v *virtualRun) reset(member int) {
 	if m := v.fleet.Members[member]; m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
 		v.tally.event(v.now-epoch, fmt.Sprintf("!%s fell over", m.Name))
-		v.audit.Fell(v.now, member)
+		v.audit.ServerCrashed(v.now, member)
 	}
 	for _, p := range v.proxies {
 		*v.idle(p, member) = 0
 	}
-	lost := v.unheard[member]
-	v.unheard[member] = nil
+	lost := v.silentAttempts[member]
+	v.silentAttempts[member] = nil
 	for _, g := range lost {
-		if l := &v.legs[g]; l.used && !l.closed && int(l.member) == member {
-			v.agenda.add(event{at: v.now + wire, what: evBack, a: g, b: int32(balance.ConnectionLost), gen: l.gen})
+		if l := &v.attempts[g]; l.used && !l.closed && int(l.member) == member {
+			v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(balance.ConnectionLost), gen: l.gen})
 		}
 	}
 }
 
-// back is an attempt's end at its proxy.
-func (v *virtual) back(g int32, o balance.Outcome) {
-	l := &v.legs[g]
+// attemptEnds is an attempt's end at its proxy.
+func (v *virtualRun) attemptEnds(g int32, o balance.Outcome) {
+	l := &v.attempts[g]
 	t := &v.tries[l.try]
 	if l.closed && o != balance.Canceled && o != balance.TimedOut {
 		return
@@ -529,69 +531,69 @@
 	}
 	if o == balance.Succeeded && !t.over {
 		t.over = true
-		v.tally.useful += l.work
-		at := v.now + wire
-		v.audit.Answered(at, t.id, balance.NoReply)
-		v.tally.honoured(at-epoch, &t.in, at-t.sent, at-epoch-t.in.At)
+		v.tally.usefulWork += l.work
+		at := v.now + wireDelay
+		v.audit.RequestAnswered(at, t.id, balance.NoReply)
+		v.tally.succeeded(at-epoch, &t.in, at-t.sent, at-epoch-t.in.At)
 	}
 	over, index, latency := t.over, int(l.index), v.now-l.sent
 	t.open--
 	v.freed(g)
-	v.carry(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, o, latency, over))
+	v.carryOut(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, o, latency, over))
 	v.release(i)
 }
 
 // drop closes an attempt's connection: its server hears that nobody waits.
-func (v *virtual) drop(g int32) {
-	l := &v.legs[g]
+func (v *virtualRun) drop(g int32) {
+	l := &v.attempts[g]
 	l.closed = true
-	if l.reached {
+	if l.received {
 		dropped, ends := v.fleet.Members[l.member].Abandon(v.now, int(g))
-		l.reached = l.reached && !dropped
-		v.settle(int(l.member), ends)
+		l.received = l.received && !dropped
+		v.reconcile(int(l.member), ends)
 	}
 }
 
 // freed gives an attempt's slot back once neither its proxy nor its server has to do with it.
-func (v *virtual) freed(g int32) {
-	if l := &v.legs[g]; l.used && l.closed && !l.reached {
+func (v *virtualRun) freed(g int32) {
+	if l := &v.attempts[g]; l.used && l.closed && !l.received {
 		l.used = false
 		l.gen++
-		v.freeLeg = append(v.freeLeg, g)
+		v.freeAttempts = append(v.freeAttempts, g)
 	}
 }
 
-// stop is when a client waits no longer.
-func (v *virtual) stop(i int32, gen uint32) {
+// clientLeaves is when a client waits no longer.
+func (v *virtualRun) clientLeaves(i int32, gen uint32) {
 	t := &v.tries[i]
 	if t.gen != gen || !t.used {
 		return
 	}
 	if !t.over {
 		t.over = true
-		if t.leaves < t.hardStop {
-			v.audit.Left(v.now, t.id)
+		if t.leavesAt < t.deadline {
+			v.audit.ClientGone(v.now, t.id)
 		} else {
-			v.audit.Lost(v.now, t.id)
+			v.audit.RequestLost(v.now, t.id)
 			v.tally.lost(v.now - epoch)
 		}
-		v.carry(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
+		v.carryOut(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
 	}
-	for k := 0; k < len(v.tries[i].legs); k++ {
+	for k := 0; k < len(v.tries[i].attempts); k++ {
 		t := &v.tries[i]
 		if t.gen != gen { // it ended with one of them
 			return
 		}
-		if g := t.legs[k]; v.legs[g].used && v.legs[g].try == i && !v.legs[g].closed {
+		if g := t.attempts[k]; v.attempts[g].used && v.attempts[g].try == i && !v.attempts[g].closed {
 			v.drop(g)
-			v.back(g, balance.TimedOut)
+			v.attemptEnds(g, balance.TimedOut)
 		}
 	}
 	v.release(i)
 }
 
 // release frees a try to which nothing more will happen.
-func (v *virtual) release(i int32) {
+func (v *virtualRun) release(i int32) {
 	if t := &v.tries[i]; t.used && t.over && t.open == 0 {
 		if p := v.proxies[t.proxy]; p.open > 0 {
 			p.open--
@@ -600,53 +602,53 @@
 	}
 }
 
-func (v *virtual) free(i int32) {
+func (v *virtualRun) free(i int32) {
 	t := &v.tries[i]
 	t.used, t.handle = false, nil
 	t.gen++
-	v.freeTry = append(v.freeTry, i)
+	v.freeTries = append(v.freeTries, i)
 }
 
-// do carries out something of the timeline.
-func (v *virtual) do(h Happening) {
-	if !h.Then {
+// applyEntry carries out something of the timeline.
+func (v *virtualRun) applyEntry(h TimelineEntry) {
+	if !h.FollowUp {
 		v.tally.event(v.now-epoch, h.String())
 	}
-	if h.Proxy == NoTurn {
-		e, later := v.fleet.Apply(v.now, h.Act)
-		v.grow()
-		v.effect(e)
+	if h.ProxyEvent == NoProxyEvent {
+		e, later := v.fleet.Apply(v.now, h.Change)
+		v.addMembers()
+		v.carryOutEffect(e)
 		for _, a := range later {
-			v.later(Happening{At: a.At - epoch, Act: a, Then: true})
+			v.schedule(TimelineEntry{At: a.At - epoch, Change: a, FollowUp: true})
 		}
 		return
 	}
 	for i, p := range v.proxies {
-		if h.Who >= 0 && h.Who != i {
+		if h.ProxyIndex >= 0 && h.ProxyIndex != i {
 			continue
 		}
-		switch h.Proxy {
+		switch h.ProxyEvent {
 		case ListLate:
-			p.late, p.lateTo = h.Late, v.now+h.Value
+			p.listExtraDelay, p.listDelayedUntil = h.Delay, v.now+h.Duration
 		case ListSilent:
-			p.silent = max(p.silent, v.now+h.Value)
+			p.silentUntil = max(p.silentUntil, v.now+h.Duration)
 		case ListMute:
-			p.silent = max(p.silent, v.now+muteFor)
-		case Kill:
+			p.silentUntil = max(p.silentUntil, v.now+muteDuration)
+		case ProxyKill:
 			v.kill(i)
-			v.agenda.add(event{at: v.now + h.Value, what: evStart, a: int32(i)})
-		case Restart:
+			v.agenda.add(event{at: v.now + h.Duration, what: eventProxyStarts, a: int32(i)})
+		case ProxyRestart:
 			p.up = false
-			v.agenda.add(event{at: v.now + v.s.longest() + killMargin, what: evStart, a: int32(i)})
+			v.agenda.add(event{at: v.now + v.scenario.longest() + killMargin, what: eventProxyStarts, a: int32(i)})
 		}
 	}
 }
 
 // kill ends a proxy with all it had in hand.
-func (v *virtual) kill(i int) {
+func (v *virtualRun) kill(i int) {
 	p := v.proxies[i]
 	p.up, p.alive = false, false
-	p.era++
+	p.incarnation++
 	for k := range v.tries {
 		t := &v.tries[k]
 		if !t.used || t.proxy != int32(i) {
@@ -654,14 +656,14 @@
 		}
 		if !t.over {
 			t.over = true
-			v.audit.Left(v.now, t.id)
-			v.tally.WithProxy++
-			v.tally.now(v.now-epoch).Lost++
-			v.again(t, balance.Failed, 0)
+			v.audit.ClientGone(v.now, t.id)
+			v.tally.LostWithProxy++
+			v.tally.second(v.now-epoch).Lost++
+			v.retry(t, balance.Failed, 0)
 			t = &v.tries[k]
 		}
-		for _, g := range t.legs {
-			if v.legs[g].used && v.legs[g].try == int32(k) && !v.legs[g].closed {
+		for _, g := range t.attempts {
+			if v.attempts[g].used && v.attempts[g].try == int32(k) && !v.attempts[g].closed {
 				v.drop(g)
 				v.freed(g)
 			}
@@ -672,23 +674,23 @@
 }
 
 // start starts a proxy that knows nothing but the list.
-func (v *virtual) start(i int) {
+func (v *virtualRun) start(i int) {
 	p := v.proxies[i]
 	if p.alive && p.open > 0 { // told to stop, and not done: it is killed
 		v.kill(i)
 	}
-	d := v.figures.Deployment
+	d := v.settings.Deployment
 	var pools []Decider
-	for k := range v.s.pools() {
-		d.Seed = v.seed + uint64(i)<<32 + uint64(p.era) + uint64(k)<<16
+	for k := range v.scenario.pools() {
+		d.Seed = v.seed + uint64(i)<<32 + uint64(p.incarnation) + uint64(k)<<16
 		decider, err := v.policy(d, v.now)
 		if err != nil {
-			v.failed = err
+			v.err = err
 			return
 		}
 		pools = append(pools, decider)
 	}
-	*p = vproxy{pools: pools, era: p.era + 1, up: true, alive: true, silent: p.silent, late: p.late, lateTo: p.lateTo}
+	*p = virtualProxy{pools: pools, incarnation: p.incarnation + 1, up: true, alive: true, silentUntil: p.silentUntil, listExtraDelay: p.listExtraDelay, listDelayedUntil: p.listDelayedUntil}
 	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Removed {
@@ -701,7 +703,7 @@
 }
 
 // entry is a member as the list has it.
-func (v *virtual) entry(i int) balance.Endpoint {
+func (v *virtualRun) entry(i int) balance.Endpoint {
 	m := v.fleet.Members[i]
 	model, ok := v.models[m.Model]
 	if !ok {
@@ -711,31 +713,31 @@
 	return balance.Endpoint{Index: i, NameHash: settings.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.StartedAt()}
 }
 
-func (v *virtual) told(proxy, member int) {
+func (v *virtualRun) told(proxy, member int) {
 	if v.fleet.Members[member].State != balance.Ready {
-		v.audit.Told(v.now, proxy, member)
+		v.audit.ProxyNotified(v.now, proxy, member)
 	}
 }
 
-// listed has a change of the list told to all proxies.
-func (v *virtual) listed() {
+// listChanged has a change of the list told to all proxies.
+func (v *virtualRun) listChanged() {
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Ready {
-			v.audit.Listed(v.now, k)
+			v.audit.MemberNotReady(v.now, k)
 		}
 	}
 	for i, p := range v.proxies {
-		at := v.now + listLag
-		if v.now < p.lateTo {
-			at += p.late
+		at := v.now + listDelay
+		if v.now < p.listDelayedUntil {
+			at += p.listExtraDelay
 		}
-		v.agenda.add(event{at: max(at, p.silent), what: evTold, a: int32(i)})
+		v.agenda.add(event{at: max(at, p.silentUntil), what: eventProxyNotified, a: int32(i)})
 	}
 }
 
 // list tells each pool of a proxy what of a list concerns it.
-func (v *virtual) list(i int, first bool, list []balance.Endpoint) {
-	for k, group := range v.s.pools() {
+func (v *virtualRun) list(i int, first bool, list []balance.Endpoint) {
+	for k, group := range v.scenario.pools() {
 		own := list
 		if group >= 0 {
 			own = nil
@@ -745,15 +747,15 @@
 				}
 			}
 		}
-		v.carry(int32(i), int32(k), v.proxies[i].pools[k].EndpointsUpdated(v.now, first, first, own))
+		v.carryOut(int32(i), int32(k), v.proxies[i].pools[k].EndpointsUpdated(v.now, first, first, own))
 	}
 }
 
 // pool is the number of the pool that a class's requests go to.
-func (v *virtual) pool(class int) int32 {
-	if v.s.Ordinary() {
-		for k, group := range v.s.pools() {
-			if v.s.Servers[group].Name == v.s.Tariffs[class].Pool {
+func (v *virtualRun) pool(class int) int32 {
+	if v.scenario.PlainHTTP() {
+		for k, group := range v.scenario.pools() {
+			if v.scenario.Servers[group].Name == v.scenario.Classes[class].Pool {
 				return int32(k)
 			}
 		}
@@ -761,8 +763,8 @@
 	return 0
 }
 
-// tell tells a proxy what changed since it was last told.
-func (v *virtual) tell(i int) {
+// notifyProxy tells a proxy what changed since it was last told.
+func (v *virtualRun) notifyProxy(i int) {
 	p := v.proxies[i]
 	if !p.alive {
 		return
