--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -171,7 +171,7 @@
 				return err
 			}
 			if *html != "" {
-				return report.File(*html, func(w io.Writer) error { return report.Beliefs(w, p.Began.Proxy, line.Moments) })
+				return report.WriteFile(*html, func(w io.Writer) error { return report.ServerStatuses(w, p.Began.Proxy, line.Moments) })
 			}
 			fmt.Fprintln(out, "pool\tat\tbackend\tout\tlimit\tpayoff\tpaused\tcold\thonoured\tfailed\tturned")
 			for _, m := range line.Moments {
@@ -254,7 +254,7 @@
 			if err != nil {
 				return err
 			}
-			if err := report.File(*to, func(w io.Writer) error { return e.Write(w, cli.Version()) }); err != nil {
+			if err := report.WriteFile(*to, func(w io.Writer) error { return e.Write(w, cli.Version()) }); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%d calls that show it, after %d replays\n", len(e.Calls), e.Tries)
@@ -314,7 +314,7 @@
 				return err
 			}
 			fmt.Fprintf(out, "A MODEL: %d captured arrivals against the servers of %s, under %s. What happened is in the capture alone.\n", len(list), s.Name, *policy)
-			return report.One(out, r)
+			return report.Result(out, r)
 		})
 }
 
--- a/internal/cli/ctlcmd/ctlcmd.go
+++ b/internal/cli/ctlcmd/ctlcmd.go
@@ -89,7 +89,7 @@
 		if x.name == "" {
 			continue
 		}
-		if err := report.File(x.name, x.write); err != nil {
+		if err := report.WriteFile(x.name, x.write); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -51,14 +51,14 @@
 				return verdicts(w, im)
 			}
 			if *told != "" {
-				err = report.File(*told, say)
+				err = report.WriteFile(*told, say)
 			} else {
 				err = say(errs)
 			}
 			if err == nil && im.Text != "" {
 				write := func(w io.Writer) error { _, err := io.WriteString(w, im.Text); return err }
 				if *to != "" {
-					err = report.File(*to, write)
+					err = report.WriteFile(*to, write)
 				} else {
 					err = write(out)
 				}
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -36,11 +36,11 @@
 			if err != nil {
 				return err
 			}
-			if err := report.One(out, r); err != nil {
+			if err := report.Result(out, r); err != nil {
 				return err
 			}
 			if *file != "" {
-				if err := report.File(*file, func(w io.Writer) error { return report.JSON(w, r) }); err != nil {
+				if err := report.WriteFile(*file, func(w io.Writer) error { return report.JSON(w, r) }); err != nil {
 					return err
 				}
 			}
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -73,7 +73,7 @@
 					return err
 				}
 			}
-			if err := report.One(out, r); err != nil {
+			if err := report.Result(out, r); err != nil {
 				return err
 			}
 			differs := false
--- /dev/null
+++ b/internal/report/file.go
@@ -0,0 +1,42 @@
+package report
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+)
+
+// WriteFile writes a file under a temporary name and renames it, so that nobody ever finds half of it.
+func WriteFile(name string, write func(w io.Writer) error) error {
+	f, err := os.CreateTemp(filepath.Dir(name), "."+filepath.Base(name)+".*")
+	if err != nil {
+		return err
+	}
+	err = fill(f, name, write)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	if err == nil {
+		err = os.Rename(f.Name(), name)
+	}
+	if err != nil {
+		_ = os.Remove(f.Name()) // the first error is the one to report
+	}
+	return err
+}
+
+func fill(f *os.File, name string, write func(w io.Writer) error) error {
+	if err := write(f); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
+	}
+	return f.Chmod(0o644)
+}
+
+// JSON writes anything as JSON for machines.
+func JSON(w io.Writer, v any) error {
+	enc := json.NewEncoder(w)
+	enc.SetIndent("", " ")
+	return enc.Encode(v)
+}
