--- a/internal/simulation/alone.go
+++ b/internal/simulation/servers.go
@@ -2,74 +2,15 @@
 
 import (
 	"context"
-	"fmt"
-	"math"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
 
-	"lockloom/internal/emulator"
 	"lockloom/internal/fakeserver"
-	"lockloom/internal/loadgen"
 )
 
-// PolicyNames are those of Policies, in order.
-func PolicyNames() []string { return sortedNames(Policies) }
-
-// OverrideLoad sets another rate, without phases, and another length; 0 leaves either as it is.
-func (s *Scenario) OverrideLoad(rate, lasts float64) error {
-	if rate != 0 {
-		s.Arrivals = Arrivals{Rate: rate}
-	}
-	if lasts != 0 {
-		s.Seconds = lasts
-	}
-	s.Faults = nil
-	if err := s.check(); err != nil {
-		return err
-	}
-	return nil
-}
-
-// Load asks proxies that run already. Servers' counts are not at hand: only what clients see is checked.
-func (s *Scenario) Load(ctx context.Context, addrs []string, seed uint64) (*Result, error) {
-	f := s.Settings(seed)
-	clock := time.Now()
-	now := func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
-	sc := &score{now: now, start: now() + settleDuration.Seconds(), tally: newTally(s, f.Classes, seed, "as it runs", "sockets"), clockLateness: &lateness{},
-		audit: NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)}
-	sc.audit.ClientsOnly = true
-	front := loadgen.NewRoundRobin(addrs)
-	defer front.Close()
-	for _, t := range front.Targets {
-		if err := loadgen.CheckReady(t.Addr, readyTimeout/10); err != nil {
-			return nil, fmt.Errorf("proxy at %s: %w", t.Addr, err)
-		}
-		t.MarkReady()
-	}
-	watching, stop := context.WithCancel(ctx)
-	ended := make(chan struct{})
-	go func() { front.Watch(watching); close(ended) }()
-	defer func() { stop(); <-ended }()
-	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Workload(), seed), Classes: f.Classes, Clients: loadgen.Clients(s.Clients), Proxies: front, Observer: sc, Seed: seed}
-	for _, c := range s.Tenants {
-		d.Tenants = append(d.Tenants, c.Name)
-	}
-	began := time.Now()
-	d.Run(ctx, began.Add(settleDuration))
-	if ctx.Err() != nil {
-		return nil, ctx.Err()
-	}
-	sc.audit.Close(now())
-	r := sc.tally.result(emulator.NewFleet(0), sc.audit)
-	if r.WallTime = time.Since(began).Seconds(); r.RigLateP99 > maxLateness {
-		r.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile", r.RigLateP99*1000)
-	}
-	return r, nil
-}
-
 // StandaloneServers is a scenario's servers and list agents on sockets, without proxies or clients.
 type StandaloneServers struct {
 	Variables [][]string // for each proxy, what it needs in its environment
@@ -82,11 +23,16 @@
 type noObserver struct{}
 
 func (noObserver) AttemptReceived(float64, string, int, int, int) {}
-func (noObserver) AttemptRejected(string)                         {}
-func (noObserver) MemberNotReady(float64, int)                    {}
-func (noObserver) ProxyNotified(float64, int, int)                {}
-func (noObserver) ServerCrashed(float64, int)                     {}
-func (noObserver) AttemptServed(string, float64)                  {}
+
+func (noObserver) AttemptRejected(string) {}
+
+func (noObserver) MemberNotReady(float64, int) {}
+
+func (noObserver) ProxyNotified(float64, int, int) {}
+
+func (noObserver) ServerCrashed(float64, int) {}
+
+func (noObserver) AttemptServed(string, float64) {}
 
 // StartServers puts them up, and writes a launch file for each proxy into a folder.
 func (s *Scenario) StartServers(folder string, seed uint64) (*StandaloneServers, error) {
@@ -159,6 +105,3 @@
 
 // Close ends them.
 func (st *StandaloneServers) Close() { st.servers.Close() }
-
-// WholeSeconds is how many whole seconds a scenario lasts.
-func (s *Scenario) WholeSeconds() int { return int(math.Ceil(s.Seconds)) }
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"slices"
 
-	"lockloom/balance"
 	"lockloom/internal/emulator"
 )
 
@@ -119,21 +118,6 @@
 	return seat
 }
 
-// dedupGroup is the group that drops repeats of a class's requests at a member: -1 none.
-func dedupGroup(t balance.Class, class int, m *emulator.Member, zone int) int {
-	const most = maxServers + 2 // groups of one class: all, or zones, or pods
-	if t.Idempotency != balance.Keyed {
-		return -1
-	}
-	switch t.DedupScope {
-	case balance.DedupZone:
-		return class*most + 1 + zone
-	case balance.DedupPod:
-		return class*most + 1 + m.Pod
-	}
-	return class * most
-}
-
 func sortedNames[T any](m map[string]T) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
