--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -37,7 +37,15 @@
 
 // NewAudit checks tries of these classes.
 func NewAudit(classes []balance.Class, slack, grace, counts float64) *Audit {
-	return &Audit{Slack: slack, Grace: grace, NotificationDeadline: counts, classes: classes, notReadySince: map[int]float64{}, notifiedAt: map[[2]int]float64{}, disabledAt: map[[2]int]float64{}}
+	return &Audit{
+		Slack:                slack,
+		Grace:                grace,
+		NotificationDeadline: counts,
+		classes:              classes,
+		notReadySince:        map[int]float64{},
+		notifiedAt:           map[[2]int]float64{},
+		disabledAt:           map[[2]int]float64{},
+	}
 }
 
 func (a *Audit) breach(rule int, now float64, format string, args ...any) {
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -7,42 +7,53 @@
 	"lockloom/balance"
 )
 
-// baseline is a proxy as most are set up: every listed server alike, an attempt at once, another one after what never
-// ran or may run twice, no limits, no pauses, no care for cold servers. It keeps rules 1 to 3.
+// baselineReplyMargin is how many seconds before the deadline a baseline replies.
+const baselineReplyMargin = 0.01
+
+// never is a time that never comes.
+var never = math.Inf(1)
+
+// baseline is a proxy as most are set up: all listed servers alike, an attempt at once, a retry after what never ran or is
+// idempotent, and no limits, pauses or slow start. It keeps rules 1 to 3.
 type baseline struct {
 	d          balance.Deployment
 	rand       *rand.Rand
-	choose     func(*baseline, []int) int
-	list       []balance.Endpoint // by index
-	inFlight   []int              // attempts in flight, by index
-	next       int
+	choose     func(*baseline, []int) int // of candidates; -1: none
+	list       []balance.Endpoint         // by index
+	inFlight   []int                      // attempts, by index
+	picks      int                        // of roundRobin
 	candidates []int
 	actions    balance.Actions
 
-	controller *steeringController // nil: nobody tells it where to send
+	controller *steeringController // nil: it is not steered
 }
 
 func newBaseline(choose func(*baseline, []int) int) Policy {
-	return func(d balance.Deployment, now float64) (Decider, error) {
+	return func(d balance.Deployment, _ float64) (Decider, error) {
 		return &baseline{d: d, choose: choose, rand: rand.New(rand.NewPCG(d.Seed, 3))}, nil
 	}
 }
 
-// roundRobin is round robin over servers, whatever part of them may be used.
-func roundRobin(p *baseline, candidates []int) int {
-	p.next++
-	return candidates[p.next%len(candidates)]
+func randomChoice(b *baseline, candidates []int) int {
+	return candidates[b.rand.IntN(len(candidates))]
 }
 
-// leastInFlight is the one with the fewest of this proxy's attempts, by chance among equals.
-func leastInFlight(p *baseline, candidates []int) int {
+// roundRobin counts picks over all servers, whichever are candidates.
+func roundRobin(b *baseline, candidates []int) int {
+	b.picks++
+	return candidates[b.picks%len(candidates)]
+}
+
+// leastInFlight picks the candidate with the fewest attempts of this proxy, at random among equals.
+func leastInFlight(b *baseline, candidates []int) int {
 	best, ties := candidates[0], 0
 	for _, c := range candidates {
-		switch n := p.inFlight[c] - p.inFlight[best]; {
-		case n < 0:
+		switch difference := b.inFlight[c] - b.inFlight[best]; {
+		case difference < 0:
 			best, ties = c, 1
-		case n == 0:
-			if ties++; p.rand.IntN(ties) == 0 {
+		case difference == 0:
+			ties++
+			if b.rand.IntN(ties) == 0 {
 				best = c
 			}
 		}
@@ -50,143 +61,184 @@
 	return best
 }
 
-func (p *baseline) begin() *balance.Actions {
-	p.actions = balance.Actions{Requests: p.actions.Requests[:0]}
-	return &p.actions
+// begin starts the actions of a call.
+func (b *baseline) begin() *balance.Actions {
+	b.actions = balance.Actions{Requests: b.actions.Requests[:0]}
+	return &b.actions
 }
 
-func (p *baseline) EndpointsUpdated(now float64, full, _ bool, list []balance.Endpoint) *balance.Actions {
-	for i := range p.list {
+// EndpointsUpdated implements Decider.
+func (b *baseline) EndpointsUpdated(now float64, full, _ bool, list []balance.Endpoint) *balance.Actions {
+	for i := range b.list {
 		if full {
-			p.list[i].State = balance.Removed
+			b.list[i].State = balance.Removed
 		}
 	}
-	for _, b := range list {
-		for len(p.list) <= b.Index {
-			p.list = append(p.list, balance.Endpoint{State: balance.Removed})
-			p.inFlight = append(p.inFlight, 0)
+	for _, endpoint := range list {
+		for len(b.list) <= endpoint.Index {
+			b.list = append(b.list, balance.Endpoint{State: balance.Removed})
+			b.inFlight = append(b.inFlight, 0)
 		}
-		p.list[b.Index] = b
+		b.list[endpoint.Index] = endpoint
 	}
-	if p.controller != nil {
-		p.controller.listUpdated(now, p.list)
+	if b.controller != nil {
+		b.controller.listUpdated(now, b.list)
 	}
-	return p.begin()
+	return b.begin()
 }
 
-func (p *baseline) TimerFired(float64) *balance.Actions { return p.begin() }
+// TimerFired implements Decider.
+func (b *baseline) TimerFired(float64) *balance.Actions { return b.begin() }
 
-func (p *baseline) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
-	p.begin()
-	if p.controller != nil {
-		p.controller.update(now)
+// RequestArrived implements Decider.
+func (b *baseline) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
+	b.begin()
+	if b.controller != nil {
+		b.controller.update(now)
 	}
-	l := &baselineRequest{p: p, RequestInfo: a, class: &p.d.Classes[a.Class]}
-	p.actions.Requests = append(p.actions.Requests, balance.RequestAction{Ref: a.Ref, WakeAt: a.Deadline - baselineReplyMargin})
-	l.next(now)
-	return l, &p.actions
+	request := &baselineRequest{baseline: b, RequestInfo: info, class: &b.d.Classes[info.Class]}
+	request.act(balance.RequestAction{Ref: info.Ref, WakeAt: info.Deadline - baselineReplyMargin})
+	request.next(now)
+	return request, &b.actions
 }
 
-const baselineReplyMargin = 0.01 // s before the deadline at which a baseline answers
-
-// intentDue is a request of a baseline's.
+// baselineRequest is a request at a baseline.
 type baselineRequest struct {
 	balance.RequestInfo
-	p        *baseline
+	baseline *baseline
 	class    *balance.Class
-	attempts []struct {
-		to       int
-		sent     float64
-		neverRan bool
-	}
-	over, out bool
+	attempts []baselineAttempt
+	over     bool
+	inFlight bool // the last attempt
+}
+
+type baselineAttempt struct {
+	endpoint int
+	sentAt   float64
+	neverRan bool
 }
 
-func (l *baselineRequest) next(now float64) {
-	p := l.p
-	p.candidates = p.candidates[:0]
-	for i, b := range p.list {
-		if b.State == balance.Ready && l.allowed(now, b) {
-			p.candidates = append(p.candidates, i)
+// next sends the next attempt, or replies if there is none to send.
+func (r *baselineRequest) next(now float64) {
+	b := r.baseline
+	b.candidates = b.candidates[:0]
+	for i, endpoint := range b.list {
+		if endpoint.State == balance.Ready && r.allowed(now, endpoint) {
+			b.candidates = append(b.candidates, i)
 		}
 	}
-	if len(p.candidates) == 0 || len(l.attempts) >= p.d.MaxAttempts || now >= l.Deadline-baselineReplyMargin {
-		l.giveUp()
+	if len(b.candidates) == 0 || len(r.attempts) >= b.d.MaxAttempts || now >= r.Deadline-baselineReplyMargin {
+		r.giveUp()
 		return
 	}
-	to := p.choose(p, p.candidates)
-	if to < 0 {
-		l.giveUp()
+	endpoint := b.choose(b, b.candidates)
+	if endpoint < 0 {
+		r.giveUp()
 		return
 	}
-	l.attempts = append(l.attempts, struct {
-		to       int
-		sent     float64
-		neverRan bool
-	}{to: to, sent: now})
-	p.inFlight[to]++
-	l.out = true
-	p.actions.Requests = append(p.actions.Requests, balance.RequestAction{Ref: l.Ref, Send: true, Endpoint: to, Deadline: l.Deadline})
-}
-
-func (l *baselineRequest) allowed(now float64, b balance.Endpoint) bool {
-	for _, g := range l.attempts {
-		was := l.p.list[g.to]
-		if g.to == b.Index || !g.neverRan && (l.class.Idempotency == balance.NonIdempotent || l.class.Idempotency == balance.Keyed &&
-			(now > g.sent+l.class.DedupWindow-baselineReplyMargin || l.class.DedupScope == balance.DedupZone && was.Zone != b.Zone ||
-				l.class.DedupScope == balance.DedupPod && was.Pod != b.Pod)) {
+	r.attempts = append(r.attempts, baselineAttempt{endpoint: endpoint, sentAt: now})
+	b.inFlight[endpoint]++
+	r.inFlight = true
+	r.act(balance.RequestAction{Ref: r.Ref, Send: true, Endpoint: endpoint, Deadline: r.Deadline})
+}
+
+func (r *baselineRequest) act(action balance.RequestAction) {
+	r.baseline.actions.Requests = append(r.baseline.actions.Requests, action)
+}
+
+// allowed reports whether an attempt at an endpoint cannot repeat the effect of one before.
+func (r *baselineRequest) allowed(now float64, endpoint balance.Endpoint) bool {
+	for i := range r.attempts {
+		attempt := &r.attempts[i]
+		if attempt.endpoint == endpoint.Index {
+			return false
+		}
+		if !attempt.neverRan && !r.mayFollow(now, attempt, endpoint) {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *baselineRequest) giveUp() {
-	answer := balance.Rejected
-	for _, g := range l.attempts {
-		if !g.neverRan && (l.class.Idempotency == balance.NonIdempotent || l.class.Idempotency == balance.Keyed && l.class.DedupScope != balance.DedupAll) {
-			answer = balance.Failed
+// mayFollow reports whether the request may run at an endpoint although an attempt may have run.
+func (r *baselineRequest) mayFollow(now float64, attempt *baselineAttempt, endpoint balance.Endpoint) bool {
+	switch r.class.Idempotency {
+	case balance.NonIdempotent:
+		return false
+	case balance.Keyed:
+		if now > attempt.sentAt+r.class.DedupWindow-baselineReplyMargin {
+			return false
+		}
+		before := r.baseline.list[attempt.endpoint]
+		switch r.class.DedupScope {
+		case balance.DedupZone:
+			return before.Zone == endpoint.Zone
+		case balance.DedupPod:
+			return before.Pod == endpoint.Pod
 		}
 	}
-	l.over = true
-	l.p.actions.Requests = append(l.p.actions.Requests, balance.RequestAction{Ref: l.Ref, Reply: answer, RetryAfter: min(l.class.LatencyObjective, l.p.d.MaxRetryAfter)})
-	l.cancel()
+	return true
 }
 
-func (l *baselineRequest) cancel() {
-	if l.out && l.p.d.CancelAllowed {
-		l.p.actions.Requests = append(l.p.actions.Requests, balance.RequestAction{Ref: l.Ref, CancelAttempt: len(l.attempts)})
+// giveUp replies that the request failed, or that it was rejected if a retry by the client is harmless.
+func (r *baselineRequest) giveUp() {
+	reply := balance.Rejected
+	for _, attempt := range r.attempts {
+		if !attempt.neverRan && !r.clientMayRetry() {
+			reply = balance.Failed
+		}
 	}
+	r.over = true
+	retryAfter := min(r.class.LatencyObjective, r.baseline.d.MaxRetryAfter)
+	r.act(balance.RequestAction{Ref: r.Ref, Reply: reply, RetryAfter: retryAfter})
+	r.cancel()
 }
 
-func (l *baselineRequest) AttemptEnded(now float64, attempt int, o balance.Outcome, _ float64, over bool) *balance.Actions {
-	l.p.begin()
-	g := &l.attempts[attempt]
-	l.p.inFlight[g.to]--
-	if l.p.controller != nil {
-		l.p.controller.attemptEnded(g.to, o)
-	}
-	g.neverRan, l.out = o.NeverRan(), false
-	if l.over = l.over || over || o == balance.Succeeded; !l.over {
-		l.next(now)
+// clientMayRetry reports whether a request that may have run may be sent again through any proxy.
+func (r *baselineRequest) clientMayRetry() bool {
+	return r.class.Idempotency == balance.Idempotent ||
+		r.class.Idempotency == balance.Keyed && r.class.DedupScope == balance.DedupAll
+}
+
+func (r *baselineRequest) cancel() {
+	if r.inFlight && r.baseline.d.CancelAllowed {
+		r.act(balance.RequestAction{Ref: r.Ref, CancelAttempt: len(r.attempts)})
 	}
-	return &l.p.actions
 }
 
-func (l *baselineRequest) ClientDisconnected(float64) *balance.Actions {
-	l.p.begin()
-	l.over = true
-	l.cancel()
-	return &l.p.actions
+// AttemptEnded implements RequestHandle.
+func (r *baselineRequest) AttemptEnded(
+	now float64, attempt int, outcome balance.Outcome, _ float64, over bool,
+) *balance.Actions {
+	b := r.baseline
+	b.begin()
+	ended := &r.attempts[attempt]
+	b.inFlight[ended.endpoint]--
+	if b.controller != nil {
+		b.controller.attemptEnded(ended.endpoint, outcome)
+	}
+	ended.neverRan = outcome.NeverRan()
+	r.inFlight = false
+	r.over = r.over || over || outcome == balance.Succeeded
+	if !r.over {
+		r.next(now)
+	}
+	return &b.actions
 }
 
-func (l *baselineRequest) TimerFired(now float64) *balance.Actions {
-	l.p.begin()
-	if !l.over && now >= l.Deadline-baselineReplyMargin-1e-9 {
-		l.giveUp()
-	}
-	return &l.p.actions
+// ClientDisconnected implements RequestHandle.
+func (r *baselineRequest) ClientDisconnected(float64) *balance.Actions {
+	r.baseline.begin()
+	r.over = true
+	r.cancel()
+	return &r.baseline.actions
 }
 
-// never is a time that never comes.
-var never = math.Inf(1)
+// TimerFired implements RequestHandle.
+func (r *baselineRequest) TimerFired(now float64) *balance.Actions {
+	r.baseline.begin()
+	if !r.over && now >= r.Deadline-baselineReplyMargin-1e-9 {
+		r.giveUp()
+	}
+	return &r.baseline.actions
+}
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -36,7 +36,14 @@
 		fmt.Fprintf(&b, "[[pool]]\nname = %q\nkinds = [%q]\n", s.Servers[g].Name, s.Servers[g].Model)
 	}
 	for _, t := range s.Classes {
-		fmt.Fprintf(&b, "[[tariff]]\nname = %q\ndue = %v\nhard_stop = %v\nvalue = %v\n", t.Name, t.LatencyObjective, t.Deadline, t.PriorityWeight)
+		fmt.Fprintf(
+			&b,
+			"[[tariff]]\nname = %q\ndue = %v\nhard_stop = %v\nvalue = %v\n",
+			t.Name,
+			t.LatencyObjective,
+			t.Deadline,
+			t.PriorityWeight,
+		)
 		if t.DedupWindow > 0 {
 			fmt.Fprintf(&b, "scope = %q\nwindow = %v\n", t.DedupScope, t.DedupWindow)
 		}
@@ -47,12 +54,30 @@
 
 // Workload is what its clients ask.
 func (s *Scenario) Workload() loadgen.Workload {
-	m := loadgen.Workload{Rate: s.Arrivals.Rate, Duration: s.Seconds, KeyCount: s.Keys.Count, ZipfExponent: s.Keys.ZipfExponent}
+	m := loadgen.Workload{
+		Rate:         s.Arrivals.Rate,
+		Duration:     s.Seconds,
+		KeyCount:     s.Keys.Count,
+		ZipfExponent: s.Keys.ZipfExponent,
+	}
 	for _, p := range s.Arrivals.Phases {
-		m.Phases = append(m.Phases, loadgen.Phase{At: p.At, Duration: p.Duration, Shape: shapes[p.Shape], Factor: p.Factor, BurstInterval: p.BurstInterval, BurstDuration: p.BurstDuration})
+		m.Phases = append(
+			m.Phases,
+			loadgen.Phase{
+				At:            p.At,
+				Duration:      p.Duration,
+				Shape:         shapes[p.Shape],
+				Factor:        p.Factor,
+				BurstInterval: p.BurstInterval,
+				BurstDuration: p.BurstDuration,
+			},
+		)
 	}
 	for _, t := range s.Classes {
-		m.Classes = append(m.Classes, loadgen.ClassLoad{Weight: t.Weight, Work: t.Work, WorkVariation: t.WorkVariation, KeyedFraction: t.KeyedFraction})
+		m.Classes = append(
+			m.Classes,
+			loadgen.ClassLoad{Weight: t.Weight, Work: t.Work, WorkVariation: t.WorkVariation, KeyedFraction: t.KeyedFraction},
+		)
 	}
 	for _, c := range s.Tenants {
 		m.TenantWeights = append(m.TenantWeights, c.Weight)
@@ -64,12 +89,33 @@
 func (s *Scenario) Settings(seed uint64) settings.Settings {
 	d := &s.Deployment
 	f := settings.Settings{ConnectTimeout: d.ConnectTimeout, DrainGrace: d.DrainGrace, Zones: s.zones()}
-	f.Deployment = balance.Deployment{Seed: seed, Proxies: s.ProxyFleet.Count, MaxAttempts: d.MaxAttempts, CancelAllowed: d.CancelAllowed, HedgingAllowed: d.HedgingAllowed,
-		MaxRetryAfter: d.MaxRetryAfter, SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration, CrashFactor: d.CrashFactor, CrashDuration: d.CrashDuration,
-		NotificationDeadline: d.NotificationDeadline, ServerIdleTimeout: d.IdleTimeout}
+	f.Deployment = balance.Deployment{
+		Seed:                 seed,
+		Proxies:              s.ProxyFleet.Count,
+		MaxAttempts:          d.MaxAttempts,
+		CancelAllowed:        d.CancelAllowed,
+		HedgingAllowed:       d.HedgingAllowed,
+		MaxRetryAfter:        d.MaxRetryAfter,
+		SlowStartFraction:    d.SlowStartFraction,
+		SlowStartDuration:    d.SlowStartDuration,
+		CrashFactor:          d.CrashFactor,
+		CrashDuration:        d.CrashDuration,
+		NotificationDeadline: d.NotificationDeadline,
+		ServerIdleTimeout:    d.IdleTimeout,
+	}
 	for _, t := range s.Classes {
-		f.Classes = append(f.Classes, balance.Class{Name: t.Name, Idempotency: idempotencies[t.Idempotency], DedupScope: scopes[t.DedupScope], DedupWindow: t.DedupWindow,
-			LatencyObjective: t.LatencyObjective, Deadline: t.Deadline, PriorityWeight: t.PriorityWeight})
+		f.Classes = append(
+			f.Classes,
+			balance.Class{
+				Name:             t.Name,
+				Idempotency:      idempotencies[t.Idempotency],
+				DedupScope:       scopes[t.DedupScope],
+				DedupWindow:      t.DedupWindow,
+				LatencyObjective: t.LatencyObjective,
+				Deadline:         t.Deadline,
+				PriorityWeight:   t.PriorityWeight,
+			},
+		)
 	}
 	for _, c := range s.Tenants {
 		f.Tenants = append(f.Tenants, balance.Tenant{Name: c.Name, Quota: c.Quota})
@@ -100,12 +146,29 @@
 	d := &s.Deployment
 	seat := 0
 	for n, g := range s.Servers {
-		b := emulator.Spec{Cores: g.Cores, Speed: g.Speed, QueueCapacity: g.QueueCapacity, SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration,
-			CrashFactor: d.CrashFactor, CrashWindow: d.CrashDuration, CrashDowntime: g.CrashDowntime, DegradeQueueLength: g.DegradeQueueLength, DegradedSpeed: g.DegradedSpeed,
-			DegradeTimeConstant: g.DegradeTimeConstant, RecoverTimeConstant: g.RecoverTimeConstant, CacheSize: g.CacheSize, CachedWorkFraction: g.CachedWorkFraction}
+		b := emulator.Spec{
+			Cores:               g.Cores,
+			Speed:               g.Speed,
+			QueueCapacity:       g.QueueCapacity,
+			SlowStartFraction:   d.SlowStartFraction,
+			SlowStartDuration:   d.SlowStartDuration,
+			CrashFactor:         d.CrashFactor,
+			CrashWindow:         d.CrashDuration,
+			CrashDowntime:       g.CrashDowntime,
+			DegradeQueueLength:  g.DegradeQueueLength,
+			DegradedSpeed:       g.DegradedSpeed,
+			DegradeTimeConstant: g.DegradeTimeConstant,
+			RecoverTimeConstant: g.RecoverTimeConstant,
+			CacheSize:           g.CacheSize,
+			CachedWorkFraction:  g.CachedWorkFraction,
+		}
 		for i := range g.Count {
-			f.AddPosition(now, emulator.MemberSpec{Name: fmt.Sprintf("%s-%d", g.Name, i), Zone: g.Zones[i%len(g.Zones)], Model: g.Model,
-				Pod: seat / g.Pod, Group: n, Spec: b}, !g.StartsCold)
+			f.AddPosition(
+				now,
+				emulator.MemberSpec{Name: fmt.Sprintf("%s-%d", g.Name, i), Zone: g.Zones[i%len(g.Zones)], Model: g.Model,
+					Pod: seat / g.Pod, Group: n, Spec: b},
+				!g.StartsCold,
+			)
 			seat++
 		}
 	}
@@ -128,7 +191,12 @@
 
 // Variables are those that a proxy's program reads.
 func Variables(name, listen, discovery, file string) []string {
-	return []string{"ROUTER_NAME=" + name, "ROUTER_LISTEN=" + listen, "ROUTER_DISCOVERY=" + discovery, "ROUTER_CONFIG=" + file}
+	return []string{
+		"ROUTER_NAME=" + name,
+		"ROUTER_LISTEN=" + listen,
+		"ROUTER_DISCOVERY=" + discovery,
+		"ROUTER_CONFIG=" + file,
+	}
 }
 
 // Launch is the launch file of one proxy, in the platform's form.
@@ -136,12 +204,22 @@
 	ms := func(s float64) float64 { return s * 1000 }
 	d := s.Deployment
 	type object map[string]any
-	effects := map[balance.Idempotency]string{balance.Idempotent: "retryable", balance.Keyed: "dedup", balance.NonIdempotent: "fragile"}
+	effects := map[balance.Idempotency]string{
+		balance.Idempotent:    "retryable",
+		balance.Keyed:         "dedup",
+		balance.NonIdempotent: "fragile",
+	}
 	groups := map[balance.DedupScope]string{balance.DedupAll: "all", balance.DedupZone: "zone", balance.DedupPod: "cell"}
 	f := s.Settings(seed)
 	var profiles, realms []object
 	for _, t := range f.Classes {
-		p := object{"Name": t.Name, "Effect": effects[t.Idempotency], "DueTimeMs": ms(t.LatencyObjective), "HardStopMs": ms(t.Deadline), "Value": t.PriorityWeight}
+		p := object{
+			"Name":       t.Name,
+			"Effect":     effects[t.Idempotency],
+			"DueTimeMs":  ms(t.LatencyObjective),
+			"HardStopMs": ms(t.Deadline),
+			"Value":      t.PriorityWeight,
+		}
 		if t.Idempotency == balance.Keyed {
 			p["DedupScope"], p["WindowMs"] = groups[t.DedupScope], ms(t.DedupWindow)
 		}
@@ -150,15 +228,36 @@
 	for _, c := range f.Tenants {
 		realms = append(realms, object{"Name": c.Name, "QuotaPerS": c.Quota})
 	}
-	return json.MarshalIndent(object{"name": name, "listen": listen, "discovery": discovery, "seed": strconv.FormatUint(seed, 16),
-		"limits": object{"cores": s.ProxyFleet.Cores, "memory_mb": s.ProxyFleet.MemoryMB, "sockets": s.ProxyFleet.Sockets}, "known": known,
-		"settings": object{"ReplicasOfMe": s.ProxyFleet.Count, "Zones": f.Zones, "Discovery": "push",
-			"FamilyInfo": object{"WarmKeys": f.CacheAffinity},
-			"Ceilings": object{"MaxLegs": d.MaxAttempts, "Cancel": d.CancelAllowed, "ParallelTries": d.HedgingAllowed, "RetryAfter": d.MaxRetryAfter > 0,
-				"MaxRetryAfterMs": ms(d.MaxRetryAfter), "ConnectTimeoutMs": ms(d.ConnectTimeout), "ConnIdleMs": ms(d.IdleTimeout)},
-			"Rules": object{"StopSendingWithinMs": ms(d.DrainGrace), "AskEveryMs": ms(d.NotificationDeadline), "ColdFrom": d.SlowStartFraction, "ColdMs": ms(d.SlowStartDuration),
-				"FallMultiple": d.CrashFactor, "OverloadForMs": ms(d.CrashDuration)},
-			"Profiles": profiles, "Realms": realms}}, "", " ")
+	return json.MarshalIndent(
+		object{"name": name, "listen": listen, "discovery": discovery, "seed": strconv.FormatUint(seed, 16),
+			"limits": object{
+				"cores":     s.ProxyFleet.Cores,
+				"memory_mb": s.ProxyFleet.MemoryMB,
+				"sockets":   s.ProxyFleet.Sockets,
+			}, "known": known,
+			"settings": object{"ReplicasOfMe": s.ProxyFleet.Count, "Zones": f.Zones, "Discovery": "push",
+				"FamilyInfo": object{"WarmKeys": f.CacheAffinity},
+				"Ceilings": object{
+					"MaxLegs":          d.MaxAttempts,
+					"Cancel":           d.CancelAllowed,
+					"ParallelTries":    d.HedgingAllowed,
+					"RetryAfter":       d.MaxRetryAfter > 0,
+					"MaxRetryAfterMs":  ms(d.MaxRetryAfter),
+					"ConnectTimeoutMs": ms(d.ConnectTimeout),
+					"ConnIdleMs":       ms(d.IdleTimeout),
+				},
+				"Rules": object{
+					"StopSendingWithinMs": ms(d.DrainGrace),
+					"AskEveryMs":          ms(d.NotificationDeadline),
+					"ColdFrom":            d.SlowStartFraction,
+					"ColdMs":              ms(d.SlowStartDuration),
+					"FallMultiple":        d.CrashFactor,
+					"OverloadForMs":       ms(d.CrashDuration),
+				},
+				"Profiles": profiles, "Realms": realms}},
+		"",
+		" ",
+	)
 }
 
 // dedupGroup is the group that drops repeats of a class's requests at a member: -1 none.
--- a/internal/simulation/compare.go
+++ b/internal/simulation/compare.go
@@ -22,7 +22,10 @@
 	}
 	for i := range a {
 		if a[i].Text != b[i].Text || math.Abs(a[i].At-b[i].At) > s.Match.Seconds {
-			list = append(list, fmt.Sprintf("event %q at %.3f s, %q at %.3f s in virtual time", a[i].Text, a[i].At, b[i].Text, b[i].At))
+			list = append(
+				list,
+				fmt.Sprintf("event %q at %.3f s, %q at %.3f s in virtual time", a[i].Text, a[i].At, b[i].Text, b[i].At),
+			)
 		}
 	}
 	if d := sockets.ValueInTime - virtual.ValueInTime; math.Abs(d) > s.Match.Share {
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -29,8 +29,13 @@
 	f := s.Settings(seed)
 	clock := time.Now()
 	now := func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
-	sc := &score{now: now, start: now() + settleDuration.Seconds(), tally: newTally(s, f.Classes, seed, "as it runs", "sockets"), clockLateness: &lateness{},
-		audit: NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)}
+	sc := &score{
+		now:           now,
+		start:         now() + settleDuration.Seconds(),
+		tally:         newTally(s, f.Classes, seed, "as it runs", "sockets"),
+		clockLateness: &lateness{},
+		audit:         NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
+	}
 	sc.audit.ClientsOnly = true
 	front := loadgen.NewRoundRobin(addrs)
 	defer front.Close()
@@ -44,7 +49,14 @@
 	ended := make(chan struct{})
 	go func() { front.Watch(watching); close(ended) }()
 	defer func() { stop(); <-ended }()
-	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Workload(), seed), Classes: f.Classes, Clients: loadgen.Clients(s.Clients), Proxies: front, Observer: sc, Seed: seed}
+	d := &loadgen.Driver{
+		Plan:     loadgen.NewPlan(s.Workload(), seed),
+		Classes:  f.Classes,
+		Clients:  loadgen.Clients(s.Clients),
+		Proxies:  front,
+		Observer: sc,
+		Seed:     seed,
+	}
 	for _, c := range s.Tenants {
 		d.Tenants = append(d.Tenants, c.Name)
 	}
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -31,7 +31,7 @@
 		}
 	},
 	"steered":     steered,
-	"random":      func() Policy { return newBaseline(func(p *baseline, c []int) int { return c[p.rand.IntN(len(c))] }) },
+	"random":      func() Policy { return newBaseline(randomChoice) },
 	"round-robin": func() Policy { return newBaseline(roundRobin) },
 	"least":       func() Policy { return newBaseline(leastInFlight) },
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -37,7 +37,13 @@
 	if err := os.MkdirAll(own, 0o700); err != nil {
 		return err
 	}
-	text, err := st.scenario.Launch(name, st.proxyAddrs[i], agent.Addr(), st.options.Seed+uint64(st.starts)<<16+uint64(i), agent.List())
+	text, err := st.scenario.Launch(
+		name,
+		st.proxyAddrs[i],
+		agent.Addr(),
+		st.options.Seed+uint64(st.starts)<<16+uint64(i),
+		agent.List(),
+	)
 	if err != nil {
 		return err
 	}
@@ -57,7 +63,10 @@
 	cmd := exec.Command(st.options.Proxy, args...)
 	cmd.Env = append(os.Environ(), Variables(name, st.proxyAddrs[i], agent.Addr(), file)...)
 	cmd.Env = append(cmd.Env, "ROUTER_OPERATOR="+door, "TMPDIR="+own)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // Ctrl-C is for this program, which ends it
+	cmd.SysProcAttr = &syscall.SysProcAttr{
+		Setpgid:   true,
+		Pdeathsig: syscall.SIGKILL,
+	} // Ctrl-C is for this program, which ends it
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		return err
@@ -130,7 +139,7 @@
 	}
 	select {
 	case <-ended:
-	case <-time.After(seconds(st.scenario.longest()+killMargin) + killDelay):
+	case <-time.After(seconds(st.scenario.longestDeadline()+killMargin) + killDelay):
 		cmd.Process.Kill()
 		<-ended
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -99,11 +99,34 @@
 	for _, e := range r.Events {
 		fmt.Fprintf(w, "@ %9.3f %s\n", e.At, e.Text)
 	}
-	fmt.Fprintln(w, "s\tasked\tin_time\tlate\tdismissed\tforfeited\tlost\tlegs\tp50_ms\tp99_ms\tready\tcold\tchoked\tstill\tdown\tsilent\tdraining\twaiting")
+	fmt.Fprintln(
+		w,
+		"s\tasked\tin_time\tlate\tdismissed\tforfeited\tlost\tlegs\tp50_ms\tp99_ms\tready\tcold\tchoked\tstill\tdown\tsilent\tdraining\twaiting",
+	)
 	var err error
 	for _, s := range r.Seconds {
-		_, err = fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", s.At, s.Intents, s.InTime, s.Late,
-			s.Rejected, s.Failed, s.Lost, s.Attempts, s.P50*1000, s.P99*1000, s.Ready, s.WarmingUp, s.Degraded, s.Paused, s.Down, s.Unreachable, s.Draining, s.Waiting)
+		_, err = fmt.Fprintf(
+			w,
+			"%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n",
+			s.At,
+			s.Intents,
+			s.InTime,
+			s.Late,
+			s.Rejected,
+			s.Failed,
+			s.Lost,
+			s.Attempts,
+			s.P50*1000,
+			s.P99*1000,
+			s.Ready,
+			s.WarmingUp,
+			s.Degraded,
+			s.Paused,
+			s.Down,
+			s.Unreachable,
+			s.Draining,
+			s.Waiting,
+		)
 	}
 	return err
 }
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -63,7 +63,14 @@
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
 	if s.ProxyFleet.Count > maxPrograms {
-		return nil, s.file.At("bank", 0, "proxies", "%d: on sockets each is a program, and %d are the most", s.ProxyFleet.Count, maxPrograms)
+		return nil, s.file.At(
+			"bank",
+			0,
+			"proxies",
+			"%d: on sockets each is a program, and %d are the most",
+			s.ProxyFleet.Count,
+			maxPrograms,
+		)
 	}
 	began := time.Now()
 	f := s.Settings(o.Seed)
@@ -78,8 +85,12 @@
 		defer os.RemoveAll(dir)
 		st.dir = dir
 	}
-	st.score = &score{tally: newTally(s, f.Classes, o.Seed, o.Name, "sockets"), clockLateness: &lateness{}, start: math.Inf(1),
-		audit: NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)}
+	st.score = &score{
+		tally:         newTally(s, f.Classes, o.Seed, o.Name, "sockets"),
+		clockLateness: &lateness{},
+		start:         math.Inf(1),
+		audit:         NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
+	}
 	clock := time.Now()
 	st.score.now = func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
 	fleet := s.Fleet(o.Seed, st.score.now())
@@ -135,9 +146,16 @@
 	for i := range st.proxyAddrs {
 		r.ProxyMemoryMB = max(r.ProxyMemoryMB, st.proxy(i).peakMemoryMB)
 	}
-	if l := st.score.clockLateness; r.RigLateP99 > maxLateness || float64(l.over) > maxLateFraction*float64(max(l.all, 1)) {
-		r.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile, servers over %.0f ms in %d of %d cases, %.1f ms at most",
-			r.RigLateP99*1000, maxLateness*1000, l.over, l.all, l.worst*1000)
+	if l := st.score.clockLateness; r.RigLateP99 > maxLateness ||
+		float64(l.over) > maxLateFraction*float64(max(l.all, 1)) {
+		r.Void = fmt.Sprintf(
+			"the rig ran late: tries %.1f ms at the 99th percentile, servers over %.0f ms in %d of %d cases, %.1f ms at most",
+			r.RigLateP99*1000,
+			maxLateness*1000,
+			l.over,
+			l.all,
+			l.worst*1000,
+		)
 	}
 	r.WallTime = time.Since(began).Seconds()
 	return r, nil
@@ -220,8 +238,15 @@
 			}
 		}
 	})
-	d := &loadgen.Driver{Plan: loadgen.NewPlan(s.Workload(), st.options.Seed), Classes: st.score.tally.classes, Clients: loadgen.Clients(s.Clients),
-		Proxies: st.proxyTargets, Observer: st.score, Seed: st.options.Seed, PlainHTTP: s.PlainHTTP()}
+	d := &loadgen.Driver{
+		Plan:      loadgen.NewPlan(s.Workload(), st.options.Seed),
+		Classes:   st.score.tally.classes,
+		Clients:   loadgen.Clients(s.Clients),
+		Proxies:   st.proxyTargets,
+		Observer:  st.score,
+		Seed:      st.options.Seed,
+		PlainHTTP: s.PlainHTTP(),
+	}
 	for _, c := range s.Tenants {
 		d.Tenants = append(d.Tenants, c.Name)
 	}
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -40,7 +40,12 @@
 		return nil, err
 	}
 	clock := time.Now()
-	servers, err := fakeserver.Open(s.Fleet(seed, float64(clock.UnixMicro())/1e6), s.ProxyFleet.Count, s.RequestClasses(), noObserver{})
+	servers, err := fakeserver.Open(
+		s.Fleet(seed, float64(clock.UnixMicro())/1e6),
+		s.ProxyFleet.Count,
+		s.RequestClasses(),
+		noObserver{},
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -84,7 +84,8 @@
 // A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are
 // killed at once.
 func TestLargeScenario(t *testing.T) {
-	text := strings.NewReplacer("proxies = 2", "proxies = 350", "count = 6", "count = 1024", "seconds = 4.0", "seconds = 2.0", "cores = 2", "cores = 1").Replace(small)
+	text := strings.NewReplacer("proxies = 2", "proxies = 350", "count = 6", "count = 1024", "seconds = 4.0", "seconds = 2.0", "cores = 2", "cores = 1").
+		Replace(small)
 	s, err := Read("large.toml", []byte(text+"[[trouble]]\nat = 0.2\nkind = \"list-silent\"\nfor = 0.6\n"+
 		"[[trouble]]\nat = 0.6\nkind = \"replace\"\nservers = \"s\"\ncount = 100\ndrain = 0.5\n"+
 		"[[trouble]]\nat = 0.9\nkind = \"proxy-kill\"\nfor = 0.2\n"))
@@ -103,31 +104,51 @@
 
 func TestReadRefuses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"empty":                 {"", "seconds: 0: it is from"},
-		"not TOML":              {"name = ", "f.toml:1:"},
-		"unknown field":         {small + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field: count?"},
-		"wrong type":            {strings.Replace(small, "= 4.0", `= "long"`, 1), "f.toml:2:"},
-		"unknown table":         {small + "[proxy]\n", "no such field"},
-		"no tariff":             {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
-		"too long":              {strings.Replace(small, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: it is from"},
-		"not a number":          {strings.Replace(small, "4.0", "nan", 1), "f.toml:2:1: seconds: NaN"},
-		"too many lookups":      {strings.Replace(small, "200.0", "1e300", 1), "arrivals: rate"},
-		"due after the stop":    {strings.Replace(small, "due = 0.3", "due = 3.0", 1), "f.toml:11:1: tariff: due: 3 is past the hard stop of 1"},
-		"no window":             {strings.Replace(small, "window = 0.4", "", 1), "tariff: window: a referenced tariff has one"},
-		"a scope too many":      {strings.Replace(small, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope"},
-		"kind":                  {strings.Replace(small, "single-use", "unsafe", 1), `f.toml:25:1: tariff: kind: "unsafe": it is replayable, referenced or single-use`},
-		"the same name":         {strings.Replace(small, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
-		"keys of nothing":       {strings.Replace(small, "spread = 0.5", "keyed = 1.0", 1), "there are no keys"},
-		"a name with a slash":   {strings.Replace(small, `"s"`, `"s/1"`, 1), "servers: name"},
-		"no such group":         {small + "[[trouble]]\nkind = \"crash\"\nservers = \"x\"\n", `trouble: servers: "x": no such group`},
-		"more than there are":   {small + "[[trouble]]\nkind = \"crash\"\ncount = 7\n", "trouble: count: servers 0 to 7 of 6"},
-		"count and share":       {small + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "a count or a share"},
-		"unknown trouble":       {small + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": it is ban, crash, drain`},
-		"the second trouble":    {small + "[[trouble]]\nkind = \"crash\"\n[[trouble]]\nkind = \"pause\"\n", "f.toml:40:1: trouble: for: pause lasts for a time"},
-		"a factor too many":     {small + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "not of crash"},
-		"proxies have no group": {small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "happens to no servers"},
-		"a proxy too many":      {small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nproxy = 3\n", "trouble: proxy: 3"},
-		"a burst without end":   {small + "[[arrivals.phase]]\nfor = 1.0\ntimes = 2.0\nshape = \"bursts\"\n", "arrivals.phase: lasts"},
+		"empty":            {"", "seconds: 0: it is from"},
+		"not TOML":         {"name = ", "f.toml:1:"},
+		"unknown field":    {small + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field: count?"},
+		"wrong type":       {strings.Replace(small, "= 4.0", `= "long"`, 1), "f.toml:2:"},
+		"unknown table":    {small + "[proxy]\n", "no such field"},
+		"no tariff":        {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
+		"too long":         {strings.Replace(small, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: it is from"},
+		"not a number":     {strings.Replace(small, "4.0", "nan", 1), "f.toml:2:1: seconds: NaN"},
+		"too many lookups": {strings.Replace(small, "200.0", "1e300", 1), "arrivals: rate"},
+		"due after the stop": {
+			strings.Replace(small, "due = 0.3", "due = 3.0", 1), "f.toml:11:1: tariff: due: 3 is past the hard stop of 1",
+		},
+		"no window": {
+			strings.Replace(small, "window = 0.4", "", 1), "tariff: window: a referenced tariff has one",
+		},
+		"a scope too many": {strings.Replace(small, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope"},
+		"kind": {
+			strings.Replace(small, "single-use", "unsafe", 1),
+			`f.toml:25:1: tariff: kind: "unsafe": it is replayable, referenced or single-use`,
+		},
+		"the same name":       {strings.Replace(small, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
+		"keys of nothing":     {strings.Replace(small, "spread = 0.5", "keyed = 1.0", 1), "there are no keys"},
+		"a name with a slash": {strings.Replace(small, `"s"`, `"s/1"`, 1), "servers: name"},
+		"no such group": {
+			small + "[[trouble]]\nkind = \"crash\"\nservers = \"x\"\n", `trouble: servers: "x": no such group`,
+		},
+		"more than there are": {
+			small + "[[trouble]]\nkind = \"crash\"\ncount = 7\n", "trouble: count: servers 0 to 7 of 6",
+		},
+		"count and share": {small + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "a count or a share"},
+		"unknown trouble": {
+			small + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": it is ban, crash, drain`,
+		},
+		"the second trouble": {
+			small + "[[trouble]]\nkind = \"crash\"\n[[trouble]]\nkind = \"pause\"\n",
+			"f.toml:40:1: trouble: for: pause lasts for a time",
+		},
+		"a factor too many": {small + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "not of crash"},
+		"proxies have no group": {
+			small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "happens to no servers",
+		},
+		"a proxy too many": {small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nproxy = 3\n", "trouble: proxy: 3"},
+		"a burst without end": {
+			small + "[[arrivals.phase]]\nfor = 1.0\ntimes = 2.0\nshape = \"bursts\"\n", "arrivals.phase: lasts",
+		},
 	} {
 		_, err := Read("f.toml", []byte(c.text))
 		if assert.Error(t, err, name) {
@@ -237,7 +258,10 @@
 // Text its agent has at discovery's return counts as told to a proxy that does not hear it; one that does breaks
 // nothing.
 func TestLostListCountsAsNotified(t *testing.T) {
-	s := scenario(t, "\n[[trouble]]\nkind = \"list-silent\"\nat = 0.2\nfor = 1.0\n[[trouble]]\nkind = \"drain\"\nservers = \"s\"\nat = 0.5\ncount = 3\ndrain = 30.0\n")
+	s := scenario(
+		t,
+		"\n[[trouble]]\nkind = \"list-silent\"\nat = 0.2\nfor = 1.0\n[[trouble]]\nkind = \"drain\"\nservers = \"s\"\nat = 0.5\ncount = 3\ndrain = 30.0\n",
+	)
 	s.Deployment.DrainGrace = 0.5
 	for name, wrap := range map[string]func(Decider) Decider{"hears": func(d Decider) Decider { return d }, "deaf": func(d Decider) Decider { return deaf{d} }} {
 		r, err := s.Virtual(name, func(d balance.Deployment, now float64) (Decider, error) {
@@ -280,14 +304,19 @@
 
 // Text each breach looks like to the audit, and what only resembles one.
 func TestAudit(t *testing.T) {
-	classes := []balance.Class{{Name: "page"}, {Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
-		{Name: "sms", Idempotency: balance.NonIdempotent}}
+	classes := []balance.Class{
+		{Name: "page"},
+		{Name: "sign", Idempotency: balance.Keyed, DedupScope: balance.DedupPod, DedupWindow: .3},
+		{Name: "sms", Idempotency: balance.NonIdempotent},
+	}
 	const page, sign, sms = 0, 1, 2
 	for name, c := range map[string]struct {
 		tariff, rule int // 0: none
 		play         func(a *Audit, try int)
 	}{
-		"answered":        {page, 0, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1.2, n, balance.NoReply) }},
+		"answered": {
+			page, 0, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1.2, n, balance.NoReply) },
+		},
 		"never answered":  {page, 1, func(a *Audit, n int) {}},
 		"lost":            {page, 1, func(a *Audit, n int) { a.RequestLost(1, n) }},
 		"its client left": {page, 0, func(a *Audit, n int) { a.ClientGone(1, n) }},
@@ -297,9 +326,13 @@
 			a.RequestAnswered(1, n, balance.Rejected)
 			a.RequestAnswered(1, n, balance.Rejected)
 		}},
-		"sent after its answer": {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1.2, n, 0, 0, 0) }},
-		"honoured by nobody":    {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.NoReply) }},
-		"of no lookup":          {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1, n+7, 0, 0, 0) }},
+		"sent after its answer": {
+			page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1.2, n, 0, 0, 0) },
+		},
+		"honoured by nobody": {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.NoReply) }},
+		"of no lookup": {
+			page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1, n+7, 0, 0, 0) },
+		},
 		"sent to a banned server": {page, 3, func(a *Audit, n int) {
 			a.ServerDisabled(-9, 0, 4, true)
 			a.ServerDisabled(1.5, 0, 4, true) // repeated: since the first
@@ -338,7 +371,9 @@
 			a.AttemptRejected(n)
 			a.RequestAnswered(1, n, balance.Rejected)
 		}},
-		"dismissed, may have run": {sms, 2, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1, n, balance.Rejected) }},
+		"dismissed, may have run": {
+			sms, 2, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1, n, balance.Rejected) },
+		},
 		"referenced, in its group": {sign, 0, func(a *Audit, n int) {
 			a.AttemptReceived(1, n, 0, 0, 5)
 			a.AttemptReceived(1.2, n, 0, 1, 5)
@@ -372,8 +407,10 @@
 			a.AttemptReceived(2.8, n, 0, 0, 0)
 			a.ClientGone(3, n)
 		}},
-		"counts as told": {page, 3, func(a *Audit, n int) { a.MemberNotReady(.1, 0); a.AttemptReceived(8.7, n, 0, 0, 0); a.ClientGone(3, n) }},
-		"pushed over":    {page, 4, func(a *Audit, n int) { a.ServerCrashed(1, 0); a.ClientGone(1, n) }},
+		"counts as told": {
+			page, 3, func(a *Audit, n int) { a.MemberNotReady(.1, 0); a.AttemptReceived(8.7, n, 0, 0, 0); a.ClientGone(3, n) },
+		},
+		"pushed over": {page, 4, func(a *Audit, n int) { a.ServerCrashed(1, 0); a.ClientGone(1, n) }},
 	} {
 		a := NewAudit(classes, .05, 2.5, 6)
 		c.play(a, a.RequestSent(c.tariff, 2))
@@ -401,7 +438,15 @@
 		for name, policy := range Policies {
 			r, err := s.Virtual(name, policy(), 3)
 			require.NoError(t, err)
-			assert.Equal(t, [2]int{0, 3}, [2]int{c.state(r.Seconds[0]) % 3, c.state(r.Seconds[1])}, "%s under %s: %+v", kind, name, r.Seconds[:3])
+			assert.Equal(
+				t,
+				[2]int{0, 3},
+				[2]int{c.state(r.Seconds[0]) % 3, c.state(r.Seconds[1])},
+				"%s under %s: %+v",
+				kind,
+				name,
+				r.Seconds[:3],
+			)
 			assert.Zero(t, r.RulesBroken[1]+r.RulesBroken[2]+r.RulesBroken[3], "%s under %s: %v", kind, name, r.FirstBreaches)
 		}
 	}
--- a/internal/simulation/steering.go
+++ b/internal/simulation/steering.go
@@ -39,7 +39,14 @@
 			}
 			s = &steeringController{b: b, proxies: map[uint64]*baseline{}}
 			pools[pool] = s
-			s.pool = assignment.New(assignment.Settings{SlowStartFraction: d.SlowStartFraction, SlowStartDuration: d.SlowStartDuration, CrashFactor: d.CrashFactor, CrashDuration: d.CrashDuration})
+			s.pool = assignment.New(
+				assignment.Settings{
+					SlowStartFraction: d.SlowStartFraction,
+					SlowStartDuration: d.SlowStartDuration,
+					CrashFactor:       d.CrashFactor,
+					CrashDuration:     d.CrashDuration,
+				},
+			)
 		}
 		made, _ := newBaseline(s.choose)(d, now)
 		p := made.(*baseline)
@@ -101,8 +108,11 @@
 	}
 	for _, x := range s.b.ServerStatuses(now) {
 		b := s.list[x.Endpoint]
-		sight.Servers = append(sight.Servers, assignment.ServerEstimate{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
-			Trial: x.Trial, Payoff: x.Payoff, Cores: b.Cores, StartedAt: b.StartedAt})
+		sight.Servers = append(
+			sight.Servers,
+			assignment.ServerEstimate{Name: strconv.Itoa(b.Index), Draining: b.State != balance.Ready, Paused: x.Paused,
+				Trial: x.Trial, Payoff: x.Payoff, Cores: b.Cores, StartedAt: b.StartedAt},
+		)
 	}
 	for _, b := range s.list {
 		if b.State == balance.Removed {
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"errors"
 	"regexp"
 	"strings"
 
@@ -11,18 +10,34 @@
 )
 
 var (
-	idempotencies = map[string]balance.Idempotency{"replayable": balance.Idempotent, "referenced": balance.Keyed, "single-use": balance.NonIdempotent}
-	scopes        = map[string]balance.DedupScope{"": 0, "all": balance.DedupAll, "zone": balance.DedupZone, "pod": balance.DedupPod}
-	shapes        = map[string]loadgen.Shape{"steady": loadgen.Steady, "ramp": loadgen.Ramp, "bursts": loadgen.Bursts, "deadline": loadgen.DeadlineRush}
+	idempotencies = map[string]balance.Idempotency{
+		"replayable": balance.Idempotent,
+		"referenced": balance.Keyed,
+		"single-use": balance.NonIdempotent,
+	}
+	scopes = map[string]balance.DedupScope{
+		"":     0,
+		"all":  balance.DedupAll,
+		"zone": balance.DedupZone,
+		"pod":  balance.DedupPod,
+	}
+	shapes = map[string]loadgen.Shape{
+		"steady":   loadgen.Steady,
+		"ramp":     loadgen.Ramp,
+		"bursts":   loadgen.Bursts,
+		"deadline": loadgen.DeadlineRush,
+	}
 )
 
-// bounds is a field with what it may be.
+// bounds are the values that a field may have.
 type bounds struct {
 	field    string
 	value    float64
 	min, max float64
 }
 
+// within returns an error that names the first field out of its bounds; n is the table's number from 1, 0 where there is
+// only one.
 func (s *Scenario) within(table string, n int, fields ...bounds) error {
 	for _, b := range fields {
 		if !(b.value >= b.min && b.value <= b.max) {
@@ -32,33 +47,75 @@
 	return nil
 }
 
-const minPositive = 1e-6 // more than nothing
+const minPositive = 1e-6 // the least that counts as more than nothing
 
-// check names the first thing that contradicts itself or the machine.
+// check returns the first contradiction in the scenario, or what this machine cannot run.
 func (s *Scenario) check() error {
+	for _, check := range []func() error{
+		s.checkFleet,
+		s.checkDeployment,
+		s.checkLoad,
+		s.checkClasses,
+		s.checkTenants,
+		s.checkServers,
+		s.checkPhases,
+		s.checkRate,
+		s.checkFaults,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkFleet() error {
+	if err := s.within("", 0, bounds{"seconds", s.Seconds, minPositive, maxSeconds}); err != nil {
+		return err
+	}
+	f := &s.ProxyFleet
+	return s.within("bank", 0,
+		bounds{"proxies", float64(f.Count), 1, maxProxies},
+		bounds{"cores", f.Cores, .01, 256},
+		bounds{"memory_mb", f.MemoryMB, 8, 1 << 20},
+		bounds{"sockets", float64(f.Sockets), 100, 1 << 20})
+}
+
+func (s *Scenario) checkDeployment() error {
 	d := &s.Deployment
-	err := errors.Join(
-		s.within("", 0, bounds{"seconds", s.Seconds, minPositive, maxSeconds}),
-		s.within("bank", 0, bounds{"proxies", float64(s.ProxyFleet.Count), 1, maxProxies}, bounds{"cores", s.ProxyFleet.Cores, .01, 256},
-			bounds{"memory_mb", s.ProxyFleet.MemoryMB, 8, 1 << 20}, bounds{"sockets", float64(s.ProxyFleet.Sockets), 100, 1 << 20}),
-		s.within("deployment", 0, bounds{"max_legs", float64(d.MaxAttempts), 1, 16}, bounds{"max_advice", d.MaxRetryAfter, 0, 3600},
-			bounds{"grace", d.DrainGrace, 0, 60}, bounds{"counts_as_told_after", d.NotificationDeadline, .1, 600},
-			bounds{"connect_for", d.ConnectTimeout, .001, 60}, bounds{"idle_for", d.IdleTimeout, .1, 3600},
-			bounds{"cold_share", d.SlowStartFraction, .001, 1}, bounds{"cold_for", d.SlowStartDuration, .001, 3600},
-			bounds{"fall_multiple", d.CrashFactor, .1, 1000}, bounds{"fall_for", d.CrashDuration, 0, 600}),
-		s.within("keys", 0, bounds{"count", float64(s.Keys.Count), 0, maxKeys}, bounds{"skew", s.Keys.ZipfExponent, 0, 5}),
-		s.within("arrivals", 0, bounds{"rate", s.Arrivals.Rate, minPositive, maxRate}),
-		s.within("clients", 0, bounds{"tries", float64(s.Clients.MaxRequests), 1, 100}, bounds{"backoff", s.Clients.Backoff, 0, 600},
-			bounds{"patience", s.Clients.Patience, .01, 1}),
-		s.within("match", 0, bounds{"seconds", s.Match.Seconds, 0, 60}, bounds{"share", s.Match.Share, 0, 1}))
-	for _, step := range []func() error{s.checkClasses, s.checkServers, s.checkPhases, s.checkFaults} {
-		err = errors.Join(err, step())
-	}
-	var all interface{ Unwrap() []error }
-	for errors.As(err, &all) { // the first is enough: one line
-		err = all.Unwrap()[0]
-	}
-	return err
+	return s.within("deployment", 0,
+		bounds{"max_legs", float64(d.MaxAttempts), 1, 16},
+		bounds{"max_advice", d.MaxRetryAfter, 0, 3600},
+		bounds{"grace", d.DrainGrace, 0, 60},
+		bounds{"counts_as_told_after", d.NotificationDeadline, .1, 600},
+		bounds{"connect_for", d.ConnectTimeout, .001, 60},
+		bounds{"idle_for", d.IdleTimeout, .1, 3600},
+		bounds{"cold_share", d.SlowStartFraction, .001, 1},
+		bounds{"cold_for", d.SlowStartDuration, .001, 3600},
+		bounds{"fall_multiple", d.CrashFactor, .1, 1000},
+		bounds{"fall_for", d.CrashDuration, 0, 600})
+}
+
+func (s *Scenario) checkLoad() error {
+	err := s.within("keys", 0,
+		bounds{"count", float64(s.Keys.Count), 0, maxKeys},
+		bounds{"skew", s.Keys.ZipfExponent, 0, 5})
+	if err != nil {
+		return err
+	}
+	if err := s.within("arrivals", 0, bounds{"rate", s.Arrivals.Rate, minPositive, maxRate}); err != nil {
+		return err
+	}
+	err = s.within("clients", 0,
+		bounds{"tries", float64(s.Clients.MaxRequests), 1, 100},
+		bounds{"backoff", s.Clients.Backoff, 0, 600},
+		bounds{"patience", s.Clients.Patience, .01, 1})
+	if err != nil {
+		return err
+	}
+	return s.within("match", 0,
+		bounds{"seconds", s.Match.Seconds, 0, 60},
+		bounds{"share", s.Match.Share, 0, 1})
 }
 
 func (s *Scenario) checkClasses() error {
@@ -66,37 +123,57 @@
 		return s.file.At("tariff", 0, "", "%d of them: there are 1 to %d", len(s.Classes), maxClasses)
 	}
 	names := map[string]bool{}
-	for i, t := range s.Classes {
-		kind, known := idempotencies[t.Idempotency]
-		_, scoped := scopes[t.DedupScope]
-		switch n := i + 1; {
-		case !plainName(t.Name) || names[t.Name] || t.Name == "up":
-			return s.file.At("tariff", n, "name", "%q: a name of its own, of letters, digits and dashes", t.Name)
-		case !known:
-			return s.file.At("tariff", n, "kind", "%q: it is replayable, referenced or single-use", t.Idempotency)
-		case !scoped || kind != balance.Keyed && t.DedupScope != "":
-			return s.file.At("tariff", n, "scope", "%q: it is all, zone or pod, of a referenced tariff", t.DedupScope)
-		case kind == balance.Keyed && t.DedupWindow <= 0:
-			return s.file.At("tariff", n, "window", "a referenced tariff has one")
-		case t.LatencyObjective > t.Deadline:
-			return s.file.At("tariff", n, "due", "%v is past the hard stop of %v", t.LatencyObjective, t.Deadline)
-		case (t.Pool != "") != s.PlainHTTP() || t.Pool != "" && s.count(t.Pool) == 0:
-			return s.file.At("tariff", n, "pool", "%q: a group of servers, for every tariff or for none", t.Pool)
-		case t.KeyedFraction > 0 && s.Keys.Count == 0:
-			return s.file.At("tariff", n, "keyed", "there are no keys")
-		}
-		names[t.Name] = true
-		if err := s.within("tariff", i+1, bounds{"hard_stop", t.Deadline, .01, 60}, bounds{"due", t.LatencyObjective, 0, 60},
-			bounds{"window", t.DedupWindow, 0, 600}, bounds{"value", t.PriorityWeight, 0, 1e6}, bounds{"share", t.Weight, 0, 1e6},
-			bounds{"work", t.Work, minPositive, 60}, bounds{"spread", t.WorkVariation, 0, 20}, bounds{"keyed", t.KeyedFraction, 0, 1}); err != nil {
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		if !plainName(class.Name) || names[class.Name] || class.Name == "up" {
+			return s.file.At("tariff", i+1, "name", "%q: a name of its own, of letters, digits and dashes", class.Name)
+		}
+		names[class.Name] = true
+		if err := s.checkClass(i+1, class); err != nil {
 			return err
 		}
 	}
-	for i, c := range s.Tenants {
-		if !plainName(c.Name) {
-			return s.file.At("customer", i+1, "name", "%q: of letters, digits and dashes", c.Name)
+	return nil
+}
+
+func (s *Scenario) checkClass(n int, c *Class) error {
+	const table = "tariff"
+	idempotency, known := idempotencies[c.Idempotency]
+	_, scoped := scopes[c.DedupScope]
+	switch {
+	case !known:
+		return s.file.At(table, n, "kind", "%q: it is replayable, referenced or single-use", c.Idempotency)
+	case !scoped || idempotency != balance.Keyed && c.DedupScope != "":
+		return s.file.At(table, n, "scope", "%q: it is all, zone or pod, of a referenced tariff", c.DedupScope)
+	case idempotency == balance.Keyed && c.DedupWindow <= 0:
+		return s.file.At(table, n, "window", "a referenced tariff has one")
+	case c.LatencyObjective > c.Deadline:
+		return s.file.At(table, n, "due", "%v is past the hard stop of %v", c.LatencyObjective, c.Deadline)
+	case (c.Pool != "") != s.PlainHTTP() || c.Pool != "" && s.count(c.Pool) == 0:
+		return s.file.At(table, n, "pool", "%q: a group of servers, for every tariff or for none", c.Pool)
+	case c.KeyedFraction > 0 && s.Keys.Count == 0:
+		return s.file.At(table, n, "keyed", "there are no keys")
+	}
+	return s.within(table, n,
+		bounds{"hard_stop", c.Deadline, .01, 60},
+		bounds{"due", c.LatencyObjective, 0, 60},
+		bounds{"window", c.DedupWindow, 0, 600},
+		bounds{"value", c.PriorityWeight, 0, 1e6},
+		bounds{"share", c.Weight, 0, 1e6},
+		bounds{"work", c.Work, minPositive, 60},
+		bounds{"spread", c.WorkVariation, 0, 20},
+		bounds{"keyed", c.KeyedFraction, 0, 1})
+}
+
+func (s *Scenario) checkTenants() error {
+	for i, t := range s.Tenants {
+		if !plainName(t.Name) {
+			return s.file.At("customer", i+1, "name", "%q: of letters, digits and dashes", t.Name)
 		}
-		if err := s.within("customer", i+1, bounds{"quota", c.Quota, 0, maxRate}, bounds{"share", c.Weight, minPositive, 1e6}); err != nil {
+		err := s.within("customer", i+1,
+			bounds{"quota", t.Quota, 0, maxRate},
+			bounds{"share", t.Weight, minPositive, 1e6})
+		if err != nil {
 			return err
 		}
 	}
@@ -106,18 +183,16 @@
 var plainName = regexp.MustCompile(`^[A-Za-z0-9-]{1,64}$`).MatchString
 
 func (s *Scenario) checkServers() error {
-	total, names := 0, map[string]bool{}
-	for i, g := range s.Servers {
-		if !plainName(g.Name) || names[g.Name] {
-			return s.file.At("servers", i+1, "name", "%q: a name of its own, of letters, digits and dashes", g.Name)
-		}
-		names[g.Name] = true
-		total += g.Count
-		if err := s.within("servers", i+1, bounds{"count", float64(g.Count), 1, maxServers}, bounds{"pod", float64(g.Pod), 1, maxServers},
-			bounds{"cores", float64(g.Cores), 1, 1024}, bounds{"speed", g.Speed, .001, 1000}, bounds{"room", float64(g.QueueCapacity), 0, 1e6},
-			bounds{"down_for", g.CrashDowntime, .01, 3600}, bounds{"choke_at", float64(g.DegradeQueueLength), 0, 1e6}, bounds{"choke_to", g.DegradedSpeed, .01, 1},
-			bounds{"choke_in", g.DegradeTimeConstant, 0, 600}, bounds{"linger", g.RecoverTimeConstant, 0, 3600}, bounds{"warm_keys", float64(g.CacheSize), 0, maxKeys},
-			bounds{"warm_work", g.CachedWorkFraction, .001, 1}); err != nil {
+	total := 0
+	names := map[string]bool{}
+	for i := range s.Servers {
+		group := &s.Servers[i]
+		if !plainName(group.Name) || names[group.Name] {
+			return s.file.At("servers", i+1, "name", "%q: a name of its own, of letters, digits and dashes", group.Name)
+		}
+		names[group.Name] = true
+		total += group.Count
+		if err := s.checkServerGroup(i+1, group); err != nil {
 			return err
 		}
 	}
@@ -127,97 +202,157 @@
 	return nil
 }
 
+func (s *Scenario) checkServerGroup(n int, g *Servers) error {
+	return s.within("servers", n,
+		bounds{"count", float64(g.Count), 1, maxServers},
+		bounds{"pod", float64(g.Pod), 1, maxServers},
+		bounds{"cores", float64(g.Cores), 1, 1024},
+		bounds{"speed", g.Speed, .001, 1000},
+		bounds{"room", float64(g.QueueCapacity), 0, 1e6},
+		bounds{"down_for", g.CrashDowntime, .01, 3600},
+		bounds{"choke_at", float64(g.DegradeQueueLength), 0, 1e6},
+		bounds{"choke_to", g.DegradedSpeed, .01, 1},
+		bounds{"choke_in", g.DegradeTimeConstant, 0, 600},
+		bounds{"linger", g.RecoverTimeConstant, 0, 3600},
+		bounds{"warm_keys", float64(g.CacheSize), 0, maxKeys},
+		bounds{"warm_work", g.CachedWorkFraction, .001, 1})
+}
+
 func (s *Scenario) checkPhases() error {
 	for i, p := range s.Arrivals.Phases {
 		shape, known := shapes[p.Shape]
-		switch n := i + 1; {
-		case !known:
-			return s.file.At("arrivals.phase", n, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
-		case shape == loadgen.Bursts && !(p.BurstDuration > 0 && p.BurstDuration < p.BurstInterval):
-			return s.file.At("arrivals.phase", n, "lasts", "%v: each burst lasts less than from one to the next, %v", p.BurstDuration, p.BurstInterval)
-		}
-		if err := s.within("arrivals.phase", i+1, bounds{"at", p.At, 0, s.Seconds}, bounds{"for", p.Duration, minPositive, maxSeconds},
-			bounds{"times", p.Factor, 0, 1000}); err != nil {
+		if !known {
+			return s.file.At("arrivals.phase", i+1, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
+		}
+		if shape == loadgen.Bursts && !(p.BurstDuration > 0 && p.BurstDuration < p.BurstInterval) {
+			return s.file.At("arrivals.phase", i+1, "lasts",
+				"%v: each burst lasts less than from one to the next, %v", p.BurstDuration, p.BurstInterval)
+		}
+		err := s.within("arrivals.phase", i+1,
+			bounds{"at", p.At, 0, s.Seconds},
+			bounds{"for", p.Duration, minPositive, maxSeconds},
+			bounds{"times", p.Factor, 0, 1000})
+		if err != nil {
 			return err
 		}
 	}
-	mix := s.Workload()
-	sum := 0.0
-	for t := 0.0; t < s.Seconds; t += s.Seconds / 1000 {
-		if rate := mix.RateAt(t); rate > maxRate {
+	return nil
+}
+
+const rateSamples = 1000 // times at which the rate is looked at
+
+// checkRate checks what rate and phases make together.
+func (s *Scenario) checkRate() error {
+	workload := s.Workload()
+	total := 0.0
+	for t := 0.0; t < s.Seconds; t += s.Seconds / rateSamples {
+		rate := workload.RateAt(t)
+		if rate > maxRate {
 			return s.file.At("arrivals", 0, "rate", "%v a second at %v s: %v at most", rate, t, maxRate)
-		} else if sum += rate * s.Seconds / 1000; sum > maxIntents {
+		}
+		total += rate * s.Seconds / rateSamples
+		if total > maxIntents {
 			return s.file.At("arrivals", 0, "rate", "more than %v lookups in all", maxIntents)
 		}
 	}
 	return nil
 }
 
-// faultKinds is what each kind of trouble needs, and what it does.
-var faultKinds = map[string]struct {
-	deed           emulator.ChangeKind
-	factor, lasts  bool // needs a factor, ends after For
-	proxies, lists bool // not of servers
-	bans           bool // of servers at proxies
-	once           bool // lasts for no time, or for one that may be left out
-}{
-	"slow":          {deed: emulator.ChangeSpeed, factor: true, lasts: true},
-	"pause":         {deed: emulator.ChangePause},
-	"errors":        {deed: emulator.ChangeErrorShare, factor: true, lasts: true},
-	"hang":          {deed: emulator.ChangeHanging, lasts: true},
-	"silence":       {deed: emulator.ChangeUnreachable, lasts: true},
-	"crash":         {deed: emulator.ChangeCrash, once: true},
-	"drain":         {deed: emulator.ChangeDrain, once: true},
-	"replace":       {deed: emulator.ChangeReplace, once: true},
-	"replace-there": {deed: emulator.ChangeReplaceInPlace, once: true},
-	"list-late":     {lists: true, factor: true},
-	"list-silent":   {lists: true},
-	"list-reset":    {lists: true, once: true},
-	"list-mute":     {lists: true, once: true},
-	"proxy-kill":    {proxies: true},
-	"proxy-restart": {proxies: true},
-	"proxy-upgrade": {proxies: true, once: true},
-	"proxy-drain":   {proxies: true},
-	"ban":           {bans: true},
+// faultKind is what a kind of fault needs, and what it does.
+type faultKind struct {
+	change      emulator.ChangeKind // of servers
+	needsFactor bool
+	reverts     bool // its end is a change too
+	ofProxies   bool
+	ofLists     bool
+	disables    bool // servers, at proxies
+	instant     bool // has no duration, or one that may be left out
+}
+
+var faultKinds = map[string]faultKind{
+	"slow":          {change: emulator.ChangeSpeed, needsFactor: true, reverts: true},
+	"pause":         {change: emulator.ChangePause},
+	"errors":        {change: emulator.ChangeErrorShare, needsFactor: true, reverts: true},
+	"hang":          {change: emulator.ChangeHanging, reverts: true},
+	"silence":       {change: emulator.ChangeUnreachable, reverts: true},
+	"crash":         {change: emulator.ChangeCrash, instant: true},
+	"drain":         {change: emulator.ChangeDrain, instant: true},
+	"replace":       {change: emulator.ChangeReplace, instant: true},
+	"replace-there": {change: emulator.ChangeReplaceInPlace, instant: true},
+	"list-late":     {ofLists: true, needsFactor: true},
+	"list-silent":   {ofLists: true},
+	"list-reset":    {ofLists: true, instant: true},
+	"list-mute":     {ofLists: true, instant: true},
+	"proxy-kill":    {ofProxies: true},
+	"proxy-restart": {ofProxies: true},
+	"proxy-upgrade": {ofProxies: true, instant: true},
+	"proxy-drain":   {ofProxies: true},
+	"ban":           {disables: true},
 }
 
 func (s *Scenario) checkFaults() error {
 	if len(s.Faults) > maxFaults {
 		return s.file.At("trouble", 0, "", "%d of them: %d at most", len(s.Faults), maxFaults)
 	}
-	for i, t := range s.Faults {
-		n, group := i+1, s.count(t.Servers)
-		kind, known := faultKinds[t.Kind]
+	for i := range s.Faults {
+		fault := &s.Faults[i]
+		kind, known := faultKinds[fault.Kind]
 		if !known {
-			return s.file.At("trouble", n, "kind", "%q: it is %s", t.Kind, strings.Join(sortedNames(faultKinds), ", "))
-		}
-		ofServers := !kind.proxies && !kind.lists
-		_, class := s.class(t.Class)
-		switch {
-		case ofServers && group == 0:
-			return s.file.At("trouble", n, "servers", "%q: no such group", t.Servers)
-		case !ofServers && (t.Servers != "" || t.Count != 0 || t.Share != 0 || t.From != 0):
-			return s.file.At("trouble", n, "kind", "%s happens to no servers", t.Kind)
-		case ofServers && !kind.bans && t.Proxy != 0:
-			return s.file.At("trouble", n, "proxy", "%s happens to servers", t.Kind)
-		case t.Count != 0 && t.Share != 0:
-			return s.file.At("trouble", n, "share", "a count or a share, not both")
-		case t.From < 0 || t.Count < 0 || ofServers && t.From+s.affected(t) > group:
-			return s.file.At("trouble", n, "count", "servers %d to %d of %d", t.From, t.From+s.affected(t), group)
-		case t.Class != "" && !class:
-			return s.file.At("trouble", n, "tariff", "%q: no such tariff", t.Class)
-		case t.Class != "" && t.Kind != "errors" && t.Kind != "hang":
-			return s.file.At("trouble", n, "tariff", "%s is of no one tariff", t.Kind)
-		case kind.factor && t.Factor <= 0 || !kind.factor && t.Factor != 0:
-			return s.file.At("trouble", n, "factor", "%v: %s", t.Factor, map[bool]string{true: "more than nothing", false: "not of " + t.Kind}[kind.factor])
-		case t.Duration <= 0 && !kind.once:
-			return s.file.At("trouble", n, "for", "%s lasts for a time", t.Kind)
-		}
-		if err := s.within("trouble", n, bounds{"at", t.At, 0, s.Seconds}, bounds{"for", t.Duration, 0, maxSeconds},
-			bounds{"within", t.Within, 0, maxSeconds}, bounds{"factor", t.Factor, 0, 100}, bounds{"drain", t.Drain, 0, 600},
-			bounds{"share", t.Share, 0, 1}, bounds{"proxy", float64(t.Proxy), 0, float64(s.ProxyFleet.Count)}); err != nil {
+			kinds := strings.Join(sortedNames(faultKinds), ", ")
+			return s.file.At("trouble", i+1, "kind", "%q: it is %s", fault.Kind, kinds)
+		}
+		if err := s.checkFaultServers(i+1, fault, kind); err != nil {
 			return err
 		}
+		if err := s.checkFaultFields(i+1, fault, kind); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkFaultServers checks which servers or proxies a fault happens to.
+func (s *Scenario) checkFaultServers(n int, f *Fault, kind faultKind) error {
+	const table = "trouble"
+	ofServers := !kind.ofProxies && !kind.ofLists
+	group := s.count(f.Servers)
+	switch {
+	case ofServers && group == 0:
+		return s.file.At(table, n, "servers", "%q: no such group", f.Servers)
+	case !ofServers && (f.Servers != "" || f.Count != 0 || f.Share != 0 || f.From != 0):
+		return s.file.At(table, n, "kind", "%s happens to no servers", f.Kind)
+	case ofServers && !kind.disables && f.Proxy != 0:
+		return s.file.At(table, n, "proxy", "%s happens to servers", f.Kind)
+	case f.Count != 0 && f.Share != 0:
+		return s.file.At(table, n, "share", "a count or a share, not both")
+	case f.From < 0 || f.Count < 0 || ofServers && f.From+s.affected(*f) > group:
+		return s.file.At(table, n, "count", "servers %d to %d of %d", f.From, f.From+s.affected(*f), group)
 	}
 	return nil
 }
+
+// checkFaultFields checks a fault's class, factor and times.
+func (s *Scenario) checkFaultFields(n int, f *Fault, kind faultKind) error {
+	const table = "trouble"
+	_, classKnown := s.class(f.Class)
+	switch {
+	case f.Class != "" && !classKnown:
+		return s.file.At(table, n, "tariff", "%q: no such tariff", f.Class)
+	case f.Class != "" && f.Kind != "errors" && f.Kind != "hang":
+		return s.file.At(table, n, "tariff", "%s is of no one tariff", f.Kind)
+	case kind.needsFactor && f.Factor <= 0:
+		return s.file.At(table, n, "factor", "%v: more than nothing", f.Factor)
+	case !kind.needsFactor && f.Factor != 0:
+		return s.file.At(table, n, "factor", "%v: not of %s", f.Factor, f.Kind)
+	case f.Duration <= 0 && !kind.instant:
+		return s.file.At(table, n, "for", "%s lasts for a time", f.Kind)
+	}
+	return s.within(table, n,
+		bounds{"at", f.At, 0, s.Seconds},
+		bounds{"for", f.Duration, 0, maxSeconds},
+		bounds{"within", f.Within, 0, maxSeconds},
+		bounds{"factor", f.Factor, 0, 100},
+		bounds{"drain", f.Drain, 0, 600},
+		bounds{"share", f.Share, 0, 1},
+		bounds{"proxy", float64(f.Proxy), 0, float64(s.ProxyFleet.Count)})
+}
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -12,15 +12,16 @@
 	"lockloom/internal/settings"
 )
 
-// BurstInterval constant of the virtual world.
+// Times of the virtual world, in seconds.
 const (
-	epoch          = 1000.0 // the clock at the start: a server that starts then has not been up for long
-	wireDelay      = 0.0001 // s one way between proxy and server, or client
-	listDelay      = 0.02   // s from a change of the list to a proxy's being told
-	muteDuration   = 3.1    // s until a proxy has a watch again that fell silent
-	reconnectDelay = 0.05   // s until a client that found no proxy looks again
-	killMargin     = 0.7    // s past the longest deadline that a proxy has, once told to stop
-	startDuration  = 0.2    // s until a started proxy serves
+	epoch          = 1000.0 // start of a run: a server that starts then has not been up for long
+	wireDelay      = 0.0001 // one way between proxy and server, or client
+	listDelay      = 0.02   // from a change of the list to a proxy's notification
+	muteDuration   = 3.1    // until a proxy has replaced a watch that fell silent
+	reconnectDelay = 0.05   // until a client that found no proxy looks again
+	killMargin     = 0.7    // past the longest deadline, until a proxy that was told to stop is killed
+	startDuration  = 0.2    // until a started proxy serves
+	clockTolerance = 1e-6   // of the audit, for rounding
 )
 
 // virtualRun is a run in virtual time.
@@ -58,47 +59,73 @@
 	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
 }
 
-// VirtualOf plays it with other requests than its own.
-func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, requests loadgen.Source) (*Result, error) {
-	began := time.Now()
-	f := s.Settings(seed)
-	v := &virtualRun{scenario: s, settings: f, policy: policy, seed: seed, now: epoch, plan: requests,
-		clients: loadgen.Clients(s.Clients), rand: rand.New(rand.NewPCG(seed, 4)), fleet: s.Fleet(seed, epoch), zones: map[string]int{},
-		models: map[string]int{}, audit: NewAudit(f.Classes, 2*wireDelay+1e-6, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
-		tally: newTally(s, f.Classes, seed, name, "virtual")}
-	for i, z := range f.Zones {
-		v.zones[z] = i
+// VirtualOf plays it with other intents than those of its own workload.
+func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
+	startedAt := time.Now()
+	v := newVirtualRun(s, name, policy, seed, intents)
+	if err := v.begin(); err != nil {
+		return nil, err
+	}
+	end := epoch + s.Seconds + 2*s.longestDeadline()
+	for len(v.agenda.list) > 0 && v.agenda.list[0].at <= end && v.err == nil {
+		e := v.agenda.next()
+		v.now = e.at
+		v.play(e)
+	}
+	v.audit.Close(end + 1)
+	r := v.tally.result(v.fleet, v.audit)
+	r.WallTime = time.Since(startedAt).Seconds()
+	return r, v.err
+}
+
+func newVirtualRun(s *Scenario, name string, policy Policy, seed uint64, intents loadgen.Source) *virtualRun {
+	figures := s.Settings(seed)
+	v := &virtualRun{
+		scenario: s,
+		settings: figures,
+		policy:   policy,
+		seed:     seed,
+		now:      epoch,
+		plan:     intents,
+		clients:  loadgen.Clients(s.Clients),
+		rand:     rand.New(rand.NewPCG(seed, 4)),
+		fleet:    s.Fleet(seed, epoch),
+		zones:    map[string]int{},
+		models:   map[string]int{},
+		tally:    newTally(s, figures.Classes, seed, name, "virtual"),
+	}
+	slack := 2*wireDelay + clockTolerance
+	v.audit = NewAudit(figures.Classes, slack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)
+	for i, zone := range figures.Zones {
+		v.zones[zone] = i
 	}
 	for range s.ProxyFleet.Count {
 		v.proxies = append(v.proxies, &virtualProxy{})
 	}
+	return v
+}
+
+// begin starts the proxies and fills the agenda.
+func (v *virtualRun) begin() error {
 	for i := range v.proxies {
-		if v.start(i); v.err != nil {
-			return nil, v.err
+		v.start(i)
+		if v.err != nil {
+			return v.err
 		}
 	}
 	v.addMembers()
-	for _, h := range s.Timeline() {
-		v.schedule(h)
+	for _, entry := range v.scenario.Timeline() {
+		v.schedule(entry)
 	}
-	for at := 1.0; at <= math.Ceil(s.Seconds); at++ {
-		v.agenda.add(event{at: epoch + at, what: eventSecondEnds})
+	for at := 1.0; at <= math.Ceil(v.scenario.Seconds); at++ {
+		v.agenda.add(event{at: epoch + at, kind: eventSecondEnds})
 	}
 	v.scheduleIntent()
-	end := epoch + s.Seconds + 2*s.longest()
-	for len(v.agenda.list) > 0 && v.agenda.list[0].at <= end && v.err == nil {
-		e := v.agenda.next()
-		v.now = e.at
-		v.play(e)
-	}
-	v.audit.Close(end + 1)
-	r := v.tally.result(v.fleet, v.audit)
-	r.WallTime = time.Since(began).Seconds()
-	return r, v.err
+	return nil
 }
 
-// maxLatencyMicros is the longest deadline.
-func (s *Scenario) longest() float64 {
+// longestDeadline is the longest deadline of a class.
+func (s *Scenario) longestDeadline() float64 {
 	longest := 0.0
 	for _, t := range s.Classes {
 		longest = max(longest, t.Deadline)
@@ -106,92 +133,82 @@
 	return longest
 }
 
+// play carries out an event.
 func (v *virtualRun) play(e event) {
-	switch e.what {
+	switch e.kind {
 	case eventIntentDue:
 		in := v.nextIntent
 		v.scheduleIntent()
 		v.tally.intentDue(v.now-epoch, &in)
-		v.try(in, 1)
+		v.connect(v.newTry(in, 1, v.now))
 	case eventConnect:
-		v.connect(e.a)
+		v.connect(e.target)
 	case eventClientLeaves:
-		v.clientLeaves(e.a, e.gen)
+		v.clientLeaves(e.target, e.generation)
 	case eventRequestTimer:
-		if t := &v.tries[e.a]; t.gen == e.gen && t.handle != nil {
+		if t := &v.tries[e.target]; t.generation == e.generation && t.handle != nil {
 			v.carryOut(t.proxy, t.pool, t.handle.TimerFired(v.now))
-			v.release(e.a)
+			v.release(e.target)
 		}
 	case eventDeciderTimer:
-		if p := v.proxies[e.a]; p.incarnation == e.gen && p.alive {
-			v.carryOut(e.a, e.b, p.pools[e.b].TimerFired(v.now))
+		if p := v.proxies[e.target]; p.incarnation == e.generation && p.alive {
+			v.carryOut(e.target, e.detail, p.pools[e.detail].TimerFired(v.now))
 		}
 	case eventAttemptArrives:
-		if v.attempts[e.a].gen == e.gen {
-			v.attemptArrives(e.a)
+		if v.attempts[e.target].generation == e.generation {
+			v.attemptArrives(e.target)
 		}
 	case eventAttemptEnds:
-		if v.attempts[e.a].gen == e.gen {
-			v.attemptEnds(e.a, balance.Outcome(e.b))
+		if v.attempts[e.target].generation == e.generation {
+			v.attemptEnds(e.target, balance.Outcome(e.detail))
 		}
 	case eventServerDue:
-		if m := int(e.a); v.nextEventAt[m] == e.at {
+		if m := int(e.target); v.nextEventAt[m] == e.at {
 			v.nextEventAt[m] = never
 			v.reconcile(m, v.fleet.Members[m].Advance(v.now))
 		}
 	case eventTimelineEntry:
-		v.applyEntry(v.timeline[e.a])
+		v.applyEntry(v.timeline[e.target])
 	case eventProxyNotified:
-		v.notifyProxy(int(e.a))
+		v.notifyProxy(int(e.target))
 	case eventProxyStarts:
-		v.start(int(e.a))
+		v.start(int(e.target))
 	case eventSecondEnds:
-		for i, m := range v.fleet.Members {
-			v.reconcile(i, m.Advance(v.now))
-		}
-		v.tally.endSecond(v.now-epoch-1, v.fleet, v.attemptsThisSecond)
-		v.attemptsThisSecond = 0
+		v.endSecond()
+	}
+}
+
+func (v *virtualRun) endSecond() {
+	for i, m := range v.fleet.Members {
+		v.reconcile(i, m.Advance(v.now))
 	}
+	v.tally.endSecond(v.now-epoch-1, v.fleet, v.attemptsThisSecond)
+	v.attemptsThisSecond = 0
 }
 
-// scheduleIntent plans the next request.
+// scheduleIntent schedules the next intent.
 func (v *virtualRun) scheduleIntent() {
 	if in, ok := v.plan.Next(); ok {
 		v.nextIntent = in
-		v.agenda.add(event{at: epoch + in.At, what: eventIntentDue})
+		v.agenda.add(event{at: epoch + in.At, kind: eventIntentDue})
 	}
 }
 
 func (v *virtualRun) schedule(h TimelineEntry) {
 	v.timeline = append(v.timeline, h)
-	v.agenda.add(event{at: epoch + h.At, what: eventTimelineEntry, a: int32(len(v.timeline) - 1)})
+	v.agenda.add(event{at: epoch + h.At, kind: eventTimelineEntry, target: int32(len(v.timeline) - 1)})
 }
 
-// reconcile takes in what came of a call on a member.
-func (v *virtualRun) reconcile(i int, ends []emulator.Completion) {
-	v.carryOutEffect(v.fleet.Reconcile(i, ends))
+// reconcile carries out what followed from a call on a member.
+func (v *virtualRun) reconcile(member int, completions []emulator.Completion) {
+	v.carryOutEffect(v.fleet.Reconcile(member, completions))
 }
 
 func (v *virtualRun) carryOutEffect(e emulator.Effect) {
 	v.addMembers()
 	m := v.fleet.Members[e.Member]
-	for _, end := range e.Completions {
-		g := int32(end.Ref)
-		l := &v.attempts[g]
-		if end.Outcome == balance.ServerRejected {
-			v.audit.AttemptRejected(v.tries[l.try].id)
-		}
-		switch {
-		case l.closed: // noObserver waits for it
-			l.received = false
-			v.freed(g)
-		case m.Reachability() == emulator.Unreachable:
-			l.received = false
-			v.silentAttempts[e.Member] = append(v.silentAttempts[e.Member], g)
-		default:
-			l.received, l.work = false, end.Work
-			v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(end.Outcome), gen: l.gen})
-		}
+	for _, completion := range e.Completions {
+		v.complete(e.Member, completion)
 	}
 	if e.ResetConnections {
 		v.reset(e.Member)
@@ -201,25 +218,57 @@
 	}
 	if next := m.NextEvent(); next < v.nextEventAt[e.Member] {
 		v.nextEventAt[e.Member] = next
-		v.agenda.add(event{at: next, what: eventServerDue, a: int32(e.Member)})
+		v.agenda.add(event{at: next, kind: eventServerDue, target: int32(e.Member)})
+	}
+}
+
+// complete sends a completion to the proxy that waits for it.
+func (v *virtualRun) complete(member int, completion emulator.Completion) {
+	ref := int32(completion.Ref)
+	a := &v.attempts[ref]
+	a.received = false
+	if completion.Outcome == balance.ServerRejected {
+		v.audit.AttemptRejected(v.tries[a.try].id)
+	}
+	switch {
+	case a.closed: // no proxy waits for it
+		v.freed(ref)
+	case v.fleet.Members[member].Reachability() == emulator.Unreachable:
+		v.silentAttempts[member] = append(v.silentAttempts[member], ref)
+	default:
+		a.work = completion.Work
+		v.scheduleEnd(ref, v.now+wireDelay, completion.Outcome)
 	}
 }
 
-// addMembers makes room for new members.
+// scheduleEnd schedules the end of an attempt at its proxy.
+func (v *virtualRun) scheduleEnd(ref int32, at float64, outcome balance.Outcome) {
+	v.agenda.add(event{
+		at:         at,
+		kind:       eventAttemptEnds,
+		target:     ref,
+		detail:     int32(outcome),
+		generation: v.attempts[ref].generation,
+	})
+}
+
+// addMembers follows the fleet where it has new members.
 func (v *virtualRun) addMembers() {
 	for len(v.nextEventAt) < len(v.fleet.Members) {
-		v.nextEventAt, v.silentAttempts = append(v.nextEventAt, never), append(v.silentAttempts, nil)
+		v.nextEventAt = append(v.nextEventAt, never)
+		v.silentAttempts = append(v.silentAttempts, nil)
 		i := len(v.nextEventAt) - 1
 		if next := v.fleet.Members[i].NextEvent(); next < never {
 			v.nextEventAt[i] = next
-			v.agenda.add(event{at: next, what: eventServerDue, a: int32(i)})
+			v.agenda.add(event{at: next, kind: eventServerDue, target: int32(i)})
 		}
 	}
 }
 
-// reset ends all connections to a member.
+// reset resets all connections to a member.
 func (v *virtualRun) reset(member int) {
-	if m := v.fleet.Members[member]; m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
+	m := v.fleet.Members[member]
+	if m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
 		v.tally.event(v.now-epoch, fmt.Sprintf("!%s fell over", m.Name))
 		v.audit.ServerCrashed(v.now, member)
 	}
@@ -228,9 +277,9 @@
 	}
 	lost := v.silentAttempts[member]
 	v.silentAttempts[member] = nil
-	for _, g := range lost {
-		if l := &v.attempts[g]; l.used && !l.closed && int(l.member) == member {
-			v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(balance.ConnectionLost), gen: l.gen})
+	for _, ref := range lost {
+		if a := &v.attempts[ref]; a.used && !a.closed && int(a.member) == member {
+			v.scheduleEnd(ref, v.now+wireDelay, balance.ConnectionLost)
 		}
 	}
 }
--- a/internal/simulation/virtual_proxies.go
+++ b/internal/simulation/virtual_proxies.go
@@ -2,121 +2,146 @@
 
 import (
 	"lockloom/balance"
+	"lockloom/internal/emulator"
 	"lockloom/internal/settings"
 )
 
 // virtualProxy is one proxy.
 type virtualProxy struct {
-	pools            []Decider // one, or one for each pool of an ordinary scenario
+	pools            []Decider // one, or one for each pool of a scenario with plain HTTP clients
 	incarnation      uint32
-	up               bool // takes requests
+	up               bool // accepts requests
 	alive            bool
-	open             int
-	version          int64
+	open             int   // tries
+	version          int64 // of the list that it has
 	idle             []int // connections, by member
 	silentUntil      float64
 	listExtraDelay   float64
 	listDelayedUntil float64
 }
 
-// carryOut carries out what a proxy's decider orders.
-func (v *virtualRun) carryOut(proxy, pool int32, o *balance.Actions) {
-	if o.WakeAt > 0 {
-		v.agenda.add(event{at: max(o.WakeAt, v.now), what: eventDeciderTimer, a: proxy, b: pool, gen: v.proxies[proxy].incarnation})
+// carryOut carries out the actions of a proxy's decider.
+func (v *virtualRun) carryOut(proxy, pool int32, actions *balance.Actions) {
+	if actions.WakeAt > 0 {
+		v.agenda.add(event{
+			at:         max(actions.WakeAt, v.now),
+			kind:       eventDeciderTimer,
+			target:     proxy,
+			detail:     pool,
+			generation: v.proxies[proxy].incarnation,
+		})
 	}
-	for k := range o.Requests {
-		s := &o.Requests[k]
-		t := &v.tries[s.Ref]
-		if s.Send {
-			v.send(int32(s.Ref), s.Endpoint)
-		}
-		if s.CancelAttempt > 0 {
-			if g := t.attempts[s.CancelAttempt-1]; v.attempts[g].used && !v.attempts[g].closed {
-				v.drop(g)
-				v.agenda.add(event{at: v.now, what: eventAttemptEnds, a: g, b: int32(balance.Canceled), gen: v.attempts[g].gen})
-			}
-		}
-		if s.Reply != balance.NoReply && !t.over {
-			t.over = true
-			v.answered(t, s.Reply, s.RetryAfter)
-		}
-		if s.WakeAt > 0 {
-			v.agenda.add(event{at: max(s.WakeAt, v.now), what: eventRequestTimer, a: int32(s.Ref), gen: t.gen})
-		}
+	for k := range actions.Requests {
+		v.carryOutRequest(&actions.Requests[k])
 	}
-	for k := range o.Requests {
-		v.release(int32(o.Requests[k].Ref))
+	for k := range actions.Requests {
+		v.release(int32(actions.Requests[k].Ref))
 	}
 }
 
-// applyEntry carries out something of the timeline.
-func (v *virtualRun) applyEntry(h TimelineEntry) {
-	if !h.FollowUp {
-		v.tally.event(v.now-epoch, h.String())
-	}
-	if h.ProxyEvent == NoProxyEvent {
-		e, later := v.fleet.Apply(v.now, h.Change)
-		v.addMembers()
-		v.carryOutEffect(e)
-		for _, a := range later {
-			v.schedule(TimelineEntry{At: a.At - epoch, Change: a, FollowUp: true})
+func (v *virtualRun) carryOutRequest(action *balance.RequestAction) {
+	i := int32(action.Ref)
+	t := &v.tries[i]
+	if action.Send {
+		v.send(i, action.Endpoint)
+	}
+	if action.CancelAttempt > 0 {
+		if ref := t.attempts[action.CancelAttempt-1]; v.attempts[ref].used && !v.attempts[ref].closed {
+			v.drop(ref)
+			v.scheduleEnd(ref, v.now, balance.Canceled)
 		}
+	}
+	if action.Reply != balance.NoReply && !t.over {
+		t.over = true
+		v.answered(t, action.Reply, action.RetryAfter)
+	}
+	if action.WakeAt > 0 {
+		at := max(action.WakeAt, v.now)
+		v.agenda.add(event{at: at, kind: eventRequestTimer, target: i, generation: t.generation})
+	}
+}
+
+// applyEntry carries out an entry of the timeline.
+func (v *virtualRun) applyEntry(entry TimelineEntry) {
+	if !entry.FollowUp {
+		v.tally.event(v.now-epoch, entry.String())
+	}
+	if entry.ProxyEvent == NoProxyEvent {
+		v.applyChange(entry.Change)
 		return
 	}
-	for i, p := range v.proxies {
-		if h.ProxyIndex >= 0 && h.ProxyIndex != i {
-			continue
-		}
-		switch h.ProxyEvent {
-		case ListLate:
-			p.listExtraDelay, p.listDelayedUntil = h.Delay, v.now+h.Duration
-		case ListSilent:
-			p.silentUntil = max(p.silentUntil, v.now+h.Duration)
-		case ListMute:
-			p.silentUntil = max(p.silentUntil, v.now+muteDuration)
-		case ProxyKill:
-			v.kill(i)
-			v.agenda.add(event{at: v.now + h.Duration, what: eventProxyStarts, a: int32(i)})
-		case ProxyRestart:
-			p.up = false
-			v.agenda.add(event{at: v.now + v.scenario.longest() + killMargin, what: eventProxyStarts, a: int32(i)})
+	for i := range v.proxies {
+		if entry.ProxyIndex < 0 || entry.ProxyIndex == i {
+			v.applyProxyEvent(i, entry)
 		}
 	}
 }
 
-// kill ends a proxy with all it had in hand.
+func (v *virtualRun) applyChange(change emulator.Change) {
+	effect, followUps := v.fleet.Apply(v.now, change)
+	v.addMembers()
+	v.carryOutEffect(effect)
+	for _, followUp := range followUps {
+		v.schedule(TimelineEntry{At: followUp.At - epoch, Change: followUp, FollowUp: true})
+	}
+}
+
+func (v *virtualRun) applyProxyEvent(i int, entry TimelineEntry) {
+	p := v.proxies[i]
+	switch entry.ProxyEvent {
+	case ListLate:
+		p.listExtraDelay = entry.Delay
+		p.listDelayedUntil = v.now + entry.Duration
+	case ListSilent:
+		p.silentUntil = max(p.silentUntil, v.now+entry.Duration)
+	case ListMute:
+		p.silentUntil = max(p.silentUntil, v.now+muteDuration)
+	case ProxyKill:
+		v.kill(i)
+		v.agenda.add(event{at: v.now + entry.Duration, kind: eventProxyStarts, target: int32(i)})
+	case ProxyRestart:
+		p.up = false
+		at := v.now + v.scenario.longestDeadline() + killMargin
+		v.agenda.add(event{at: at, kind: eventProxyStarts, target: int32(i)})
+	}
+}
+
+// kill ends a proxy and loses all tries that it holds.
 func (v *virtualRun) kill(i int) {
 	p := v.proxies[i]
-	p.up, p.alive = false, false
+	p.up = false
+	p.alive = false
 	p.incarnation++
 	for k := range v.tries {
-		t := &v.tries[k]
-		if !t.used || t.proxy != int32(i) {
-			continue
-		}
-		if !t.over {
-			t.over = true
-			v.audit.ClientGone(v.now, t.id)
-			v.tally.LostWithProxy++
-			v.tally.second(v.now-epoch).Lost++
-			v.retry(t, balance.Failed, 0)
-			t = &v.tries[k]
-		}
-		for _, g := range t.attempts {
-			if v.attempts[g].used && v.attempts[g].try == int32(k) && !v.attempts[g].closed {
-				v.drop(g)
-				v.freed(g)
-			}
+		if t := &v.tries[k]; t.used && t.proxy == int32(i) {
+			v.loseTry(int32(k))
 		}
-		v.free(int32(k))
 	}
 	p.open = 0
 }
 
-// start starts a proxy that knows nothing but the list.
+// loseTry ends a try whose proxy has been killed.
+func (v *virtualRun) loseTry(i int32) {
+	if t := &v.tries[i]; !t.over {
+		t.over = true
+		v.audit.ClientGone(v.now, t.id)
+		v.tally.LostWithProxy++
+		v.tally.second(v.now-epoch).Lost++
+		v.retry(t, balance.Failed, 0)
+	}
+	for _, ref := range v.tries[i].attempts {
+		if v.waitedFor(ref, i) {
+			v.drop(ref)
+			v.freed(ref)
+		}
+	}
+	v.free(i)
+}
+
+// start starts a proxy that has learned nothing but the list.
 func (v *virtualRun) start(i int) {
 	p := v.proxies[i]
-	if p.alive && p.open > 0 { // told to stop, and not done: it is killed
+	if p.alive && p.open > 0 { // it was told to stop and has not ended: it is killed
 		v.kill(i)
 	}
 	d := v.settings.Deployment
@@ -130,12 +155,20 @@
 		}
 		pools = append(pools, decider)
 	}
-	*p = virtualProxy{pools: pools, incarnation: p.incarnation + 1, up: true, alive: true, silentUntil: p.silentUntil, listExtraDelay: p.listExtraDelay, listDelayedUntil: p.listDelayedUntil}
+	*p = virtualProxy{
+		pools:            pools,
+		incarnation:      p.incarnation + 1,
+		up:               true,
+		alive:            true,
+		silentUntil:      p.silentUntil,
+		listExtraDelay:   p.listExtraDelay,
+		listDelayedUntil: p.listDelayedUntil,
+	}
 	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Removed {
 			list = append(list, v.entry(k))
-			v.told(i, k)
+			v.notified(i, k)
 		}
 	}
 	p.version = v.fleet.Version
@@ -150,16 +183,25 @@
 		model = len(v.models)
 		v.models[m.Model] = model
 	}
-	return balance.Endpoint{Index: i, NameHash: settings.NameHash(m.Name), Zone: v.zones[m.Zone], Pod: m.Pod, Model: model, State: m.State, StartedAt: m.StartedAt()}
+	return balance.Endpoint{
+		Index:     i,
+		NameHash:  settings.NameHash(m.Name),
+		Zone:      v.zones[m.Zone],
+		Pod:       m.Pod,
+		Model:     model,
+		State:     m.State,
+		StartedAt: m.StartedAt(),
+	}
 }
 
-func (v *virtualRun) told(proxy, member int) {
+// notified records that a proxy is notified of a member that is not ready.
+func (v *virtualRun) notified(proxy, member int) {
 	if v.fleet.Members[member].State != balance.Ready {
 		v.audit.ProxyNotified(v.now, proxy, member)
 	}
 }
 
-// listChanged has a change of the list told to all proxies.
+// listChanged schedules the notification of all proxies.
 func (v *virtualRun) listChanged() {
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Ready {
@@ -171,11 +213,11 @@
 		if v.now < p.listDelayedUntil {
 			at += p.listExtraDelay
 		}
-		v.agenda.add(event{at: max(at, p.silentUntil), what: eventProxyNotified, a: int32(i)})
+		v.agenda.add(event{at: max(at, p.silentUntil), kind: eventProxyNotified, target: int32(i)})
 	}
 }
 
-// list tells each pool of a proxy what of a list concerns it.
+// list gives each pool of a proxy its part of a list.
 func (v *virtualRun) list(i int, first bool, list []balance.Endpoint) {
 	for k, group := range v.scenario.pools() {
 		own := list
@@ -203,7 +245,7 @@
 	return 0
 }
 
-// notifyProxy tells a proxy what changed since it was last told.
+// notifyProxy notifies a proxy of what changed since its last notification.
 func (v *virtualRun) notifyProxy(i int) {
 	p := v.proxies[i]
 	if !p.alive {
@@ -213,7 +255,7 @@
 	for k, m := range v.fleet.Members {
 		if m.ChangedAfter(p.version) {
 			list = append(list, v.entry(k))
-			v.told(i, k)
+			v.notified(i, k)
 		}
 	}
 	p.version = v.fleet.Version
--- a/internal/simulation/virtual_requests.go
+++ b/internal/simulation/virtual_requests.go
@@ -9,22 +9,22 @@
 	"lockloom/internal/settings"
 )
 
-// failOn is one of a client's tries of a request.
+// try is one request of a client for an intent.
 type try struct {
-	in       loadgen.Intent
-	n        int // from 1
-	id       int // the audit's
-	gen      uint32
-	proxy    int32
-	pool     int32
-	sent     float64
-	deadline float64
-	leavesAt float64
-	handle   RequestHandle
-	attempts []int32
-	open     int // attempts
-	over     bool
-	used     bool
+	in         loadgen.Intent
+	n          int // from 1
+	id         int // the audit's
+	generation uint32
+	proxy      int32 // -1: none has accepted it yet
+	pool       int32
+	sent       float64
+	deadline   float64
+	leavesAt   float64
+	handle     RequestHandle
+	attempts   []int32
+	open       int // attempts
+	over       bool
+	used       bool
 }
 
 // attempt is one attempt of a try.
@@ -32,16 +32,17 @@
 	try              int32
 	proxy            int32
 	member           int32
-	index            int32
-	gen              uint32
+	index            int32 // among the attempts of the try
+	generation       uint32
 	sent             float64
 	work             float64
-	reusedConnection bool // on a connection that was open before
-	closed           bool // the proxy waits for it no more, and has been or is being told
-	received         bool
+	reusedConnection bool
+	closed           bool // the proxy does not wait for it any more, and has been notified or is about to be
+	received         bool // the server holds it
 	used             bool
 }
 
+// slot returns the index of an unused element of a list, which grows if there is none.
 func slot[T any](list *[]T, free *[]int32) int32 {
 	if n := len(*free); n > 0 {
 		i := (*free)[n-1]
@@ -53,17 +54,26 @@
 	return int32(len(*list) - 1)
 }
 
-// failOn begins a client's n-th try.
-func (v *virtualRun) try(in loadgen.Intent, n int) {
+// newTry makes a client's n-th try for an intent, sent at a time.
+func (v *virtualRun) newTry(intent loadgen.Intent, n int, at float64) int32 {
 	i := slot(&v.tries, &v.freeTries)
 	t := &v.tries[i]
-	row := &v.settings.Classes[in.Class]
-	*t = try{in: in, n: n, gen: t.gen + 1, attempts: t.attempts[:0], sent: v.now, deadline: v.now + row.Deadline, proxy: -1, used: true}
-	t.leavesAt = v.now + row.Deadline*v.clients.Patience
-	v.connect(i)
+	class := &v.settings.Classes[intent.Class]
+	*t = try{
+		in:         intent,
+		n:          n,
+		generation: t.generation + 1,
+		attempts:   t.attempts[:0],
+		sent:       at,
+		deadline:   at + class.Deadline,
+		leavesAt:   at + class.Deadline*v.clients.Patience,
+		proxy:      -1,
+		used:       true,
+	}
+	return i
 }
 
-// connect brings a try to the next proxy that takes it.
+// connect brings a try to the next proxy that is up.
 func (v *virtualRun) connect(i int32) {
 	t := &v.tries[i]
 	for range v.proxies {
@@ -75,71 +85,91 @@
 	}
 	if t.proxy < 0 {
 		if v.now+reconnectDelay < t.leavesAt {
-			v.agenda.add(event{at: v.now + reconnectDelay, what: eventConnect, a: i})
+			v.agenda.add(event{at: v.now + reconnectDelay, kind: eventConnect, target: i})
 		} else {
 			v.tally.NoProxy++
 			v.free(i)
 		}
 		return
 	}
+	v.arrive(i)
+}
+
+// arrive is a try's arrival at its proxy.
+func (v *virtualRun) arrive(i int32) {
+	t := &v.tries[i]
 	p := v.proxies[t.proxy]
 	p.open++
 	t.id = v.audit.RequestSent(t.in.Class, t.deadline)
 	v.tally.Tries++
-	v.agenda.add(event{at: t.leavesAt, what: eventClientLeaves, a: i, gen: t.gen})
-	a := balance.RequestInfo{Ref: int(i), Class: t.in.Class, Tenant: t.in.Tenant, Deadline: t.deadline, ClientRetry: t.n > 1 && v.clients.MarksRetries}
+	v.agenda.add(event{at: t.leavesAt, kind: eventClientLeaves, target: i, generation: t.generation})
+	info := balance.RequestInfo{
+		Ref:         int(i),
+		Class:       t.in.Class,
+		Tenant:      t.in.Tenant,
+		Deadline:    t.deadline,
+		ClientRetry: t.n > 1 && v.clients.MarksRetries,
+	}
 	if t.in.Key > 0 {
-		a.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
+		info.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
 	}
 	t.pool = v.pool(t.in.Class)
-	handle, actions := p.pools[t.pool].RequestArrived(v.now, a)
+	handle, actions := p.pools[t.pool].RequestArrived(v.now, info)
 	v.tries[i].handle = handle
 	v.carryOut(t.proxy, t.pool, actions)
 	v.release(i)
 }
 
-// answered tells a client that its try was rejected or failed.
-func (v *virtualRun) answered(t *try, answer balance.Reply, advice float64) {
+// answered answers a client that its try was rejected or failed.
+func (v *virtualRun) answered(t *try, reply balance.Reply, retryAfter float64) {
 	at := v.now + wireDelay
-	v.audit.RequestAnswered(at, t.id, answer)
-	v.tally.failed(at-epoch, answer)
-	v.retry(t, answer, advice)
+	v.audit.RequestAnswered(at, t.id, reply)
+	v.tally.failed(at-epoch, reply)
+	v.retry(t, reply, retryAfter)
 }
 
-// retry has a client try again, or not.
-func (v *virtualRun) retry(t *try, answer balance.Reply, advice float64) {
-	after, ok := v.clients.RetryDelay(t.n, v.settings.Classes[t.in.Class].Idempotency, answer, advice, v.rand)
-	if !ok || v.now+after > epoch+v.scenario.Seconds {
+// retry schedules a client's retry, if it makes one.
+func (v *virtualRun) retry(t *try, reply balance.Reply, retryAfter float64) {
+	idempotency := v.settings.Classes[t.in.Class].Idempotency
+	delay, ok := v.clients.RetryDelay(t.n, idempotency, reply, retryAfter, v.rand)
+	if !ok || v.now+delay > epoch+v.scenario.Seconds {
 		return
 	}
-	in, n := t.in, t.n+1
-	i := slot(&v.tries, &v.freeTries)
-	again := &v.tries[i]
-	row := &v.settings.Classes[in.Class]
-	at := v.now + wireDelay + after
-	*again = try{in: in, n: n, gen: again.gen + 1, attempts: again.attempts[:0], sent: at, deadline: at + row.Deadline, proxy: -1, used: true,
-		leavesAt: at + row.Deadline*v.clients.Patience}
-	v.agenda.add(event{at: at, what: eventConnect, a: i})
+	at := v.now + wireDelay + delay
+	i := v.newTry(t.in, t.n+1, at)
+	v.agenda.add(event{at: at, kind: eventConnect, target: i})
 }
 
+// send sends an attempt of a try.
 func (v *virtualRun) send(i int32, member int) {
-	g := slot(&v.attempts, &v.freeAttempts)
-	t, l := &v.tries[i], &v.attempts[g]
-	*l = attempt{try: i, proxy: t.proxy, member: int32(member), index: int32(len(t.attempts)), gen: l.gen + 1, sent: v.now, work: t.in.Work, used: true}
-	t.attempts = append(t.attempts, g)
+	ref := slot(&v.attempts, &v.freeAttempts)
+	t, a := &v.tries[i], &v.attempts[ref]
+	*a = attempt{
+		try:        i,
+		proxy:      t.proxy,
+		member:     int32(member),
+		index:      int32(len(t.attempts)),
+		generation: a.generation + 1,
+		sent:       v.now,
+		work:       t.in.Work,
+		used:       true,
+	}
+	t.attempts = append(t.attempts, ref)
 	t.open++
 	v.tally.Attempts++
 	v.attemptsThisSecond++
-	way := wireDelay
+	delay := wireDelay
 	idle := v.idle(v.proxies[t.proxy], member)
-	if l.reusedConnection = *idle > 0; l.reusedConnection {
+	a.reusedConnection = *idle > 0
+	if a.reusedConnection {
 		*idle--
 	} else {
-		way = 3 * wireDelay // there, back, and there with the request
+		delay = 3 * wireDelay // the handshake there and back, then the request
 	}
-	v.agenda.add(event{at: v.now + way, what: eventAttemptArrives, a: g, gen: l.gen})
+	v.agenda.add(event{at: v.now + delay, kind: eventAttemptArrives, target: ref, generation: a.generation})
 }
 
+// idle is the number of a proxy's idle connections to a member.
 func (v *virtualRun) idle(p *virtualProxy, member int) *int {
 	for len(p.idle) <= member {
 		p.idle = append(p.idle, 0)
@@ -147,87 +177,99 @@
 	return &p.idle[member]
 }
 
-// attemptArrives is an attempt's coming to its server.
-func (v *virtualRun) attemptArrives(g int32) {
-	l := &v.attempts[g]
-	if l.closed {
+// attemptArrives is an attempt's arrival at its server.
+func (v *virtualRun) attemptArrives(ref int32) {
+	a := &v.attempts[ref]
+	if a.closed {
 		return
 	}
-	m := v.fleet.Members[l.member]
-	t := &v.tries[l.try]
-	switch reach := m.Reachability(); {
-	case reach == emulator.Refusing || m.State == balance.Removed:
-		v.agenda.add(event{at: v.now + wireDelay, what: eventAttemptEnds, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
-		return
-	case reach == emulator.Unreachable && !l.reusedConnection:
-		v.agenda.add(event{at: l.sent + v.settings.ConnectTimeout, what: eventAttemptEnds, a: g, b: int32(balance.ConnectFailed), gen: l.gen})
-		return
-	case reach == emulator.Unreachable:
-		v.silentAttempts[l.member] = append(v.silentAttempts[l.member], g)
-		m.Receive(v.now, emulator.Job{Ref: int(g)})
-		return
+	m := v.fleet.Members[a.member]
+	switch reachability := m.Reachability(); {
+	case reachability == emulator.Refusing || m.State == balance.Removed:
+		v.scheduleEnd(ref, v.now+wireDelay, balance.ConnectFailed)
+	case reachability == emulator.Unreachable && !a.reusedConnection:
+		v.scheduleEnd(ref, a.sent+v.settings.ConnectTimeout, balance.ConnectFailed)
+	case reachability == emulator.Unreachable:
+		v.silentAttempts[a.member] = append(v.silentAttempts[a.member], ref)
+		m.Receive(v.now, emulator.Job{Ref: int(ref)})
+	default:
+		v.receive(ref, m)
 	}
-	row := &v.settings.Classes[t.in.Class]
-	j := emulator.Job{Ref: int(g), Class: t.in.Class, Work: l.work, Key: t.in.Key}
-	group := dedupGroup(*row, t.in.Class, m, v.zones[m.Zone])
+}
+
+// receive gives an attempt to its server.
+func (v *virtualRun) receive(ref int32, m *emulator.Member) {
+	a := &v.attempts[ref]
+	t := &v.tries[a.try]
+	class := &v.settings.Classes[t.in.Class]
+	job := emulator.Job{Ref: int(ref), Class: t.in.Class, Work: a.work, Key: t.in.Key}
+	group := dedupGroup(*class, t.in.Class, m, v.zones[m.Zone])
 	if group >= 0 {
-		j.DedupKey, j.DedupWindow, j.DedupGroup = uint64(t.in.Number)+1, row.DedupWindow, v.fleet.DedupGroup(group)
+		job.DedupKey = uint64(t.in.Number) + 1
+		job.DedupWindow = class.DedupWindow
+		job.DedupGroup = v.fleet.DedupGroup(group)
 	}
-	l.received = true
-	v.audit.AttemptReceived(v.now, t.id, int(l.proxy), int(l.member), group)
-	v.reconcile(int(l.member), m.Receive(v.now, j))
+	a.received = true
+	v.audit.AttemptReceived(v.now, t.id, int(a.proxy), int(a.member), group)
+	v.reconcile(int(a.member), m.Receive(v.now, job))
 }
 
 // attemptEnds is an attempt's end at its proxy.
-func (v *virtualRun) attemptEnds(g int32, o balance.Outcome) {
-	l := &v.attempts[g]
-	t := &v.tries[l.try]
-	if l.closed && o != balance.Canceled && o != balance.TimedOut {
+func (v *virtualRun) attemptEnds(ref int32, outcome balance.Outcome) {
+	a := &v.attempts[ref]
+	t := &v.tries[a.try]
+	if a.closed && outcome != balance.Canceled && outcome != balance.TimedOut {
 		return
 	}
-	l.closed = true
-	i, p := l.try, v.proxies[l.proxy]
-	if o == balance.Succeeded || o == balance.ServerError || o == balance.ServerRejected {
-		*v.idle(p, int(l.member))++
+	a.closed = true
+	i, p := a.try, v.proxies[a.proxy]
+	if outcome == balance.Succeeded || outcome == balance.ServerError || outcome == balance.ServerRejected {
+		*v.idle(p, int(a.member))++
 	}
-	if o == balance.Succeeded && !t.over {
+	if outcome == balance.Succeeded && !t.over {
 		t.over = true
-		v.tally.usefulWork += l.work
+		v.tally.usefulWork += a.work
 		at := v.now + wireDelay
 		v.audit.RequestAnswered(at, t.id, balance.NoReply)
 		v.tally.succeeded(at-epoch, &t.in, at-t.sent, at-epoch-t.in.At)
 	}
-	over, index, latency := t.over, int(l.index), v.now-l.sent
+	over, index, latency := t.over, int(a.index), v.now-a.sent
 	t.open--
-	v.freed(g)
-	v.carryOut(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, o, latency, over))
+	v.freed(ref)
+	v.carryOut(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, outcome, latency, over))
 	v.release(i)
 }
 
-// drop closes an attempt's connection: its server hears that nobody waits.
-func (v *virtualRun) drop(g int32) {
-	l := &v.attempts[g]
-	l.closed = true
-	if l.received {
-		dropped, ends := v.fleet.Members[l.member].Abandon(v.now, int(g))
-		l.received = l.received && !dropped
-		v.reconcile(int(l.member), ends)
+// drop closes an attempt's connection, which its server notices.
+func (v *virtualRun) drop(ref int32) {
+	a := &v.attempts[ref]
+	a.closed = true
+	if a.received {
+		dropped, completions := v.fleet.Members[a.member].Abandon(v.now, int(ref))
+		a.received = a.received && !dropped
+		v.reconcile(int(a.member), completions)
 	}
 }
 
-// freed gives an attempt's slot back once neither its proxy nor its server has to do with it.
-func (v *virtualRun) freed(g int32) {
-	if l := &v.attempts[g]; l.used && l.closed && !l.received {
-		l.used = false
-		l.gen++
-		v.freeAttempts = append(v.freeAttempts, g)
+// waitedFor reports whether a proxy waits for an attempt of a try.
+func (v *virtualRun) waitedFor(ref, try int32) bool {
+	a := &v.attempts[ref]
+	return a.used && a.try == try && !a.closed
+}
+
+// freed frees an attempt once neither its proxy nor its server holds it.
+func (v *virtualRun) freed(ref int32) {
+	if a := &v.attempts[ref]; a.used && a.closed && !a.received {
+		a.used = false
+		a.generation++
+		v.freeAttempts = append(v.freeAttempts, ref)
 	}
 }
 
-// clientLeaves is when a client waits no longer.
-func (v *virtualRun) clientLeaves(i int32, gen uint32) {
+// clientLeaves is when a client stops waiting.
+func (v *virtualRun) clientLeaves(i int32, generation uint32) {
 	t := &v.tries[i]
-	if t.gen != gen || !t.used {
+	if t.generation != generation || !t.used {
 		return
 	}
 	if !t.over {
@@ -240,17 +282,16 @@
 		}
 		v.carryOut(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
 	}
-	for k := 0; k < len(v.tries[i].attempts); k++ {
-		t := &v.tries[i]
-		if t.gen != gen { // it ended with one of them
-			return
-		}
-		if g := t.attempts[k]; v.attempts[g].used && v.attempts[g].try == i && !v.attempts[g].closed {
-			v.drop(g)
-			v.attemptEnds(g, balance.TimedOut)
+	// The list of attempts may grow, or the try end with one of them.
+	for k := 0; v.tries[i].generation == generation && k < len(v.tries[i].attempts); k++ {
+		if ref := v.tries[i].attempts[k]; v.waitedFor(ref, i) {
+			v.drop(ref)
+			v.attemptEnds(ref, balance.TimedOut)
 		}
 	}
-	v.release(i)
+	if v.tries[i].generation == generation {
+		v.release(i)
+	}
 }
 
 // release frees a try to which nothing more will happen.
@@ -265,7 +306,8 @@
 
 func (v *virtualRun) free(i int32) {
 	t := &v.tries[i]
-	t.used, t.handle = false, nil
-	t.gen++
+	t.used = false
+	t.handle = nil
+	t.generation++
 	v.freeTries = append(v.freeTries, i)
 }
