--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"context"
 	"fmt"
 	"syscall"
 	"time"
@@ -19,23 +20,9 @@
 	drainNoticeTimeout = 500 * time.Millisecond // for one to say that it is not up
 )
 
-// proxy is the process of a proxy that was started last.
-func (st *rig) proxy(i int) *process {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.proxies[i]
-}
-
-// failOn ends the run with an error, if there is one and the run is not over.
-func (st *rig) failOn(err error) {
-	if err != nil && st.ctx.Err() == nil {
-		st.fail(err)
-	}
-}
-
 // call makes a call at a proxy's door; anything but yes in time is an error.
-func (st *rig) call(i int, c admin.Call) error {
-	p := st.proxy(i)
+func (r *rig) call(i int, c admin.Call) error {
+	p := r.process(i)
 	p.mu.Lock()
 	door := p.adminAddr
 	p.mu.Unlock()
@@ -50,25 +37,25 @@
 }
 
 // upgrade starts a second process beside a proxy's, and has the first end once the second serves.
-func (st *rig) upgrade(i int) error {
-	st.mu.Lock()
-	old := st.proxies[i]
-	st.proxies[i] = &process{adminAddr: old.adminAddr}
-	st.mu.Unlock()
-	if err := st.start(i); err != nil {
+func (r *rig) upgrade(ctx context.Context, i int) error {
+	r.mu.Lock()
+	old := r.processes[i]
+	r.processes[i] = &process{adminAddr: old.adminAddr}
+	r.mu.Unlock()
+	if err := r.start(ctx, i); err != nil {
 		return err
 	}
 	for end := time.Now().Add(upgradeTimeout); ; time.Sleep(readyInterval) {
-		err := st.call(i, admin.Call{Action: admin.Ready})
+		err := r.call(i, admin.Call{Action: admin.Ready})
 		if err == nil {
 			break
 		}
-		if time.Now().After(end) || st.ctx.Err() != nil {
+		if time.Now().After(end) || ctx.Err() != nil {
 			return fmt.Errorf("upgrade: %w", err)
 		}
 	}
-	st.end(old, syscall.SIGTERM)
-	p := st.proxy(i)
+	r.end(old, syscall.SIGTERM)
+	p := r.process(i)
 	p.mu.Lock()
 	p.peakMemoryMB = max(p.peakMemoryMB, old.peakMemoryMB)
 	p.mu.Unlock()
@@ -76,18 +63,18 @@
 }
 
 // drain drains a proxy for a time, and looks whether it says so.
-func (st *rig) drain(i int, lasts time.Duration) error {
+func (r *rig) drain(ctx context.Context, i int, lasts time.Duration) error {
 	up := func(want bool, within time.Duration) error {
 		for end := time.Now().Add(within); ; time.Sleep(readyInterval) {
-			if (loadgen.CheckReady(st.proxyAddrs[i], readyInterval*5) == nil) == want {
+			if (loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) == nil) == want {
 				return nil
 			}
-			if time.Now().After(end) || st.ctx.Err() != nil {
+			if time.Now().After(end) || ctx.Err() != nil {
 				return fmt.Errorf("proxy %d: up is not %t %v after the call", i+1, want, within)
 			}
 		}
 	}
-	if err := st.call(i, admin.Call{Action: admin.Drain}); err != nil {
+	if err := r.call(i, admin.Call{Action: admin.Drain}); err != nil {
 		return err
 	}
 	if err := up(false, drainNoticeTimeout); err != nil {
@@ -102,29 +89,29 @@
 	}
 	select {
 	case <-resumed:
-	case <-st.ctx.Done():
+	case <-ctx.Done():
 		return nil
 	}
-	if err := st.call(i, admin.Call{Action: admin.Resume}); err != nil {
+	if err := r.call(i, admin.Call{Action: admin.Resume}); err != nil {
 		return err
 	}
 	return up(true, resumeTimeout)
 }
 
 // disableServer has a proxy leave out the server in a seat for a time. The audit holds it to it from its yes on.
-func (st *rig) disableServer(i, seat int, lasts time.Duration) error {
+func (r *rig) disableServer(ctx context.Context, i, seat int, lasts time.Duration) error {
 	var id string
 	var member int
-	st.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
-	if err := st.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
+	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
+	if err := r.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
-	st.score.locked(func(now, _ float64) { st.score.audit.ServerDisabled(now, i, member, true) })
+	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, true) })
 	select {
 	case <-time.After(lasts):
-	case <-st.ctx.Done():
+	case <-ctx.Done():
 		return nil
 	}
-	st.score.locked(func(now, _ float64) { st.score.audit.ServerDisabled(now, i, member, false) })
-	return st.call(i, admin.Call{Action: admin.Enable, ID: id})
+	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, false) })
+	return r.call(i, admin.Call{Action: admin.Enable, ID: id})
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -2,7 +2,9 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,100 +15,135 @@
 	"time"
 )
 
-// process is one proxy's program.
+const killDelay = 2 * time.Second // past the time that a proxy has to end once told to stop
+
+// process is one process of a proxy.
 type process struct {
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	ended        chan struct{}
-	stopping     bool   // it was told to
-	adminAddr    string // the operators'
+	stopping     bool // it was told to end
+	adminAddr    string
 	peakMemoryMB float64
-	lastLogLine  string // line of its log
+	lastLogLine  string
+}
+
+// process is the process of a proxy that was started last.
+func (r *rig) process(i int) *process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.processes[i]
 }
 
-// start starts a proxy's program anew.
-func (st *rig) start(i int) error {
-	p := st.proxy(i)
+// start starts a proxy's program.
+func (r *rig) start(ctx context.Context, i int) error {
+	p := r.process(i)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name, agent := "p"+strconv.Itoa(i+1), st.servers.Agent(i)
-	door, own := st.adminAddrs[i][0], filepath.Join(st.dir, name+".tmp")
-	if p.adminAddr == door { // danger: two processes of one proxy never share a door
-		door = st.adminAddrs[i][1]
+	name := "p" + strconv.Itoa(i+1)
+	adminAddr := r.adminAddrs[i][0]
+	if p.adminAddr == adminAddr {
+		adminAddr = r.adminAddrs[i][1]
 	}
-	if err := os.MkdirAll(own, 0o700); err != nil {
+	cmd, err := r.command(i, name, adminAddr)
+	if err != nil {
 		return err
 	}
-	text, err := st.scenario.Launch(
-		name,
-		st.proxyAddrs[i],
-		agent.Addr(),
-		st.options.Seed+uint64(st.starts)<<16+uint64(i),
-		agent.List(),
-	)
+	logFile, err := r.openLog(name)
 	if err != nil {
 		return err
 	}
-	st.starts++
-	file := filepath.Join(st.dir, name+".json")
-	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return err
+	stderr, err := cmd.StderrPipe()
+	if err == nil {
+		err = cmd.Start()
 	}
-	args := []string{"serve"}
-	if st.scenario.PlainHTTP() {
-		operator := filepath.Join(st.dir, name+".toml")
-		if err := os.WriteFile(operator, st.scenario.Operator(st.clientAddrs[i]), 0o600); err != nil {
-			return err
-		}
-		args = append(args, "-operator", operator)
-	}
-	cmd := exec.Command(st.options.Proxy, args...)
-	cmd.Env = append(os.Environ(), Variables(name, st.proxyAddrs[i], agent.Addr(), file)...)
-	cmd.Env = append(cmd.Env, "ROUTER_OPERATOR="+door, "TMPDIR="+own)
-	cmd.SysProcAttr = &syscall.SysProcAttr{
-		Setpgid:   true,
-		Pdeathsig: syscall.SIGKILL,
-	} // Ctrl-C is for this program, which ends it
-	log, err := cmd.StderrPipe()
 	if err != nil {
-		return err
-	}
-	if err := cmd.Start(); err != nil {
+		closeLog(logFile)
 		return fmt.Errorf("proxy %d: %w", i+1, err)
 	}
-	var out *os.File
-	if st.options.Logs != "" {
-		if out, err = os.OpenFile(filepath.Join(st.options.Logs, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
-			cmd.Process.Kill()
-			cmd.Wait()
-			return err
-		}
+	p.cmd = cmd
+	p.ended = make(chan struct{})
+	p.stopping = false
+	p.adminAddr = adminAddr
+	go r.supervise(ctx, i, p, stderr, logFile)
+	return nil
+}
+
+// command writes a proxy's files and returns the command that starts it.
+func (r *rig) command(i int, name, adminAddr string) (*exec.Cmd, error) {
+	tempDir := filepath.Join(r.dir, name+".tmp")
+	if err := os.MkdirAll(tempDir, 0o700); err != nil {
+		return nil, err
 	}
-	p.cmd, p.ended, p.stopping, p.adminAddr = cmd, make(chan struct{}), false, door
-	ended := p.ended
-	go func() {
-		lines := bufio.NewScanner(log)
-		for lines.Scan() {
-			p.mu.Lock()
-			p.lastLogLine = lines.Text()
-			p.mu.Unlock()
-			if out != nil {
-				fmt.Fprintln(out, lines.Text())
-			}
-		}
-		if out != nil {
-			out.Close()
+	agent := r.servers.Agent(i)
+	r.mu.Lock()
+	seed := r.options.Seed + uint64(r.starts)<<16 + uint64(i)
+	r.starts++
+	r.mu.Unlock()
+	text, err := r.scenario.Launch(name, r.proxyAddrs[i], agent.Addr(), seed, agent.List())
+	if err != nil {
+		return nil, err
+	}
+	launchFile := filepath.Join(r.dir, name+".json")
+	if err := os.WriteFile(launchFile, text, 0o600); err != nil {
+		return nil, err
+	}
+	args := []string{"serve"}
+	if r.scenario.PlainHTTP() {
+		operatorFile := filepath.Join(r.dir, name+".toml")
+		if err := os.WriteFile(operatorFile, r.scenario.Operator(r.clientAddrs[i]), 0o600); err != nil {
+			return nil, err
 		}
-		err := cmd.Wait()
-		close(ended)
+		args = append(args, "-operator", operatorFile)
+	}
+	cmd := exec.Command(r.options.Proxy, args...)
+	cmd.Env = append(os.Environ(), Variables(name, r.proxyAddrs[i], agent.Addr(), launchFile)...)
+	cmd.Env = append(cmd.Env, "ROUTER_OPERATOR="+adminAddr, "TMPDIR="+tempDir)
+	// In a group of its own, so that Ctrl-C reaches only this program, which ends the proxies.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	return cmd, nil
+}
+
+// openLog opens the file for a proxy's log; nil if it is dropped.
+func (r *rig) openLog(name string) (*os.File, error) {
+	if r.options.Logs == "" {
+		return nil, nil
+	}
+	file := filepath.Join(r.options.Logs, name+".log")
+	return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+}
+
+// closeLog closes a log that may be dropped. A failure loses lines at most, and no result depends on them.
+func closeLog(file *os.File) {
+	if file != nil {
+		_ = file.Close()
+	}
+}
+
+// supervise copies a process's log until it ends, and fails the run if it was not told to.
+func (r *rig) supervise(ctx context.Context, i int, p *process, stderr io.Reader, logFile *os.File) {
+	p.mu.Lock()
+	cmd, ended := p.cmd, p.ended
+	p.mu.Unlock()
+	lines := bufio.NewScanner(stderr)
+	for lines.Scan() {
 		p.mu.Lock()
-		ending := p.stopping
+		p.lastLogLine = lines.Text()
 		p.mu.Unlock()
-		if !ending && st.ctx.Err() == nil {
-			st.fail(fmt.Errorf("proxy %d ended by itself (%v): %s", i+1, err, p.lastLog()))
+		if logFile != nil {
+			fmt.Fprintln(logFile, lines.Text())
 		}
-	}()
-	return nil
+	}
+	closeLog(logFile)
+	err := cmd.Wait()
+	close(ended)
+	p.mu.Lock()
+	stopping := p.stopping
+	p.mu.Unlock()
+	if !stopping && ctx.Err() == nil {
+		how := fmt.Sprint(err) // nil: with status 0
+		r.fail(fmt.Errorf("proxy %d ended by itself (%s): %s", i+1, how, p.lastLog()))
+	}
 }
 
 func (p *process) lastLog() string {
@@ -118,39 +155,45 @@
 	return p.lastLogLine
 }
 
-// clientLeaves signals a proxy and waits until it has ended; one that does not end in time is killed.
-func (st *rig) stop(i int, signal syscall.Signal) { st.end(st.proxy(i), signal) }
+// stop signals a proxy and waits until it has ended; one that does not end in time is killed.
+func (r *rig) stop(i int, signal syscall.Signal) { r.end(r.process(i), signal) }
 
-func (st *rig) end(p *process, signal syscall.Signal) {
-	p.mu.Lock()
-	cmd, ended := p.cmd, p.ended
-	p.stopping = true
-	if cmd != nil {
-		p.peakMemoryMB = max(p.peakMemoryMB, peakMemoryMB(cmd.Process.Pid))
-		select {
-		case <-ended:
-		default:
-			cmd.Process.Signal(signal)
-		}
-	}
-	p.mu.Unlock()
+func (r *rig) end(p *process, signal syscall.Signal) {
+	cmd, ended := p.signal(signal)
 	if cmd == nil {
 		return
 	}
 	select {
 	case <-ended:
-	case <-time.After(seconds(st.scenario.longestDeadline()+killMargin) + killDelay):
-		cmd.Process.Kill()
+	case <-time.After(seconds(r.scenario.longestDeadline()+killMargin) + killDelay):
+		_ = cmd.Process.Kill() // fails only if it has ended
 		<-ended
 	}
 }
 
-func (st *rig) stopAll() {
-	var work sync.WaitGroup
-	for i := range st.proxyAddrs {
-		work.Go(func() { st.stop(i, syscall.SIGTERM) })
+// signal records that a process is to end and signals it; a nil command: it was never started.
+func (p *process) signal(signal syscall.Signal) (cmd *exec.Cmd, ended chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.stopping = true
+	if p.cmd == nil {
+		return nil, nil
+	}
+	p.peakMemoryMB = max(p.peakMemoryMB, peakMemoryMB(p.cmd.Process.Pid))
+	select {
+	case <-p.ended:
+	default:
+		_ = p.cmd.Process.Signal(signal) // fails only if it has ended
+	}
+	return p.cmd, p.ended
+}
+
+func (r *rig) stopAll() {
+	var stops sync.WaitGroup
+	for i := range r.proxyAddrs {
+		stops.Go(func() { r.stop(i, syscall.SIGTERM) })
 	}
-	work.Wait()
+	stops.Wait()
 }
 
 // peakMemoryMB is the most memory that a program has used, in MB; 0: not known.
@@ -160,9 +203,9 @@
 		return 0
 	}
 	for line := range strings.SplitSeq(string(text), "\n") {
-		if f := strings.Fields(line); len(f) == 3 && f[0] == "VmHWM:" {
-			kb, _ := strconv.ParseFloat(f[1], 64)
-			return kb / 1024
+		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmHWM:" {
+			kilobytes, _ := strconv.ParseFloat(fields[1], 64) // 0 if the system writes no number
+			return kilobytes / 1024
 		}
 	}
 	return 0
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -15,15 +15,14 @@
 	"lockloom/internal/loadgen"
 )
 
-// BurstInterval constant of a run on sockets.
 const (
-	readyTimeout    = 15 * time.Second       // for a proxy to be up after its start
-	readyInterval   = 20 * time.Millisecond  // between questions
-	settleDuration  = 500 * time.Millisecond // from all being up to the first request
-	auditSlack      = 0.05                   // s past each limit of the rules, for two clocks' reading and the wire
-	maxLateness     = 0.01                   // s that the rig may be late ...
-	maxLateFraction = 0.01                   // ... for this share of what it does; past that the figures are void
-	killDelay       = 2 * time.Second        // past what a proxy has to end by itself once told to stop
+	readyTimeout      = 15 * time.Second       // for a proxy to be ready after its start
+	readyInterval     = 20 * time.Millisecond  // between the checks
+	readyCheckTimeout = 5 * readyInterval      // of one check
+	settleDuration    = 500 * time.Millisecond // from all being ready to the first request
+	auditSlack        = 0.05                   // s past each limit of the rules, for clock readings and the wire
+	maxLateness       = 0.01                   // s by which the rig may be late ...
+	maxLateFraction   = 0.01                   // ... in this fraction of what it does; above that the run is void
 )
 
 // Sockets is how to play a scenario with whole programs.
@@ -31,278 +30,337 @@
 	Proxy    string // the program, run as PROXY serve
 	Name     string // of the policy, in results
 	Seed     uint64
-	Ready    time.Duration        // for a proxy to be up after its start; 0: 15 s
-	Logs     string               // where the proxies' logs go; empty: nowhere
+	Ready    time.Duration        // for a proxy to be ready after its start; 0: 15 s
+	Logs     string               // folder for the proxies' logs; empty: they are dropped
 	Progress func(second, of int) // called each second; may be nil
-	Dir      string               // for launch files; empty: one of its own, removed in the end
+	Dir      string               // for launch files; empty: a temporary one
 }
 
-// rig is all that a run on sockets has going.
+// rig is a run on sockets.
 type rig struct {
 	scenario     *Scenario
 	options      *Sockets
+	score        *score
 	servers      *fakeserver.ServerGroup
 	proxyTargets *loadgen.RoundRobin
-	score        *score
-	dir          string
-	proxyAddrs   []string
-	clientAddrs  []string // where clients connect: addrs, or the ordinary doors
-	proxies      []*process
-	adminAddrs   [][]string // the operators', two a proxy: one for each of two processes
-	starts       int
-	ctx          context.Context
-	mu           sync.Mutex
-	err          error
 	abort        context.CancelFunc
+	dir          string // for launch files
+	rigAddrs
+
+	mu        sync.Mutex // guards what follows
+	processes []*process // by proxy, the one that was started last
+	starts    int        // of processes, so far
+	err       error      // the first
+}
+
+// rigAddrs are the proxies' addresses.
+type rigAddrs struct {
+	proxyAddrs  []string   // platform listeners
+	clientAddrs []string   // where clients connect: the same, or the HTTP listeners
+	adminAddrs  [][]string // two a proxy, since two processes of one never share an admin endpoint
 }
 
-// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left
-// running.
-func (s *Scenario) Sockets(ctx context.Context, o Sockets) (*Result, error) {
-	if _, err := exec.LookPath(o.Proxy); err != nil {
+// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left running.
+func (s *Scenario) Sockets(ctx context.Context, options Sockets) (*Result, error) {
+	if _, err := exec.LookPath(options.Proxy); err != nil {
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
 	if s.ProxyFleet.Count > maxPrograms {
-		return nil, s.file.At(
-			"bank",
-			0,
-			"proxies",
-			"%d: on sockets each is a program, and %d are the most",
-			s.ProxyFleet.Count,
-			maxPrograms,
-		)
+		return nil, s.file.At("bank", 0, "proxies",
+			"%d: on sockets each is a program, and %d are the most", s.ProxyFleet.Count, maxPrograms)
 	}
-	began := time.Now()
-	f := s.Settings(o.Seed)
+	startedAt := time.Now()
 	ctx, abort := context.WithCancel(ctx)
 	defer abort()
-	st := &rig{scenario: s, options: &o, ctx: ctx, abort: abort, dir: o.Dir}
-	if st.dir == "" {
+	r := &rig{scenario: s, options: &options, abort: abort, dir: options.Dir}
+	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "rehearse")
 		if err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(dir)
-		st.dir = dir
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: the system removes what is left
+		r.dir = dir
 	}
-	st.score = &score{
-		tally:         newTally(s, f.Classes, o.Seed, o.Name, "sockets"),
-		clockLateness: &lateness{},
-		start:         math.Inf(1),
-		audit:         NewAudit(f.Classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
+	result, err := r.play(ctx)
+	if err != nil {
+		return nil, err
 	}
-	clock := time.Now()
-	st.score.now = func() float64 { return float64(clock.UnixMicro())/1e6 + time.Since(clock).Seconds() }
-	fleet := s.Fleet(o.Seed, st.score.now())
-	servers, err := fakeserver.Open(fleet, s.ProxyFleet.Count, s.RequestClasses(), st.score)
+	result.WallTime = time.Since(startedAt).Seconds()
+	return result, nil
+}
+
+func (r *rig) play(ctx context.Context) (*Result, error) {
+	r.score = newScore(r.scenario, r.options.Seed, r.options.Name, wallClock())
+	fleet := r.scenario.Fleet(r.options.Seed, r.score.now())
+	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.score)
 	if err != nil {
 		return nil, err
 	}
 	defer servers.Close()
-	servers.OnLate, servers.IndentLists = st.score.clockLateness.record, s.Deployment.IndentedLists
-	st.servers = servers
-	if st.proxyAddrs, err = servers.FreeAddrs(s.ProxyFleet.Count); err != nil {
+	servers.OnLate = r.score.clockLateness.record
+	servers.IndentLists = r.scenario.Deployment.IndentedLists
+	r.servers = servers
+	if err := r.findAddrs(); err != nil {
 		return nil, err
 	}
-	if st.clientAddrs = st.proxyAddrs; s.PlainHTTP() {
-		if st.clientAddrs, err = servers.FreeAddrs(s.ProxyFleet.Count); err != nil {
+	r.proxyTargets = loadgen.NewRoundRobin(r.clientAddrs)
+	defer r.proxyTargets.Close()
+	for i, target := range r.proxyTargets.Targets {
+		target.ReadyAddr = r.proxyAddrs[i]
+		r.processes = append(r.processes, &process{})
+	}
+	defer r.stopAll()
+	for i := range r.processes {
+		if err := r.start(ctx, i); err != nil {
 			return nil, err
 		}
 	}
-	for range st.proxyAddrs {
-		doors, err := servers.FreeAddrs(2)
+	err = r.waitReady(ctx)
+	if err == nil {
+		r.run(ctx)
+	}
+	// The cause first: it ended the others.
+	for _, err := range []error{r.firstError(), servers.Err(), err, ctx.Err()} {
 		if err != nil {
 			return nil, err
 		}
-		st.adminAddrs = append(st.adminAddrs, doors)
 	}
-	st.proxyTargets = loadgen.NewRoundRobin(st.clientAddrs)
-	for i, t := range st.proxyTargets.Targets {
-		t.ReadyAddr = st.proxyAddrs[i]
-	}
-	defer st.proxyTargets.Close()
-	for range st.proxyAddrs {
-		st.proxies = append(st.proxies, &process{})
+	r.stopAll()
+	return r.result(), nil
+}
+
+// findAddrs finds free addresses for the proxies.
+func (r *rig) findAddrs() (err error) {
+	n := r.scenario.ProxyFleet.Count
+	if r.proxyAddrs, err = r.servers.FreeAddrs(n); err != nil {
+		return err
 	}
-	defer st.stopAll()
-	for i := range st.proxies {
-		if err := st.start(i); err != nil {
-			return nil, err
+	r.clientAddrs = r.proxyAddrs
+	if r.scenario.PlainHTTP() {
+		if r.clientAddrs, err = r.servers.FreeAddrs(n); err != nil {
+			return err
 		}
 	}
-	err = st.ready()
-	if err == nil {
-		st.run()
-	}
-	for _, err := range []error{st.firstError(), servers.Err(), err, ctx.Err()} { // the cause first: it ended the others
+	for range n {
+		addrs, err := r.servers.FreeAddrs(2)
 		if err != nil {
-			return nil, err
+			return err
 		}
+		r.adminAddrs = append(r.adminAddrs, addrs)
 	}
-	st.stopAll()
-	st.score.audit.Close(st.score.now())
-	var r *Result
-	servers.Inspect(func(f *emulator.Fleet) { r = st.score.tally.result(f, st.score.audit) })
-	for i := range st.proxyAddrs {
-		r.ProxyMemoryMB = max(r.ProxyMemoryMB, st.proxy(i).peakMemoryMB)
+	return nil
+}
+
+// result is the result of a run whose proxies have ended.
+func (r *rig) result() *Result {
+	r.score.audit.Close(r.score.now())
+	var result *Result
+	r.servers.Inspect(func(f *emulator.Fleet) { result = r.score.tally.result(f, r.score.audit) })
+	for i := range r.proxyAddrs {
+		result.ProxyMemoryMB = max(result.ProxyMemoryMB, r.process(i).peakMemoryMB)
 	}
-	if l := st.score.clockLateness; r.RigLateP99 > maxLateness ||
-		float64(l.over) > maxLateFraction*float64(max(l.all, 1)) {
-		r.Void = fmt.Sprintf(
-			"the rig ran late: tries %.1f ms at the 99th percentile, servers over %.0f ms in %d of %d cases, %.1f ms at most",
-			r.RigLateP99*1000,
-			maxLateness*1000,
-			l.over,
-			l.all,
-			l.worst*1000,
-		)
+	late := r.score.clockLateness
+	if result.RigLateP99 > maxLateness || float64(late.over) > maxLateFraction*float64(max(late.all, 1)) {
+		result.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile, "+
+			"servers over %.0f ms in %d of %d cases, %.1f ms at most",
+			result.RigLateP99*1000, maxLateness*1000, late.over, late.all, late.worst*1000)
 	}
-	r.WallTime = time.Since(began).Seconds()
-	return r, nil
+	return result
 }
 
-func (st *rig) firstError() error {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.err
+func (r *rig) firstError() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.err
 }
 
 // fail ends the run with an error; the first one counts.
-func (st *rig) fail(err error) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if st.err == nil {
-		st.err = err
+func (r *rig) fail(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.err == nil {
+		r.err = err
 	}
-	st.abort()
+	r.abort()
 }
 
-// ready waits until all proxies are up.
-func (st *rig) ready() error {
-	wait := st.options.Ready
-	if wait == 0 {
-		wait = readyTimeout
+// failOn ends the run with an error, if there is one and the run is not over.
+func (r *rig) failOn(ctx context.Context, err error) {
+	if err != nil && ctx.Err() == nil {
+		r.fail(err)
 	}
-	end := time.Now().Add(wait)
-	for i, p := range st.proxies {
-		for loadgen.CheckReady(st.proxyAddrs[i], readyInterval*5) != nil {
+}
+
+// waitReady waits until all proxies are ready.
+func (r *rig) waitReady(ctx context.Context) error {
+	timeout := r.options.Ready
+	if timeout == 0 {
+		timeout = readyTimeout
+	}
+	end := time.Now().Add(timeout)
+	for i, p := range r.processes {
+		for loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) != nil {
 			select {
 			case <-p.ended:
 				return fmt.Errorf("proxy %d ended before it was up: %s", i+1, p.lastLog())
-			case <-st.ctx.Done():
-				return st.ctx.Err()
+			case <-ctx.Done():
+				return ctx.Err()
 			case <-time.After(readyInterval):
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("proxy %d is not up after %v: %s", i+1, wait, p.lastLog())
+				return fmt.Errorf("proxy %d is not up after %v: %s", i+1, timeout, p.lastLog())
 			}
 		}
-		st.proxyTargets.Targets[i].MarkReady()
+		r.proxyTargets.Targets[i].MarkReady()
 	}
 	return nil
 }
 
-// run plays timeline and requests, and looks at the fleet each second.
-func (st *rig) run() {
-	s := st.scenario
+// run plays the timeline and the workload, and returns when both are over.
+func (r *rig) run(ctx context.Context) {
 	start := time.Now().Add(settleDuration)
-	st.score.mu.Lock()
-	st.score.start = st.score.now() + settleDuration.Seconds()
-	st.score.mu.Unlock()
-	watching, stop := context.WithCancel(st.ctx)
+	r.score.setStart(r.score.now() + settleDuration.Seconds())
+	watching, stop := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	work.Go(func() { st.proxyTargets.Watch(watching) })
-	work.Go(func() {
-		for _, h := range s.Timeline() {
-			select {
-			case <-time.After(time.Until(start.Add(seconds(h.At)))):
-			case <-watching.Done():
-				return
-			}
-			st.score.event(h.String())
-			st.apply(&work, h)
-		}
-	})
-	work.Go(func() {
-		for n := 1; n <= s.WholeSeconds(); n++ {
-			select {
-			case <-time.After(time.Until(start.Add(time.Duration(n) * time.Second))):
-			case <-watching.Done():
-				return
-			}
-			st.servers.Inspect(func(f *emulator.Fleet) { st.score.endSecond(float64(n-1), f) })
-			if st.options.Progress != nil {
-				st.options.Progress(n, s.WholeSeconds())
-			}
+	work.Go(func() { r.proxyTargets.Watch(watching) })
+	work.Go(func() { r.playTimeline(ctx, watching, &work, start) })
+	work.Go(func() { r.recordSeconds(watching, start) })
+	driver := &loadgen.Driver{
+		Plan:      loadgen.NewPlan(r.scenario.Workload(), r.options.Seed),
+		Classes:   r.score.tally.classes,
+		Tenants:   r.scenario.tenantNames(),
+		Clients:   loadgen.Clients(r.scenario.Clients),
+		Proxies:   r.proxyTargets,
+		Observer:  r.score,
+		Seed:      r.options.Seed,
+		PlainHTTP: r.scenario.PlainHTTP(),
+	}
+	driver.Run(ctx, start)
+}
+
+// playTimeline plays the timeline until watching ends; what it began goes on in work until ctx ends.
+func (r *rig) playTimeline(ctx, watching context.Context, work *sync.WaitGroup, start time.Time) {
+	for _, entry := range r.scenario.Timeline() {
+		select {
+		case <-time.After(time.Until(start.Add(seconds(entry.At)))):
+		case <-watching.Done():
+			return
 		}
-	})
-	d := &loadgen.Driver{
-		Plan:      loadgen.NewPlan(s.Workload(), st.options.Seed),
-		Classes:   st.score.tally.classes,
-		Clients:   loadgen.Clients(s.Clients),
-		Proxies:   st.proxyTargets,
-		Observer:  st.score,
-		Seed:      st.options.Seed,
-		PlainHTTP: s.PlainHTTP(),
+		r.score.event(entry.String())
+		r.apply(ctx, work, entry)
 	}
-	for _, c := range s.Tenants {
-		d.Tenants = append(d.Tenants, c.Name)
+}
+
+// recordSeconds records the servers' states at the end of each second.
+func (r *rig) recordSeconds(ctx context.Context, start time.Time) {
+	last := r.scenario.WholeSeconds()
+	for n := 1; n <= last; n++ {
+		select {
+		case <-time.After(time.Until(start.Add(time.Duration(n) * time.Second))):
+		case <-ctx.Done():
+			return
+		}
+		r.servers.Inspect(func(f *emulator.Fleet) { r.score.endSecond(float64(n-1), f) })
+		if r.options.Progress != nil {
+			r.options.Progress(n, last)
+		}
 	}
-	d.Run(st.ctx, start)
 }
 
-// apply carries out something of the timeline.
-func (st *rig) apply(work *sync.WaitGroup, h TimelineEntry) {
-	if h.ProxyEvent == NoProxyEvent {
-		if err := st.servers.Apply(h.Change); err != nil {
-			st.fail(err)
+// apply carries out an entry of the timeline.
+func (r *rig) apply(ctx context.Context, work *sync.WaitGroup, entry TimelineEntry) {
+	if entry.ProxyEvent == NoProxyEvent {
+		if err := r.servers.Apply(entry.Change); err != nil {
+			r.fail(err)
 		}
 		return
 	}
-	for i := range st.proxyAddrs {
-		if h.ProxyIndex >= 0 && h.ProxyIndex != i {
-			continue
-		}
-		switch h.ProxyEvent {
-		case ProxyUpgrade:
-			work.Go(func() { st.failOn(st.upgrade(i)) })
-		case ProxyDrain:
-			work.Go(func() { st.failOn(st.drain(i, seconds(h.Duration))) })
-		case DisableServer:
-			work.Go(func() { st.failOn(st.disableServer(i, h.Change.Position, seconds(h.Duration))) })
-		default:
-			h.applyToList(st.servers.Agent(i))
-		case ProxyKill, ProxyRestart:
-			work.Go(func() {
-				if h.ProxyEvent == ProxyKill {
-					st.proxyTargets.Targets[i].MarkKilled()
-					st.stop(i, syscall.SIGKILL)
-					time.Sleep(seconds(h.Duration))
-				} else {
-					st.stop(i, syscall.SIGTERM)
-				}
-				if st.ctx.Err() == nil {
-					if err := st.start(i); err != nil {
-						st.fail(err)
-					}
-				}
-			})
+	for i := range r.proxyAddrs {
+		if entry.ProxyIndex < 0 || entry.ProxyIndex == i {
+			r.applyProxyEvent(ctx, work, i, entry)
 		}
 	}
 }
 
-// listChanged carries out what happens to a proxy's list, if it is that.
-func (h TimelineEntry) applyToList(a *fakeserver.Agent) {
-	switch h.ProxyEvent {
+func (r *rig) applyProxyEvent(ctx context.Context, work *sync.WaitGroup, i int, entry TimelineEntry) {
+	duration := seconds(entry.Duration)
+	switch entry.ProxyEvent {
+	case ProxyUpgrade:
+		work.Go(func() { r.failOn(ctx, r.upgrade(ctx, i)) })
+	case ProxyDrain:
+		work.Go(func() { r.failOn(ctx, r.drain(ctx, i, duration)) })
+	case DisableServer:
+		work.Go(func() { r.failOn(ctx, r.disableServer(ctx, i, entry.Change.Position, duration)) })
+	case ProxyKill:
+		work.Go(func() {
+			r.proxyTargets.Targets[i].MarkKilled()
+			r.stop(i, syscall.SIGKILL)
+			time.Sleep(duration)
+			r.startAgain(ctx, i)
+		})
+	case ProxyRestart:
+		work.Go(func() {
+			r.stop(i, syscall.SIGTERM)
+			r.startAgain(ctx, i)
+		})
+	default:
+		entry.applyToList(r.servers.Agent(i))
+	}
+}
+
+func (r *rig) startAgain(ctx context.Context, i int) {
+	if ctx.Err() != nil {
+		return
+	}
+	if err := r.start(ctx, i); err != nil {
+		r.fail(err)
+	}
+}
+
+// applyToList carries out an event of a proxy's endpoint list.
+func (e TimelineEntry) applyToList(agent *fakeserver.Agent) {
+	switch e.ProxyEvent {
 	case ListLate:
-		a.Delay(seconds(h.Delay), seconds(h.Duration))
+		agent.Delay(seconds(e.Delay), seconds(e.Duration))
 	case ListSilent:
-		a.Silence(seconds(h.Duration))
+		agent.Silence(seconds(e.Duration))
 	case ListReset:
-		a.CloseWatches()
+		agent.CloseWatches()
 	case ListMute:
-		a.MuteWatches()
+		agent.MuteWatches()
+	}
+}
+
+// wallClock returns a clock in seconds since 1970 that never steps back.
+func wallClock() func() float64 {
+	start := time.Now()
+	return func() float64 { return float64(start.UnixMicro())/1e6 + time.Since(start).Seconds() }
+}
+
+// newScore returns the score of a run on sockets; its requests count from setStart on.
+func newScore(s *Scenario, seed uint64, policy string, now func() float64) *score {
+	classes := s.Settings(seed).Classes
+	return &score{
+		tally:         newTally(s, classes, seed, policy, "sockets"),
+		clockLateness: &lateness{},
+		start:         math.Inf(1),
+		now:           now,
+		audit:         NewAudit(classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
+	}
+}
+
+func (s *score) setStart(at float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.start = at
+}
+
+func (s *Scenario) tenantNames() []string {
+	var names []string
+	for _, t := range s.Tenants {
+		names = append(names, t.Name)
 	}
+	return names
 }
