--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -6,179 +6,220 @@
 	"lockloom/balance"
 )
 
-// Audit checks the four rules from what the servers and the clients saw themselves, whatever proxies say of it. Times
-// are in seconds of one clock. It is not safe for concurrent use.
+// Audit checks the four rules by what the servers and the clients saw, whatever proxies report. Times are in seconds of
+// one clock. It is not safe for concurrent use.
 type Audit struct {
-	Slack                float64 // past each limit, for the ways of the wire and the rig's own clock
+	Slack                float64 // past each limit, for the wire and the rig's own clock
 	Grace                float64
-	NotificationDeadline float64 // what is listed counts as told so much later
-	ClientsOnly          bool    // only clients are seen: no server tells of attempts
+	NotificationDeadline float64 // from a change of the list to when it counts as notified
+	ClientsOnly          bool    // no server reports attempts
 	RulesBroken          [5]int  // by rule, from 1
 	FirstBreaches        []string
 
 	classes       []balance.Class
 	tries         []auditedTry
-	notReadySince map[int]float64    // a member drains or is gone since
-	notifiedAt    map[[2]int]float64 // and a proxy knows since
-	disabledAt    map[[2]int]float64 // a member at a proxy, since its operators' door said yes
+	notReadySince map[int]float64 // by member
+	notifiedAt    map[proxyMember]float64
+	disabledAt    map[proxyMember]float64
 }
 
-// auditedTry is what is known of one try of a request.
+// proxyMember is a member as seen from a proxy.
+type proxyMember struct{ proxy, member int }
+
+// auditedTry is what is known of one try.
 type auditedTry struct {
-	class                uint16
-	attemptsRun          uint8 // attempts that reached a server and were not rejected unseen
-	answered, clientGone bool
-	deadline, answeredAt float64
-	firstAttemptAt       float64 // the first such attempt
-	dedupGroup           int     // and who drops its repeats
+	class          uint16
+	attemptsRun    uint8 // attempts that reached a server and were not rejected
+	answered       bool
+	clientGone     bool
+	deadline       float64
+	answeredAt     float64
+	firstAttemptAt float64
+	dedupGroup     int // of the first attempt
 }
 
-const maxBreachTexts = 20 // breaches told in words; the rest is counted
+// The rules that a breach counts against.
+const (
+	ruleAnswers    = 1
+	ruleEffects    = 2
+	ruleDrains     = 3
+	ruleSlowStarts = 4
+)
+
+const maxBreachTexts = 20 // breaches that are described; further ones are counted
 
-// NewAudit checks tries of these classes.
-func NewAudit(classes []balance.Class, slack, grace, counts float64) *Audit {
+// NewAudit returns an audit of tries of these classes.
+func NewAudit(classes []balance.Class, slack, grace, notificationDeadline float64) *Audit {
 	return &Audit{
 		Slack:                slack,
 		Grace:                grace,
-		NotificationDeadline: counts,
+		NotificationDeadline: notificationDeadline,
 		classes:              classes,
 		notReadySince:        map[int]float64{},
-		notifiedAt:           map[[2]int]float64{},
-		disabledAt:           map[[2]int]float64{},
+		notifiedAt:           map[proxyMember]float64{},
+		disabledAt:           map[proxyMember]float64{},
 	}
 }
 
 func (a *Audit) breach(rule int, now float64, format string, args ...any) {
 	a.RulesBroken[rule]++
 	if len(a.FirstBreaches) < maxBreachTexts {
-		a.FirstBreaches = append(a.FirstBreaches, fmt.Sprintf("%.3f rule %d: %s", now, rule, fmt.Sprintf(format, args...)))
+		text := fmt.Sprintf(format, args...)
+		a.FirstBreaches = append(a.FirstBreaches, fmt.Sprintf("%.3f rule %d: %s", now, rule, text))
 	}
 }
 
-// RequestSent notes a try that a proxy took, and numbers it.
-func (a *Audit) RequestSent(class int, hardStop float64) int {
-	a.tries = append(a.tries, auditedTry{class: uint16(class), deadline: hardStop})
+// RequestSent records a try that a proxy accepted, and returns its number.
+func (a *Audit) RequestSent(class int, deadline float64) int {
+	a.tries = append(a.tries, auditedTry{class: uint16(class), deadline: deadline})
 	return len(a.tries) - 1
 }
 
-// AttemptReceived notes an attempt that came whole to a server, from a proxy (-1: not known); group is who drops its
-// repeats there.
+// AttemptReceived records an attempt that reached a server completely, from a proxy (-1: not known). group is the dedup
+// group of the server.
 func (a *Audit) AttemptReceived(now float64, try, proxy, member, group int) {
-	if since, drains := a.notReadySince[member]; drains {
-		since += a.NotificationDeadline
-		if told, ok := a.notifiedAt[[2]int{proxy, member}]; ok {
-			since = min(since, told)
-		}
-		if now > since+a.Grace+a.Slack {
-			a.breach(3, now, "proxy %d sent to member %d, which it knew to drain for %.3f s", proxy+1, member, now-since)
-		}
-	}
-	if since, banned := a.disabledAt[[2]int{proxy, member}]; banned && now > since+a.Grace+a.Slack {
-		a.breach(3, now, "proxy %d sent to member %d, which its operators had banned for %.3f s", proxy+1, member, now-since)
-	}
+	a.checkDrain(now, proxyMember{proxy, member})
 	if try < 0 || try >= len(a.tries) {
-		a.breach(1, now, "a leg of no lookup that a client sent")
+		a.breach(ruleAnswers, now, "an attempt of no request that a client sent")
 		return
 	}
 	t := &a.tries[try]
-	row := &a.classes[t.class]
+	class := &a.classes[t.class]
 	if t.answered && now > t.answeredAt+a.Slack {
-		a.breach(1, now, "try %d of %s: sent %.3f s after its answer", try, row.Name, now-t.answeredAt)
+		a.breach(ruleAnswers, now, "try %d of %s: sent %.3f s after its answer", try, class.Name, now-t.answeredAt)
 	}
 	if t.attemptsRun > 0 {
-		switch {
-		case row.Idempotency == balance.NonIdempotent:
-			a.breach(2, now, "try %d of %s: sent again though it may have run", try, row.Name)
-		case row.Idempotency == balance.Keyed && group != t.dedupGroup:
-			a.breach(2, now, "try %d of %s: sent again to servers that do not know it", try, row.Name)
-		case row.Idempotency == balance.Keyed && now > t.firstAttemptAt+row.DedupWindow+a.Slack:
-			a.breach(2, now, "try %d of %s: sent again %.3f s later, past its window", try, row.Name, now-t.firstAttemptAt)
-		}
+		a.checkRepeat(now, try, group)
 	} else {
-		t.firstAttemptAt, t.dedupGroup = now, group
+		t.firstAttemptAt = now
+		t.dedupGroup = group
 	}
 	t.attemptsRun++
 }
 
-// ClientFaults notes that a server turned an attempt away unseen: it never ran.
+// checkDrain checks that a proxy may still send to a member.
+func (a *Audit) checkDrain(now float64, key proxyMember) {
+	if since, notReady := a.notReadySince[key.member]; notReady {
+		since += a.NotificationDeadline
+		if notifiedAt, ok := a.notifiedAt[key]; ok {
+			since = min(since, notifiedAt)
+		}
+		if now > since+a.Grace+a.Slack {
+			a.breach(ruleDrains, now, "proxy %d sent to member %d, which it knew to drain for %.3f s",
+				key.proxy+1, key.member, now-since)
+		}
+	}
+	if since, disabled := a.disabledAt[key]; disabled && now > since+a.Grace+a.Slack {
+		a.breach(ruleDrains, now, "proxy %d sent to member %d, which its operators had disabled for %.3f s",
+			key.proxy+1, key.member, now-since)
+	}
+}
+
+// checkRepeat checks that a try may run again at a server of a dedup group.
+func (a *Audit) checkRepeat(now float64, try, group int) {
+	t := &a.tries[try]
+	class := &a.classes[t.class]
+	switch {
+	case class.Idempotency == balance.NonIdempotent:
+		a.breach(ruleEffects, now, "try %d of %s: sent again though it may have run", try, class.Name)
+	case class.Idempotency != balance.Keyed:
+	case group != t.dedupGroup:
+		a.breach(ruleEffects, now, "try %d of %s: sent again to servers that do not know it", try, class.Name)
+	case now > t.firstAttemptAt+class.DedupWindow+a.Slack:
+		a.breach(ruleEffects, now, "try %d of %s: sent again %.3f s later, past its window",
+			try, class.Name, now-t.firstAttemptAt)
+	}
+}
+
+// AttemptRejected records that a server rejected an attempt: it never ran.
 func (a *Audit) AttemptRejected(try int) {
 	if try >= 0 && try < len(a.tries) && a.tries[try].attemptsRun > 0 {
 		a.tries[try].attemptsRun--
 	}
 }
 
-// RequestAnswered notes a try's final answer at its client: NoReply stands for an successful one.
-func (a *Audit) RequestAnswered(now float64, try int, answer balance.Reply) {
+// RequestAnswered records a try's final answer at its client; NoReply: it succeeded.
+func (a *Audit) RequestAnswered(now float64, try int, reply balance.Reply) {
 	t := &a.tries[try]
-	row := &a.classes[t.class]
+	class := &a.classes[t.class]
 	if t.answered {
-		a.breach(1, now, "try %d of %s: answered twice", try, row.Name)
+		a.breach(ruleAnswers, now, "try %d of %s: answered twice", try, class.Name)
 		return
 	}
-	t.answered, t.answeredAt = true, now
+	t.answered = true
+	t.answeredAt = now
 	if now > t.deadline+a.Slack {
-		a.breach(1, now, "try %d of %s: answered %.3f s after its hard stop", try, row.Name, now-t.deadline)
+		a.breach(ruleAnswers, now, "try %d of %s: answered %.3f s after its deadline", try, class.Name, now-t.deadline)
 	}
-	if answer == balance.Rejected && t.attemptsRun > 0 && (row.Idempotency == balance.NonIdempotent ||
-		row.Idempotency == balance.Keyed && row.DedupScope != balance.DedupAll) {
-		a.breach(2, now, "try %d of %s: dismissed though it may have run", try, row.Name)
+	clientMayRetry := class.Idempotency == balance.Idempotent ||
+		class.Idempotency == balance.Keyed && class.DedupScope == balance.DedupAll
+	if reply == balance.Rejected && t.attemptsRun > 0 && !clientMayRetry {
+		a.breach(ruleEffects, now, "try %d of %s: rejected though it may have run", try, class.Name)
 	}
-	if answer == balance.NoReply && t.attemptsRun == 0 && !a.ClientsOnly {
-		a.breach(1, now, "try %d of %s: honoured by no server", try, row.Name)
+	if reply == balance.NoReply && t.attemptsRun == 0 && !a.ClientsOnly {
+		a.breach(ruleAnswers, now, "try %d of %s: answered by no server", try, class.Name)
 	}
 }
 
-// ClientDisconnected notes that no answer is owed any more: its client has gone, or its proxy was killed.
+// ClientGone records that no answer is due any more: the client has gone, or the proxy was killed.
 func (a *Audit) ClientGone(now float64, try int) {
-	if t := &a.tries[try]; !t.answered {
-		t.clientGone, t.answered, t.answeredAt = true, true, now
+	t := &a.tries[try]
+	if t.answered {
+		return
 	}
+	t.clientGone = true
+	t.answered = true
+	t.answeredAt = now
 }
 
-// RequestLost notes that a proxy ended a try with no answer.
+// RequestLost records that a proxy ended a try without an answer.
 func (a *Audit) RequestLost(now float64, try int) {
 	t := &a.tries[try]
-	a.breach(1, now, "try %d of %s: lost", try, a.classes[t.class].Name)
-	t.answered, t.answeredAt = true, now
+	a.breach(ruleAnswers, now, "try %d of %s: lost", try, a.classes[t.class].Name)
+	t.answered = true
+	t.answeredAt = now
 }
 
-// EndpointsUpdated notes that the list says of a member that it drains or is gone.
+// MemberNotReady records that a member is listed as draining or removed; the first time counts.
 func (a *Audit) MemberNotReady(now float64, member int) {
 	if _, ok := a.notReadySince[member]; !ok {
 		a.notReadySince[member] = now
 	}
 }
 
-// ProxyNotified notes that a proxy was told so.
+// ProxyNotified records that a proxy counts as notified of that; the first time counts.
 func (a *Audit) ProxyNotified(now float64, proxy, member int) {
-	if _, ok := a.notifiedAt[[2]int{proxy, member}]; !ok {
-		a.notifiedAt[[2]int{proxy, member}] = now
+	key := proxyMember{proxy, member}
+	if _, ok := a.notifiedAt[key]; !ok {
+		a.notifiedAt[key] = now
 	}
 }
 
-// Disabled notes that a proxy's operators disabled a member, or let it serve again.
-func (a *Audit) ServerDisabled(now float64, proxy, member int, banned bool) {
-	key := [2]int{proxy, member}
-	if _, already := a.disabledAt[key]; !banned {
+// ServerDisabled records that a proxy's operators have disabled a member, or enabled it.
+func (a *Audit) ServerDisabled(now float64, proxy, member int, disabled bool) {
+	key := proxyMember{proxy, member}
+	if !disabled {
 		delete(a.disabledAt, key)
-	} else if !already {
+		return
+	}
+	if _, already := a.disabledAt[key]; !already {
 		a.disabledAt[key] = now
 	}
 }
 
-// ServerCrashed notes that a cold server was pushed over.
+// ServerCrashed records that a server crashed under too much load in its slow start.
 func (a *Audit) ServerCrashed(now float64, member int) {
-	a.breach(4, now, "member %d was pushed over", member)
+	a.breach(ruleSlowStarts, now, "member %d crashed in slow start", member)
 }
 
-// Close looks for tries that were never answered.
+// Close checks for tries that were never answered.
 func (a *Audit) Close(now float64) {
 	for i := range a.tries {
 		if t := &a.tries[i]; !t.answered && now > t.deadline+a.Slack {
-			a.breach(1, now, "try %d of %s: never answered", i, a.classes[t.class].Name)
+			a.breach(ruleAnswers, now, "try %d of %s: never answered", i, a.classes[t.class].Name)
 		}
 	}
 }
 
-// Passed tells whether no rule was broken.
+// Passed reports whether no rule was broken.
 func (a *Audit) Passed() bool { return a.RulesBroken == [5]int{} }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -11,22 +11,22 @@
 	"lockloom/internal/loadgen"
 )
 
-// Text operators are owed, as they see it from outside.
+// What operators may expect, as they see it from outside.
 const (
-	adminTimeout       = time.Second            // for a call at the door
-	upgradeTimeout     = 6 * time.Second        // for a second process to say that it is ready
-	drainCheckDelay    = 4 * time.Second        // a drained proxy is asked again after this
-	resumeTimeout      = 2 * time.Second        // for one to be up again
-	drainNoticeTimeout = 500 * time.Millisecond // for one to say that it is not up
+	adminTimeout       = time.Second            // of an admin call
+	upgradeTimeout     = 6 * time.Second        // for a second process to be ready
+	drainCheckDelay    = 4 * time.Second        // until a drained proxy is checked again
+	resumeTimeout      = 2 * time.Second        // for it to be ready again
+	drainNoticeTimeout = 500 * time.Millisecond // for it to say that it is not ready
 )
 
-// call makes a call at a proxy's door; anything but yes in time is an error.
+// call makes an admin call at a proxy; any status but success is an error.
 func (r *rig) call(i int, c admin.Call) error {
 	p := r.process(i)
 	p.mu.Lock()
-	door := p.adminAddr
+	addr := p.adminAddr
 	p.mu.Unlock()
-	status, text, err := admin.Send(door, c, adminTimeout)
+	status, text, err := admin.Send(addr, c, adminTimeout)
 	if err != nil {
 		return fmt.Errorf("proxy %d: %s: %w", i+1, c.Path(), err)
 	}
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// drain drains a proxy for a time, and looks whether it says so.
-func (r *rig) drain(ctx context.Context, i int, lasts time.Duration) error {
+// drain drains a proxy for a duration, and checks that it says so.
+func (r *rig) drain(ctx context.Context, i int, duration time.Duration) error {
 	up := func(want bool, within time.Duration) error {
 		for end := time.Now().Add(within); ; time.Sleep(readyInterval) {
 			if (loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) == nil) == want {
@@ -80,8 +80,8 @@
 	if err := up(false, drainNoticeTimeout); err != nil {
 		return err
 	}
-	resumed := time.After(lasts)
-	if lasts > drainCheckDelay {
+	resumed := time.After(duration)
+	if duration > drainCheckDelay {
 		time.Sleep(drainCheckDelay)
 		if err := up(false, 0); err != nil {
 			return err
@@ -98,17 +98,18 @@
 	return up(true, resumeTimeout)
 }
 
-// disableServer has a proxy leave out the server in a seat for a time. The audit holds it to it from its yes on.
-func (r *rig) disableServer(ctx context.Context, i, seat int, lasts time.Duration) error {
+// disableServer disables the server at a position at a proxy for a duration. The audit holds the proxy to it from the
+// call's success on.
+func (r *rig) disableServer(ctx context.Context, i, position int, duration time.Duration) error {
 	var id string
 	var member int
-	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(seat).Name, f.Index(seat) })
+	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(position).Name, f.Index(position) })
 	if err := r.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
 	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, true) })
 	select {
-	case <-time.After(lasts):
+	case <-time.After(duration):
 	case <-ctx.Done():
 		return nil
 	}
