--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -13,8 +13,8 @@
 // never is a time that never comes.
 var never = math.Inf(1)
 
-// baseline is a proxy as most are set up: all listed servers alike, an attempt at once, a retry after what never ran or is
-// idempotent, and no limits, pauses or slow start. It keeps rules 1 to 3.
+// baseline is a proxy as most are set up: all listed servers alike, an attempt at once, a retry after what never ran or
+// is idempotent, and no limits, pauses or slow start. It keeps rules 1 to 3.
 type baseline struct {
 	d          balance.Deployment
 	rand       *rand.Rand
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -10,7 +10,8 @@
 	"lockloom/internal/loadgen"
 )
 
-// OverrideLoad sets another rate, without phases, and another duration in seconds, and drops all faults; 0 leaves either as it is.
+// OverrideLoad sets another rate, without phases, and another duration in seconds, and drops all faults; 0 leaves
+// either as it is.
 func (s *Scenario) OverrideLoad(rate, duration float64) error {
 	if rate != 0 {
 		s.Arrivals = Arrivals{Rate: rate}
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -60,7 +60,8 @@
 	adminAddrs  [][]string // two a proxy, since two processes of one never share an admin endpoint
 }
 
-// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left running.
+// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left
+// running.
 func (s *Scenario) Sockets(ctx context.Context, options Sockets) (*Result, error) {
 	if _, err := exec.LookPath(options.Proxy); err != nil {
 		return nil, fmt.Errorf("proxy program: %w", err)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,5 +1,5 @@
-// Package simulation plays scenarios: a fleet of emulated servers, clients and troubles round proxies, in virtual time
-// round the decisions alone or on loopback sockets round whole programs.
+// Package simulation plays scenarios: emulated servers, clients and faults around proxies, in virtual time with the
+// decisions alone, or on loopback sockets with whole programs.
 package simulation
 
 import (
@@ -8,7 +8,7 @@
 	"lockloom/internal/tomlfile"
 )
 
-// Text a scenario may ask for at the most: past it a run outgrows the machine, or a slip of the pen is likelier.
+// Bounds of a scenario: above them a run outgrows the machine, or the value is more likely a typing error.
 const (
 	maxFileSize  = 1 << 20
 	maxSeconds   = 3600.0
@@ -23,7 +23,8 @@
 	defaultSpeed = 1.0
 )
 
-// Scenario is what is played, as its file has it. Times are in seconds, work in seconds of a core at speed 1.
+// Scenario is a scenario as its file describes it; the tags are the file's keys. Times are in seconds, work in seconds
+// of a core at speed 1.
 type Scenario struct {
 	Name       string     `toml:"name"`
 	About      string     `toml:"about"`
@@ -42,7 +43,7 @@
 	file *tomlfile.File
 }
 
-// Fleet is the proxies and what each of their machines has.
+// ProxyFleet is the proxies and what each of their machines has.
 type ProxyFleet struct {
 	Count    int     `toml:"proxies"`
 	Cores    float64 `toml:"cores"`
@@ -50,7 +51,7 @@
 	Sockets  int     `toml:"sockets"`
 }
 
-// Deployment is what the proxies are told of it.
+// Deployment is what the proxies' settings say of the deployment.
 type Deployment struct {
 	MaxAttempts          int     `toml:"max_legs"`
 	CancelAllowed        bool    `toml:"call_off"`
@@ -67,7 +68,7 @@
 	CrashDuration        float64 `toml:"fall_for"`
 }
 
-// Class is a class of requests and its part of what clients ask.
+// Class is a class of requests and its part of the workload.
 type Class struct {
 	Name             string  `toml:"name"`
 	Idempotency      string  `toml:"kind"`
@@ -83,20 +84,20 @@
 	Pool             string  `toml:"pool"` // the group of servers that an ordinary client's requests go to
 }
 
-// Tenant is a tenant and its part of what is asked.
+// Tenant is a tenant and its part of the workload.
 type Tenant struct {
 	Name   string  `toml:"name"`
 	Quota  float64 `toml:"quota"`
 	Weight float64 `toml:"share"`
 }
 
-// Keys are the subjects of requests.
+// Keys are the cache-affine keys of requests.
 type Keys struct {
 	Count        int     `toml:"count"`
 	ZipfExponent float64 `toml:"skew"`
 }
 
-// Servers is a group of servers alike.
+// Servers is a group of like servers.
 type Servers struct {
 	Name                string   `toml:"name"`
 	Count               int      `toml:"count"`
@@ -116,7 +117,7 @@
 	CachedWorkFraction  float64  `toml:"warm_work"`
 }
 
-// Arrivals is how many requests come.
+// Arrivals is the rate of the clients' intents.
 type Arrivals struct {
 	Rate   float64 `toml:"rate"`
 	Phases []Phase `toml:"phase"`
@@ -132,7 +133,7 @@
 	BurstDuration float64 `toml:"lasts"`
 }
 
-// ClientsOnly is how clients take what they are told.
+// Clients is how clients retry and how long they wait; see loadgen.Clients.
 type Clients struct {
 	MaxRequests  int     `toml:"tries"`
 	Backoff      float64 `toml:"backoff"`
@@ -156,7 +157,7 @@
 	Proxy    int     `toml:"proxy"` // from 1; 0: all
 }
 
-// Match is how near a run on sockets must come to the virtual one.
+// Match is the tolerance between a run on sockets and the virtual one.
 type Match struct {
 	Seconds float64 `toml:"seconds"` // events and servers' states
 	Share   float64 `toml:"share"`   // of the value in time
@@ -171,7 +172,7 @@
 	return Read(name, text)
 }
 
-// Read reads a scenario strictly: what it does not know it refuses. The error is one line that names the place.
+// Read reads a scenario; unknown keys are errors. The error is one line that names the place.
 func Read(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
 	file, faults := tomlfile.Decode(name, text, s)
@@ -216,7 +217,7 @@
 	return -1, false
 }
 
-// PlainHTTP tells whether its clients are ordinary ones, whose requests go to pools by routes.
+// PlainHTTP reports whether clients speak plain HTTP, and routes send their requests to pools.
 func (s *Scenario) PlainHTTP() bool { return len(s.Classes) > 0 && s.Classes[0].Pool != "" }
 
 // WholeSeconds is how many whole seconds a scenario lasts.
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -36,8 +36,8 @@
 	min, max float64
 }
 
-// within returns an error that names the first field out of its bounds; n is the table's number from 1, 0 where there is
-// only one.
+// within returns an error that names the first field out of its bounds; n is the table's number from 1, 0 where there
+// is only one.
 func (s *Scenario) within(table string, n int, fields ...bounds) error {
 	for _, b := range fields {
 		if !(b.value >= b.min && b.value <= b.max) {
