--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -53,9 +53,10 @@
 tries = 2
 `
 
-func scenario(t testing.TB, more string) *Scenario {
+func scenario(tb testing.TB, more string) *Scenario {
+	tb.Helper()
 	s, err := Read("small.toml", []byte(small+more))
-	require.NoError(t, err)
+	require.NoError(tb, err)
 	return s
 }
 
@@ -84,8 +85,12 @@
 // A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are
 // killed at once.
 func TestLargeScenario(t *testing.T) {
-	text := strings.NewReplacer("proxies = 2", "proxies = 350", "count = 6", "count = 1024", "seconds = 4.0", "seconds = 2.0", "cores = 2", "cores = 1").
-		Replace(small)
+	text := strings.NewReplacer(
+		"proxies = 2", "proxies = 350",
+		"count = 6", "count = 1024",
+		"seconds = 4.0", "seconds = 2.0",
+		"cores = 2", "cores = 1",
+	).Replace(small)
 	s, err := Read("large.toml", []byte(text+"[[trouble]]\nat = 0.2\nkind = \"list-silent\"\nfor = 0.6\n"+
 		"[[trouble]]\nat = 0.6\nkind = \"replace\"\nservers = \"s\"\ncount = 100\ndrain = 0.5\n"+
 		"[[trouble]]\nat = 0.9\nkind = \"proxy-kill\"\nfor = 0.2\n"))
@@ -245,7 +250,7 @@
 }
 
 // Each rule's check sees a proxy that breaks it, and no other rule's does.
-// deaf hears its first list only.
+// deaf receives its first list only.
 type deaf struct{ Decider }
 
 func (d deaf) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
@@ -255,15 +260,26 @@
 	return d.Decider.EndpointsUpdated(now, first, first, list)
 }
 
-// Text its agent has at discovery's return counts as told to a proxy that does not hear it; one that does breaks
-// nothing.
+// What the agent has once discovery answers again counts as notified, even to a proxy that ignores it; one that does
+// not ignore it breaks no rule.
 func TestLostListCountsAsNotified(t *testing.T) {
-	s := scenario(
-		t,
-		"\n[[trouble]]\nkind = \"list-silent\"\nat = 0.2\nfor = 1.0\n[[trouble]]\nkind = \"drain\"\nservers = \"s\"\nat = 0.5\ncount = 3\ndrain = 30.0\n",
-	)
+	s := scenario(t, `
+[[trouble]]
+kind = "list-silent"
+at = 0.2
+for = 1.0
+[[trouble]]
+kind = "drain"
+servers = "s"
+at = 0.5
+count = 3
+drain = 30.0
+`)
 	s.Deployment.DrainGrace = 0.5
-	for name, wrap := range map[string]func(Decider) Decider{"hears": func(d Decider) Decider { return d }, "deaf": func(d Decider) Decider { return deaf{d} }} {
+	for name, wrap := range map[string]func(Decider) Decider{
+		"hears": func(d Decider) Decider { return d },
+		"deaf":  func(d Decider) Decider { return deaf{d} },
+	} {
 		r, err := s.Virtual(name, func(d balance.Deployment, now float64) (Decider, error) {
 			b, err := Policies["lockloom"]()(d, now)
 			return wrap(b), err
@@ -281,7 +297,7 @@
 count = 3
 drain = 4.0
 `)
-	for rule := 0; rule <= 4; rule++ {
+	for rule := range 5 {
 		policy := func(d balance.Deployment, now float64) (Decider, error) {
 			under := "lockloom"
 			if rule == 4 {
@@ -302,7 +318,7 @@
 	}
 }
 
-// Text each breach looks like to the audit, and what only resembles one.
+// What each breach looks like to the audit, and what only resembles one.
 func TestAudit(t *testing.T) {
 	classes := []balance.Class{
 		{Name: "page"},
@@ -329,8 +345,8 @@
 		"sent after its answer": {
 			page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1.2, n, 0, 0, 0) },
 		},
-		"honoured by nobody": {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.NoReply) }},
-		"of no lookup": {
+		"succeeded at no server": {page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.NoReply) }},
+		"of no request": {
 			page, 1, func(a *Audit, n int) { a.RequestAnswered(1, n, balance.Rejected); a.AttemptReceived(1, n+7, 0, 0, 0) },
 		},
 		"sent to a banned server": {page, 3, func(a *Audit, n int) {
@@ -366,12 +382,12 @@
 			a.AttemptReceived(1, n, 0, 1, 0)
 			a.RequestAnswered(1, n, balance.Failed)
 		}},
-		"dismissed, never ran": {sms, 0, func(a *Audit, n int) {
+		"rejected, never ran": {sms, 0, func(a *Audit, n int) {
 			a.AttemptReceived(1, n, 0, 0, 0)
 			a.AttemptRejected(n)
 			a.RequestAnswered(1, n, balance.Rejected)
 		}},
-		"dismissed, may have run": {
+		"rejected, may have run": {
 			sms, 2, func(a *Audit, n int) { a.AttemptReceived(1, n, 0, 0, 0); a.RequestAnswered(1, n, balance.Rejected) },
 		},
 		"referenced, in its group": {sign, 0, func(a *Audit, n int) {
@@ -410,7 +426,7 @@
 		"counts as told": {
 			page, 3, func(a *Audit, n int) { a.MemberNotReady(.1, 0); a.AttemptReceived(8.7, n, 0, 0, 0); a.ClientGone(3, n) },
 		},
-		"pushed over": {page, 4, func(a *Audit, n int) { a.ServerCrashed(1, 0); a.ClientGone(1, n) }},
+		"crashed in slow start": {page, 4, func(a *Audit, n int) { a.ServerCrashed(1, 0); a.ClientGone(1, n) }},
 	} {
 		a := NewAudit(classes, .05, 2.5, 6)
 		c.play(a, a.RequestSent(c.tariff, 2))
@@ -421,7 +437,7 @@
 	}
 }
 
-// The kinds of trouble show in the servers' states and in what baselines make of them.
+// The kinds of faults show in the servers' states and in the baselines' results.
 func TestFaults(t *testing.T) {
 	for kind, c := range map[string]struct {
 		more  string
@@ -452,7 +468,7 @@
 	}
 }
 
-// A proxy killed with requests in hand loses those and no others; one that is restarted in order loses none.
+// A killed proxy loses the requests in flight and no others; one that is restarted in order loses none.
 func TestProxyFaults(t *testing.T) {
 	for kind, lost := range map[string]bool{"proxy-kill": true, "proxy-restart": false} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 1.0\nfor = 1.0\nproxy = 1\n")
