--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -25,53 +25,79 @@
 	VoidSeeds                                   int     // seeds whose figures count for nothing, left out of all others
 }
 
-// Summarize is the row of a policy's results.
+// Summarize returns the row of a policy's results. Void runs are only counted.
 func Summarize(all []*Result) Row {
-	var w Row
-	w.MinValueInTime = math.Inf(1)
-	var shares []float64
-	requests, tries := 0.0, 0.0
+	row := Row{MinValueInTime: math.Inf(1)}
+	var values []float64
+	intents, tries := 0.0, 0.0
 	for _, r := range all {
-		w.Scenario, w.Policy, w.Clock = r.Scenario, r.Policy, r.Clock
+		row.Scenario = r.Scenario
+		row.Policy = r.Policy
+		row.Clock = r.Clock
 		if r.Void != "" {
-			w.VoidSeeds++
+			row.VoidSeeds++
 			continue
 		}
-		shares = append(shares, r.ValueInTime)
-		w.MinValueInTime, w.MaxValueInTime = min(w.MinValueInTime, r.ValueInTime), max(w.MaxValueInTime, r.ValueInTime)
-		requests, tries = requests+float64(r.Intents), tries+float64(r.Tries)
-		w.InTime, w.Late, w.Unserved = w.InTime+float64(r.InTime), w.Late+float64(r.Late), w.Unserved+float64(r.Unserved)
-		w.Rejected, w.Failed = w.Rejected+float64(r.Rejected), w.Failed+float64(r.Failed)
-		w.Lost += r.Lost
-		w.AttemptsPerTry += float64(r.Attempts)
-		w.WastedFraction, w.P50, w.P99 = w.WastedFraction+r.WastedFraction, w.P50+r.P50, w.P99+r.P99
-		for i, n := range r.RulesBroken {
-			w.RulesBroken[i] += n
-		}
+		values = append(values, r.ValueInTime)
+		intents += float64(r.Intents)
+		tries += float64(r.Tries)
+		row.add(r)
 	}
-	if w.Seeds = len(shares); w.Seeds == 0 {
-		w.MinValueInTime = 0
-		return w
+	row.Seeds = len(values)
+	if row.Seeds == 0 {
+		row.MinValueInTime = 0
+		return row
 	}
-	n := float64(w.Seeds)
-	for _, s := range shares {
-		w.ValueInTime += s / n
+	row.divide(intents, tries)
+	row.ValueInTime, row.ValueStdDev = meanAndStdDev(values)
+	return row
+}
+
+// add adds a run's counts and sums.
+func (w *Row) add(r *Result) {
+	w.MinValueInTime = min(w.MinValueInTime, r.ValueInTime)
+	w.MaxValueInTime = max(w.MaxValueInTime, r.ValueInTime)
+	w.InTime += float64(r.InTime)
+	w.Late += float64(r.Late)
+	w.Unserved += float64(r.Unserved)
+	w.Rejected += float64(r.Rejected)
+	w.Failed += float64(r.Failed)
+	w.Lost += r.Lost
+	w.AttemptsPerTry += float64(r.Attempts)
+	w.WastedFraction += r.WastedFraction
+	w.P50 += r.P50
+	w.P99 += r.P99
+	for rule, n := range r.RulesBroken {
+		w.RulesBroken[rule] += n
 	}
-	for _, s := range shares {
-		w.ValueStdDev += (s - w.ValueInTime) * (s - w.ValueInTime) / n
+}
+
+// divide turns sums over the seeds into fractions and means.
+func (w *Row) divide(intents, tries float64) {
+	for _, sum := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
+		*sum = share(*sum, intents)
 	}
-	w.ValueStdDev = math.Sqrt(w.ValueStdDev)
-	for _, x := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
-		*x = share(*x, requests)
+	for _, sum := range []*float64{&w.Rejected, &w.Failed, &w.AttemptsPerTry} {
+		*sum = share(*sum, tries)
+	}
+	for _, sum := range []*float64{&w.WastedFraction, &w.P50, &w.P99} {
+		*sum /= float64(w.Seeds)
+	}
+}
+
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
+	n := float64(len(values))
+	for _, v := range values {
+		mean += v / n
 	}
-	for _, x := range []*float64{&w.Rejected, &w.Failed, &w.AttemptsPerTry} {
-		*x = share(*x, tries)
+	variance := 0.0
+	for _, v := range values {
+		variance += (v - mean) * (v - mean) / n
 	}
-	w.WastedFraction, w.P50, w.P99 = w.WastedFraction/n, w.P50/n, w.P99/n
-	return w
+	return mean, math.Sqrt(variance)
 }
 
-// Seeds are those of an experiment, from the first one.
+// Seeds returns n seeds from the first one on.
 func Seeds(first uint64, n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
@@ -118,7 +144,7 @@
 	return results, fault
 }
 
-// CheckPolicies says whether a policy has been asked for that there is.
+// CheckPolicies returns an error that names the first policy that does not exist.
 func CheckPolicies(policies []string) error {
 	for _, name := range policies {
 		if !slices.Contains(sortedNames(Policies), name) {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -197,7 +197,7 @@
 	return n
 }
 
-// affected is how many servers a trouble happens to.
+// affected is how many servers a fault happens to.
 func (s *Scenario) affected(t Fault) int {
 	switch {
 	case t.Count > 0:
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -249,7 +249,6 @@
 	return t.RequestHandle.AttemptEnded(now, attempt, o, latency, over)
 }
 
-// Each rule's check sees a proxy that breaks it, and no other rule's does.
 // deaf receives its first list only.
 type deaf struct{ Decider }
 
@@ -289,6 +288,7 @@
 	}
 }
 
+// Each rule's check sees a proxy that breaks it, and no other rule's does.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	s := scenario(t, `
 [[trouble]]
