--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -76,12 +76,12 @@
 			return
 		}
 		arrivals = append(arrivals, loadgen.Intent{
-			Number:   len(arrivals),
-			At:       call.Now - player.FirstCallAt,
-			Class:   class,
+			Number: len(arrivals),
+			At:     call.Now - player.FirstCallAt,
+			Class:  class,
 			Tenant: -1,
-			Key:      call.Arrival.Key,
-			Work:     cmp.Or(call.Arrival.ExpectedWork, s.Classes[class].Work),
+			Key:    call.Arrival.Key,
+			Work:   cmp.Or(call.Arrival.ExpectedWork, s.Classes[class].Work),
 		})
 	}
 	if err := player.Play(files, openFile); err != nil {
--- /dev/null
+++ b/internal/simulation/rig.go
@@ -0,0 +1,367 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"os"
+	"os/exec"
+	"sync"
+	"syscall"
+	"time"
+
+	"lockloom/internal/emulator"
+	"lockloom/internal/fakeserver"
+	"lockloom/internal/loadgen"
+)
+
+const (
+	readyTimeout      = 15 * time.Second       // for a proxy to be ready after its start
+	readyInterval     = 20 * time.Millisecond  // between the checks
+	readyCheckTimeout = 5 * readyInterval      // of one check
+	settleDuration    = 500 * time.Millisecond // from all being ready to the first request
+	auditSlack        = 0.05                   // s past each limit of the rules, for clock readings and the wire
+	maxLateness       = 0.01                   // s by which the rig may be late ...
+	maxLateFraction   = 0.01                   // ... in this fraction of what it does; above that the run is void
+)
+
+// Sockets is how to play a scenario with whole programs.
+type Sockets struct {
+	Proxy    string // the program, run as PROXY serve
+	Name     string // of the policy, in results
+	Seed     uint64
+	Ready    time.Duration        // for a proxy to be ready after its start; 0: 15 s
+	Logs     string               // folder for the proxies' logs; empty: they are dropped
+	Progress func(second, of int) // called each second; may be nil
+	Dir      string               // for launch files; empty: a temporary one
+}
+
+// rig is a run on sockets.
+type rig struct {
+	scenario     *Scenario
+	options      *Sockets
+	score        *score
+	servers      *fakeserver.ServerGroup
+	proxyTargets *loadgen.RoundRobin
+	abort        context.CancelFunc
+	dir          string // for launch files
+	rigAddrs
+
+	mu        sync.Mutex // guards what follows
+	processes []*process // by proxy, the one that was started last
+	starts    int        // of processes, so far
+	err       error      // the first
+}
+
+// rigAddrs are the proxies' addresses.
+type rigAddrs struct {
+	proxyAddrs  []string   // platform listeners
+	clientAddrs []string   // where clients connect: the same, or the HTTP listeners
+	adminAddrs  [][]string // two a proxy, since two processes of one never share an admin endpoint
+}
+
+// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left
+// running.
+func (s *Scenario) Sockets(ctx context.Context, options Sockets) (*Result, error) {
+	if _, err := exec.LookPath(options.Proxy); err != nil {
+		return nil, fmt.Errorf("proxy program: %w", err)
+	}
+	if s.ProxyFleet.Count > maxPrograms {
+		return nil, s.file.At("bank", 0, "proxies",
+			"%d: on sockets each is a program, and %d are the most", s.ProxyFleet.Count, maxPrograms)
+	}
+	startedAt := time.Now()
+	ctx, abort := context.WithCancel(ctx)
+	defer abort()
+	r := &rig{scenario: s, options: &options, abort: abort, dir: options.Dir}
+	if r.dir == "" {
+		dir, err := os.MkdirTemp("", "rehearse")
+		if err != nil {
+			return nil, err
+		}
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: the system removes what is left
+		r.dir = dir
+	}
+	result, err := r.play(ctx)
+	if err != nil {
+		return nil, err
+	}
+	result.WallTime = time.Since(startedAt).Seconds()
+	return result, nil
+}
+
+func (r *rig) play(ctx context.Context) (*Result, error) {
+	r.score = newScore(r.scenario, r.options.Seed, r.options.Name, wallClock())
+	fleet := r.scenario.Fleet(r.options.Seed, r.score.now())
+	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.score)
+	if err != nil {
+		return nil, err
+	}
+	defer servers.Close()
+	servers.OnLate = r.score.clockLateness.record
+	servers.IndentLists = r.scenario.Deployment.IndentedLists
+	r.servers = servers
+	if err := r.findAddrs(); err != nil {
+		return nil, err
+	}
+	r.proxyTargets = loadgen.NewRoundRobin(r.clientAddrs)
+	defer r.proxyTargets.Close()
+	for i, target := range r.proxyTargets.Targets {
+		target.ReadyAddr = r.proxyAddrs[i]
+		r.processes = append(r.processes, &process{})
+	}
+	defer r.stopAll()
+	for i := range r.processes {
+		if err := r.start(ctx, i); err != nil {
+			return nil, err
+		}
+	}
+	err = r.waitReady(ctx)
+	if err == nil {
+		r.run(ctx)
+	}
+	// The cause first: it ended the others.
+	for _, err := range []error{r.firstError(), servers.Err(), err, ctx.Err()} {
+		if err != nil {
+			return nil, err
+		}
+	}
+	r.stopAll()
+	return r.result(), nil
+}
+
+// findAddrs finds free addresses for the proxies.
+func (r *rig) findAddrs() (err error) {
+	n := r.scenario.ProxyFleet.Count
+	if r.proxyAddrs, err = r.servers.FreeAddrs(n); err != nil {
+		return err
+	}
+	r.clientAddrs = r.proxyAddrs
+	if r.scenario.PlainHTTP() {
+		if r.clientAddrs, err = r.servers.FreeAddrs(n); err != nil {
+			return err
+		}
+	}
+	for range n {
+		addrs, err := r.servers.FreeAddrs(2)
+		if err != nil {
+			return err
+		}
+		r.adminAddrs = append(r.adminAddrs, addrs)
+	}
+	return nil
+}
+
+// result is the result of a run whose proxies have ended.
+func (r *rig) result() *Result {
+	r.score.audit.Close(r.score.now())
+	var result *Result
+	r.servers.Inspect(func(f *emulator.Fleet) { result = r.score.tally.result(f, r.score.audit) })
+	for i := range r.proxyAddrs {
+		result.ProxyMemoryMB = max(result.ProxyMemoryMB, r.process(i).peakMemoryMB)
+	}
+	late := r.score.clockLateness
+	if result.RigLateP99 > maxLateness || float64(late.over) > maxLateFraction*float64(max(late.all, 1)) {
+		result.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile, "+
+			"servers over %.0f ms in %d of %d cases, %.1f ms at most",
+			result.RigLateP99*1000, maxLateness*1000, late.over, late.all, late.worst*1000)
+	}
+	return result
+}
+
+func (r *rig) firstError() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.err
+}
+
+// fail ends the run with an error; the first one counts.
+func (r *rig) fail(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.err == nil {
+		r.err = err
+	}
+	r.abort()
+}
+
+// failOn ends the run with an error, if there is one and the run is not over.
+func (r *rig) failOn(ctx context.Context, err error) {
+	if err != nil && ctx.Err() == nil {
+		r.fail(err)
+	}
+}
+
+// waitReady waits until all proxies are ready.
+func (r *rig) waitReady(ctx context.Context) error {
+	timeout := r.options.Ready
+	if timeout == 0 {
+		timeout = readyTimeout
+	}
+	end := time.Now().Add(timeout)
+	for i, p := range r.processes {
+		for loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) != nil {
+			select {
+			case <-p.ended:
+				return fmt.Errorf("proxy %d ended before it was up: %s", i+1, p.lastLog())
+			case <-ctx.Done():
+				return ctx.Err()
+			case <-time.After(readyInterval):
+			}
+			if time.Now().After(end) {
+				return fmt.Errorf("proxy %d is not up after %v: %s", i+1, timeout, p.lastLog())
+			}
+		}
+		r.proxyTargets.Targets[i].MarkReady()
+	}
+	return nil
+}
+
+// run plays the timeline and the workload, and returns when both are over.
+func (r *rig) run(ctx context.Context) {
+	start := time.Now().Add(settleDuration)
+	r.score.setStart(r.score.now() + settleDuration.Seconds())
+	watching, stop := context.WithCancel(ctx)
+	var work sync.WaitGroup
+	defer work.Wait()
+	defer stop()
+	work.Go(func() { r.proxyTargets.Watch(watching) })
+	work.Go(func() { r.playTimeline(ctx, watching, &work, start) })
+	work.Go(func() { r.recordSeconds(watching, start) })
+	driver := &loadgen.Driver{
+		Plan:      loadgen.NewPlan(r.scenario.Workload(), r.options.Seed),
+		Classes:   r.score.tally.classes,
+		Tenants:   r.scenario.tenantNames(),
+		Clients:   loadgen.Clients(r.scenario.Clients),
+		Proxies:   r.proxyTargets,
+		Observer:  r.score,
+		Seed:      r.options.Seed,
+		PlainHTTP: r.scenario.PlainHTTP(),
+	}
+	driver.Run(ctx, start)
+}
+
+// playTimeline plays the timeline until watching ends; what it began goes on in work until ctx ends.
+func (r *rig) playTimeline(ctx, watching context.Context, work *sync.WaitGroup, start time.Time) {
+	for _, entry := range r.scenario.Timeline() {
+		select {
+		case <-time.After(time.Until(start.Add(seconds(entry.At)))):
+		case <-watching.Done():
+			return
+		}
+		r.score.event(entry.String())
+		r.apply(ctx, work, entry)
+	}
+}
+
+// recordSeconds records the servers' states at the end of each second.
+func (r *rig) recordSeconds(ctx context.Context, start time.Time) {
+	last := r.scenario.WholeSeconds()
+	for n := 1; n <= last; n++ {
+		select {
+		case <-time.After(time.Until(start.Add(time.Duration(n) * time.Second))):
+		case <-ctx.Done():
+			return
+		}
+		r.servers.Inspect(func(f *emulator.Fleet) { r.score.endSecond(float64(n-1), f) })
+		if r.options.Progress != nil {
+			r.options.Progress(n, last)
+		}
+	}
+}
+
+// apply carries out an entry of the timeline.
+func (r *rig) apply(ctx context.Context, work *sync.WaitGroup, entry TimelineEntry) {
+	if entry.ProxyEvent == NoProxyEvent {
+		if err := r.servers.Apply(entry.Change); err != nil {
+			r.fail(err)
+		}
+		return
+	}
+	for i := range r.proxyAddrs {
+		if entry.ProxyIndex < 0 || entry.ProxyIndex == i {
+			r.applyProxyEvent(ctx, work, i, entry)
+		}
+	}
+}
+
+func (r *rig) applyProxyEvent(ctx context.Context, work *sync.WaitGroup, i int, entry TimelineEntry) {
+	duration := seconds(entry.Duration)
+	switch entry.ProxyEvent {
+	case ProxyUpgrade:
+		work.Go(func() { r.failOn(ctx, r.upgrade(ctx, i)) })
+	case ProxyDrain:
+		work.Go(func() { r.failOn(ctx, r.drain(ctx, i, duration)) })
+	case DisableServer:
+		work.Go(func() { r.failOn(ctx, r.disableServer(ctx, i, entry.Change.Position, duration)) })
+	case ProxyKill:
+		work.Go(func() {
+			r.proxyTargets.Targets[i].MarkKilled()
+			r.stop(i, syscall.SIGKILL)
+			time.Sleep(duration)
+			r.startAgain(ctx, i)
+		})
+	case ProxyRestart:
+		work.Go(func() {
+			r.stop(i, syscall.SIGTERM)
+			r.startAgain(ctx, i)
+		})
+	default:
+		entry.applyToList(r.servers.Agent(i))
+	}
+}
+
+func (r *rig) startAgain(ctx context.Context, i int) {
+	if ctx.Err() != nil {
+		return
+	}
+	if err := r.start(ctx, i); err != nil {
+		r.fail(err)
+	}
+}
+
+// applyToList carries out an event of a proxy's endpoint list.
+func (e TimelineEntry) applyToList(agent *fakeserver.Agent) {
+	switch e.ProxyEvent {
+	case ListLate:
+		agent.Delay(seconds(e.Delay), seconds(e.Duration))
+	case ListSilent:
+		agent.Silence(seconds(e.Duration))
+	case ListReset:
+		agent.CloseWatches()
+	case ListMute:
+		agent.MuteWatches()
+	}
+}
+
+// wallClock returns a clock in seconds since 1970 that never steps back.
+func wallClock() func() float64 {
+	start := time.Now()
+	return func() float64 { return float64(start.UnixMicro())/1e6 + time.Since(start).Seconds() }
+}
+
+// newScore returns the score of a run on sockets; its requests count from setStart on.
+func newScore(s *Scenario, seed uint64, policy string, now func() float64) *score {
+	classes := s.Settings(seed).Classes
+	return &score{
+		tally:         newTally(s, classes, seed, policy, "sockets"),
+		clockLateness: &lateness{},
+		start:         math.Inf(1),
+		now:           now,
+		audit:         NewAudit(classes, auditSlack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline),
+	}
+}
+
+func (s *score) setStart(at float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.start = at
+}
+
+func (s *Scenario) tenantNames() []string {
+	var names []string
+	for _, t := range s.Tenants {
+		names = append(names, t.Name)
+	}
+	return names
+}
