--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -2,12 +2,12 @@
 
 import (
 	"maps"
-	"net/http"
 	"slices"
 
 	"lockloom/balance"
 	"lockloom/internal/admin"
 	"lockloom/internal/discovery"
+	"lockloom/internal/http1"
 	"lockloom/internal/settings"
 	"lockloom/lifecycle"
 )
@@ -22,12 +22,12 @@
 	switch call.Action {
 	case admin.Ready:
 		if !s.lifecycle.Ready() {
-			return http.StatusServiceUnavailable, "not ready"
+			return http1.StatusServiceUnavailable, "not ready"
 		}
-		return http.StatusOK, "ready"
+		return http1.StatusOK, "ready"
 	case admin.Disable, admin.Enable:
 		if !s.ids.Has(settings.NameHash(call.ID)) {
-			return http.StatusNotFound, "no backend of that id was ever listed"
+			return http1.StatusNotFound, "no backend of that id was ever listed"
 		}
 		if call.Action == admin.Disable {
 			s.lifecycle.Disable(call.ID, now)
@@ -38,7 +38,7 @@
 		s.lifecycle.SetDraining(call.Action == admin.Drain, now)
 	}
 	s.notifyAdminChange(nil)
-	return http.StatusOK, "done"
+	return http1.StatusOK, "done"
 }
 
 // cloneAdminState is a copy of a lifecycle's admin state.
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -5,10 +5,10 @@
 	"errors"
 	"io"
 	"math"
-	"net/http"
 	"time"
 
 	"lockloom/balance"
+	"lockloom/internal/http1"
 	"lockloom/internal/upstream"
 	"lockloom/limits"
 )
@@ -152,7 +152,7 @@
 	if p.requests.openIDs[req.id] {
 		p.counters.BadRequests++
 		req.answered = true
-		req.response <- response{status: http.StatusConflict, body: []byte("X-Trace-Id is in use\n")}
+		req.response <- response{status: http1.StatusConflict, body: []byte("X-Trace-Id is in use\n")}
 		return
 	}
 	if !p.acquireQuota(req) { // a request over its limit must cost nothing more
@@ -192,7 +192,7 @@
 		return true
 	}
 	if req.pool.retired { // it is not told of drains any more
-		p.rejectBeforeDecision(req, response{status: http.StatusServiceUnavailable, body: []byte("its pool has gone\n")})
+		p.rejectBeforeDecision(req, response{status: http1.StatusServiceUnavailable, body: []byte("its pool has gone\n")})
 		return false
 	}
 	quota := &req.quota
@@ -200,7 +200,7 @@
 		permit, rejection := quota.limits.Acquire(p.now(), quota.keys)
 		if rejection != nil {
 			p.rejectBeforeDecision(req, response{
-				status:     http.StatusTooManyRequests,
+				status:     http1.StatusTooManyRequests,
 				retryAfter: math.Ceil(rejection.RetryAfter), // Retry-After has whole seconds, and not less than it is
 				body:       []byte("over a limit\n"),
 			})
@@ -212,7 +212,7 @@
 		quota.routeNumber = req.pool.routeNumbers[quota.route]
 		if !limiter.Acquire(p.now(), quota.routeNumber) {
 			quota.limits.Release(&quota.permit)
-			p.rejectBeforeDecision(req, response{status: http.StatusServiceUnavailable, body: []byte("the pool is full\n")})
+			p.rejectBeforeDecision(req, response{status: http1.StatusServiceUnavailable, body: []byte("the pool is full\n")})
 			return false
 		}
 		quota.fairLimiter = limiter
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"sync/atomic"
 	"time"
@@ -195,9 +194,9 @@
 	case errors.As(err, &invalid):
 		status = invalid.Status
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		status, text, body = http.StatusRequestTimeout, "request not complete in time", lateRequestBody
+		status, text, body = http1.StatusRequestTimeout, "request not complete in time", lateRequestBody
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		status, text, body = http.StatusBadRequest, "request not complete", incompleteRequestBody
+		status, text, body = http1.StatusBadRequest, "request not complete", incompleteRequestBody
 	default:
 		c.lost = true
 		return false
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -6,7 +6,6 @@
 	"math"
 	"math/rand/v2"
 	"net"
-	"net/http"
 	"strconv"
 	"strings"
 
@@ -66,7 +65,7 @@
 		Fields: headerFields{r.head},
 	})
 	if !found {
-		r.direct = response{status: http.StatusNotFound, body: []byte("no route\n")}
+		r.direct = response{status: http1.StatusNotFound, body: []byte("no route\n")}
 		return nil
 	}
 	if resp, ok := routeResponse(&match, target.query); ok {
@@ -78,8 +77,8 @@
 
 // checkOperatorHead rejects what is not served, or what a server could read differently.
 func checkOperatorHead(head *http1.Head) error {
-	if method := string(head.Method); method == http.MethodConnect || method == http.MethodTrace {
-		return &http1.Error{Status: http.StatusNotImplemented, Text: "method not served"}
+	if method := string(head.Method); method == http1.MethodConnect || method == http1.MethodTrace {
+		return &http1.Error{Status: http1.StatusNotImplemented, Text: "method not served"}
 	}
 	for _, name := range operatorSingletonFields {
 		if head.HasRepeated(name) {
--- a/proxy/platformhead.go
+++ b/proxy/platformhead.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"math"
-	"net/http"
 	"strconv"
 	"time"
 
@@ -82,7 +81,7 @@
 }
 
 func badRequest(text string) error {
-	return &http1.Error{Status: http.StatusBadRequest, Text: text}
+	return &http1.Error{Status: http1.StatusBadRequest, Text: text}
 }
 
 // firstSegment is a path's first segment.
@@ -98,7 +97,7 @@
 	class, known := p.registry.Class(string(named))
 	_, pathExists := p.registry.Class(string(firstSegment(path)))
 	if !bytes.HasPrefix(path, []byte{'/'}) || !pathExists && (known || named == nil) {
-		return 0, &http1.Error{Status: http.StatusNotFound, Text: "no such path"}
+		return 0, &http1.Error{Status: http1.StatusNotFound, Text: "no such path"}
 	}
 	if !known {
 		return 0, badRequest("unknown tariff")
@@ -115,7 +114,7 @@
 		}
 	}
 	method := string(head.Method)
-	isGet, idempotency := method == http.MethodGet, p.bootstrap.Classes[class].Idempotency
+	isGet, idempotency := method == http1.MethodGet, p.bootstrap.Classes[class].Idempotency
 	wait, err = strconv.ParseFloat(string(head.Get("X-Expires-In")), 64)
 	switch {
 	case isGet && (head.Length > 0 || head.Chunked): // a server that expects no body takes it for a request
@@ -124,8 +123,8 @@
 		return 0, badRequest("path and X-Qos differ")
 	case len(head.Get("X-Trace-Id")) == 0:
 		return 0, badRequest("no X-Trace-Id")
-	case !isGet && method != http.MethodPost:
-		return 0, &http1.Error{Status: http.StatusNotImplemented, Text: "method not known"}
+	case !isGet && method != http1.MethodPost:
+		return 0, &http1.Error{Status: http1.StatusNotImplemented, Text: "method not known"}
 	case isGet && idempotency != balance.Idempotent:
 		return 0, badRequest("method does not fit the tariff")
 	case idempotency == balance.Keyed && len(head.Get("Idempotency-Key")) == 0:
--- a/proxy/readrequest.go
+++ b/proxy/readrequest.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"io"
-	"net/http"
 	"time"
 
 	"lockloom/balance"
@@ -69,8 +68,8 @@
 	r.receivedAt = c.receivedAt()
 	r.head = head
 	method := string(head.Method)
-	r.isHead = method == http.MethodHead
-	r.isGet = r.isHead || method == http.MethodGet
+	r.isHead = method == http1.MethodHead
+	r.isGet = r.isHead || method == http1.MethodGet
 	r.http10, r.closing = head.HTTP10, head.Close
 	return nil
 }
@@ -101,7 +100,7 @@
 // overloadResponse is the response to a request that this core does not admit.
 func (p *Proxy) overloadResponse() response {
 	return response{
-		status:     http.StatusServiceUnavailable,
+		status:     http1.StatusServiceUnavailable,
 		retryAfter: p.bootstrap.MaxRetryAfter,
 		body:       []byte("dismissed\n"),
 	}
@@ -112,7 +111,7 @@
 	c := r.conn
 	if r.head.Continue && !c.Buffered() {
 		c.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-		_, _ = c.conn.Write(append(http1.AppendStatus(nil, http.StatusContinue), "\r\n"...))
+		_, _ = c.conn.Write(append(http1.AppendStatus(nil, http1.StatusContinue), "\r\n"...))
 	}
 }
 
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -1,10 +1,10 @@
 package proxy
 
 import (
-	"net/http"
 	"time"
 
 	"lockloom/balance"
+	"lockloom/internal/http1"
 	"lockloom/internal/invariant"
 	"lockloom/internal/upstream"
 	"lockloom/limits"
@@ -251,23 +251,23 @@
 	switch {
 	case req.serverFailure != nil && last == balance.ServerError:
 		p.counters.Failed++
-		if req.serverFailure.status == http.StatusServiceUnavailable { // whoever gets it takes a retry to be safe
-			req.serverFailure.status = http.StatusBadGateway
+		if req.serverFailure.status == http1.StatusServiceUnavailable { // whoever gets it takes a retry to be safe
+			req.serverFailure.status = http1.StatusBadGateway
 		}
 		return *req.serverFailure
 	case reply == balance.Rejected:
 		p.counters.Rejected++
 		return response{
-			status:     http.StatusServiceUnavailable,
+			status:     http1.StatusServiceUnavailable,
 			retryAfter: retryAfter,
 			body:       []byte("dismissed\n"),
 		}
 	}
 	p.counters.Failed++
 	if last == balance.InvalidRequest {
-		return response{status: http.StatusBadRequest, body: []byte("found at fault by a backend\n")}
+		return response{status: http1.StatusBadRequest, body: []byte("found at fault by a backend\n")}
 	}
-	return response{status: http.StatusBadGateway, body: []byte("forfeited\n")}
+	return response{status: http1.StatusBadGateway, body: []byte("forfeited\n")}
 }
 
 // closeStream gives up a streamed response whose client has gone; CloseWithError of a pipe never fails.
--- a/proxy/requestbody.go
+++ b/proxy/requestbody.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"sync/atomic"
 	"time"
@@ -25,7 +24,7 @@
 )
 
 func errBodyTooLarge() error {
-	return &http1.Error{Status: http.StatusRequestEntityTooLarge, Text: "body too large"}
+	return &http1.Error{Status: http1.StatusRequestEntityTooLarge, Text: "body too large"}
 }
 
 // pacedBodyReader reads a body from a client that must keep a pace, however its bytes are split. Only time in which the
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io"
 	"net"
-	"net/http"
 	"time"
 
 	"lockloom/internal/http1"
@@ -74,7 +73,7 @@
 // appendFraming appends what says where the body ends.
 func (resp *response) appendFraming(head []byte) []byte {
 	switch {
-	case resp.status == http.StatusNoContent || resp.status == http.StatusNotModified:
+	case resp.status == http1.StatusNoContent || resp.status == http1.StatusNotModified:
 		resp.body = nil // they have none, and a length would announce one
 		return head
 	case resp.stream != nil && resp.contentLength >= 0:
