--- a/internal/comparebuilds/builds.go
+++ b/internal/comparebuilds/builds.go
@@ -89,11 +89,7 @@
 	if err != nil {
 		return "", err
 	}
-	index, err := os.ReadFile(path)
-	if err != nil {
-		return "", err
-	}
-	if err := os.WriteFile(indexFile, index, 0o600); err != nil {
+	if err := copyIndex(path, indexFile); err != nil {
 		return "", err
 	}
 	env := []string{"GIT_INDEX_FILE=" + indexFile}
@@ -104,6 +100,23 @@
 	return strings.TrimSpace(tree), err
 }
 
+// copyIndex copies git's index with its time of modification: git takes a file that is no older than the index to be
+// changed until it has compared the content.
+func copyIndex(from, to string) error {
+	info, err := os.Stat(from)
+	if err != nil {
+		return err
+	}
+	index, err := os.ReadFile(from)
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(to, index, 0o600); err != nil {
+		return err
+	}
+	return os.Chtimes(to, info.ModTime(), info.ModTime())
+}
+
 // clone makes a clone in dir that shares the repository's objects, at a commit.
 func clone(ctx context.Context, repo, dir, commit string) error {
 	id, err := git(ctx, repo, "rev-parse", commit)
--- a/internal/comparebuilds/compare_test.go
+++ b/internal/comparebuilds/compare_test.go
@@ -179,6 +179,22 @@
 	assert.Contains(t, printed, "g 0.59 against 0.51  DIFFERENT: g\n")
 }
 
+// git tells a file that was changed within the second of the last add by the time of its index.
+func TestCompareSeesAChangeInTheSecondOfTheLastAdd(t *testing.T) {
+	s := newSite(t)
+	extra, index := filepath.Join(s.repo, "extra"), filepath.Join(s.repo, ".git", "index")
+	added := time.Now().Add(-time.Hour).Truncate(time.Second)
+	require.NoError(t, os.Chtimes(extra, added, added))
+	s.git("config", "core.trustctime", "false") // no test can set that time
+	s.git("add", "--all")
+	s.write("lockloom/extra", "2")
+	require.NoError(t, os.Chtimes(extra, added, added))
+	require.NoError(t, os.Chtimes(index, added, added))
+	printed, err := s.compare(options{base: "HEAD", quick: true})
+	assert.Error(t, err)
+	assert.Contains(t, printed, "g 0.52 against 0.51  DIFFERENT: g\n")
+}
+
 func TestCompareWithABuiltBase(t *testing.T) {
 	s := newSite(t)
 	dir := filepath.Join(s.root, "before")
