--- a/limits/doc.go
+++ b/limits/doc.go
@@ -1,6 +1,7 @@
-// Package limits decides what a proxy admits: rates and concurrency by key, budgets of retries, the fair sharing of a
-// pool's capacity between routes, and the queue of a proxy whose own core is overloaded.
+// Package limits decides which requests and retries a proxy admits. It has rate and concurrency limits by key, retry
+// budgets, a limiter that shares a pool's capacity between routes, and a queue for requests while the CPU core of the
+// proxy itself is overloaded.
 //
-// It does no I/O and keeps no clock: every call takes the present time in seconds, which must not run backwards. Its
-// caller is the proxy's owner goroutine; no type here is safe for concurrent use.
+// It does no I/O and does not read the clock: calls that depend on time take the current time in seconds, which must
+// never decrease. No type is safe for concurrent use: the proxy calls them from its owner goroutine, or under a lock.
 package limits
--- a/limits/fair.go
+++ b/limits/fair.go
@@ -3,38 +3,39 @@
 import "math"
 
 const (
-	fairThreshold  = 0.9 // of the capacity in use, from which on a route that has its quota is rejected
-	activeDuration = 1.0 // seconds after its last request in which a route still has a quota
+	fairThreshold  = 0.9 // fraction of the capacity in use from which routes at or above their quota are rejected
+	activeDuration = 1.0 // seconds for which a route counts as active after its last request
 )
 
-// FairLimiter shares a pool's capacity between routes. While capacity is left, any route may use it; when the pool is
-// nearly full, a route that has its quota is rejected, so that the others come to theirs.
+// FairLimiter shares a pool's capacity between routes. While the pool has spare capacity, any route may use it. Once
+// the pool is nearly full, requests of a route that has used up its quota are rejected, so that other routes can reach
+// their quotas.
 type FairLimiter struct {
-	Capacity int       // requests in flight
+	Capacity int       // maximum number of requests in flight
 	Weights  []float64 // by route
 
-	inFlight  []int // by route
-	total     int
-	requested []float64 // by route, when it last requested capacity
+	inFlight    []int     // requests, by route
+	total       int       // sum of inFlight
+	lastAcquire []float64 // time of the last call of Acquire, by route
 }
 
-// NewFairLimiter returns a limiter for routes of these weights.
+// NewFairLimiter returns a limiter for a pool whose routes, numbered from 0, have the given weights.
 func NewFairLimiter(capacity int, weights []float64) *FairLimiter {
 	limiter := &FairLimiter{
-		Capacity:  capacity,
-		Weights:   weights,
-		inFlight:  make([]int, len(weights)),
-		requested: make([]float64, len(weights)),
+		Capacity:    capacity,
+		Weights:     weights,
+		inFlight:    make([]int, len(weights)),
+		lastAcquire: make([]float64, len(weights)),
 	}
-	for route := range limiter.requested {
-		limiter.requested[route] = math.Inf(-1)
+	for route := range limiter.lastAcquire {
+		limiter.lastAcquire[route] = math.Inf(-1)
 	}
 	return limiter
 }
 
-// Acquire takes capacity for a route's request, and reports whether there is any for it now.
+// Acquire reports whether a request of the route is admitted. An admitted request holds capacity until Release.
 func (f *FairLimiter) Acquire(now float64, route int) bool {
-	f.requested[route] = now
+	f.lastAcquire[route] = now
 	if f.total >= f.Capacity {
 		return false
 	}
@@ -47,18 +48,19 @@
 	return true
 }
 
-// quota returns what a route may have of the capacity while others want it too.
+// quota returns how many requests a route may have in flight when the pool is nearly full: its share of the capacity by
+// weight among the active routes, and at least 1.
 func (f *FairLimiter) quota(now float64, route int) float64 {
 	activeWeight := 0.0
 	for other, weight := range f.Weights {
-		if f.inFlight[other] > 0 || now-f.requested[other] <= activeDuration {
+		if f.inFlight[other] > 0 || now-f.lastAcquire[other] <= activeDuration {
 			activeWeight += weight
 		}
 	}
 	return max(float64(f.Capacity)*f.Weights[route]/activeWeight, 1)
 }
 
-// Release gives a request's capacity back.
+// Release returns the capacity that an admitted request of the route held.
 func (f *FairLimiter) Release(route int) {
 	f.inFlight[route]--
 	f.total--
--- a/limits/fair_test.go
+++ b/limits/fair_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// With capacity left a route may have it all; once it is short, each route that requests it comes to its quota.
+// One route may fill a pool up to the threshold; after that, each route that sends requests must reach its quota.
 func TestRoutesComeToTheirQuotas(t *testing.T) {
 	limiter := NewFairLimiter(100, []float64{1, 1, 2})
 	for range 90 {
 		assert.True(t, limiter.Acquire(0, 0))
 	}
-	assert.True(t, limiter.Acquire(0, 1) && limiter.Acquire(0, 2), "the others come to theirs")
-	assert.False(t, limiter.Acquire(0, 0), "beyond its quota of a pool that is nearly full")
+	assert.True(t, limiter.Acquire(0, 1) && limiter.Acquire(0, 2), "the other routes are below their quotas")
+	assert.False(t, limiter.Acquire(0, 0), "route 0 is above its quota, and the pool is nearly full")
 	inFlight := [3]int{90, 1, 1}
 	release := func(route int) {
 		if inFlight[route] > 0 {
@@ -21,7 +21,7 @@
 			inFlight[route]--
 		}
 	}
-	for now := 0.0; now < 10; now += .01 { // the first route's end one at a time, all three routes request more
+	for now := 0.0; now < 10; now += .01 { // route 0 ends one request per round, and all routes send new ones
 		release(0)
 		for route := range 3 {
 			if limiter.Acquire(now, route) {
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -7,60 +7,62 @@
 )
 
 const (
-	maxKeys        = 1 << 20 // of one limit, and the number that it remembers if it sets none
-	maxConcurrency = 1 << 30
+	maxKeys        = 1 << 20 // upper bound and default of Limit.MaxKeys
+	maxConcurrency = 1 << 30 // upper bound of Limit.Concurrency
 )
 
-// Limit bounds the requests of each of many keys (a route, a tenant, an address), or of one thing with the key 0.
+// Limit bounds the request rate or concurrency of each key (a route, a tenant or a client address). A limit that
+// applies to all requests together uses the key 0.
 type Limit struct {
 	Name        string
-	Rate        float64 // requests a second; 0: no limit
-	Burst       float64 // requests that may come at once after a pause; less than 1 counts as 1
+	Rate        float64 // requests per second; 0: no limit
+	Burst       float64 // requests admitted at once after an idle time; less than 1 counts as 1
 	Concurrency int     // requests in flight; 0: no limit
-	MaxKeys     int     // remembered for the rate; 0: a million
+	MaxKeys     int     // keys whose rate is tracked; 0: a million (1 << 20)
 }
 
 func (l *Limit) check() error {
 	valid := l.Rate >= 0 && !math.IsInf(l.Rate, 1) && l.Burst >= 0 && !math.IsInf(l.Burst, 1) &&
 		l.Concurrency >= 0 && l.Concurrency <= maxConcurrency && l.MaxKeys >= 0 && l.MaxKeys <= maxKeys
 	if !valid {
-		return fmt.Errorf("limit %q: rate %v, burst %v, concurrency %d, %d keys",
-			l.Name, l.Rate, l.Burst, l.Concurrency, l.MaxKeys)
+		return fmt.Errorf("limit %q: rate %v, burst %v, concurrency %d, %d keys: must be finite and not negative, "+
+			"concurrency at most %d, keys at most %d",
+			l.Name, l.Rate, l.Burst, l.Concurrency, l.MaxKeys, maxConcurrency, maxKeys)
 	}
 	if l.Rate == 0 && l.Concurrency == 0 {
-		return fmt.Errorf("limit %q: neither a rate nor a concurrency", l.Name)
+		return fmt.Errorf("limit %q: neither a rate nor a concurrency is set", l.Name)
 	}
 	return nil
 }
 
-// LimitKey is one limit that a request must pass, and the key under which it counts there.
+// LimitKey names a limit that applies to a request, and the key under which the request is counted there.
 type LimitKey struct {
-	Limit int // its index in the list that New was given
+	Limit int // index in the list passed to New
 	Key   uint64
 }
 
-// Rejection is the limit that a request did not pass.
+// Rejection says which limit rejected a request.
 type Rejection struct {
-	Limit      int
-	RetryAfter float64 // seconds until it would pass; 0: when another request of the key ends
+	Limit      int     // index in the list passed to New
+	RetryAfter float64 // seconds until the request would be admitted; 0: once another request of the key ends
 }
 
-// Limits are limits in an order, by custom the wider ones first.
+// Limits enforces a list of limits. By convention, wider limits come first in the list.
 type Limits struct {
 	limits []limitState
 }
 
-// limitState is a limit, and what counts under it.
+// limitState holds a limit and the state of its keys.
 type limitState struct {
 	Limit
-	rates    *rateTable     // nil: no rate
-	inFlight map[uint64]int // by key
+	rates    *rateTable     // nil: no rate limit
+	inFlight map[uint64]int // requests, by key
 }
 
-// Permit is what a request has taken of its limits; the zero value is nothing.
+// Permit records the limits under which an admitted request is counted. The zero value records none.
 type Permit struct{ keys []LimitKey }
 
-// New returns limits. The error joins one for each limit that is not valid.
+// New returns Limits for a list. The returned error joins one error per invalid limit.
 func New(list []Limit) (*Limits, error) {
 	limits := &Limits{}
 	var errs []error
@@ -77,8 +79,9 @@
 	return limits, errors.Join(errs...)
 }
 
-// Acquire takes a request through limits in order. If one rejects it, what it took of the others is given back: a
-// rejected request counts nowhere. The Permit refers to keys until it is released.
+// Acquire checks a request against the limits of its keys, in order. If a limit rejects the request, the limits checked
+// before it are restored, so that a rejected request counts toward no limit. The Permit keeps a reference to keys until
+// it is released.
 func (l *Limits) Acquire(now float64, keys []LimitKey) (Permit, *Rejection) {
 	for i, key := range keys {
 		retryAfter, admitted := l.limits[key.Limit].acquire(now, key.Key)
@@ -92,7 +95,7 @@
 	return Permit{keys}, nil
 }
 
-// Release records that a request has ended: it is no longer in flight. A second call for a permit does nothing.
+// Release records that a request has ended and is no longer in flight. Further calls with the same permit do nothing.
 func (l *Limits) Release(permit *Permit) {
 	for _, key := range permit.keys {
 		l.limits[key.Limit].release(key.Key)
@@ -100,16 +103,17 @@
 	permit.keys = nil
 }
 
-// KeyCounts returns how many keys a limit remembers, and how many it has forgotten before their rate allowed a full
-// burst again: each of those may have had its next burst too soon.
-func (l *Limits) KeyCounts(limit int) (remembered, forgotten int) {
+// KeyCounts returns how many keys a limit tracks, and how many it has evicted before a full burst was available to them
+// again. A key evicted that early may exceed its rate by up to one burst.
+func (l *Limits) KeyCounts(limit int) (tracked, evictedEarly int) {
 	state := &l.limits[limit]
 	if state.rates != nil {
-		return state.rates.count, state.rates.forgotten
+		return state.rates.count, state.rates.evictedEarly
 	}
 	return len(state.inFlight), 0
 }
 
+// acquire counts a request unless its concurrency or rate limit is reached; retryAfter is as in Rejection.
 func (l *limitState) acquire(now float64, key uint64) (retryAfter float64, admitted bool) {
 	if l.Concurrency > 0 && l.inFlight[key] >= l.Concurrency {
 		return 0, false
@@ -125,6 +129,7 @@
 	return 0, true
 }
 
+// undo reverts an acquire that admitted a request.
 func (l *limitState) undo(key uint64) {
 	if l.rates != nil {
 		l.rates.giveBack(key)
@@ -139,6 +144,6 @@
 	if l.inFlight[key] > 1 {
 		l.inFlight[key]--
 	} else {
-		delete(l.inFlight, key) // so that the map holds no more keys than requests are in flight
+		delete(l.inFlight, key) // the map never holds more keys than there are requests in flight
 	}
 }
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -17,7 +17,8 @@
 	return limits
 }
 
-// A rate decides as an exact token bucket does, whatever the pauses, and RetryAfter is true.
+// A rate limit must decide as a token bucket does, whatever the intervals between requests, and RetryAfter must be
+// exact.
 func TestRateAgainstTokenBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{.5, 3, 40}).Draw(t, "rate")
@@ -31,7 +32,7 @@
 			tokens = min(burst, tokens+pause*rate)
 			_, rejection := limits.Acquire(now, []LimitKey{{}})
 			if near := math.Abs(tokens-1) < 1e-6; !near && (rejection == nil) != (tokens >= 1) {
-				t.Fatalf("%v tokens at %v: %v", tokens, now, rejection)
+				t.Fatalf("at %v s, with %v tokens: rejection %v", now, tokens, rejection)
 			}
 			if rejection == nil {
 				tokens--
@@ -39,29 +40,29 @@
 				continue
 			}
 			if rejection.RetryAfter <= 0 || rejection.RetryAfter > 1/rate+1e-6 {
-				t.Fatalf("after %v", rejection.RetryAfter)
+				t.Fatalf("RetryAfter is %v s at a rate of %v per second", rejection.RetryAfter, rate)
 			}
 			if want := (1 - tokens) / rate; math.Abs(want-rejection.RetryAfter) > 1e-6 {
-				t.Fatalf("after %v, in truth %v", rejection.RetryAfter, want)
+				t.Fatalf("RetryAfter is %v s, want %v s", rejection.RetryAfter, want)
 			}
 		}
 		checkWindows(t, admitted, rate, burst)
 	})
 }
 
-// checkWindows checks that no window of time holds more requests than its rate and one burst.
+// checkWindows checks that no time window admits more requests than the rate allows in that time, plus one burst.
 func checkWindows(t *rapid.T, admitted []float64, rate, burst float64) {
 	for first := range admitted {
 		for last := first; last < len(admitted); last++ {
 			window := admitted[last] - admitted[first]
 			if count := float64(last - first + 1); count > burst+rate*window+1e-6 {
-				t.Fatalf("%v within %v s", count, window)
+				t.Fatalf("%v requests admitted within %v s", count, window)
 			}
 		}
 	}
 }
 
-// What a request took before it was rejected is given back everywhere; what it holds is given back once.
+// A rejected request must not count toward any limit, and a permit must be released only once.
 func TestRejectedRequestsCountNowhere(t *testing.T) {
 	limits := newLimits(t,
 		Limit{Name: "proxy", Concurrency: 3},
@@ -73,7 +74,7 @@
 	assert.Nil(t, rejection)
 	for range 50 {
 		_, rejection = limits.Acquire(0, keys(1))
-		assert.Equal(t, &Rejection{Limit: 2}, rejection, "the tenant has one in flight, and the pool's rate is not spent")
+		assert.Equal(t, &Rejection{Limit: 2}, rejection, "the rejected requests must not use up the pool's rate")
 	}
 	second, rejection := limits.Acquire(0, keys(2))
 	assert.Nil(t, rejection)
@@ -84,15 +85,15 @@
 	assert.Nil(t, rejection)
 	_, rejection = limits.Acquire(5, keys(4))
 	assert.Equal(t, &Rejection{Limit: 0}, rejection)
-	for range 2 { // the second time does nothing
+	for range 2 { // the second call does nothing
 		limits.Release(&first)
 	}
 	limits.Release(&second)
 	limits.Release(&third)
 	for limit := range 3 {
 		if limit != 1 {
-			remembered, _ := limits.KeyCounts(limit)
-			assert.Zero(t, remembered, "a key with nothing in flight is not remembered")
+			tracked, _ := limits.KeyCounts(limit)
+			assert.Zero(t, tracked, "a concurrency limit does not track keys without requests in flight")
 		}
 	}
 }
@@ -109,7 +110,7 @@
 	} {
 		_, err := New([]Limit{limit, {Name: "b"}})
 		assert.ErrorContains(t, err, `limit "a"`)
-		assert.ErrorContains(t, err, `limit "b"`, "every error at once")
+		assert.ErrorContains(t, err, `limit "b"`, "the errors of all limits are joined")
 	}
 }
 
--- a/limits/overload.go
+++ b/limits/overload.go
@@ -3,70 +3,73 @@
 import "math"
 
 const (
-	maxWaitFraction  = 0.75 // of its latency objective that a request may wait; later it would be answered late
-	standingDelay    = 0.1  // seconds for which a queue must not have been empty to be a standing queue
-	rejectInterval   = 2    // of so many turns, one is for a request that is to be rejected, if there is one
-	gradesPerDoubled = 2    // grades of priority weight from one weight to its double
-	minWeight        = 1e-9 // of a request, so that its logarithm is finite
+	maxWaitFraction   = 0.75 // fraction of its latency objective for which a request may be queued, to be answered in time
+	standingDelay     = 0.1  // seconds after which a queue that was never empty counts as a standing queue
+	rejectInterval    = 2    // every second dispatch prefers the oldest queued request if it must be rejected
+	levelsPerDoubling = 2    // priority levels from one weight to its double
+	minWeight         = 1e-9 // lower bound of a request's weight, so that its logarithm is finite
 )
 
-// Overload holds back requests while this core is overloaded. Few requests at a time are in work, from their reading to
-// their being forwarded or rejected; further ones wait in a queue, which costs nothing, so that responses, which do not
-// stand behind them, are soon relayed.
+// Overload queues requests while the proxy's CPU core is overloaded. A request is in progress from its dispatch until
+// it has been forwarded or rejected. Only a few requests are in progress at a time; the others are queued, where they
+// use no CPU time. Responses bypass the queue, so they are relayed without delay.
 //
-// The request of the greatest priority weight for its work goes first; among equals, that of the tenant who was served
-// least lately (start-time fair queueing: Goyal, Vin and Cheng, 1996). A request that has waited too long to be
-// answered in time is rejected, but in turns of its own: rejected all at once, clients that retry at once would take up
-// the whole core. It also measures how much longer attempts take here than at their servers.
+// The request with the greatest weight (its priority weight per unit of work) is dispatched first. Among requests of
+// equal priority, tenants share the dispatches by start-time fair queueing (Goyal, Vin and Cheng, 1996). A request that
+// has been queued too long to be answered in time is rejected. For that, every second dispatch takes the oldest request
+// if it is late: if all late requests were rejected at once, clients that retry immediately would use up the core.
 //
-// All times are in seconds.
+// Overload also measures how much of the duration of attempts is spent in the proxy rather than at the servers. All
+// times are in seconds.
 type Overload struct {
-	Admitted, Queued, Rejected int // requests, since the start
-
-	inWork    int
-	maxInWork int
-	dispatch  int // turns so far
-	queue     waitQueue
-	tenants   fairClock
-	lastWait  float64 // of the request that was admitted last
-	delays    attemptDelays
+	Admitted, Queued, Rejected int // numbers of requests since the start
+
+	inProgress    int
+	maxInProgress int
+	dispatchCount int // requests dispatched so far
+	queue         waitQueue
+	tenants       fairClock
+	lastWait      float64 // time for which the last admitted request was queued
+	delays        attemptDelays
 }
 
-// Waiter is a request that waits for its turn.
+// Waiter is a queued request.
 type Waiter struct {
-	Owner any // the caller's
+	Owner any // the caller's value for the request, passed to RequestArrived
 
-	grade       int     // of its priority weight, in steps of a factor of the root of 2
-	finishTag   float64 // of fair queueing
+	priority    int     // logarithm of the weight: a level is a factor of the square root of 2
+	finishTag   float64 // virtual finish time in fair queueing
 	arrivedAt   float64
-	latestStart float64 // when it is too late to be admitted
-	heapIndex   int     // -1: it had its turn
+	latestStart float64 // the request is rejected if dispatched later
+	heapIndex   int     // -1: dispatched
 }
 
-// NewOverload returns an overload queue for so many requests in work at once and so many tenants.
-func NewOverload(maxInWork, tenants int) *Overload {
+// NewOverload returns an Overload that lets at most maxInProgress requests be in progress, or 1 if that is less.
+// Tenants are numbered from 0 to tenants-1.
+func NewOverload(maxInProgress, tenants int) *Overload {
 	return &Overload{
-		maxInWork: max(maxInWork, 1),
-		queue:     newWaitQueue(),
-		tenants:   newFairClock(tenants),
+		maxInProgress: max(maxInProgress, 1),
+		queue:         newWaitQueue(),
+		tenants:       newFairClock(tenants),
 	}
 }
 
-// RequestArrived records a request that reached this machine at arrivedAt, with its class's latency objective, its
-// priority weight for its work, and its tenant's number, or -1 for one that is unknown. If its turn comes at once there
-// is no waiter, and admitted is the decision; else Dispatch gives the decision later, with the waiter, whose Owner is
-// owner. After either decision RequestDone is to be called.
+// RequestArrived records a request that reached this machine at arrivedAt. It takes the latency objective of the
+// request's class, its weight (priority weight per unit of work) and the number of its tenant, -1 if unknown. If the
+// request is dispatched at once, the waiter is nil and admitted is the decision. Otherwise the request is queued, and
+// Dispatch delivers the decision later with the returned waiter, whose Owner is owner. RequestDone must be called after
+// either decision, also after a rejection.
 func (o *Overload) RequestArrived(
 	now, arrivedAt, latencyObjective, weight float64, tenant int, owner any,
 ) (admitted bool, waiter *Waiter) {
 	waiter = &Waiter{
 		Owner:       owner,
-		grade:       int(math.Floor(gradesPerDoubled * math.Log2(max(weight, minWeight)))),
+		priority:    int(math.Floor(levelsPerDoubling * math.Log2(max(weight, minWeight)))),
 		finishTag:   o.tenants.tag(tenant),
 		arrivedAt:   arrivedAt,
 		latestStart: arrivedAt + maxWaitFraction*latencyObjective,
 	}
-	if o.inWork < o.maxInWork && o.queue.empty() {
+	if o.inProgress < o.maxInProgress && o.queue.empty() {
 		return o.decide(now, waiter), nil
 	}
 	o.Queued++
@@ -74,9 +77,9 @@
 	return false, waiter
 }
 
-// decide gives a request its turn.
+// decide dispatches a request: it is in progress from now on, and admitted unless it is too late.
 func (o *Overload) decide(now float64, waiter *Waiter) (admitted bool) {
-	o.inWork++
+	o.inProgress++
 	if now > waiter.latestStart {
 		o.Rejected++
 		return false
@@ -87,18 +90,18 @@
 	return true
 }
 
-// RequestDone records that a request is no longer in work, and reports whether others wait for Dispatch.
-func (o *Overload) RequestDone() (waiting bool) {
-	o.inWork--
+// RequestDone records that a request is no longer in progress, and reports whether requests are queued.
+func (o *Overload) RequestDone() (queued bool) {
+	o.inProgress--
 	return !o.queue.empty()
 }
 
-// Dispatch calls decided with each waiter whose turn has come and whether it is admitted, until as many as may be are
-// in work. It reports whether there were any and more wait. It is to be called when the responses that have come are
-// relayed.
+// Dispatch dispatches queued requests until the limit of requests in progress is reached, and calls decided for each.
+// It reports whether it dispatched any request and others are still queued. The caller must relay received responses
+// first.
 func (o *Overload) Dispatch(now float64, decided func(waiter *Waiter, admitted bool)) (more bool) {
 	dispatched := false
-	for !o.queue.empty() && o.inWork < o.maxInWork {
+	for !o.queue.empty() && o.inProgress < o.maxInProgress {
 		waiter := o.next(now)
 		o.queue.remove(waiter)
 		decided(waiter, o.decide(now, waiter))
@@ -110,10 +113,11 @@
 	return dispatched && !o.queue.empty()
 }
 
-// next returns the waiter whose turn it is.
+// next returns the queued request to dispatch next: every rejectInterval-th time the oldest one if it is too late, else
+// the one of the highest priority.
 func (o *Overload) next(now float64) *Waiter {
-	o.dispatch++
-	if o.dispatch%rejectInterval == 0 {
+	o.dispatchCount++
+	if o.dispatchCount%rejectInterval == 0 {
 		if oldest := o.queue.oldest(); now > oldest.latestStart {
 			return oldest
 		}
@@ -121,29 +125,30 @@
 	return o.queue.first()
 }
 
-// QueueStatus returns how long the request that was admitted last had waited, and whether there is a standing queue.
+// QueueStatus returns how long the last admitted request was queued, and whether there is a standing queue, which has
+// not been empty for standingDelay.
 func (o *Overload) QueueStatus(now float64) (lastWait float64, standing bool) {
 	return o.lastWait, now-o.queue.nonEmptySince > standingDelay
 }
 
-// AttemptMeasured records how long an attempt took, and how much of that its server had it.
+// AttemptMeasured records the duration of an attempt as the proxy saw it, and the part of it spent at the server.
 func (o *Overload) AttemptMeasured(total, atServer float64) { o.delays.observe(total, atServer) }
 
-// DelayFactor returns how many times longer attempts take than their servers have them, from 1.
+// DelayFactor returns the ratio of the duration of attempts to their time at the server, from 1 to maxDelayFactor.
 func (o *Overload) DelayFactor() float64 { return o.delays.factor() }
 
-// Lag returns the time that, in all likelihood, an attempt spends here at the most.
+// Lag returns an upper estimate of the avoidable time that an attempt spends in the proxy, at most maxLag.
 func (o *Overload) Lag() float64 { return o.delays.lag() }
 
-// fairClock is start-time fair queueing's virtual time, in requests.
+// fairClock holds the virtual time of start-time fair queueing, in requests.
 type fairClock struct {
 	now     float64
-	tenants []float64 // the finish tag of each tenant's last request; the first is of all unknown ones
+	tenants []float64 // finish tag of each tenant's last request; index 0 is shared by all unknown tenants
 }
 
 func newFairClock(tenants int) fairClock { return fairClock{tenants: make([]float64, tenants+1)} }
 
-// tag returns the tag of a tenant's next request.
+// tag returns the finish tag of a tenant's next request.
 func (c *fairClock) tag(tenant int) float64 {
 	index := tenant + 1
 	if index < 0 || index >= len(c.tenants) {
@@ -153,38 +158,38 @@
 	return c.tenants[index]
 }
 
-// started records that the request with a tag is admitted.
+// started advances the virtual time to the start of an admitted request, given its finish tag.
 func (c *fairClock) started(tag float64) { c.now = max(c.now, tag-1) }
 
 const (
-	delaySmoothing   = 0.02  // the weight of one attempt in the mean times
-	unavoidableDelay = 0.001 // seconds of an attempt that are spent here in any case
-	lagDeviations    = 4.0   // mean deviations over the mean; the reasoning is that of TCP's time-outs (RFC 6298)
+	delaySmoothing   = 0.02  // weight of one attempt in the moving averages
+	unavoidableDelay = 0.001 // seconds that an attempt spends in the proxy even without overload
+	lagDeviations    = 4.0   // mean deviations added to the mean, as in TCP's retransmission timeout (RFC 6298)
 	maxLag           = 0.1   // seconds
 	maxDelayFactor   = 4.0
 )
 
-// attemptDelays is how long attempts are at their servers and here, in seconds.
+// attemptDelays holds moving averages of the time that attempts spend at servers and in the proxy, in seconds.
 type attemptDelays struct {
 	attempts  float64
 	atServer  float64 // mean
-	here      float64 // mean
-	deviation float64 // mean, of the time here from its mean
+	atProxy   float64 // mean
+	deviation float64 // mean deviation of atProxy
 }
 
 func (d *attemptDelays) observe(total, atServer float64) {
 	d.attempts++
 	weight := max(delaySmoothing, 1/d.attempts)
 	d.atServer += weight * (atServer - d.atServer)
-	d.deviation += weight * (math.Abs(total-atServer-d.here) - d.deviation)
-	d.here += weight * (total - atServer - d.here)
+	d.deviation += weight * (math.Abs(total-atServer-d.atProxy) - d.deviation)
+	d.atProxy += weight * (total - atServer - d.atProxy)
 }
 
 func (d *attemptDelays) factor() float64 {
 	const minAtServer = unavoidableDelay / 4
-	return min(1+max(d.here-unavoidableDelay, 0)/max(d.atServer, minAtServer), maxDelayFactor)
+	return min(1+max(d.atProxy-unavoidableDelay, 0)/max(d.atServer, minAtServer), maxDelayFactor)
 }
 
 func (d *attemptDelays) lag() float64 {
-	return min(max(d.here+lagDeviations*d.deviation-unavoidableDelay, 0), maxLag)
+	return min(max(d.atProxy+lagDeviations*d.deviation-unavoidableDelay, 0), maxLag)
 }
--- a/limits/overload_test.go
+++ b/limits/overload_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// decision is one that Dispatch gave, by the waiter's owner.
+// decision is a decision of Dispatch for the request of an owner.
 type decision struct {
 	owner    any
 	admitted bool
 }
 
+// dispatch returns the decisions of one call of Dispatch.
 func dispatch(overload *Overload, now float64) (decisions []decision) {
 	overload.Dispatch(now, func(waiter *Waiter, admitted bool) {
 		decisions = append(decisions, decision{waiter.Owner, admitted})
@@ -21,7 +22,7 @@
 	return decisions
 }
 
-// arrive has so many requests alike arrive.
+// arrive lets count equal requests arrive.
 func arrive(overload *Overload, count int, now, latencyObjective float64, tenant int, owner any) {
 	for range count {
 		overload.RequestArrived(now, now, latencyObjective, 1, tenant, owner)
@@ -38,29 +39,30 @@
 	for i, weight := range []float64{1, 5, 1, 10} {
 		admitted, waiter := overload.RequestArrived(10, 10, 0.1, weight, 0, i)
 		assert.False(t, admitted)
-		assert.NotNil(t, waiter, "as many as may be are in work")
+		assert.NotNil(t, waiter, "the limit of requests in progress is reached")
 	}
 	assert.Empty(t, dispatch(overload, 10))
 	assert.True(t, overload.RequestDone())
-	assert.Equal(t, []decision{{3, true}}, dispatch(overload, 10.01), "the greatest weight")
+	assert.Equal(t, []decision{{3, true}}, dispatch(overload, 10.01), "it has the greatest weight")
 	assert.True(t, overload.RequestDone())
 	assert.Equal(t, []decision{{1, true}}, dispatch(overload, 10.02))
 	assert.True(t, overload.RequestDone())
-	assert.Equal(t, []decision{{0, true}}, dispatch(overload, 10.03), "arrived first")
+	assert.Equal(t, []decision{{0, true}}, dispatch(overload, 10.03), "of two with equal weights, it arrived first")
 	assert.True(t, overload.RequestDone())
-	assert.Equal(t, []decision{{2, false}}, dispatch(overload, 10.08), "it would be answered late")
+	assert.Equal(t, []decision{{2, false}}, dispatch(overload, 10.08), "it would miss its latency objective")
 	_, standing := overload.QueueStatus(10.2)
-	assert.False(t, standing, "nobody waits any more")
+	assert.False(t, standing, "the queue is empty")
 	assert.False(t, overload.RequestDone())
 	assert.Equal(t, [3]int{5, 4, 1}, [3]int{overload.Admitted, overload.Queued, overload.Rejected})
 
 	admitted, waiter := overload.RequestArrived(20, 19.9, 0.1, 1, 0, nil)
-	assert.False(t, admitted, "it waited elsewhere until too late")
+	assert.False(t, admitted, "it was delayed too long before it reached the queue")
 	assert.Nil(t, waiter)
 }
 
-// With the greatest weight always first, late requests would wait until their clients give up, which costs more than to
-// reject them; rejected all at once, their clients would retry and take up the core.
+// Guards against two faults. If the greatest weight always went first, late requests would stay queued until their
+// clients time out, which costs more than rejecting them. If all late requests were rejected at once, their clients
+// would retry and use up the core.
 func TestLateRequestsAreRejectedInTurns(t *testing.T) {
 	overload := NewOverload(1, 0)
 	arrive(overload, 1, 0, 0.1, -1, "first")
@@ -83,7 +85,7 @@
 	assert.Equal(t, 4, admitted)
 }
 
-// A tenant that floods has its quota and no more, as long as others have requests.
+// A tenant that sends too many requests must not get more than its fair share while other tenants have queued requests.
 func TestTenantsAreServedFairly(t *testing.T) {
 	overload := NewOverload(1, 2)
 	arrive(overload, 1, 0, 10, 1, nil)
@@ -96,8 +98,8 @@
 			few++
 		}
 	}
-	assert.Equal(t, 10, few, "among the first two dozen")
-	for _, tenant := range []int{-7, 2, 99} { // unknown ones count as one
+	assert.Equal(t, 10, few, "requests of the small tenant among the first 24 dispatched")
+	for _, tenant := range []int{-7, 2, 99} { // unknown tenants are counted as one
 		overload.RequestArrived(0, 0, 10, 1, tenant, nil)
 	}
 }
@@ -108,10 +110,10 @@
 		total, atServer float64
 		factor, lag     float64
 	}{
-		{"nothing waits here", 0.0204, 0.02, 1, 0},
+		{"no delay in the proxy", 0.0204, 0.02, 1, 0},
 		{"servers are slow", 0.5005, 0.5, 1, 0},
-		{"as long here as there", 0.021, 0.01, 2, 0.01},
-		{"far longer here", 0.5, 0.01, maxDelayFactor, maxLag},
+		{"as long in the proxy as at the server", 0.021, 0.01, 2, 0.01},
+		{"much longer in the proxy", 0.5, 0.01, maxDelayFactor, maxLag},
 		{"no time at the server", 0.002, 0, 4, 0.001},
 	} {
 		overload := NewOverload(1, 0)
@@ -126,17 +128,17 @@
 	for i := range 500 {
 		overload.AttemptMeasured(0.01+0.02*float64(i%2), 0.01)
 	}
-	assert.Greater(t, overload.Lag(), 0.02, "some wait here for that long, though on the mean they don't")
+	assert.Greater(t, overload.Lag(), 0.02, "half of the attempts are delayed by 20 ms, twice the mean")
 }
 
-// overloadModel is an Overload, and the requests that it must account for.
+// overloadModel is an Overload with a model of its requests.
 type overloadModel struct {
-	t         *rapid.T
-	overload  *Overload
-	maxInWork int
-	now       float64
-	inWork    int
-	waiting   map[int]modelRequest // by their owner
+	t             *rapid.T
+	overload      *Overload
+	maxInProgress int
+	now           float64
+	inProgress    int
+	queued        map[int]modelRequest // by owner
 }
 
 type modelRequest struct{ weight, latestStart float64 }
@@ -149,47 +151,47 @@
 	tenant := rapid.IntRange(-1, 2).Draw(m.t, "tenant")
 	admitted, waiter := m.overload.RequestArrived(m.now, arrivedAt, latencyObjective, weight, tenant, owner)
 	if waiter != nil {
-		m.waiting[owner] = request
+		m.queued[owner] = request
 		return
 	}
-	assert.Empty(m.t, m.waiting, "nobody goes before those who wait")
+	assert.Empty(m.t, m.queued, "a new request must not overtake queued ones")
 	m.decided(request, admitted)
 }
 
 func (m *overloadModel) decided(request modelRequest, admitted bool) {
-	m.inWork++
+	m.inProgress++
 	assert.Equal(m.t, m.now <= request.latestStart, admitted)
-	assert.LessOrEqual(m.t, m.inWork, m.maxInWork)
+	assert.LessOrEqual(m.t, m.inProgress, m.maxInProgress)
 }
 
 func (m *overloadModel) done() {
-	if m.inWork > 0 {
-		m.inWork--
-		assert.Equal(m.t, len(m.waiting) > 0, m.overload.RequestDone())
+	if m.inProgress > 0 {
+		m.inProgress--
+		assert.Equal(m.t, len(m.queued) > 0, m.overload.RequestDone())
 	}
 }
 
 func (m *overloadModel) dispatch() {
 	m.overload.Dispatch(m.now, func(waiter *Waiter, admitted bool) {
 		owner := waiter.Owner.(int)
-		request, waits := m.waiting[owner]
-		assert.True(m.t, waits, "one decision")
-		delete(m.waiting, owner)
+		request, queued := m.queued[owner]
+		assert.True(m.t, queued, "each request gets one decision")
+		delete(m.queued, owner)
 		m.decided(request, admitted)
-		for _, other := range m.waiting {
+		for _, other := range m.queued {
 			assert.False(m.t, admitted && other.weight > request.weight)
 		}
 	})
-	assert.False(m.t, m.inWork < m.maxInWork && len(m.waiting) > 0, "another could be in work")
+	assert.False(m.t, m.inProgress < m.maxInProgress && len(m.queued) > 0, "a queued request could be dispatched")
 }
 
-// Whatever comes in whatever order: no more in work than may be, one decision for each request, none that is late is
-// admitted, and of those admitted at one time none has a smaller weight than one that goes on waiting.
+// For any sequence of calls: requests in progress stay within the limit, each request gets one decision, late requests
+// are never admitted, and no request is admitted while one of a greater weight stays queued.
 func TestOverloadInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		maxInWork := rapid.IntRange(1, 4).Draw(t, "maxInWork")
+		maxInProgress := rapid.IntRange(1, 4).Draw(t, "maxInProgress")
 		model := &overloadModel{
-			t: t, overload: NewOverload(maxInWork, 2), maxInWork: maxInWork, waiting: map[int]modelRequest{},
+			t: t, overload: NewOverload(maxInProgress, 2), maxInProgress: maxInProgress, queued: map[int]modelRequest{},
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "calls") {
 			model.now += rapid.Float64Range(0, 0.02).Draw(t, "pause")
@@ -207,15 +209,15 @@
 
 func BenchmarkOverload(b *testing.B) {
 	for _, c := range []struct {
-		name    string
-		waiting int
+		name   string
+		queued int
 	}{{"nobody waits", 0}, {"500 wait", 500}} {
 		b.Run(c.name, func(b *testing.B) {
 			overload := NewOverload(1, 20)
-			for i := range c.waiting + 1 {
+			for i := range c.queued + 1 {
 				overload.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
 			}
-			if c.waiting == 0 {
+			if c.queued == 0 {
 				overload.RequestDone()
 			}
 			b.ReportAllocs()
--- a/limits/ratetable.go
+++ b/limits/ratetable.go
@@ -1,31 +1,31 @@
 package limits
 
 const (
-	timeTolerance    = 1e-9 // seconds by which floating-point sums may be off
-	evictionSample   = 16   // keys of which the one that was idle for longest is forgotten
-	minTableSize     = 16
-	keyZero          = 0x9e3779b97f4a7c15 // stands for the key 0, which marks free entries
-	spreadMultiplier = 0xd6e8feb86659fd93 // odd: spreads keys over the table
+	timeTolerance  = 1e-9 // seconds of rounding error allowed in sums of times
+	evictionSample = 16   // keys inspected to find the one to evict
+	minTableSize   = 16
+	keyZero        = 0x9e3779b97f4a7c15 // stored in place of key 0, which marks free entries
+	hashMultiplier = 0xd6e8feb86659fd93 // odd; spreads similar keys over the table
 )
 
-// rateTable limits the rate of each of many keys by the generic cell rate algorithm: fullAt is when a key's bucket is
-// full again. A key whose bucket is full is as good as unknown, so forgetting it loses nothing.
+// rateTable limits the request rate of each key by the generic cell rate algorithm (GCRA). Evicting a key whose token
+// bucket is full again loses nothing, since an unknown key starts with a full bucket.
 //
-// It is one open table with linear probing, so that a request touches one place of memory: at a million keys a map, and
-// a list of their order, cost twice as much.
+// It is a hash table with open addressing and linear probing, so that a request accesses one region of memory. With a
+// million keys, a Go map and a list for the eviction order cost twice as much.
 type rateTable struct {
-	interval  float64     // seconds between requests at the rate
-	burst     float64     // seconds that a key may be ahead of the rate
-	maxKeys   int         // remembered
-	entries   []rateEntry // a power of two, half of them free at least
-	count     int
-	clockHand int // where the search for a key to forget continues
-	forgotten int // keys whose bucket was not full
+	interval     float64 // seconds between requests at the rate
+	burst        float64 // seconds by which a key may be ahead of the rate
+	maxKeys      int
+	entries      []rateEntry // their number is a power of two, and at least half of them are free
+	count        int         // keys in the table
+	clockHand    int         // index at which the search for a key to evict continues
+	evictedEarly int         // evicted keys whose bucket was not full
 }
 
 type rateEntry struct {
-	key    uint64 // 0: free
-	fullAt float64
+	key    uint64  // 0: the entry is free
+	fullAt float64 // when the token bucket of the key is full again
 }
 
 func newRateTable(limit Limit) *rateTable {
@@ -37,15 +37,15 @@
 	return table
 }
 
-// home returns the index at which the search for a key begins.
+// home returns the index at which the probe for a key starts.
 func (t *rateTable) home(key uint64) int {
-	key = (key ^ key>>32) * spreadMultiplier
+	key = (key ^ key>>32) * hashMultiplier
 	return int(key>>20) & t.mask()
 }
 
 func (t *rateTable) mask() int { return len(t.entries) - 1 }
 
-// find returns the entry of a key, or the free one where it would be.
+// find returns the entry of a key, or the free entry where it would be inserted.
 func (t *rateTable) find(key uint64) *rateEntry {
 	mask := t.mask()
 	for i := t.home(key); ; i = (i + 1) & mask {
@@ -55,13 +55,13 @@
 	}
 }
 
-// take returns 0 if a request of the key may pass now, else in how many seconds one may.
+// take admits a request of a key and returns 0, or returns the number of seconds until one would be admitted.
 func (t *rateTable) take(now float64, key uint64) (retryAfter float64) {
 	if key == 0 {
 		key = keyZero
 	}
 	entry := t.findOrAdd(now, key)
-	fullAt := max(entry.fullAt, now) // after a long pause the bucket is full and no more
+	fullAt := max(entry.fullAt, now) // an idle key does not accumulate more than a full bucket
 	if ahead := fullAt - now - t.burst; ahead > timeTolerance {
 		return ahead
 	}
@@ -69,6 +69,7 @@
 	return 0
 }
 
+// findOrAdd returns the entry of a key, and adds one with a full bucket if the key is new.
 func (t *rateTable) findOrAdd(now float64, key uint64) *rateEntry {
 	if len(t.entries) == 0 {
 		t.entries = make([]rateEntry, minTableSize)
@@ -78,7 +79,7 @@
 		return entry
 	}
 	if t.count >= t.maxKeys {
-		t.forgetOne(now)
+		t.evictOne(now)
 	}
 	t.count++
 	if 2*t.count > len(t.entries) {
@@ -89,7 +90,7 @@
 	return entry
 }
 
-// giveBack undoes a take that passed.
+// giveBack reverts a take that admitted a request.
 func (t *rateTable) giveBack(key uint64) {
 	if key == 0 {
 		key = keyZero
@@ -109,16 +110,17 @@
 	}
 }
 
-// forgetOne forgets the key, of a sample, that was idle for longest.
-func (t *rateTable) forgetOne(now float64) {
+// evictOne evicts, from a sample of the keys, the one that was idle for longest.
+func (t *rateTable) evictOne(now float64) {
 	victim := t.oldestOfSample()
 	if t.entries[victim].fullAt > now {
-		t.forgotten++
+		t.evictedEarly++
 	}
 	t.count--
 	t.remove(victim)
 }
 
+// oldestOfSample returns the index of the entry with the earliest fullAt among the next evictionSample keys.
 func (t *rateTable) oldestOfSample() int {
 	oldest := -1
 	for seen := 0; seen < min(evictionSample, t.count); t.clockHand = (t.clockHand + 1) & t.mask() {
@@ -134,7 +136,7 @@
 	return oldest
 }
 
-// remove frees an entry and moves up those behind it that would not be found across the gap.
+// remove frees an entry, and moves back the following entries that probing would no longer reach across the gap.
 func (t *rateTable) remove(free int) {
 	mask := t.mask()
 	for i := (free + 1) & mask; t.entries[i].key != 0; i = (i + 1) & mask {
--- a/limits/ratetable_test.go
+++ b/limits/ratetable_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// Under more keys than it remembers a limit stays within its bound, and forgets first the keys that are idle.
+// With more keys than it can track, a limit must stay within MaxKeys, and evict idle keys before active ones.
 func TestIdleKeysAreForgottenFirst(t *testing.T) {
 	limits := newLimits(t, Limit{Rate: 1, Burst: 1, MaxKeys: 1000})
 	for key := range uint64(1_000_000) {
 		_, rejection := limits.Acquire(float64(key)*.01, []LimitKey{{0, key}})
 		assert.Nil(t, rejection)
 	}
-	remembered, forgotten := limits.KeyCounts(0)
-	assert.Equal(t, 1000, remembered)
-	assert.Less(t, forgotten, 10_000, "nearly each that was forgotten was idle, so nothing was lost")
-	before := forgotten
+	tracked, evictedEarly := limits.KeyCounts(0)
+	assert.Equal(t, 1000, tracked)
+	assert.Less(t, evictedEarly, 10_000, "nearly all evicted keys were idle")
+	before := evictedEarly
 	for key := range uint64(2000) {
 		limits.Acquire(20_000, []LimitKey{{0, key}})
 	}
-	_, forgotten = limits.KeyCounts(0)
-	assert.GreaterOrEqual(t, forgotten-before, 1000, "these were not, and it is counted")
+	_, evictedEarly = limits.KeyCounts(0)
+	assert.GreaterOrEqual(t, evictedEarly-before, 1000, "these keys were evicted while active")
 	_, rejection := limits.Acquire(20_000, []LimitKey{{0, 1999}})
 	assert.NotNil(t, rejection)
 }
 
-// The table against a map: what it remembers is right, whatever comes and is forgotten.
+// Compares the table with a map, for any sequence of requests and evictions.
 func TestRateTableAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := &rateTable{interval: 1, maxKeys: rapid.IntRange(1, 40).Draw(t, "maxKeys")}
@@ -40,13 +40,13 @@
 			retryAfter := table.take(now, key)
 			before, known := fullAt[key]
 			if retryAfter > 0 && (!known || math.Abs(before-now-retryAfter) > 1e-6) {
-				t.Fatalf("key %d at %v: rejected for %v, full at %v", key, now, retryAfter, before)
+				t.Fatalf("key %d at %v s: rejected for %v s, but its bucket is full at %v s", key, now, retryAfter, before)
 			}
 			if retryAfter == 0 {
 				fullAt[key] = max(before, now) + 1
 			}
 			checkTable(t, table)
-			for known := range fullAt { // a key that is forgotten begins anew
+			for known := range fullAt { // an evicted key starts with a full bucket again
 				if !contains(table, known) {
 					delete(fullAt, known)
 				}
@@ -55,10 +55,10 @@
 	})
 }
 
-// checkTable checks the table's bound and count, and that each key is found.
+// checkTable checks the size of the table and its count, and that every key can be found.
 func checkTable(t *rapid.T, table *rateTable) {
 	if table.count > table.maxKeys {
-		t.Fatalf("%d keys of %d", table.count, table.maxKeys)
+		t.Fatalf("%d keys, at most %d allowed", table.count, table.maxKeys)
 	}
 	count := 0
 	for _, entry := range table.entries {
@@ -67,11 +67,11 @@
 		}
 		count++
 		if table.find(entry.key).key != entry.key {
-			t.Fatalf("key %d is not found", entry.key)
+			t.Fatalf("key %d is in the table, but find does not return it", entry.key)
 		}
 	}
 	if count != table.count {
-		t.Fatalf("%d keys, counted %d", count, table.count)
+		t.Fatalf("%d keys in the table, but its count is %d", count, table.count)
 	}
 }
 
--- a/limits/retry.go
+++ b/limits/retry.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// RetrySafety is how a request may be retried, as far as its rule goes; package balance still decides each attempt.
+// RetrySafety says whether a retry rule allows a request to be retried. Package balance still decides on each attempt.
 type RetrySafety uint8
 
-// The degrees of safety.
+// Whether a request may be retried.
 const (
 	RetryNever  RetrySafety = iota // non-idempotent: it must not run twice
-	RetryKeyed                     // servers drop a repeat by its idempotency key
-	RetryAlways                    // idempotent: it may run again
+	RetryKeyed                     // may be retried: servers drop repeats by its idempotency key
+	RetryAlways                    // idempotent: it may run more than once
 )
 
 var safetyNames = [...]string{"non-idempotent", "keyed", "idempotent"}
 
-// String returns the glossary's word for the requests of this safety.
+// String returns the term for requests of this safety, as the sub-command explain prints it.
 func (s RetrySafety) String() string { return safetyNames[s] }
 
-// RetryRule says by which method and key a request may be retried.
+// RetryRule says which requests may be retried, by their method and idempotency key, and how often.
 type RetryRule struct {
 	Name              string
 	IdempotentMethods []string // nil: GET, HEAD, OPTIONS and TRACE
-	KeyedMethods      []string // those that an idempotency key makes repeatable; nil: all others
-	MaxAttempts       int      // of a request; 0: as many as the deployment allows
-	BudgetRatio       float64  // the most retries in a pool for each of its recent first attempts
+	KeyedMethods      []string // methods that may be retried with an idempotency key; nil: all others
+	MaxAttempts       int      // maximum number of attempts of a request; 0: as many as the deployment allows
+	BudgetRatio       float64  // maximum ratio of a pool's retries to its recent first attempts
 }
 
 var defaultIdempotentMethods = []string{"GET", "HEAD", "OPTIONS", "TRACE"}
 
-// SafetyOf returns how a request may be retried. One that the rule does not name never is: a method that is unknown may
-// have any effect.
+// SafetyOf returns whether a request may be retried. A method that the rule does not cover is never retried, since an
+// unknown method may have any effect.
 func (r *RetryRule) SafetyOf(method string, hasKey bool) RetrySafety {
 	idempotent := r.IdempotentMethods
 	if idempotent == nil {
@@ -48,39 +48,39 @@
 }
 
 const (
-	budgetWindow = 10.0 // seconds: the time constant by which attempts fade from a budget
-	minRetries   = 3.0  // in that time that are always allowed: a fraction of next to nothing would allow none
+	budgetWindow = 10.0 // seconds; time constant of the exponential decay of the counted attempts
+	minRetries   = 3.0  // retries per budgetWindow that are always allowed, since the ratio of few attempts allows none
 )
 
-// RetryBudget bounds retries to a fraction of recent first attempts, so that a pool that fails is not stormed. The zero
-// value is ready for use.
+// RetryBudget limits retries to a ratio of recent first attempts, which prevents a retry storm when a pool fails. The
+// zero value is ready to use.
 type RetryBudget struct {
-	Ratio           float64 // retries for each first attempt
-	Allowed, Denied int     // retries, since the start
+	Ratio           float64 // maximum number of retries per first attempt
+	Allowed, Denied int     // numbers of retries since the start
 
-	firstAttempts, retries float64 // recent ones
-	fadedAt                float64 // seconds
+	firstAttempts, retries float64 // recent numbers, which decay over budgetWindow
+	decayedAt              float64 // time of the last decay, in seconds
 }
 
-func (b *RetryBudget) fade(now float64) {
-	if now <= b.fadedAt {
+func (b *RetryBudget) decay(now float64) {
+	if now <= b.decayedAt {
 		return
 	}
-	factor := math.Exp((b.fadedAt - now) / budgetWindow)
+	factor := math.Exp((b.decayedAt - now) / budgetWindow)
 	b.firstAttempts *= factor
 	b.retries *= factor
-	b.fadedAt = now
+	b.decayedAt = now
 }
 
-// FirstAttempt records a request's first attempt.
+// FirstAttempt records the first attempt of a request.
 func (b *RetryBudget) FirstAttempt(now float64) {
-	b.fade(now)
+	b.decay(now)
 	b.firstAttempts++
 }
 
-// AllowRetry reports whether a retry is within the budget, and spends it.
+// AllowRetry reports whether the budget allows a retry now, and if so, counts it.
 func (b *RetryBudget) AllowRetry(now float64) bool {
-	b.fade(now)
+	b.decay(now)
 	if b.retries+1 > b.Ratio*b.firstAttempts+minRetries {
 		b.Denied++
 		return false
--- a/limits/retry_test.go
+++ b/limits/retry_test.go
@@ -8,12 +8,12 @@
 
 func TestRetryBudget(t *testing.T) {
 	for name, c := range map[string]struct {
-		rate, ratio        float64 // first attempts a second, all of which fail
-		minRatio, maxRatio float64 // retries for each first attempt, in the long run
+		rate, ratio        float64 // first attempts per second, all of which fail, and the budget's ratio
+		minRatio, maxRatio float64 // bounds of the retries per first attempt, in the long run
 	}{
-		"a tenth":    {100, .1, .08, .14},
-		"none":       {100, 0, 0, .01},
-		"next to no": {.01, .1, 1, 3},
+		"ratio of a tenth":   {100, .1, .08, .14},
+		"ratio of zero":      {100, 0, 0, .01},
+		"few first attempts": {.01, .1, 1, 3},
 	} {
 		budget := RetryBudget{Ratio: c.ratio}
 		firstAttempts := 0.0
@@ -26,6 +26,6 @@
 		}
 		allowed := float64(budget.Allowed)
 		within := allowed >= c.minRatio*firstAttempts && allowed <= c.maxRatio*firstAttempts+minRetries
-		assert.True(t, within, "%s: %d of %v", name, budget.Allowed, firstAttempts)
+		assert.True(t, within, "%s: %d retries allowed for %v first attempts", name, budget.Allowed, firstAttempts)
 	}
 }
--- a/limits/waitqueue.go
+++ b/limits/waitqueue.go
@@ -6,56 +6,58 @@
 	"slices"
 )
 
-// arrivalsSlack is how many waiters that had their turn may still stand among the arrivals, beside as many as wait.
+// arrivalsSlack is how many dispatched requests arrivals may still hold before it is compacted, in addition to as many
+// as are queued.
 const arrivalsSlack = 64
 
-// waitQueue is the waiters in the order of their turns and in that of their arrival.
+// waitQueue holds the queued requests in two orders: by priority and by arrival.
 type waitQueue struct {
-	byTurn        waiterHeap
-	arrivals      []*Waiter // with some that had their turn
-	nonEmptySince float64   // seconds; +Inf: it is empty
+	byPriority    waiterHeap
+	arrivals      []*Waiter // in order of arrival; may include requests already dispatched
+	nonEmptySince float64   // time in seconds; +Inf: the queue is empty
 }
 
 func newWaitQueue() waitQueue { return waitQueue{nonEmptySince: math.Inf(1)} }
 
-func (q *waitQueue) empty() bool { return len(q.byTurn) == 0 }
+func (q *waitQueue) empty() bool { return len(q.byPriority) == 0 }
 
 func (q *waitQueue) add(now float64, waiter *Waiter) {
 	if q.empty() {
 		q.nonEmptySince = now
 		q.arrivals = q.arrivals[:0]
 	}
-	heap.Push(&q.byTurn, waiter)
+	heap.Push(&q.byPriority, waiter)
 	q.arrivals = append(q.arrivals, waiter)
 }
 
-// first returns the waiter that goes first; there is one.
-func (q *waitQueue) first() *Waiter { return q.byTurn[0] }
+// first returns the queued request of the highest priority. The queue must not be empty.
+func (q *waitQueue) first() *Waiter { return q.byPriority[0] }
 
-// oldest returns the waiter that arrived first; there is one.
+// oldest returns the queued request that arrived first. The queue must not be empty.
 func (q *waitQueue) oldest() *Waiter {
-	hadTurn := func(waiter *Waiter) bool { return waiter.heapIndex < 0 }
+	dispatched := func(waiter *Waiter) bool { return waiter.heapIndex < 0 }
 	passed := 0
-	for hadTurn(q.arrivals[passed]) {
+	for dispatched(q.arrivals[passed]) {
 		passed++
 	}
 	q.arrivals = q.arrivals[passed:]
-	if len(q.arrivals) > arrivalsSlack+2*len(q.byTurn) {
-		q.arrivals = slices.DeleteFunc(q.arrivals, hadTurn)
+	if len(q.arrivals) > arrivalsSlack+2*len(q.byPriority) {
+		q.arrivals = slices.DeleteFunc(q.arrivals, dispatched)
 	}
 	return q.arrivals[0]
 }
 
-func (q *waitQueue) remove(waiter *Waiter) { heap.Remove(&q.byTurn, waiter.heapIndex) }
+func (q *waitQueue) remove(waiter *Waiter) { heap.Remove(&q.byPriority, waiter.heapIndex) }
 
-// waiterHeap is a heap.Interface with the waiter that goes first at its top.
+// waiterHeap implements heap.Interface. The request to dispatch first is at the root: the one of the highest priority,
+// and among equals the one with the smallest finish tag.
 type waiterHeap []*Waiter
 
 func (h waiterHeap) Len() int { return len(h) }
 
 func (h waiterHeap) Less(i, j int) bool {
-	if h[i].grade != h[j].grade {
-		return h[i].grade > h[j].grade
+	if h[i].priority != h[j].priority {
+		return h[i].priority > h[j].priority
 	}
 	return h[i].finishTag < h[j].finishTag
 }
