--- a/routes/action.go
+++ b/routes/action.go
@@ -7,9 +7,9 @@
 	"lockloom/internal/pcg"
 )
 
-// SelectPool returns the pool that a key's requests go to, as an index of the route's Pools; -1 if it has none. When
-// weights change, only as great a fraction of the keys moves as the weights do. For a request without a key the caller
-// draws one.
+// SelectPool returns the index in the route's Pools of the pool to which requests with a key go, or -1 if the route has
+// none. When weights change, only as many keys move to another pool as the new weights require. The caller passes a
+// random key for a request without one.
 func (m *Match) SelectPool(key uint64) int {
 	pools := m.Route.Action.Pools
 	if len(pools) < 2 {
@@ -20,7 +20,7 @@
 		if pool.Weight == 0 {
 			continue
 		}
-		// Weighted rendezvous hashing: the pool with the greatest ln(u)/weight, where u is the hash of key and pool.
+		// Weighted rendezvous hashing selects the pool with the greatest ln(u)/weight; u hashes key and pool to (0, 1).
 		if score := math.Log(pcg.HashFloat64(key, nameHash(pool.Pool))) / pool.Weight; score > bestScore {
 			best, bestScore = i, score
 		}
@@ -28,7 +28,8 @@
 	return best
 }
 
-// nameHash is 64-bit FNV-1a, which hash/fnv does not compute without a conversion to bytes.
+// nameHash returns the 64-bit FNV-1a hash of a name. It is implemented here because hash/fnv needs a conversion to
+// bytes.
 func nameHash(name string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -38,7 +39,8 @@
 	return hash
 }
 
-// UpstreamPath returns the path that is forwarded to a pool. It is an error if the rewritten path cannot be normalized.
+// UpstreamPath returns the path that is forwarded to the pool: the request's path, rewritten if the route says so. The
+// error is a *PathError if the rewritten path cannot be normalized.
 func (m *Match) UpstreamPath() (string, error) {
 	action := &m.Route.Action
 	if action.Rewrite == "" {
@@ -50,7 +52,7 @@
 	return NormalizePath(action.Rewrite + m.path[len(m.compiled.path):])
 }
 
-// Location returns the address that a redirect sends the client to.
+// Location returns the value of a redirect's Location field. The route's action must be a redirect.
 func (m *Match) Location(query string) string {
 	redirect := m.Route.Action.Redirect
 	location := redirect.To
@@ -66,9 +68,9 @@
 	return location
 }
 
-// expand puts the captures of the route's expression into a template.
+// expand replaces $1 and ${name} in a template by the submatches of the route's regular expression in the path.
 func (m *Match) expand(template string) string {
 	expression := m.compiled.expression
-	captures := expression.FindStringSubmatchIndex(m.path)
-	return string(expression.ExpandString(nil, template, m.path, captures))
+	submatches := expression.FindStringSubmatchIndex(m.path)
+	return string(expression.ExpandString(nil, template, m.path, submatches))
 }
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// Bounds of a table; what exceeds them is likelier a mistake than a need.
+// Limits of a table. A configuration that exceeds them is probably a mistake.
 const (
 	maxRoutes      = 1_000_000
-	maxNesting     = 8
-	maxTextBytes   = 4096 // of a path, expression or host
+	maxNesting     = 8    // levels of routes below an outermost route
+	maxTextBytes   = 4096 // length of a path, expression or host
 	maxRoutePools  = 64   // of one route
 	minFixedStatus = 200
 	maxFixedStatus = 599
@@ -21,9 +21,9 @@
 
 var redirectStatuses = []int{301, 302, 303, 307, 308}
 
-// RouteError says why a route cannot be compiled.
+// RouteError is the error for a route that cannot be compiled.
 type RouteError struct {
-	Route string // its name
+	Route string // name of the route
 	Err   error
 }
 
@@ -31,18 +31,18 @@
 
 func (e *RouteError) Unwrap() error { return e.Err }
 
-// compiled is a route ready to match.
-type compiled struct {
+// compiledRoute is a route prepared for matching.
+type compiledRoute struct {
 	*Route
-	path       string         // unless the kind is Regex
-	expression *regexp.Regexp // if it is
+	path       string         // in normal form, for Segments without trailing slash; empty for Regex
+	expression *regexp.Regexp // nil unless the kind is Regex
 	fields     []condition
 	query      []condition
-	nested     []*compiled // those of expressions
-	parent     *compiled
+	nested     []*compiledRoute // nested routes of the kind Regex, in order
+	parent     *compiledRoute   // the enclosing route; nil: none
 }
 
-// Compile makes a table of routes. The error joins a *RouteError for each route that cannot be compiled.
+// Compile builds a Table from routes. The returned error joins a *RouteError per route that cannot be compiled.
 func Compile(list []Route) (*Table, error) {
 	table := newTable()
 	var errs []error
@@ -55,6 +55,7 @@
 	return table, nil
 }
 
+// addToHosts adds a route to the routes of each of its hosts.
 func (t *Table) addToHosts(route *Route) []error {
 	hosts := route.Hosts
 	if len(hosts) == 0 {
@@ -62,22 +63,22 @@
 	}
 	var errs []error
 	for i, host := range hosts {
-		site, err := t.siteFor(host)
+		vhost, err := t.virtualHostFor(host)
 		if err != nil {
 			errs = append(errs, &RouteError{route.Name, err})
 			continue
 		}
-		if err := t.add(site, route, nil, 0); err != nil && i == 0 { // it is the same for each host
+		if err := t.add(vhost, route, nil, 0); err != nil && i == 0 { // the error is the same for every host
 			errs = append(errs, err)
 		}
 	}
 	return errs
 }
 
-// add compiles one route, and those nested in it, into a host's routes.
-func (t *Table) add(site *site, route *Route, parent *compiled, depth int) error {
+// add compiles a route and its nested routes, and adds them to a virtual host.
+func (t *Table) add(vhost *virtualHost, route *Route, parent *compiledRoute, depth int) error {
 	if t.count >= maxRoutes || depth > maxNesting {
-		err := fmt.Errorf("more than %d routes, or nested deeper than %d", maxRoutes, maxNesting)
+		err := fmt.Errorf("more than %d routes in the table, or routes nested deeper than %d levels", maxRoutes, maxNesting)
 		return &RouteError{route.Name, err}
 	}
 	c, err := compileRoute(route, parent)
@@ -85,21 +86,21 @@
 		return &RouteError{route.Name, err}
 	}
 	t.count++
-	site.add(c)
+	vhost.add(c)
 	for i := range route.Nested {
 		nested := &route.Nested[i]
 		if err := checkNested(route, nested); err != nil {
 			return &RouteError{route.Name, err}
 		}
-		if err := t.add(site, nested, c, depth+1); err != nil {
+		if err := t.add(vhost, nested, c, depth+1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func compileRoute(route *Route, parent *compiled) (*compiled, error) {
-	c := &compiled{Route: route, parent: parent}
+func compileRoute(route *Route, parent *compiledRoute) (*compiledRoute, error) {
+	c := &compiledRoute{Route: route, parent: parent}
 	if err := c.compilePath(); err != nil {
 		return nil, err
 	}
@@ -113,11 +114,11 @@
 	return c, route.Action.check(route.Kind)
 }
 
-// compilePath requires a path in its normal form: another could never match, or would match what its writer did not
-// mean.
-func (c *compiled) compilePath() error {
+// compilePath sets the path or expression to match. It rejects a path that is not in its normal form, because such a
+// path would never match, or would match other requests than intended.
+func (c *compiledRoute) compilePath() error {
 	if len(c.Path) > maxTextBytes {
-		return fmt.Errorf("path of %d bytes: %d at most", len(c.Path), maxTextBytes)
+		return fmt.Errorf("path has %d bytes, at most %d are allowed", len(c.Path), maxTextBytes)
 	}
 	var err error
 	if c.Kind == Regex {
@@ -130,7 +131,7 @@
 		return err
 	}
 	if c.path != c.Path {
-		return fmt.Errorf("path %q is not in its normal form, %q", c.Path, c.path)
+		return fmt.Errorf("path %q is not in its normal form, which is %q", c.Path, c.path)
 	}
 	if c.Kind == Segments && c.path != "/" {
 		c.path = strings.TrimSuffix(c.path, "/")
@@ -138,20 +139,22 @@
 	return nil
 }
 
+// checkNested returns an error if a route must not be nested in outer.
 func checkNested(outer, nested *Route) error {
 	if len(nested.Hosts) > 0 {
-		return fmt.Errorf("nested route %q has hosts of its own", nested.Name)
+		return fmt.Errorf("nested route %q has hosts of its own; it must use those of its outer route", nested.Name)
 	}
 	within := nested.Kind == Regex || outer.Kind != Regex && strings.HasPrefix(nested.Path, outer.Path)
 	if !within || outer.Kind == Exact {
-		return fmt.Errorf("nested route %q cannot stand within it", nested.Name)
+		return fmt.Errorf("nested route %q cannot be nested here: the outer route must not be exact, and the nested one "+
+			"must be a regex or begin with the outer prefix", nested.Name)
 	}
 	return nil
 }
 
 func (a *Action) check(kind MatchKind) error {
 	if a.count() != 1 {
-		return errors.New("it has one of pools, redirect and fixed answer")
+		return errors.New("needs exactly one of pools, redirect and fixed answer")
 	}
 	if err := a.checkPools(); err != nil {
 		return err
@@ -160,10 +163,10 @@
 		return err
 	}
 	if r := a.Redirect; r != nil && (!slices.Contains(redirectStatuses, r.Status) || r.To == "") {
-		return fmt.Errorf("redirect %d to %q: 301, 302, 303, 307 or 308, and where to", r.Status, r.To)
+		return fmt.Errorf("redirect %d to %q: needs the status 301, 302, 303, 307 or 308, and a location", r.Status, r.To)
 	}
 	if f := a.Response; f != nil && (f.Status < minFixedStatus || f.Status > maxFixedStatus) {
-		return fmt.Errorf("fixed answer %d: 200 to 599", f.Status)
+		return fmt.Errorf("fixed answer %d: the status must be from 200 to 599", f.Status)
 	}
 	return nil
 }
@@ -183,12 +186,14 @@
 	sum := 0.0
 	for _, pool := range a.Pools {
 		if pool.Pool == "" || !(pool.Weight >= 0) || math.IsInf(pool.Weight, 1) {
-			return fmt.Errorf("pool %q: weight %v", pool.Pool, pool.Weight)
+			return fmt.Errorf("pool %q: weight %v: needs a name, and a weight that is finite and not negative",
+				pool.Pool, pool.Weight)
 		}
 		sum += pool.Weight
 	}
 	if len(a.Pools) > maxRoutePools || len(a.Pools) > 0 && sum == 0 {
-		return fmt.Errorf("%d pools with weights of %v in all", len(a.Pools), sum)
+		return fmt.Errorf("%d pools with weights of %v in total: at most %d pools are allowed, and the total must not be 0",
+			len(a.Pools), sum, maxRoutePools)
 	}
 	return nil
 }
@@ -203,7 +208,7 @@
 		}
 	}
 	if len(a.Pools) == 0 {
-		return errors.New("a rewrite without pools")
+		return errors.New("rewrite without pools: only requests that are forwarded can be rewritten")
 	}
 	return nil
 }
--- a/routes/compile_test.go
+++ b/routes/compile_test.go
@@ -24,14 +24,14 @@
 		"fixed answer 99":           {Path: "/", Action: Action{Response: &FixedResponse{Status: 99}}},
 		"rewrite without pools":     {Path: "/", Action: Action{Rewrite: "/x", Response: fixed}},
 		"normal form of a path":     {Path: "/", Action: Action{Rewrite: "x", Pools: pools}},
-		"cannot stand within":       nested(Route{Name: "n", Path: "/b/", Action: toPool()}),
+		"cannot be nested here":     nested(Route{Name: "n", Path: "/b/", Action: toPool()}),
 		"hosts of its own":          nested(Route{Name: "n", Path: "/a/b/", Hosts: []string{"x"}, Action: toPool()}),
 		`host "a.*.b"`:              {Path: "/", Hosts: []string{"a.*.b"}, Action: toPool()},
 	} {
 		route.Name = "r"
 		_, err := Compile([]Route{route, {Name: "s", Path: "bad", Action: toPool()}})
 		assert.ErrorContains(t, err, want)
-		assert.ErrorContains(t, err, `route "s"`, "every error at once")
+		assert.ErrorContains(t, err, `route "s"`, "the errors of all routes are joined")
 		var routeError *RouteError
 		if assert.ErrorAs(t, err, &routeError) {
 			assert.Equal(t, "r", routeError.Route)
--- a/routes/condition.go
+++ b/routes/condition.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// condition is a Condition ready to match.
+// condition is a Condition prepared for matching.
 type condition struct {
 	Condition
 	expression *regexp.Regexp // nil unless Regex
@@ -15,15 +15,15 @@
 
 func compileConditions(list []Condition) ([]condition, error) {
 	var compiled []condition
-	for _, written := range list {
-		c := condition{Condition: written}
-		if written.Name == "" {
+	for _, source := range list {
+		c := condition{Condition: source}
+		if source.Name == "" {
 			return nil, errors.New("without a name")
 		}
-		if written.Regex {
+		if source.Regex {
 			var err error
-			if c.expression, err = regexp.Compile(written.Value); err != nil {
-				return nil, fmt.Errorf("%s: expression: %w", written.Name, err)
+			if c.expression, err = regexp.Compile(source.Value); err != nil {
+				return nil, fmt.Errorf("%s: expression: %w", source.Name, err)
 			}
 		}
 		compiled = append(compiled, c)
@@ -42,7 +42,8 @@
 	return matches != c.Negate
 }
 
-// queryParameter returns the first parameter of a name in a query, as it is written there.
+// queryParameter returns the value of the first parameter with a name in a query, without decoding it, and whether
+// there is one.
 func queryParameter(query, name string) (string, bool) {
 	for query != "" {
 		var parameter string
--- a/routes/failover_test.go
+++ b/routes/failover_test.go
@@ -24,7 +24,7 @@
 func TestFailoverOfAFlappingPoolStays(t *testing.T) {
 	changes, before := 0, false
 	failover := Failover{ActivateAfter: 1, RecoverAfter: 5}
-	for now := 0.0; now < 100; now += .1 { // a pool that comes and goes every half second
+	for now := 0.0; now < 100; now += .1 { // the pool is available every other half second
 		if active := failover.Active(now, int(now*2)%2 == 0); active != before {
 			changes, before = changes+1, active
 		}
--- a/routes/match.go
+++ b/routes/match.go
@@ -5,45 +5,45 @@
 	"strings"
 )
 
-// Match is the route that a request matches.
+// Match is the result of matching a request: its route, and what is needed to apply the route's action.
 type Match struct {
 	Route    *Route
-	compiled *compiled
+	compiled *compiledRoute
 	path     string
 }
 
-// Considered is a route that was considered for a request, and what came of it.
+// Considered is a route that was considered for a request, and the reason why it was selected or skipped.
 type Considered struct {
 	Route  *Route
 	Reason string
 }
 
-// Match finds the route that a request matches; false: none.
+// Match returns the route that a request matches; the result is false if there is none.
 func (t *Table) Match(request *Request) (Match, bool) { return t.match(request, nil) }
 
-// Explain is Match, and returns all routes that were considered, in order.
+// Explain does the same as Match, and also returns all routes that were considered, in order.
 func (t *Table) Explain(request *Request) (match Match, ok bool, considered []Considered) {
-	match, ok = t.match(request, func(c *compiled, reason string) {
+	match, ok = t.match(request, func(c *compiledRoute, reason string) {
 		considered = append(considered, Considered{c.Route, reason})
 	})
 	return match, ok, considered
 }
 
-// tracer receives the routes that are considered and what came of each. It is nil outside Explain, so that a match
-// does not build the reasons.
-type tracer func(route *compiled, reason string)
+// tracer receives each route that is considered and the reason why it is selected or skipped. It is nil except in
+// Explain, so that Match does not format reasons.
+type tracer func(route *compiledRoute, reason string)
 
 func (t *Table) match(request *Request, trace tracer) (Match, bool) {
-	site := t.find(request.Host)
-	if site == nil {
+	vhost := t.find(request.Host)
+	if vhost == nil {
 		return Match{}, false
 	}
-	for _, c := range site.exact[request.Path] {
+	for _, c := range vhost.exact[request.Path] {
 		if c.conditionsMatch(request, trace) {
 			return c.matched(request, trace, "exact path"), true
 		}
 	}
-	prefix := site.longestPrefix(request, trace)
+	prefix := vhost.longestPrefix(request, trace)
 	if prefix != nil && prefix.Final {
 		return prefix.matched(request, trace, "longest prefix, and final"), true
 	}
@@ -52,7 +52,7 @@
 			return c.matched(request, trace, "expression within "+enclosing.Name), true
 		}
 	}
-	if c := firstExpression(site.expressions, request, trace); c != nil {
+	if c := firstExpression(vhost.expressions, request, trace); c != nil {
 		return c.matched(request, trace, "expression"), true
 	}
 	if prefix != nil {
@@ -61,9 +61,9 @@
 	return Match{}, false
 }
 
-// longestPrefix returns the first route of the longest prefix whose conditions match.
-func (s *site) longestPrefix(request *Request, trace tracer) *compiled {
-	for n := s.prefixes.longest(request.Path); n != nil; n = n.up {
+// longestPrefix returns the first route whose conditions match, of the longest prefix that has such a route; nil: none.
+func (v *virtualHost) longestPrefix(request *Request, trace tracer) *compiledRoute {
+	for n := v.prefixes.longest(request.Path); n != nil; n = n.shorter {
 		for _, c := range n.routes {
 			if !c.endsAtSegment(request.Path) {
 				if trace != nil {
@@ -79,13 +79,15 @@
 	return nil
 }
 
-// endsAtSegment reports whether a prefix of the kind Segments ends where a segment of the path does.
-func (c *compiled) endsAtSegment(path string) bool {
+// endsAtSegment reports whether the route's prefix may match the path: the prefix of one of the kind Segments must end
+// where a segment of the path ends.
+func (c *compiledRoute) endsAtSegment(path string) bool {
 	return c.Kind != Segments || len(path) <= len(c.path) || c.path == "/" || path[len(c.path)] == '/'
 }
 
-// firstExpression returns the first route whose expression and conditions match, or the one nested in it.
-func firstExpression(list []*compiled, request *Request, trace tracer) *compiled {
+// firstExpression returns the first route whose expression and conditions match, or the route nested in it that
+// matches; nil: none.
+func firstExpression(list []*compiledRoute, request *Request, trace tracer) *compiledRoute {
 	for _, c := range list {
 		if !c.expression.MatchString(request.Path) {
 			if trace != nil {
@@ -104,15 +106,16 @@
 	return nil
 }
 
-func (c *compiled) matched(request *Request, trace tracer, how string) Match {
+// matched returns the match of a request with the route; how describes the step that selected it.
+func (c *compiledRoute) matched(request *Request, trace tracer, how string) Match {
 	if trace != nil {
 		trace(c, "met: "+how)
 	}
 	return Match{Route: c.Route, compiled: c, path: request.Path}
 }
 
-// conditionsMatch reports whether a route's method, fields and query match.
-func (c *compiled) conditionsMatch(request *Request, trace tracer) bool {
+// conditionsMatch reports whether a request matches the route's conditions on method, fields and query.
+func (c *compiledRoute) conditionsMatch(request *Request, trace tracer) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, request.Method) {
 		if trace != nil {
 			trace(c, "method "+request.Method+" is not among "+strings.Join(c.Methods, ", "))
--- a/routes/match_test.go
+++ b/routes/match_test.go
@@ -63,7 +63,7 @@
 
 func TestMatch(t *testing.T) {
 	table := matchTable(t)
-	// field is the value of X-Beta; forwardedTo the path upstream, or the location; empty: not looked at.
+	// field is the value of X-Beta. forwardedTo is the upstream path or the redirect's location; empty: not checked.
 	for _, c := range []struct{ host, method, target, field, want, forwardedTo string }{
 		{"", "GET", "/", "", "root", "/"},
 		{"", "GET", "/sign", "", "exact", "/sign"},
@@ -89,8 +89,8 @@
 		{"c.example.org", "GET", "/x", "", "wild", ""},
 		{"example.net", "GET", "/x", "", "wild", ""},
 		{"x.b.example.org", "GET", "/only", "", "wilder", ""},
-		{"x.b.example.org", "GET", "/x", "", "", ""}, // the host decides
-		{"example.org", "GET", "/x", "", "wild", ""}, // as example.*
+		{"x.b.example.org", "GET", "/x", "", "", ""}, // the host has routes, so the default host's are not tried
+		{"example.org", "GET", "/x", "", "wild", ""}, // matches example.*
 		{"other", "GET", "/old/a?b=1", "", "moved", "https://new.example.org/old/a?b=1"},
 		{"other", "GET", "/gone/12", "", "gone", "/found?n=12"},
 	} {
@@ -111,7 +111,7 @@
 	}
 }
 
-// forwardedTo returns the location of a redirect, or the path upstream.
+// forwardedTo returns the location of a redirect, or the upstream path of a forwarded request.
 func forwardedTo(t *testing.T, match *Match, query string) string {
 	t.Helper()
 	if match.Route.Action.Redirect != nil {
@@ -128,8 +128,9 @@
 	assert.Equal(t, "met: longest prefix", considered[len(considered)-1].Reason)
 }
 
-// reference finds a route in the plainest way, straight from the order of choice.
-func reference(list []Route, request *Request) string {
+// referenceMatch returns the name of the route that a request matches, found by a linear search that follows the rules
+// in the package documentation.
+func referenceMatch(list []Route, request *Request) string {
 	for i := range list {
 		if r := &list[i]; r.Kind == Exact && r.Path == request.Path && methodMatches(r, request) {
 			return r.Name
@@ -211,14 +212,14 @@
 			if match, ok := table.Match(&request); ok {
 				got = match.Route.Name
 			}
-			if want := reference(list, &request); got != want {
-				t.Fatalf("%s %s: %q, by the reference %q", request.Method, request.Path, got, want)
+			if want := referenceMatch(list, &request); got != want {
+				t.Fatalf("%s %s: matched route %q, the reference matches %q", request.Method, request.Path, got, want)
 			}
 		}
 	})
 }
 
-// A key stays at its pool when weights change a little, and the fractions are those of the weights.
+// Pools must receive fractions of the keys by their weights, and a change of weights must move as few keys as possible.
 func TestSelectPoolFollowsWeights(t *testing.T) {
 	match := func(blue, green float64) *Match {
 		pools := []WeightedPool{{"blue", blue}, {"green", green}, {"off", 0}}
@@ -226,7 +227,7 @@
 	}
 	before, after := match(.9, .1), match(.85, .15)
 	const keys = 20_000
-	green, moved, back := 0, 0, 0
+	green, moved, movedBack := 0, 0, 0
 	for k := range uint64(keys) {
 		poolBefore, poolAfter := before.SelectPool(k+1), after.SelectPool(k+1)
 		if poolBefore == 1 {
@@ -235,13 +236,13 @@
 		if poolBefore != poolAfter {
 			moved++
 			if poolBefore == 1 {
-				back++
+				movedBack++
 			}
 		}
 	}
 	assert.InEpsilon(t, .1, float64(green)/keys, .07)
-	assert.InEpsilon(t, .05, float64(moved)/keys, .1, "as much moves as the weights do")
-	assert.Zero(t, back, "and nothing the other way")
+	assert.InEpsilon(t, .05, float64(moved)/keys, .1, "the fraction of moved keys equals the change of the weights")
+	assert.Zero(t, movedBack, "no key moves to the pool whose weight decreased")
 	one := Match{Route: &Route{Action: toPool()}}
 	assert.Equal(t, 0, one.SelectPool(5))
 	assert.Equal(t, -1, (&Match{Route: &Route{}}).SelectPool(5))
@@ -264,7 +265,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if _, ok := table.Match(&requests[i%len(requests)]); !ok {
-					b.Fatal("none")
+					b.Fatal("no route matched")
 				}
 			}
 		})
--- a/routes/path.go
+++ b/routes/path.go
@@ -5,19 +5,21 @@
 	"strings"
 )
 
-// PathError says why a path or target is rejected: two programs could read it in two ways.
+// PathError is the error for a path or request target that is rejected because programs could interpret it differently.
 type PathError struct{ Path, Why string }
 
 func (e *PathError) Error() string { return fmt.Sprintf("path %.80q: %s", e.Path, e.Why) }
 
-// NormalizePath returns the one form of a path, by which routes match and in which it is forwarded. An unreserved
-// character (RFC 3986, 2.3) stands as itself, every other escape has upper-case digits, and a byte above 0x7e is
-// escaped. An escaped slash stays escaped: it is no slash. Several slashes are one. Dot segments are resolved.
+// NormalizePath returns the normal form of a path, which routes match and which is forwarded. In the normal form,
+// unreserved characters (RFC 3986, section 2.3) are not escaped, other escapes have upper-case digits, and bytes above
+// 0x7e are escaped. An escaped slash remains escaped and does not separate segments. Repeated slashes are merged, and
+// dot segments are resolved.
 //
-// It returns a *PathError for a path that climbs above its root, has a raw control character, backslash, space, '#' or
-// '?', a malformed escape or one of a null, or a dot segment with parameters ("..;x") or behind an escaped slash.
+// It returns a *PathError for a path that does not begin with a slash, whose dot segments lead above its root, that has
+// a raw control character, backslash, space, '#' or '?', a malformed escape or an escaped NUL, or a dot segment that
+// has parameters ("..;x") or is next to an escaped slash or backslash.
 //
-// A normal path is its own normal form; for one it returns the path itself and does not allocate.
+// A path that is already normal is returned unchanged, in most cases without an allocation.
 func NormalizePath(path string) (string, error) {
 	if path == "" || path[0] != '/' {
 		return "", &PathError{path, "it does not begin with a slash"}
@@ -40,20 +42,20 @@
 	return string(normal.path), nil
 }
 
-// pathBuilder resolves the segments of a path.
+// pathBuilder builds a normal path from the segments of a path, and resolves dot segments.
 type pathBuilder struct {
 	path   []byte
-	starts []int // of segments in path, each at its slash
+	starts []int // index in path of the slash before each segment
 }
 
-// add adds a segment, and returns why it is rejected if it is.
+// add adds a segment. It returns the reason if the path must be rejected, else an empty string.
 func (b *pathBuilder) add(segment string, last bool) (why string) {
 	if hasHiddenDotSegment(segment) {
 		return "a dot segment behind an escaped slash or backslash"
 	}
 	bare, _, parameters := strings.Cut(segment, ";")
 	switch {
-	case parameters && isDotSegment(bare): // some servers drop the parameters and climb
+	case parameters && isDotSegment(bare): // some servers ignore the parameters and resolve the dot segment
 		return "a dot segment with parameters"
 	case segment == "..":
 		if len(b.starts) == 0 {
@@ -66,7 +68,7 @@
 		b.path = append(b.path, '/')
 		b.path = append(b.path, segment...)
 	}
-	if last && (segment == "" || isDotSegment(segment)) { // the path ends in a slash, or as if it did
+	if last && (segment == "" || isDotSegment(segment)) { // a final dot segment stands for a directory
 		b.path = append(b.path, '/')
 	}
 	return ""
@@ -74,8 +76,8 @@
 
 func isDotSegment(segment string) bool { return segment == "." || segment == ".." }
 
-// hasHiddenDotSegment reports whether a segment has a dot segment between escaped slashes or backslashes: a server that
-// takes those for slashes climbs by it.
+// hasHiddenDotSegment reports whether a segment has a dot segment between escaped slashes or backslashes. A server that
+// treats those as slashes would resolve it, and serve another path than the one that was matched.
 func hasHiddenDotSegment(segment string) bool {
 	if !strings.Contains(segment, "%2F") && !strings.Contains(segment, "%5C") {
 		return false
@@ -88,8 +90,8 @@
 	return false
 }
 
-// isPlain reports whether a path is certainly in the normal form. One with a segment that begins with a dot, for
-// example, is looked at more closely.
+// isPlain reports whether a path is in the normal form by a quick check. A false result does not mean that it is not: a
+// path with a segment that begins with a dot, for example, needs the full check.
 func isPlain(path string) bool {
 	for i := range len(path) {
 		c := path[i]
@@ -105,10 +107,10 @@
 	return true
 }
 
-// normalizeEscapes brings each character to its one form.
+// normalizeEscapes escapes or unescapes each character as the normal form requires.
 func normalizeEscapes(path string) (string, error) {
-	const fewEscapes = 8 // bytes by which escapes make most paths longer, at the most
-	normal := make([]byte, 0, len(path)+fewEscapes)
+	const extraCapacity = 8 // bytes that suffice for the added escapes of most paths
+	normal := make([]byte, 0, len(path)+extraCapacity)
 	for i := 0; i < len(path); i++ {
 		switch c := path[i]; {
 		case c < ' ' || c == 0x7f:
@@ -140,7 +142,7 @@
 
 const escapeBytes = len("%00")
 
-// parseEscape returns the character of the escape that a text begins with.
+// parseEscape decodes the escape at the beginning of text, which begins with '%'; ok is false if it is malformed.
 func parseEscape(text string) (c byte, ok bool) {
 	if len(text) < escapeBytes {
 		return 0, false
--- a/routes/path_test.go
+++ b/routes/path_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// What is matched is what is forwarded: a normal path is its own normal form, and no reader of it finds a way up or a
-// second slash.
+// Guards against a normal path that servers interpret differently: normalizing it again must not change it, and it must
+// not contain dot segments or repeated slashes, even if escaped slashes are decoded.
 func FuzzNormal(f *testing.F) {
 	for _, seed := range []string{"/a/b", "//a/./%2e%2E/b%2f", "/%61;x/..", "/a/..%5c", "/\xff\x80", "/a%2F..%2fb"} {
 		f.Add(seed)
@@ -96,15 +96,15 @@
 			return
 		}
 		if again, err := NormalizePath(normal); err != nil || again != normal {
-			t.Fatalf("%q: %q, then %q, %v", path, normal, again, err)
+			t.Fatalf("%q is normalized to %q, and that to %q (error %v)", path, normal, again, err)
 		}
 		if normal[0] != '/' || strings.Contains(normal, "//") || strings.ContainsAny(normal, " \\?#\x00") {
-			t.Fatalf("%q: %q", path, normal)
+			t.Fatalf("%q is normalized to %q, which has an invalid character", path, normal)
 		}
 		decoded := strings.NewReplacer("%2F", "/", "%5C", "/").Replace(normal)
 		for segment := range strings.SplitSeq(decoded, "/") {
 			if bare, _, _ := strings.Cut(segment, ";"); bare == "." || bare == ".." {
-				t.Fatalf("%q: a way up in %q", path, normal)
+				t.Fatalf("%q is normalized to %q, which has a dot segment", path, normal)
 			}
 		}
 	})
--- a/routes/route.go
+++ b/routes/route.go
@@ -1,78 +1,79 @@
 package routes
 
-// MatchKind is how a route's path is meant.
+// MatchKind says how the path of a route is matched.
 type MatchKind uint8
 
-// The kinds of paths.
+// The ways to match a path.
 const (
-	Prefix   MatchKind = iota // the path begins with it, at any character
-	Segments                  // the path is it, or continues behind it with a slash
-	Exact
-	Regex
+	Prefix   MatchKind = iota // the request's path begins with the route's path
+	Segments                  // the same, but the prefix must end at the end of a path segment
+	Exact                     // the request's path is equal to the route's path
+	Regex                     // the route's path is a regular expression
 )
 
 var kindNames = [...]string{"prefix", "under", "exact", "regex"}
 
-// String returns the kind's key in the operator file.
+// String returns the key of the kind in the operator file.
 func (k MatchKind) String() string { return kindNames[k] }
 
-// Route is one route as it is written.
+// Route is the configuration of a route.
 type Route struct {
 	Name    string
-	Hosts   []string // empty: the default
+	Hosts   []string // empty: the default, for requests whose host no other route names
 	Kind    MatchKind
 	Path    string
-	Final   bool // of a prefix: no regular expression is tried after it
-	Methods []string
+	Final   bool     // of a prefix: if it is the longest, no regular expressions are tried
+	Methods []string // empty: any
 	Fields  []Condition
 	Query   []Condition
-	Nested  []Route // tried where this one's prefix is the longest; their hosts are this one's
+	Nested  []Route // without Hosts; regular expressions among them apply only within this route
 	Action  Action
 }
 
 // Condition is a condition on a header field or a query parameter.
 type Condition struct {
 	Name   string
-	Value  string // empty: any value, if it is present
+	Value  string // empty: any value, but the field or parameter must be present
 	Regex  bool   // Value is a regular expression
-	Negate bool
+	Negate bool   // the condition must not be met
 }
 
-// Action is what becomes of a request: one of Pools, Redirect and Response.
+// Action says how a route handles requests. Exactly one of Pools, Redirect and Response is set.
 type Action struct {
 	Pools    []WeightedPool
-	Rewrite  string // replaces the matched prefix; of an expression, the whole path, with $1 and ${name}
+	Rewrite  string // replaces the matched prefix, or for Regex the whole path, with $1 and ${name} expanded
 	Redirect *Redirect
 	Response *FixedResponse
 }
 
-// WeightedPool is a pool, and its weight among a route's pools.
+// WeightedPool is a pool and its weight relative to the other pools of the route.
 type WeightedPool struct {
 	Pool   string
 	Weight float64
 }
 
-// Redirect sends the client elsewhere.
+// Redirect is an action that answers a request with a redirect.
 type Redirect struct {
 	Status   int
-	To       string // an address; may use the captures of an expression
-	KeepPath bool   // path and query are appended
+	To       string // value of the Location field; for Regex, $1 and ${name} are expanded
+	KeepPath bool   // appends the request's path and query to To
 }
 
-// FixedResponse is given by the proxy itself.
+// FixedResponse is an action that answers a request in the proxy.
 type FixedResponse struct {
 	Status int
-	Type   string
+	Type   string // value of the Content-Type field
 	Body   string
 }
 
 // Fields are a request's header fields.
 type Fields interface {
-	// Get returns the first field of a name, in whatever case, and whether there is one.
+	// Get returns the value of the first field with a name, which is not case-sensitive, and whether there is one.
 	Get(name string) (value string, present bool)
 }
 
-// Request is what a match depends on. Path is as NormalizePath returns it, Host as NormalizeHost does.
+// Request holds the parts of a request that routes match. Path must be normalized by NormalizePath, and Host by
+// NormalizeHost.
 type Request struct {
 	Host, Method, Path, Query string
 	Fields                    Fields
--- a/routes/table.go
+++ b/routes/table.go
@@ -5,32 +5,36 @@
 	"strings"
 )
 
-// Table is compiled routes.
+// Table holds compiled routes, by host.
 type Table struct {
-	exact    map[string]*site
-	leading  map[string]*site // of "*.name", by name
-	trailing map[string]*site // of "name.*", by name
-	fallback *site            // for all other hosts; nil: none
-	count    int              // of routes, once for each of their hosts
+	exact    map[string]*virtualHost
+	leading  map[string]*virtualHost // hosts written as "*.name", by name
+	trailing map[string]*virtualHost // hosts written as "name.*", by name
+	fallback *virtualHost            // for all other hosts; nil: none
+	count    int                     // number of routes; a route counts once per host
 }
 
-// site is the routes of one host.
-type site struct {
-	exact       map[string][]*compiled // by path
+// virtualHost holds the routes of one host.
+type virtualHost struct {
+	exact       map[string][]*compiledRoute // by path
 	prefixes    tree
-	expressions []*compiled
+	expressions []*compiledRoute // routes of the kind Regex that are not nested, in order
 }
 
 func newTable() *Table {
-	return &Table{exact: map[string]*site{}, leading: map[string]*site{}, trailing: map[string]*site{}}
+	return &Table{
+		exact:    map[string]*virtualHost{},
+		leading:  map[string]*virtualHost{},
+		trailing: map[string]*virtualHost{},
+	}
 }
 
-func newSite() *site { return &site{exact: map[string][]*compiled{}} }
+func newVirtualHost() *virtualHost { return &virtualHost{exact: map[string][]*compiledRoute{}} }
 
-// siteFor returns the routes of a host as it is written in a route, none yet if it is new.
-func (t *Table) siteFor(host string) (*site, error) {
+// virtualHostFor returns the virtual host for a host as written in a route, and creates it if it does not exist.
+func (t *Table) virtualHostFor(host string) (*virtualHost, error) {
 	if len(host) > maxTextBytes {
-		return nil, fmt.Errorf("host of %d bytes: %d at most", len(host), maxTextBytes)
+		return nil, fmt.Errorf("host has %d bytes, at most %d are allowed", len(host), maxTextBytes)
 	}
 	name := NormalizeHost(host)
 	domain, leading := strings.CutPrefix(name, "*.")
@@ -38,55 +42,55 @@
 	switch {
 	case host == "" || host == "*":
 		if t.fallback == nil {
-			t.fallback = newSite()
+			t.fallback = newVirtualHost()
 		}
 		return t.fallback, nil
 	case leading && domain != "" && !strings.Contains(domain, "*"):
-		return siteIn(t.leading, domain), nil
+		return virtualHostIn(t.leading, domain), nil
 	case trailing && base != "" && !strings.Contains(base, "*"):
-		return siteIn(t.trailing, base), nil
+		return virtualHostIn(t.trailing, base), nil
 	case name == "" || strings.ContainsAny(name, "*/ "):
-		return nil, fmt.Errorf("host %q: a name, *.name or name.*", host)
+		return nil, fmt.Errorf("host %q: must be a name, *.name or name.*", host)
 	}
-	return siteIn(t.exact, name), nil
+	return virtualHostIn(t.exact, name), nil
 }
 
-func siteIn(sites map[string]*site, name string) *site {
-	if sites[name] == nil {
-		sites[name] = newSite()
+func virtualHostIn(vhosts map[string]*virtualHost, name string) *virtualHost {
+	if vhosts[name] == nil {
+		vhosts[name] = newVirtualHost()
 	}
-	return sites[name]
+	return vhosts[name]
 }
 
-func (s *site) add(c *compiled) {
+func (v *virtualHost) add(c *compiledRoute) {
 	switch {
 	case c.Kind == Exact:
-		s.exact[c.path] = append(s.exact[c.path], c)
+		v.exact[c.path] = append(v.exact[c.path], c)
 	case c.Kind != Regex:
-		s.prefixes.add(c.path, c)
+		v.prefixes.add(c.path, c)
 	case c.parent == nil:
-		s.expressions = append(s.expressions, c)
+		v.expressions = append(v.expressions, c)
 	default:
 		c.parent.nested = append(c.parent.nested, c)
 	}
 }
 
-// find returns the routes of a request's host; nil: none.
-func (t *Table) find(host string) *site {
-	if s := t.exact[host]; s != nil {
-		return s
+// find returns the virtual host for the host of a request; nil: none.
+func (t *Table) find(host string) *virtualHost {
+	if v := t.exact[host]; v != nil {
+		return v
 	}
-	if s := t.findLeading(host); s != nil {
-		return s
+	if v := t.findLeading(host); v != nil {
+		return v
 	}
-	if s := t.findTrailing(host); s != nil {
-		return s
+	if v := t.findTrailing(host); v != nil {
+		return v
 	}
 	return t.fallback
 }
 
-// findLeading returns the routes of the longest "*.name" that a host matches.
-func (t *Table) findLeading(host string) *site {
+// findLeading returns the virtual host of the longest "*.name" that a host matches; nil: none.
+func (t *Table) findLeading(host string) *virtualHost {
 	if len(t.leading) == 0 {
 		return nil
 	}
@@ -95,15 +99,15 @@
 		if !found {
 			return nil
 		}
-		if s := t.leading[domain]; s != nil {
-			return s
+		if v := t.leading[domain]; v != nil {
+			return v
 		}
 		host = domain
 	}
 }
 
-// findTrailing returns the routes of the longest "name.*" that a host matches.
-func (t *Table) findTrailing(host string) *site {
+// findTrailing returns the virtual host of the longest "name.*" that a host matches; nil: none.
+func (t *Table) findTrailing(host string) *virtualHost {
 	if len(t.trailing) == 0 {
 		return nil
 	}
@@ -113,8 +117,8 @@
 			return nil
 		}
 		host = host[:dot]
-		if s := t.trailing[host]; s != nil {
-			return s
+		if v := t.trailing[host]; v != nil {
+			return v
 		}
 	}
 }
--- a/routes/target.go
+++ b/routes/target.go
@@ -4,9 +4,9 @@
 
 const schemeEnd = "://"
 
-// ParseTarget splits a request's target into host, path in its normal form, and query. In origin form the host is
-// empty; in absolute form it stands for the Host field. A target that names another host than the field does is one
-// request to one reader and another to the next, so the caller must reject it. The error is a *PathError.
+// ParseTarget splits a request target into the host, the path in its normal form, and the query. The host is empty for
+// a target in origin form; in absolute form it replaces the Host field. If the field names another host, the caller
+// must reject the request, since programs differ in which of the two they use. The error is a *PathError.
 func ParseTarget(target string) (host, path, query string, err error) {
 	rest := target
 	if end := strings.Index(target, schemeEnd); end > 0 && target[0] != '/' {
@@ -22,7 +22,8 @@
 	return host, path, query, err
 }
 
-// parseAbsolute splits a target in absolute form, whose scheme has a length, into host and origin form.
+// parseAbsolute splits a target in absolute form into the host and the target in origin form. The scheme is the first
+// schemeLength bytes of the target.
 func parseAbsolute(target string, schemeLength int) (host, origin string, err error) {
 	scheme := strings.ToLower(target[:schemeLength])
 	if scheme != "http" && scheme != "https" {
@@ -43,7 +44,7 @@
 	return host, origin, nil
 }
 
-// NormalizeHost returns the one form of a host: lower case, without port and without the root's dot.
+// NormalizeHost returns the normal form of a host: in lower case, without the port and the trailing dot.
 func NormalizeHost(host string) string {
 	if strings.HasPrefix(host, "[") { // an IPv6 address
 		if end := strings.IndexByte(host, ']'); end > 0 {
--- a/routes/tree.go
+++ b/routes/tree.go
@@ -5,26 +5,26 @@
 	"sort"
 )
 
-// tree finds the longest of many prefixes. It is a radix tree in which each node with routes knows the one of the next
-// shorter prefix.
+// tree finds the longest prefix of a path that has routes. It is a radix tree whose nodes also link to the node of the
+// next shorter prefix with routes.
 type tree struct{ root node }
 
 type node struct {
-	text   string // from the node above to here
-	edges  []edge // sorted by their first byte
-	routes []*compiled
-	up     *node // the nearest above with routes
+	text    string // the part of the prefix that this node adds to its parent's
+	edges   []edge // to the children, sorted by their first byte
+	routes  []*compiledRoute
+	shorter *node // nearest ancestor with routes; nil: none
 }
 
-// edge leads to a node below. The first byte of the node's text stands beside the pointer, so that a search touches no
-// node that is not on its way.
+// edge leads to a child. It holds the first byte of the child's text, so that a search reads no nodes other than those
+// on its path.
 type edge struct {
 	first byte
 	node  *node
 }
 
-// add adds a route at its prefix.
-func (t *tree) add(prefix string, route *compiled) {
+// add adds a route with a prefix.
+func (t *tree) add(prefix string, route *compiledRoute) {
 	n := &t.root
 	for prefix != "" {
 		n, prefix = n.descend(prefix)
@@ -32,15 +32,16 @@
 	first := n.routes == nil
 	n.routes = append(n.routes, route)
 	if first {
-		n.linkBelow(n)
+		n.linkDescendants(n)
 	}
 }
 
-// descend returns the node below on the way to a prefix, made if there is none, and the rest of the prefix.
+// descend returns the child on the path to a prefix, and the rest of the prefix below the child. It creates the child,
+// or splits an existing one, if necessary.
 func (n *node) descend(prefix string) (*node, string) {
 	i := sort.Search(len(n.edges), func(i int) bool { return n.edges[i].first >= prefix[0] })
 	if i == len(n.edges) || n.edges[i].first != prefix[0] {
-		leaf := &node{text: prefix, up: n.nearest()}
+		leaf := &node{text: prefix, shorter: n.nearest()}
 		n.edges = slices.Insert(n.edges, i, edge{prefix[0], leaf})
 		return leaf, ""
 	}
@@ -53,13 +54,14 @@
 	return child, prefix[common:]
 }
 
-// split inserts a node above this one after so many bytes of its text, and returns it.
+// split inserts a parent of n that takes the first length bytes of its text, and returns the parent.
 func (n *node) split(length int) *node {
-	middle := &node{text: n.text[:length], edges: []edge{{n.text[length], n}}, up: n.up}
+	middle := &node{text: n.text[:length], edges: []edge{{n.text[length], n}}, shorter: n.shorter}
 	n.text = n.text[length:]
 	return middle
 }
 
+// commonPrefix returns the length of the common prefix of a and b.
 func commonPrefix(a, b string) int {
 	length := 0
 	for length < len(a) && length < len(b) && a[length] == b[length] {
@@ -68,25 +70,25 @@
 	return length
 }
 
-// nearest returns this node if it has routes, or the nearest above that has.
+// nearest returns n if it has routes, else its nearest ancestor that has; nil: none.
 func (n *node) nearest() *node {
 	if n.routes != nil {
 		return n
 	}
-	return n.up
+	return n.shorter
 }
 
-// linkBelow makes a node the nearest with routes of all below this one that have none between.
-func (n *node) linkBelow(nearest *node) {
+// linkDescendants sets nearest as the next shorter prefix of the descendants of n, down to the first nodes with routes.
+func (n *node) linkDescendants(nearest *node) {
 	for _, e := range n.edges {
-		e.node.up = nearest
+		e.node.shorter = nearest
 		if e.node.routes == nil {
-			e.node.linkBelow(nearest)
+			e.node.linkDescendants(nearest)
 		}
 	}
 }
 
-// longest returns the node of the longest prefix of a path that has routes; nil: none.
+// longest returns the node of the longest prefix of the path that has routes; nil: none.
 func (t *tree) longest(path string) *node {
 	n := &t.root
 	best := n
@@ -109,7 +111,7 @@
 	return best
 }
 
-// child returns the node below whose text begins with a byte; nil: none.
+// child returns the child whose text begins with a byte; nil: none.
 func (n *node) child(first byte) *node {
 	low, high := 0, len(n.edges)
 	for low < high {
