--- a/lifecycle/adminstate.go
+++ b/lifecycle/adminstate.go
@@ -2,91 +2,92 @@
 
 import "maps"
 
-// Switch is the last order that was given for the proxy or for one server.
+// Switch records the last admin call of one kind: to drain the proxy or end the drain, or to disable or enable a
+// server.
 type Switch struct {
-	On        bool    `json:"On"`    // drained, or disabled
-	ChangedAt float64 `json:"At"`    // when the order was given, in seconds since 1970
-	Since     float64 `json:"Since"` // when a server that is or was disabled was disabled, in seconds since 1970
+	On        bool    `json:"On"`    // the proxy is drained, or the server disabled
+	ChangedAt float64 `json:"At"`    // time of the call, in seconds since 1970
+	Since     float64 `json:"Since"` // when the server was disabled last, in seconds since 1970; 0 for the proxy
 }
 
-// supersededBy reports whether another order holds over this one. Of two orders given at the same moment both
-// processes must choose the same one; the one that stops more is chosen, since it cannot break a rule.
+// supersededBy reports whether other replaces s. Of two calls at the same time, all processes must choose the same one.
+// They choose the one that drains or disables, since it cannot break a rule.
 func (s Switch) supersededBy(other Switch) bool {
 	return other.ChangedAt > s.ChangedAt || other.ChangedAt == s.ChangedAt && other.On && !s.On
 }
 
-// AdminState is what operators have ordered of a proxy: the last order of each kind.
+// AdminState holds the last admin calls of operators: the one for the proxy, and one for each server.
 type AdminState struct {
 	Drain   Switch            `json:"Drain"`
-	Servers map[string]Switch `json:"Backends,omitempty"` // by server id
+	Servers map[string]Switch `json:"Backends,omitempty"` // by the server's id
 }
 
-// Clone returns a copy that shares nothing with the original.
+// Clone returns a copy that shares no memory with the original.
 func (a *AdminState) Clone() AdminState {
 	return AdminState{Drain: a.Drain, Servers: maps.Clone(a.Servers)}
 }
 
-// Merge adopts every order of another process of the proxy that supersedes the own one, and reports whether there was
-// one. Merging is commutative, associative and idempotent.
+// Merge takes over each switch of another process of the proxy that supersedes the one in a, and reports whether there
+// was one. Merging is commutative, associative and idempotent.
 func (a *AdminState) Merge(other AdminState) bool {
 	changed := a.Drain.supersededBy(other.Drain)
 	if changed {
 		a.Drain = other.Drain
 	}
-	for id, order := range other.Servers {
-		if own, known := a.Servers[id]; !known || own.supersededBy(order) {
-			a.set(id, order)
+	for id, theirs := range other.Servers {
+		if own, known := a.Servers[id]; !known || own.supersededBy(theirs) {
+			a.set(id, theirs)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (a *AdminState) set(id string, order Switch) {
+func (a *AdminState) set(id string, s Switch) {
 	if a.Servers == nil {
 		a.Servers = map[string]Switch{}
 	}
-	a.Servers[id] = order
+	a.Servers[id] = s
 }
 
-// Disable disables a server. Repeated, it keeps the time since when the server is disabled.
+// Disable disables a server. If the server is disabled already, Since keeps its value.
 func (a *AdminState) Disable(id string, now float64) {
-	order := Switch{On: true, ChangedAt: now, Since: now}
+	s := Switch{On: true, ChangedAt: now, Since: now}
 	if old := a.Servers[id]; old.On {
-		order.Since = old.Since
+		s.Since = old.Since
 	}
-	a.set(id, order)
+	a.set(id, s)
 }
 
-// Enable enables a server that is disabled; for any other it changes nothing.
+// Enable enables a server that is disabled. For any other server it does nothing.
 func (a *AdminState) Enable(id string, now float64) {
 	if old := a.Servers[id]; old.On {
 		a.set(id, Switch{ChangedAt: max(now, old.ChangedAt), Since: old.Since})
 	}
 }
 
-// SetDraining sets whether the proxy is drained. Repeated, it changes nothing: the time is that of the first order.
+// SetDraining sets whether the proxy is drained. If that does not change, ChangedAt keeps the time of the first call.
 func (a *AdminState) SetDraining(on bool, now float64) {
 	if a.Drain.On != on {
 		a.Drain = Switch{On: on, ChangedAt: max(now, a.Drain.ChangedAt)}
 	}
 }
 
-// Disabled reports whether a server is disabled, and the start time that the decisions are to assume for it. The
-// endpoint list's start time is startedAt, in seconds since 1970; 0 is long ago.
+// Disabled reports whether a server is disabled, and the start time that the load balancing must assume for it. The
+// start time in the endpoint list is startedAt, in seconds since 1970; 0 means long ago.
 //
-// Operators disable a server to restart it, and the list may not report the restart. Once enabled, a server therefore
-// counts as started at that moment, unless the list reports a start after the disabling. While it is disabled such a
-// start is held back, so that the server is warming up once it is enabled.
+// Operators disable a server to restart it, and the endpoint list may not report the restart. An enabled server is
+// therefore assumed to have started when it was enabled, unless the list reports a start after it was disabled. Such a
+// start is not returned while the server is disabled, so that slow start begins only once the server is enabled.
 func (a *AdminState) Disabled(id string, startedAt float64) (disabled bool, assumedStart float64) {
-	order, known := a.Servers[id]
+	s, known := a.Servers[id]
 	switch {
 	case !known:
 		return false, startedAt
-	case order.On:
-		return true, min(startedAt, order.Since)
-	case startedAt <= order.Since:
-		return false, order.ChangedAt
+	case s.On:
+		return true, min(startedAt, s.Since)
+	case startedAt <= s.Since:
+		return false, s.ChangedAt
 	}
 	return false, startedAt
 }
--- a/lifecycle/adminstate_test.go
+++ b/lifecycle/adminstate_test.go
@@ -18,9 +18,9 @@
 		disabled     bool
 		assumedStart float64
 	}{
-		{"never named", nil, 7, false, 7},
+		{"no admin call", nil, 7, false, 7},
 		{"disabled", calls{disable(10)}, 7, true, 7},
-		{"disabled, restarted meanwhile: a new start once enabled, not before", calls{disable(10)}, 12, true, 10},
+		{"disabled, restarted meanwhile: its start is not reported before it is enabled", calls{disable(10)}, 12, true, 10},
 		{"enabled, no start in the list: as if it had just started", calls{disable(10), enable(20)}, 0, false, 20},
 		{"enabled, an old start in the list", calls{disable(10), enable(20)}, 7, false, 20},
 		{"enabled, its new start in the list", calls{disable(10), enable(20)}, 12, false, 12},
@@ -40,8 +40,8 @@
 	}
 }
 
-// What several processes hold becomes the same, whatever way and how often their states pass: the last order of each
-// switch holds at all.
+// Merging must lead to the same state in all processes, whatever the order and number of the merges: the last admin
+// call for each switch must win.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var processes [3]AdminState
@@ -50,7 +50,7 @@
 			drawAdminCall(t, drawProcess(), float64(10+i))
 			drawProcess().Merge(drawProcess().Clone())
 		}
-		want := lastOrders(processes[:])
+		want := lastCalls(processes[:])
 		for range 2 {
 			for _, i := range rapid.Permutation([]int{0, 1, 2}).Draw(t, "order") {
 				for j := range processes {
@@ -59,33 +59,33 @@
 			}
 		}
 		for i := range processes {
-			assert.Equal(t, want, processes[i], "the last order of each switch")
-			assert.False(t, processes[i].Merge(processes[(i+1)%3]), "nothing changes any more")
+			assert.Equal(t, want, processes[i], "the last admin call for each switch wins")
+			assert.False(t, processes[i].Merge(processes[(i+1)%3]), "further merges change nothing")
 		}
 	})
 }
 
-// lastOrders returns the order that was given last for each switch at any of the processes.
-func lastOrders(processes []AdminState) AdminState {
+// lastCalls returns, for each switch, the last admin call made at any of the processes.
+func lastCalls(processes []AdminState) AdminState {
 	last := func(read func(*AdminState) Switch) Switch {
 		latest := read(&processes[0])
 		for i := range processes {
-			if order := read(&processes[i]); order.ChangedAt > latest.ChangedAt {
-				latest = order
+			if s := read(&processes[i]); s.ChangedAt > latest.ChangedAt {
+				latest = s
 			}
 		}
 		return latest
 	}
 	want := AdminState{Drain: last(func(a *AdminState) Switch { return a.Drain })}
 	for _, id := range []string{"a", "b"} {
-		if order := last(func(a *AdminState) Switch { return a.Servers[id] }); order.ChangedAt > 0 {
-			want.set(id, order)
+		if s := last(func(a *AdminState) Switch { return a.Servers[id] }); s.ChangedAt > 0 {
+			want.set(id, s)
 		}
 	}
 	return want
 }
 
-// drawAdminCall makes a random admin call.
+// drawAdminCall applies a random admin call to state.
 func drawAdminCall(t *rapid.T, state *AdminState, now float64) {
 	id := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id")
 	rapid.SampledFrom([]func(){
--- a/lifecycle/idset.go
+++ b/lifecycle/idset.go
@@ -1,13 +1,13 @@
 package lifecycle
 
-// IDSet remembers the hashes of the server ids that the endpoint list ever named, so that an admin call for an unknown
-// id can be rejected. It is bounded: when full, it forgets the hash that was added first, and a call for that server is
+// IDSet holds the hashes of all server ids that were ever in the endpoint list, so that an admin call for an unknown id
+// can be rejected. When it is full, it drops the hash that was added first, and admin calls for that server are
 // rejected as unknown.
 type IDSet struct {
 	capacity int
 	members  map[uint64]bool
-	ring     []uint64 // in the order of adding, the oldest at position oldest once it is full
-	oldest   int
+	ring     []uint64 // hashes in the order of adding; once full, a ring buffer
+	oldest   int      // index in ring of the hash that was added first
 }
 
 // NewIDSet returns an empty set of at most capacity hashes.
@@ -15,7 +15,7 @@
 	return &IDSet{capacity: capacity, members: map[uint64]bool{}}
 }
 
-// Add adds a hash; one that is in the set keeps its place.
+// Add adds a hash. A hash that is in the set already keeps its position in the order.
 func (s *IDSet) Add(hash uint64) {
 	switch {
 	case s.members[hash]:
@@ -33,7 +33,7 @@
 // Has reports whether a hash is in the set.
 func (s *IDSet) Has(hash uint64) bool { return s.members[hash] }
 
-// All returns the hashes in the order of adding, nil if there are none.
+// All returns the hashes in the order in which they were added; nil if there are none.
 func (s *IDSet) All() []uint64 {
 	var all []uint64
 	all = append(all, s.ring[s.oldest:]...)
--- a/lifecycle/idset_test.go
+++ b/lifecycle/idset_test.go
@@ -13,6 +13,6 @@
 		ids.Add(hash)
 		ids.Add(0)
 	}
-	assert.Equal(t, []uint64{3, 0, 4}, ids.All(), "0 was added again after it was forgotten")
+	assert.Equal(t, []uint64{3, 0, 4}, ids.All(), "0 was dropped, and added again after that")
 	assert.True(t, ids.Has(4) && !ids.Has(1))
 }
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -1,54 +1,55 @@
 package lifecycle
 
-// The timetable of a drain and of a hot restart, in seconds from the order. Four seconds after a drain no connection
-// may be idle, or have a request from the last two seconds.
+// The timing of a drain and of a hot restart, in seconds since the drain or stop was requested. Four seconds after a
+// drain, no connection may be idle, and no request in progress may be younger than two seconds.
 const (
-	// DrainNotice is how long connections stay as they are: the front notices a drain within 0.3 s and sends new ones
-	// until then.
+	// DrainNotice is how long connections are kept open after a drain was requested. The load balancer in front of the
+	// proxy detects the drain within 0.3 s and opens new connections until then.
 	DrainNotice = 0.5
-	// IdleCloseSpread is the time over which the idle connections close, one after the other.
+	// IdleCloseSpread is the time over which the closing of idle connections is spread.
 	IdleCloseSpread = 1.1
-	// AdmitDuration is how long requests are admitted: one that is complete later is rejected at once.
+	// AdmitDuration is how long requests are admitted after a drain was requested. A request that is completely received
+	// later is rejected at once.
 	AdmitDuration = 1.8
-	// NewConnectionCloseSpread is the age from which on a connection without a request closes, once AdmitDuration is
-	// over.
+	// NewConnectionCloseSpread is the age at which a connection that has sent no request is closed after AdmitDuration.
 	NewConnectionCloseSpread = 0.3
 )
 
-// Process is one process of a proxy: the admin state that it knows, and how far it has come itself.
+// Process holds the state of one process of a proxy: its copy of the admin state, and its own lifecycle.
 type Process struct {
 	AdminState
-	Serving            bool    // it takes clients
-	StoppedAt          float64 // when it was ordered to end, in seconds since 1970; 0 if it was not
-	PredecessorServing bool    // the process before it still serves
-	Terminating        bool    // every connection closes after its response
-	SuccessorServing   bool    // the process after it takes clients in its stead
-	IdleCloseDeadline  float64 // of a stopped process with a successor: when its last idle connection is to close
+	Serving            bool    // it accepts clients
+	StoppedAt          float64 // when it was requested to stop, in seconds since 1970; 0: not yet
+	PredecessorServing bool    // the previous process still serves
+	Terminating        bool    // every connection is closed after its next response
+	SuccessorServing   bool    // the next process accepts clients in place of this one
+	IdleCloseDeadline  float64 // when a stopped process with a successor must have closed all idle connections
 }
 
-// WantsClients is the answer to the front: whether the proxy, by this process or another, wants clients.
+// WantsClients reports whether the load balancer in front may send new clients to the proxy, whichever process accepts
+// them.
 func (p *Process) WantsClients() bool {
 	return !p.Drain.On && (p.SuccessorServing || (p.Serving || p.PredecessorServing) && p.StoppedAt == 0)
 }
 
-// Ready is the answer to operators: whether this process takes clients. A drain does not change it.
+// Ready reports whether this process accepts clients, for operators. It does not depend on a drain.
 func (p *Process) Ready() bool { return p.Serving && p.StoppedAt == 0 }
 
-// AcceptsConnections reports whether this process accepts connections.
+// AcceptsConnections reports whether this process, rather than its successor, accepts connections.
 func (p *Process) AcceptsConnections() bool { return !p.SuccessorServing }
 
-// ClosesAfterResponse reports whether a connection closes with its response.
+// ClosesAfterResponse reports whether connections are closed after their next response.
 func (p *Process) ClosesAfterResponse(now float64) bool {
 	return p.Terminating || p.drainNoticed(now) || p.replaced()
 }
 
-// AdmitsRequests reports whether a request that is complete now is admitted; otherwise it is rejected at once.
+// AdmitsRequests reports whether a request that is completely received now is admitted; if not, it is rejected at once.
 func (p *Process) AdmitsRequests(now float64) bool {
 	return !p.Drain.On || now < p.Drain.ChangedAt+AdmitDuration
 }
 
-// IdleCloseFraction returns the fraction of the idle connections that are to close now, if the next call comes in
-// interval seconds, and whether connections that have sent no request yet close too.
+// IdleCloseFraction returns the fraction of the idle connections to close now, if it is called again after interval
+// seconds, and whether connections that have sent no request yet must be closed too.
 func (p *Process) IdleCloseFraction(now, interval float64) (fraction float64, includeNew bool) {
 	var end float64
 	switch {
@@ -66,10 +67,10 @@
 	return fraction, !p.AdmitsRequests(now)
 }
 
-// drainNoticed reports whether the proxy is drained and the front has had the time to notice.
+// drainNoticed reports whether the proxy is drained and the load balancer in front has had time to detect it.
 func (p *Process) drainNoticed(now float64) bool {
 	return p.Drain.On && now >= p.Drain.ChangedAt+DrainNotice
 }
 
-// replaced reports whether this process was ordered to end and another serves in its stead.
+// replaced reports whether this process was requested to stop and its successor serves.
 func (p *Process) replaced() bool { return p.StoppedAt > 0 && p.SuccessorServing }
--- a/lifecycle/process_test.go
+++ b/lifecycle/process_test.go
@@ -10,12 +10,12 @@
 func TestDrainTimetable(t *testing.T) {
 	process := Process{Serving: true}
 	process.SetDraining(true, 100)
-	process.SetDraining(true, 103) // repeated: the time is that of the first order
+	process.SetDraining(true, 103) // a repeated call does not change the time
 	for _, c := range []struct {
 		at           float64
 		closes       bool
 		admits       bool
-		idleFraction float64 // to close until 0.1 s later
+		idleFraction float64 // of idle connections to close within the next 0.1 s
 	}{
 		{100, false, true, 0},
 		{100.4, false, true, 0},
@@ -26,7 +26,7 @@
 		{104, true, false, 1},
 	} {
 		assert.False(t, process.WantsClients(), c.at)
-		assert.True(t, process.Ready(), "the process still can serve")
+		assert.True(t, process.Ready(), "a drain does not change readiness")
 		assert.Equal(t, c.closes, process.ClosesAfterResponse(c.at), c.at)
 		assert.Equal(t, c.admits, process.AdmitsRequests(c.at), c.at)
 		fraction, includeNew := process.IdleCloseFraction(c.at, 0.1)
@@ -39,14 +39,14 @@
 	assert.Zero(t, fraction)
 }
 
-// hotRestart is a model of two processes of one proxy, with messages between them that may be late, or lost with a
-// process.
+// hotRestart models the two processes of a proxy during a hot restart. Messages between them may be delayed, and are
+// lost when a process ends.
 type hotRestart struct {
 	processes       [2]Process // the predecessor and the successor
 	alive           [2]bool
-	linked          bool
-	inbox           [2][]AdminState // on the way to each
-	servingReported bool            // on the way to the predecessor: the successor takes clients
+	connected       bool            // the processes can exchange messages
+	inbox           [2][]AdminState // undelivered messages to each process
+	servingReported bool            // the successor has sent the predecessor the message that it serves
 	now             float64
 }
 
@@ -57,7 +57,7 @@
 }
 
 func (m *hotRestart) send(from int) {
-	if to := 1 - from; m.linked && m.alive[to] {
+	if to := 1 - from; m.connected && m.alive[to] {
 		m.inbox[to] = append(m.inbox[to], m.processes[from].Clone())
 	}
 }
@@ -76,14 +76,14 @@
 	}
 }
 
-// end ends a process, and the link with it.
+// end ends a process, and with it the connection between the two.
 func (m *hotRestart) end(ended int) {
-	m.alive[ended], m.linked, m.inbox = false, false, [2][]AdminState{}
+	m.alive[ended], m.connected, m.inbox = false, false, [2][]AdminState{}
 	survivor := &m.processes[1-ended]
 	survivor.SuccessorServing, survivor.PredecessorServing, m.servingReported = false, false, false
 }
 
-// step makes one random step, if it is possible now.
+// step makes one random step, if it is possible in the current state.
 func (m *hotRestart) step(t *rapid.T) {
 	m.now++
 	predecessor, successor := &m.processes[0], &m.processes[1]
@@ -93,12 +93,12 @@
 	case step == 0 && !m.alive[1] && m.alive[0] && predecessor.StoppedAt == 0:
 		m.startSuccessor()
 	case step == 1 && m.alive[1] && successor.StoppedAt == 0:
-		successor.Serving, m.servingReported = true, m.linked
-	case step == 2 && m.linked && m.servingReported:
+		successor.Serving, m.servingReported = true, m.connected
+	case step == 2 && m.connected && m.servingReported:
 		predecessor.SuccessorServing = true
-	case step == 3 && both && successor.Ready(): // it is stopped once the successor is ready
+	case step == 3 && both && successor.Ready(): // the predecessor is stopped once the successor is ready
 		predecessor.StoppedAt = m.now
-	case step == 4 && both && successor.Ready() && predecessor.StoppedAt > 0: // it ends, or is killed
+	case step == 4 && both && successor.Ready() && predecessor.StoppedAt > 0: // the predecessor ends, or is killed
 		m.end(0)
 	case step == 5 && both && predecessor.StoppedAt == 0: // the successor is killed
 		m.end(1)
@@ -110,12 +110,12 @@
 }
 
 func (m *hotRestart) startSuccessor() {
-	m.alive[1], m.linked = true, true
+	m.alive[1], m.connected = true, true
 	m.processes[1] = Process{PredecessorServing: true}
 	m.processes[1].Merge(m.processes[0].Clone())
 }
 
-// adminCall makes a random call at either process that is alive.
+// adminCall makes a random admin call at one of the running processes.
 func (m *hotRestart) adminCall(t *rapid.T) {
 	at := rapid.IntRange(0, 1).Draw(t, "endpoint")
 	if !m.alive[at] {
@@ -132,15 +132,14 @@
 		serves := process.Serving || process.PredecessorServing
 		accepts = accepts || m.alive[i] && serves && process.AcceptsConnections()
 		if m.alive[i] && process.Drain.On {
-			assert.False(t, process.WantsClients(), "drained")
+			assert.False(t, process.WantsClients(), "a drained proxy must not want clients")
 		}
 	}
-	assert.True(t, accepts, "one of the processes accepts connections")
+	assert.True(t, accepts, "one of the processes must accept connections")
 }
 
-// In every interleaving of a hot restart with drains and disabled servers, one of the two processes accepts connections
-// whenever one lives that may, none wants clients while drained, and both hold the same admin state once all messages
-// have come.
+// For any interleaving of a hot restart with admin calls: one of the two processes must accept connections, neither may
+// want clients while the proxy is drained, and both must have the same admin state once all messages are delivered.
 func TestHotRestartInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newHotRestart()
@@ -148,7 +147,7 @@
 			model.step(t)
 			model.check(t)
 		}
-		if model.alive[0] && model.alive[1] && model.linked {
+		if model.alive[0] && model.alive[1] && model.connected {
 			model.deliverAll()
 			assert.Equal(t, model.processes[0].AdminState, model.processes[1].AdminState)
 		}
