--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -1,10 +1,10 @@
-// Package assignment decides what the subscribers of a control plane, which are proxies and clients that lockloom does
-// not run, receive of a pool: its servers, their health and their weights. It turns the estimates that one proxy has of
-// the servers into assignments that change seldom and in small steps; only the health of a server changes at once.
+// Package assignment computes the assignments of a pool that a control plane sends to its subscribers, which are
+// proxies and clients that are not part of lockloom: the pool's servers, with their health and weights. They are
+// computed from the estimates that one proxy has of the servers. Assignments change rarely and in small steps, except
+// that a change of a server's health is assigned at once.
 //
-// The package is pure: it does no input or output, starts no goroutine and keeps no clock. Times are passed in, in
-// seconds since 1970, and durations are in seconds. Package controlplane calls it; it never selects a server for a
-// request.
+// The package does no I/O, starts no goroutines and does not read the clock. Times are passed in, in seconds since
+// 1970; durations are in seconds. Package controlplane calls it. It never selects a server for a request.
 package assignment
 
 import (
@@ -13,11 +13,11 @@
 	"slices"
 )
 
-// Health is the health of a server as subscribers receive it. Snapshots store its number.
+// Health is the health of a server as subscribers receive it. Snapshots store the numeric value.
 type Health uint8
 
 const (
-	// Healthy servers receive requests by their weight.
+	// Healthy servers receive requests in proportion to their weights.
 	Healthy Health = iota
 	// Unhealthy servers receive no requests.
 	Unhealthy
@@ -30,80 +30,82 @@
 
 // Settings configure a Pool.
 type Settings struct {
-	SlowStartFraction float64 // of its capacity that a server has when it starts, at least
-	SlowStartDuration float64 // seconds until a server has its whole capacity
-	// CrashFactor is how many times its present capacity a warming server can be sent before it crashes; 0: it never
-	// crashes, and slow start limits nothing.
+	SlowStartFraction float64 // minimum fraction of its capacity that a server has when it starts
+	SlowStartDuration float64 // seconds until a server has its full capacity
+	// CrashFactor is the load, as a multiple of its current capacity, at which a server in slow start crashes. 0: servers
+	// never crash, and slow start sets no caps.
 	CrashFactor     float64
-	CrashDuration   float64 // seconds for which a server must be sent that much to crash
-	PreferLocalZone bool    // subscribers use the servers of their own zone while it has a healthy one
+	CrashDuration   float64 // seconds for which that load must last until a server crashes
+	PreferLocalZone bool    // subscribers use the servers of their own zone while any of them is healthy
 }
 
-// ServerEstimate is what the proxy beside the control plane knows of one server.
+// ServerEstimate is the state of a server as estimated by the proxy that runs beside the control plane.
 type ServerEstimate struct {
 	Name, Addr, Zone string
 	Draining         bool
 	Paused           bool    // ejected by the circuit breaker
-	Trial            bool    // the pause has cooled down, and the server may be tried
+	Trial            bool    // the cooldown of the pause is over, and the server receives trial requests
 	Payoff           float64 // from 0 to 1, higher is better
-	Cores            float64 // 0: unknown
-	StartedAt        float64 // 0: long ago, or unknown
+	Cores            float64 // number of CPU cores; 0: unknown
+	StartedAt        float64 // seconds since 1970; 0: long ago, or unknown
 }
 
-// Observation is what the proxy knows of a pool at one time.
+// Observation is the state of a pool as the proxy observed it at one time.
 type Observation struct {
 	Servers []ServerEstimate
-	Removed []string // servers that the endpoint list removed since the last observation, not ones merely missing from it
-	Load    float64  // requests in flight of all subscribers together; 0: unknown
-	Rate    float64  // requests that they begin per second; with it, requests that only wait are kept out of the load
+	// Removed names the servers explicitly removed from the endpoint list since the last observation. Servers that are
+	// merely missing from the list are not among them.
+	Removed []string
+	Load    float64 // requests in flight, over all subscribers; 0: unknown
+	Rate    float64 // requests started per second, over all subscribers; 0: unknown, queued requests count as load
 }
 
-// Server is a server as a subscriber receives it.
+// Server is a server as sent to a subscriber.
 type Server struct {
 	ServerEstimate
 	Health   Health
-	Weight   int // 1 or more, relative to the other servers of the same priority
-	Priority int // 0 is used first; the next priority serves while this one has no healthy server
+	Weight   int // at least 1; relative to the other servers of the same priority
+	Priority int // 0 is used first, 1 while no server of priority 0 is healthy
 }
 
-// Assignment is what a subscriber receives of a pool, ordered by the name of the servers.
+// Assignment is the state of a pool as sent to a subscriber. Servers are sorted by name.
 type Assignment struct {
 	Servers []Server
-	Drop    float64 // fraction of requests to reject, because all servers are in slow start and can take no more
+	Drop    float64 // fraction of requests to reject; above 0 when all servers are at their slow-start caps
 }
 
-// serverState is what a Pool knows of one server.
+// serverState is the state of a server in a Pool.
 type serverState struct {
 	ServerEstimate
 	health        Health
-	healthSince   float64
-	pauseDuration float64 // seconds for which an unhealthy server stays so at least
-	weight        float64 // 1 is that of a server like all others
-	recovering    bool    // back from a pause, its weight is still rising
-	slowStartCap  float64 // maximum fraction of all requests; +Inf: no limit
-	missingSince  float64 // when the endpoint list lost the server; 0: it is listed
+	healthSince   float64 // when health changed last
+	pauseDuration float64 // minimum number of seconds for which an unhealthy server remains unhealthy
+	weight        float64 // relative to a server of average payoff, which has 1
+	recovering    bool    // the weight is still rising after a pause
+	slowStartCap  float64 // maximum fraction of the pool's requests; +Inf: no cap
+	missingSince  float64 // since when the server is missing from the endpoint list; 0: it is listed
 }
 
-// Pool holds the assignment of one pool of servers. It is not safe for concurrent use.
+// Pool holds the state from which the assignments of one pool are computed. It is not safe for concurrent use.
 type Pool struct {
 	settings       Settings
-	now            float64
+	now            float64                 // time of the last Update
 	servers        map[string]*serverState // by name
 	load           loadEstimate
-	weightsMovedAt float64
+	weightsMovedAt float64 // when updateWeights last changed a weight
 	caps           slowStartCaps
 }
 
-// New returns a Pool that knows no servers yet.
+// New returns a Pool without servers.
 func New(settings Settings) *Pool {
 	return &Pool{settings: settings, servers: map[string]*serverState{}}
 }
 
-// Update takes in an observation. It reports whether the assignment changed, and whether the change is urgent, so that
-// it must not wait for a subscriber's acknowledgement: a server is draining, removed or paused, or may be sent less
-// because it is in slow start.
+// Update updates the pool by an observation. It reports whether the assignment changed, and whether the change is
+// urgent and must be sent before a subscriber has acknowledged the previous one: the health of a server changed, a
+// server was removed, or a slow-start cap was lowered.
 func (p *Pool) Update(now float64, observation Observation) (changed, urgent bool) {
-	now = max(now, p.now) // a clock that is set back would stop all changes until it has caught up
+	now = max(now, p.now) // if the clock was set back, continue from the latest time, else all changes would be suspended
 	p.now = now
 	p.load.update(now, &observation)
 	removed := p.removeServers(observation.Removed)
@@ -121,7 +123,7 @@
 	return changed || raised || urgent, urgent
 }
 
-// updateEstimates takes over the estimates of the listed servers and adds the new servers.
+// updateEstimates updates the estimates of the listed servers, and adds servers that are new.
 func (p *Pool) updateEstimates(estimates []ServerEstimate) (changed bool) {
 	for _, estimate := range estimates {
 		server := p.servers[estimate.Name]
@@ -131,7 +133,7 @@
 			changed = true
 		}
 		if server.StartedAt != estimate.StartedAt && server.Name != "" {
-			// The server restarted: the limit of its last start says nothing of this one.
+			// The server restarted: the cap computed for its previous start no longer applies.
 			server.slowStartCap = math.Inf(1)
 			changed = true
 		}
@@ -143,21 +145,21 @@
 	return changed
 }
 
-// names returns the names of the servers in order. Sums of floating-point numbers are made in this order, since in the
-// order of a map their last bits would differ from one call to the next.
+// names returns the sorted names of the servers. Floating-point sums are computed in this order, since their last bits
+// depend on the order, and that of a map changes with each iteration.
 func (p *Pool) names() []string { return slices.Sorted(maps.Keys(p.servers)) }
 
-// AssignmentFor returns what a subscriber in a zone receives; a subscriber that names no zone passes "".
+// AssignmentFor returns the assignment for a subscriber in a zone, which is "" for one that did not name its zone.
 func (p *Pool) AssignmentFor(zone string) Assignment {
 	var assignment Assignment
-	zoneServes := false
+	zoneHealthy := false
 	for _, name := range p.names() {
 		server := p.servers[name]
 		assignment.Servers = append(assignment.Servers,
 			Server{ServerEstimate: server.ServerEstimate, Health: server.health, Weight: 1})
-		zoneServes = zoneServes || server.Zone == zone && server.health == Healthy
+		zoneHealthy = zoneHealthy || server.Zone == zone && server.health == Healthy
 	}
-	if p.settings.PreferLocalZone && zoneServes {
+	if p.settings.PreferLocalZone && zoneHealthy {
 		for i := range assignment.Servers {
 			if assignment.Servers[i].Zone != zone {
 				assignment.Servers[i].Priority = 1
--- a/assignment/assignment_test.go
+++ b/assignment/assignment_test.go
@@ -12,7 +12,7 @@
 
 var settings = Settings{SlowStartFraction: .2, SlowStartDuration: 20, CrashFactor: 3, CrashDuration: 1}
 
-// observationOf has so many servers, all alike and healthy, in zones a and b in turn.
+// observationOf returns an observation of equal, healthy servers, alternately in the zones a and b.
 func observationOf(servers int) Observation {
 	var observation Observation
 	for i := range servers {
@@ -26,7 +26,7 @@
 	return observation
 }
 
-// healthLetters is the health of each server, a letter each: h, u or d.
+// healthLetters returns the first letter of the health of each server: h, u or d.
 func (a *Assignment) healthLetters() (letters string) {
 	for i := range a.Servers {
 		letters += a.Servers[i].Health.String()[:1]
@@ -34,14 +34,14 @@
 	return letters
 }
 
-// What happens to server 0 of four, and the assignment at that time and later.
+// Checks the assignment after a change of server 0, or of the list, in a pool of four servers.
 func TestAssignmentAfterChange(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(o *Observation)
 		elapsed float64 // seconds since the change
 		letters string
-		ratio   [2]float64 // of server 0's weight to server 1's: between
+		ratio   [2]float64 // range of the ratio of server 0's weight to server 1's; zero: not checked
 	}{
 		{"nothing", func(*Observation) {}, 0, "hhhh", [2]float64{1, 1}},
 		{"drains", func(o *Observation) { o.Servers[0].Draining = true }, 0, "dhhh", [2]float64{}},
@@ -84,7 +84,7 @@
 		assert.Equal(t, c.letters, assignment.healthLetters(), c.name)
 		if c.ratio[1] > 0 {
 			ratio := float64(assignment.Servers[0].Weight) / float64(assignment.Servers[1].Weight)
-			assert.True(t, ratio >= c.ratio[0]-.01 && ratio <= c.ratio[1]+.01, "%s: %v", c.name, ratio)
+			assert.True(t, ratio >= c.ratio[0]-.01 && ratio <= c.ratio[1]+.01, "%s: weight ratio %v", c.name, ratio)
 		}
 	}
 }
@@ -100,14 +100,14 @@
 		return priorities
 	}
 	assert.Equal(t, []int{0, 1, 0, 1}, priorities("a"))
-	assert.Equal(t, []int{0, 0, 0, 0}, priorities("c"), "it has no server")
+	assert.Equal(t, []int{0, 0, 0, 0}, priorities("c"), "zone c has no server")
 	observation.Servers[0].Paused, observation.Servers[2].Draining = true, true
 	pool.Update(2, observation)
-	assert.Equal(t, []int{0, 0, 0, 0}, priorities("a"), "it has no healthy server")
+	assert.Equal(t, []int{0, 0, 0, 0}, priorities("a"), "zone a has no healthy server")
 }
 
-// When all servers restart together no share is small enough, and subscribers drop what is too much; but only of the
-// load that was measured.
+// If all servers restart together, every one exceeds its slow-start cap, and subscribers must drop the excess. It must
+// be computed from the measured load, not from the assumed minimum.
 func TestExcessLoadIsDroppedWhenAllServersAreInSlowStart(t *testing.T) {
 	for _, c := range []struct{ load, drop float64 }{{0, 0}, {.5, 0}, {4, 1 - .4*3*.2}, {40, 1 - .4*3*.2/10}} {
 		pool := New(settings)
@@ -121,7 +121,7 @@
 	}
 }
 
-// A server at the breaker's threshold is paused and returns ever more seldom.
+// A server that flaps at the threshold of the circuit breaker must change its health less and less often.
 func TestFlappingIsDamped(t *testing.T) {
 	pool := New(settings)
 	observation := observationOf(4)
@@ -134,7 +134,7 @@
 			changes, previous = changes+1, health
 		}
 	}
-	assert.Less(t, changes, 16, "of 240 changes of the breaker")
+	assert.Less(t, changes, 16, "out of 240 changes of the circuit breaker")
 	assert.Greater(t, changes, 6)
 }
 
@@ -151,24 +151,24 @@
 	restoredAfter := func(age float64) Assignment {
 		restored := New(settings)
 		restored.Restore(snapshot.At+age, snapshot)
-		restored.Update(snapshot.At+age, observationOf(3)) // in which all are healthy
+		restored.Update(snapshot.At+age, observationOf(3)) // all are healthy in this observation
 		return restored.AssignmentFor("")
 	}
 	restored := restoredAfter(.5)
-	assert.Equal(t, "uhh", restored.healthLetters(), "what was paused stays so for a while")
-	assert.InDelta(t, saved.Servers[1].Weight, restored.Servers[1].Weight, 200, "and weights begin where they were")
+	assert.Equal(t, "uhh", restored.healthLetters(), "a paused server stays unhealthy for the rest of its pause")
+	assert.InDelta(t, saved.Servers[1].Weight, restored.Servers[1].Weight, 200, "weights are restored")
 	restored = restoredAfter(400)
-	assert.InDelta(t, restored.Servers[1].Weight, restored.Servers[2].Weight, 300, "an old weight counts little")
+	assert.InDelta(t, restored.Servers[1].Weight, restored.Servers[2].Weight, 300, "old weights count little")
 	restored = restoredAfter(-5)
 	assert.Equal(t, "hhh", restored.healthLetters(), "a snapshot from the future is ignored")
 	empty := New(settings)
 	empty.Restore(snapshot.At+1, snapshot)
 	empty.Update(snapshot.At+1, Observation{})
-	assert.Len(t, empty.AssignmentFor("").Servers, 3, "a list that is empty after a start is doubted")
+	assert.Len(t, empty.AssignmentFor("").Servers, 3, "an empty list after a start is suspect")
 }
 
-// Two control planes with opposite estimates differ by the stated bound at most: by so much may the weights of a
-// subscriber jump that fails over from one to the other.
+// The weights of two control planes with opposite estimates may differ by maxWeightRatio squared at most, since they
+// jump by that much for a subscriber that fails over from one to the other.
 func TestWeightsOfTwoControlPlanesDifferByABound(t *testing.T) {
 	ratio := func(first, second float64) float64 {
 		pool, observation := New(settings), observationOf(4)
@@ -183,11 +183,11 @@
 	assert.InDelta(t, 1/(maxWeightRatio*maxWeightRatio), ratio(0, 1), .01)
 }
 
-// Whatever is observed: no removed or draining server receives requests, servers in slow start receive no more than
-// they can take, weights stay within their bounds and change no faster than they may, and drains wait for nothing.
+// For any observations: no removed or draining server receives requests, servers in slow start stay below the load that
+// crashes them, weights stay within their bounds and change by limited steps, and drains take effect at once.
 func TestInvariantsHoldForAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{
+		c := &poolChecker{
 			t:           t,
 			pool:        New(settings),
 			observation: observationOf(rapid.IntRange(1, 6).Draw(t, "servers")),
@@ -196,38 +196,38 @@
 			weights:     map[*serverState]float64{},
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			h.now += rapid.SampledFrom([]float64{.1, .5, 3, 40, -5}).Draw(t, "passes")
-			h.observation.Removed = nil
-			h.observation.Load = rapid.SampledFrom([]float64{0, .3, 3, 50}).Draw(t, "load")
-			h.observation.Rate = h.observation.Load *
+			c.now += rapid.SampledFrom([]float64{.1, .5, 3, 40, -5}).Draw(t, "passes")
+			c.observation.Removed = nil
+			c.observation.Load = rapid.SampledFrom([]float64{0, .3, 3, 50}).Draw(t, "load")
+			c.observation.Rate = c.observation.Load *
 				rapid.SampledFrom([]float64{0, 10, 100}).Draw(t, "requests a second")
-			all := h.observation.Servers
+			all := c.observation.Servers
 			if len(all) > 0 {
-				h.changeServers()
+				c.changeServers()
 			}
-			h.update()
-			if h.observation.Removed == nil { // what was missing is listed again
-				h.observation.Servers = all
+			c.update()
+			if c.observation.Removed == nil { // missing servers are listed again
+				c.observation.Servers = all
 			}
 		}
 	})
 }
 
-// history is a pool with what was observed so far.
-type history struct {
+// poolChecker checks a pool after each of a series of observations.
+type poolChecker struct {
 	t           *rapid.T
 	pool        *Pool
 	observation Observation
 	now         float64
-	movedAt     float64                  // when weights moved before the last update
-	weights     map[*serverState]float64 // before the last update
+	movedAt     float64                  // weightsMovedAt of the pool before the last update
+	weights     map[*serverState]float64 // weights before the last update
 }
 
-// changeServers changes one server or the list.
-func (h *history) changeServers() {
-	all := h.observation.Servers
-	server := &all[rapid.IntRange(0, len(all)-1).Draw(h.t, "server")]
-	switch rapid.IntRange(0, 7).Draw(h.t, "what") {
+// changeServers changes the estimate of one server, or removes servers from the list.
+func (c *poolChecker) changeServers() {
+	all := c.observation.Servers
+	server := &all[rapid.IntRange(0, len(all)-1).Draw(c.t, "server")]
+	switch rapid.IntRange(0, 7).Draw(c.t, "what") {
 	case 0:
 		server.Draining = !server.Draining
 	case 1:
@@ -235,39 +235,40 @@
 	case 2:
 		server.Trial = !server.Trial
 	case 3:
-		server.Payoff = rapid.Float64Range(0, 1).Draw(h.t, "payoff")
+		server.Payoff = rapid.Float64Range(0, 1).Draw(c.t, "payoff")
 	case 4:
-		server.StartedAt = h.now
+		server.StartedAt = c.now
 	case 5:
-		h.observation.Removed = []string{all[0].Name}
-		h.observation.Servers = all[1:]
-	case 6: // the list lacks some once
-		h.observation.Servers = all[rapid.IntRange(0, len(all)).Draw(h.t, "missing"):]
+		c.observation.Removed = []string{all[0].Name}
+		c.observation.Servers = all[1:]
+	case 6: // some servers are missing from the list once
+		c.observation.Servers = all[rapid.IntRange(0, len(all)).Draw(c.t, "missing"):]
 	}
 }
 
-// update updates the pool and checks the result.
-func (h *history) update() {
-	removed := slices.DeleteFunc(slices.Clone(h.observation.Removed), func(name string) bool {
-		return h.pool.servers[name] == nil // not known any more
+// update updates the pool by the current observation, and checks the resulting assignment.
+func (c *poolChecker) update() {
+	removed := slices.DeleteFunc(slices.Clone(c.observation.Removed), func(name string) bool {
+		return c.pool.servers[name] == nil // already removed
 	})
-	changed, urgent := h.pool.Update(h.now, h.observation)
-	assignment := h.pool.AssignmentFor("")
+	changed, urgent := c.pool.Update(c.now, c.observation)
+	assignment := c.pool.AssignmentFor("")
 	assigned := map[string]Server{}
 	for _, server := range assignment.Servers {
 		assigned[server.Name] = server
-		assert.GreaterOrEqual(h.t, server.Weight, 1)
+		assert.GreaterOrEqual(c.t, server.Weight, 1)
 	}
 	for _, name := range removed {
-		assert.NotContains(h.t, assigned, name)
-		assert.True(h.t, urgent)
+		assert.NotContains(c.t, assigned, name)
+		assert.True(c.t, urgent)
 	}
-	h.checkServers(&assignment, assigned)
-	h.checkWeights(changed)
+	c.checkServers(&assignment, assigned)
+	c.checkWeights(changed)
 }
 
-// checkServers checks that draining servers are assigned as such, and that those in slow start are not sent too much.
-func (h *history) checkServers(assignment *Assignment, assigned map[string]Server) {
+// checkServers checks that draining servers are assigned as draining, and that servers in slow start do not receive
+// more than their margin allows.
+func (c *poolChecker) checkServers(assignment *Assignment, assigned map[string]Server) {
 	sum := 0.0
 	for _, server := range assignment.Servers {
 		if server.Health == Healthy {
@@ -280,31 +281,32 @@
 			shares[server.Name] = float64(server.Weight) / sum * (1 - assignment.Drop)
 		}
 	}
-	load := h.pool.load.value
-	for _, estimate := range h.observation.Servers {
+	load := c.pool.load.value
+	for _, estimate := range c.observation.Servers {
 		if estimate.Draining {
-			assert.Equal(h.t, Draining, assigned[estimate.Name].Health)
+			assert.Equal(c.t, Draining, assigned[estimate.Name].Health)
 		}
-		capacity := h.pool.warmCapacity(&serverState{ServerEstimate: estimate})
+		capacity := c.pool.warmCapacity(&serverState{ServerEstimate: estimate})
 		if capacity < 1 && load > 0 {
-			most := settings.CrashFactor*capacity*maxSlowStartMargin*(1+2*minCapDecrease) + 2*load/totalWeight
-			assert.LessOrEqual(h.t, shares[estimate.Name]*load, most, "in slow start %+v", estimate)
+			maxLoad := settings.CrashFactor*capacity*maxSlowStartMargin*(1+2*minCapDecrease) + 2*load/totalWeight
+			assert.LessOrEqual(c.t, shares[estimate.Name]*load, maxLoad, "load of a server in slow start: %+v", estimate)
 		}
 	}
 }
 
-// checkWeights checks the weights' bounds and how fast they change.
-func (h *history) checkWeights(changed bool) {
-	now, movedAt := h.pool.now, h.pool.weightsMovedAt
-	for _, server := range h.pool.servers {
-		weight, previous := server.weight, h.weights[server]
-		assert.True(h.t, weight >= trialWeight && weight <= maxWeightRatio, weight)
+// checkWeights checks that weights are within their bounds, and that they change by limited steps and not too often.
+func (c *poolChecker) checkWeights(changed bool) {
+	now, movedAt := c.pool.now, c.pool.weightsMovedAt
+	for _, server := range c.pool.servers {
+		weight, previous := server.weight, c.weights[server]
+		assert.True(c.t, weight >= trialWeight && weight <= maxWeightRatio, weight)
 		if previous != 0 && previous != weight && weight != trialWeight {
-			assert.True(h.t, changed)
-			assert.InDelta(h.t, 0, math.Log2(weight/previous), 1+1e-9, "by a factor of %v at most", maxWeightStep)
-			assert.True(h.t, movedAt == now && now >= h.movedAt+weightUpdateInterval, "%v after %v", now, h.movedAt)
+			assert.True(c.t, changed)
+			assert.InDelta(c.t, 0, math.Log2(weight/previous), 1+1e-9, "step of a weight above %v", maxWeightStep)
+			assert.True(c.t, movedAt == now && now >= c.movedAt+weightUpdateInterval,
+				"weights changed at %v, and before that at %v", now, c.movedAt)
 		}
-		h.weights[server] = weight
+		c.weights[server] = weight
 	}
-	h.movedAt = movedAt
+	c.movedAt = movedAt
 }
--- a/assignment/health.go
+++ b/assignment/health.go
@@ -1,15 +1,16 @@
 package assignment
 
 const (
-	minPauseDuration = 1.0 // seconds; a success that ends a pause sooner may be that of an earlier attempt
-	// maxPauseDuration bounds, in seconds, how much longer a server stays unhealthy than the circuit breaker says.
+	minPauseDuration = 1.0 // seconds; a success within this time may be that of an attempt from before the pause
+	// maxPauseDuration is the maximum time, in seconds, for which a server stays unhealthy after the circuit breaker
+	// readmitted it.
 	maxPauseDuration     = 40.0
-	pauseResetDelay      = 60.0 // seconds after a pause after which the next one is again as short as the first
-	maxMissingFraction   = 0.5  // of the servers; a list that lacks this many at once is doubted
-	missingServerTimeout = 30.0 // seconds for which the servers that a doubted list lacks are kept
+	pauseResetDelay      = 60.0 // seconds, plus the last pause, after which the next pause is minimal again
+	maxMissingFraction   = 0.5  // fraction of the servers; a list from which this many are missing is suspect
+	missingServerTimeout = 30.0 // seconds for which servers missing from a suspect list are kept
 )
 
-// removeServers drops servers that the endpoint list removed. It reports whether there were any.
+// removeServers removes the named servers, and reports whether the pool had any of them.
 func (p *Pool) removeServers(names []string) (removed bool) {
 	for _, name := range names {
 		if p.servers[name] != nil {
@@ -20,9 +21,10 @@
 	return removed
 }
 
-// dropMissingServers drops servers that are missing from the endpoint list. A list source that restarts empty or sends
-// half of its list would leave every subscriber without servers; so where many are missing at once they are kept until
-// they are listed as draining or removed, or for missingServerTimeout.
+// dropMissingServers drops servers that are missing from the endpoint list, and reports whether there were any. If the
+// source of the list restarts with an empty list or sends only a part of it, subscribers would lose most servers.
+// Therefore, if many servers are missing at once, the list is suspect: they are kept until they are explicitly removed,
+// or for missingServerTimeout.
 func (p *Pool) dropMissingServers(estimates []ServerEstimate) (dropped bool) {
 	listed := make(map[string]bool, len(estimates))
 	for i := range estimates {
@@ -34,11 +36,11 @@
 			missing++
 		}
 	}
-	doubted := float64(missing) >= maxMissingFraction*float64(len(p.servers))
+	suspect := float64(missing) >= maxMissingFraction*float64(len(p.servers))
 	for name, server := range p.servers {
 		switch {
 		case listed[name]:
-		case server.missingSince == 0 && doubted:
+		case server.missingSince == 0 && suspect:
 			server.missingSince = p.now
 		case server.missingSince == 0 || p.now >= server.missingSince+missingServerTimeout:
 			delete(p.servers, name)
@@ -48,8 +50,8 @@
 	return dropped
 }
 
-// updateHealth updates the health of every server and reports whether any changed. Where all would be unhealthy none
-// is: without requests nothing more would be learned of any.
+// updateHealth updates the health of every server, and reports whether any changed. If no server would be healthy,
+// those that would be unhealthy are healthy instead: without requests, their estimates would never be updated.
 func (p *Pool) updateHealth() (changed bool) {
 	noneHealthy := true
 	for _, server := range p.servers {
@@ -68,7 +70,7 @@
 	return changed
 }
 
-// estimatedHealth is the health of a server by what is known of it alone.
+// estimatedHealth returns the health of a server by its own estimate, regardless of the other servers.
 func (p *Pool) estimatedHealth(server *serverState) Health {
 	switch {
 	case server.Draining:
@@ -81,8 +83,8 @@
 	return Healthy
 }
 
-// setHealth changes a server's health. Each pause in a row is twice as long as the one before, so that a server at the
-// threshold does not flap; a server that comes back from a pause starts with a small weight.
+// setHealth changes the health of a server. Each pause soon after another lasts twice as long, so that a server at the
+// threshold of the circuit breaker does not flap. After a pause, the weight starts at trialWeight.
 func (s *serverState) setHealth(now float64, health Health) {
 	if s.health == Unhealthy && health == Healthy {
 		s.weight, s.recovering = trialWeight, true
--- a/assignment/load.go
+++ b/assignment/load.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	loadDecayTime        = 10.0 // seconds; the load estimate rises at once and falls with this time constant
+	loadDecayTime        = 10.0 // seconds; the load estimate rises at once and decays with this time constant
 	unloadedTimeRiseTime = 60.0 // seconds; the unloaded response time falls at once and rises with this time constant
-	loadSmoothingTime    = 2.0  // seconds; time constant of the means of requests in flight and of their rate
+	loadSmoothingTime    = 2.0  // seconds; time constant by which requests in flight and their rate are smoothed
 )
 
-// loadEstimate estimates how much work all subscribers send together. What is in flight includes requests that wait at
-// overloaded servers: reckoned by that, a crowd at the warm servers would close the warming ones, which makes the
-// crowd. So where the rate is known, the load is the rate times the response time of a server on which little waits.
+// loadEstimate estimates the load that all subscribers put on the pool together. The number of requests in flight is
+// not enough, since it includes requests queued at overloaded servers: the higher load would lower the slow-start caps
+// of servers that are warming up, which moves more requests to the overloaded ones. So if the rate is known, the load
+// is at most the rate times the unloaded response time.
 type loadEstimate struct {
-	value        float64 // requests in flight, less those that only wait; 0: unknown
-	inFlight     float64 // requests, smoothed
-	rate         float64 // requests begun per second, smoothed
-	unloadedTime float64 // seconds that a request takes where little waits; 0: unknown
+	value        float64 // requests in flight without the queued ones; 0: unknown
+	inFlight     float64 // requests in flight, smoothed
+	rate         float64 // requests started per second, smoothed
+	unloadedTime float64 // response time in seconds while few requests are queued; 0: unknown
 	updatedAt    float64
 }
 
--- a/assignment/slowstart.go
+++ b/assignment/slowstart.go
@@ -3,22 +3,25 @@
 import "math"
 
 const (
-	minSlowStartMargin  = 0.4  // fraction of what crashes a warming server; package balance uses the same margins
-	maxSlowStartMargin  = 0.55 // the same: the load may have grown since it was reported
-	slowStartDeviations = 3.5  // standard deviations of random arrivals that must fit above the mean
-	minCapDecrease      = 0.05 // fraction of a cap; a smaller decrease waits for the next increase
+	// minSlowStartMargin and maxSlowStartMargin bound the fraction of the load that crashes a server in slow start which
+	// it may be assigned. The maximum is low because the load may have grown since it was reported. Package balance uses
+	// the same margins.
+	minSlowStartMargin  = 0.4
+	maxSlowStartMargin  = 0.55
+	slowStartDeviations = 3.5  // standard deviations of random arrivals above the mean that must not crash a server
+	minCapDecrease      = 0.05 // fraction of a cap; smaller decreases are deferred to the next time caps are raised
 )
 
-// slowStartCaps is when and for what load the slow-start caps of a pool's servers were made.
+// slowStartCaps records when the slow-start caps of a pool were raised last, and the load that they are based on.
 type slowStartCaps struct {
 	raisedAt float64
 	load     float64 // requests in flight
 }
 
-// updateSlowStartCaps limits the fraction of all requests that each warming server receives, so that the subscribers
-// together do not crash it. A lower cap applies at once, and a higher one, as the server warms up, every
-// weightUpdateInterval. A sudden load is reported only after it arrived, so the load is taken as one request in flight
-// for each server at least.
+// updateSlowStartCaps caps the fraction of the pool's requests that each server in slow start receives, so that the
+// subscribers together do not crash it. Caps are lowered at once, and raised every weightUpdateInterval while a server
+// warms up. The load is assumed to be at least one request in flight per server, since a sudden load is reported only
+// after it has arrived.
 func (p *Pool) updateSlowStartCaps() (raised, lowered bool) {
 	p.caps.load = max(p.load.value, float64(len(p.servers)))
 	mayRaise := p.now >= p.caps.raisedAt+weightUpdateInterval
@@ -37,7 +40,8 @@
 	return raised, lowered
 }
 
-// slowStartLimit is the maximum fraction of all requests that a server can be sent; +Inf for one that cannot crash.
+// slowStartLimit returns the maximum fraction of the pool's requests that a server may receive; +Inf if it cannot
+// crash.
 func (p *Pool) slowStartLimit(server *serverState) float64 {
 	capacity := p.warmCapacity(server)
 	if capacity >= 1 || p.settings.CrashFactor <= 0 {
@@ -47,8 +51,8 @@
 	return p.slowStartMargin(budget) * budget / p.caps.load
 }
 
-// slowStartMargin is the fraction of a warming server's budget that may be used, so that random arrivals above the mean
-// still fit during CrashDuration. Fewer requests deviate more.
+// slowStartMargin returns the fraction of the budget of a server in slow start that may be used. The rest is for random
+// arrivals above the mean during CrashDuration, whose relative deviation is greater the smaller the budget is.
 func (p *Pool) slowStartMargin(budget float64) float64 {
 	if p.load.unloadedTime == 0 || p.settings.CrashDuration == 0 {
 		return minSlowStartMargin
@@ -58,7 +62,7 @@
 	return max(minSlowStartMargin, min(margin, maxSlowStartMargin))
 }
 
-// warmCapacity is the fraction of its capacity that a server has at least.
+// warmCapacity returns the minimum fraction of its full capacity that a server has now.
 func (p *Pool) warmCapacity(server *serverState) float64 {
 	if server.StartedAt == 0 || p.now >= server.StartedAt+p.settings.SlowStartDuration {
 		return 1
--- a/assignment/snapshot.go
+++ b/assignment/snapshot.go
@@ -4,24 +4,24 @@
 
 const (
 	maxSnapshotAge          = 600.0 // seconds
-	restoredWeightDecayTime = 60.0  // seconds; with the snapshot's age a restored weight returns to 1
+	restoredWeightDecayTime = 60.0  // seconds; time constant by which restored weights approach 1 with the snapshot's age
 )
 
-// Snapshot is the state of a Pool, for the control plane that starts after this one. Its JSON form is stored in files.
+// Snapshot is the state of a Pool, from which a restarted control plane continues. It is stored in files as JSON.
 type Snapshot struct {
-	At      float64          `json:"at"`
+	At      float64          `json:"at"` // seconds since 1970
 	Servers []ServerSnapshot `json:"servers"`
 }
 
-// ServerSnapshot is the state of one server.
+// ServerSnapshot is the state of a server in a Snapshot.
 type ServerSnapshot struct {
 	Name           string  `json:"name"`
 	Addr           string  `json:"addr"`
 	Zone           string  `json:"zone"`
 	Health         Health  `json:"health"`
 	Weight         float64 `json:"weight"`
-	PauseRemaining float64 `json:"rest"` // seconds
-	StartedAt      float64 `json:"up_since"`
+	PauseRemaining float64 `json:"rest"`     // seconds
+	StartedAt      float64 `json:"up_since"` // seconds since 1970; 0: long ago, or unknown
 }
 
 // Snapshot returns the state as of the last Update.
@@ -42,9 +42,9 @@
 	return snapshot
 }
 
-// Restore takes over another Pool's snapshot, before the first Update. The older it is, the less its weights count; one
-// that is older than maxSnapshotAge or from the future is ignored. A paused server stays unhealthy for the rest of its
-// pause, and for minPauseDuration at least.
+// Restore takes over the snapshot of another Pool. It must be called before the first Update. The older the snapshot,
+// the closer the restored weights are to 1. A snapshot that is older than maxSnapshotAge or from the future is ignored.
+// A paused server stays unhealthy for the rest of its pause, but at least for minPauseDuration.
 func (p *Pool) Restore(now float64, snapshot Snapshot) {
 	age := now - snapshot.At
 	if !(age >= 0 && age < maxSnapshotAge) { // written so that NaN is ignored too
