--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -39,12 +39,12 @@
 	PreferLocalZone bool    // subscribers use the servers of their own zone while any of them is healthy
 }
 
-// ServerEstimate is the state of a server as estimated by the proxy that runs beside the control plane.
+// ServerEstimate is the state of a server as estimated by the proxy that runs in the control plane's process.
 type ServerEstimate struct {
 	Name, Addr, Zone string
 	Draining         bool
-	Paused           bool    // ejected by the circuit breaker
-	Trial            bool    // the cooldown of the pause is over, and the server receives trial requests
+	Paused           bool    // ejected by the circuit breaker, and not readmitted yet; true during a trial too
+	Trial            bool    // the breaker's cooldown is over, and the paused server receives trial requests
 	Payoff           float64 // from 0 to 1, higher is better
 	Cores            float64 // number of CPU cores; 0: unknown
 	StartedAt        float64 // seconds since 1970; 0: long ago, or unknown
@@ -57,7 +57,7 @@
 	// merely missing from the list are not among them.
 	Removed []string
 	Load    float64 // requests in flight, over all subscribers; 0: unknown
-	Rate    float64 // requests started per second, over all subscribers; 0: unknown, queued requests count as load
+	Rate    float64 // requests started per second, over all subscribers; 0: unknown; then queued requests count as load
 }
 
 // Server is a server as sent to a subscriber.
@@ -65,7 +65,7 @@
 	ServerEstimate
 	Health   Health
 	Weight   int // at least 1; relative to the other servers of the same priority
-	Priority int // 0 is used first, 1 while no server of priority 0 is healthy
+	Priority int // 0 or 1; servers of priority 1 receive requests only while none of priority 0 is healthy
 }
 
 // Assignment is the state of a pool as sent to a subscriber. Servers are sorted by name.
@@ -78,7 +78,7 @@
 type serverState struct {
 	ServerEstimate
 	health        Health
-	healthSince   float64 // when health changed last
+	healthSince   float64 // when health last changed
 	pauseDuration float64 // minimum number of seconds for which an unhealthy server remains unhealthy
 	weight        float64 // relative to a server of average payoff, which has 1
 	recovering    bool    // the weight is still rising after a pause
@@ -105,7 +105,7 @@
 // urgent and must be sent before a subscriber has acknowledged the previous one: the health of a server changed, a
 // server was removed, or a slow-start cap was lowered.
 func (p *Pool) Update(now float64, observation Observation) (changed, urgent bool) {
-	now = max(now, p.now) // if the clock was set back, continue from the latest time, else all changes would be suspended
+	now = max(now, p.now) // if the clock was set back, timed changes would otherwise stop until it caught up
 	p.now = now
 	p.load.update(now, &observation)
 	removed := p.removeServers(observation.Removed)
--- a/assignment/assignment_test.go
+++ b/assignment/assignment_test.go
@@ -26,7 +26,7 @@
 	return observation
 }
 
-// healthLetters returns the first letter of the health of each server: h, u or d.
+// healthLetters returns one letter per server: h for healthy, u for unhealthy, d for draining.
 func (a *Assignment) healthLetters() (letters string) {
 	for i := range a.Servers {
 		letters += a.Servers[i].Health.String()[:1]
@@ -34,12 +34,13 @@
 	return letters
 }
 
-// Checks the assignment after a change of server 0, or of the list, in a pool of four servers.
+// Checks the assignment of a pool of four servers after an observation that differs from the previous one in the
+// estimates of servers, mostly of server 0, or in the list of servers.
 func TestAssignmentAfterChange(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(o *Observation)
-		elapsed float64 // seconds since the change
+		elapsed float64 // seconds from the change to the checked assignment
 		letters string
 		ratio   [2]float64 // range of the ratio of server 0's weight to server 1's; zero: not checked
 	}{
@@ -206,7 +207,7 @@
 				c.changeServers()
 			}
 			c.update()
-			if c.observation.Removed == nil { // missing servers are listed again
+			if c.observation.Removed == nil { // none was removed: servers missing in this step are listed again in the next
 				c.observation.Servers = all
 			}
 		}
@@ -249,7 +250,7 @@
 // update updates the pool by the current observation, and checks the resulting assignment.
 func (c *poolChecker) update() {
 	removed := slices.DeleteFunc(slices.Clone(c.observation.Removed), func(name string) bool {
-		return c.pool.servers[name] == nil // already removed
+		return c.pool.servers[name] == nil // the pool removed it in an earlier step
 	})
 	changed, urgent := c.pool.Update(c.now, c.observation)
 	assignment := c.pool.AssignmentFor("")
--- a/assignment/health.go
+++ b/assignment/health.go
@@ -1,11 +1,13 @@
 package assignment
 
 const (
-	minPauseDuration = 1.0 // seconds; a success within this time may be that of an attempt from before the pause
+	minPauseDuration = 1.0 // seconds; an earlier success may be that of an attempt that began before the pause
 	// maxPauseDuration is the maximum time, in seconds, for which a server stays unhealthy after the circuit breaker
 	// readmitted it.
-	maxPauseDuration     = 40.0
-	pauseResetDelay      = 60.0 // seconds, plus the last pause, after which the next pause is minimal again
+	maxPauseDuration = 40.0
+	// pauseResetDelay is a time in seconds. A server that was not paused for this long, plus the duration of its last
+	// pause, is next paused for minPauseDuration.
+	pauseResetDelay      = 60.0
 	maxMissingFraction   = 0.5  // fraction of the servers; a list from which this many are missing is suspect
 	missingServerTimeout = 30.0 // seconds for which servers missing from a suspect list are kept
 )
--- a/assignment/load.go
+++ b/assignment/load.go
@@ -13,7 +13,7 @@
 // of servers that are warming up, which moves more requests to the overloaded ones. So if the rate is known, the load
 // is at most the rate times the unloaded response time.
 type loadEstimate struct {
-	value        float64 // requests in flight without the queued ones; 0: unknown
+	value        float64 // requests in flight, except those queued at servers; 0: unknown
 	inFlight     float64 // requests in flight, smoothed
 	rate         float64 // requests started per second, smoothed
 	unloadedTime float64 // response time in seconds while few requests are queued; 0: unknown
--- a/assignment/slowstart.go
+++ b/assignment/slowstart.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// minSlowStartMargin and maxSlowStartMargin bound the fraction of the load that crashes a server in slow start which
-	// it may be assigned. The maximum is low because the load may have grown since it was reported. Package balance uses
-	// the same margins.
+	// minSlowStartMargin and maxSlowStartMargin bound the load that a server in slow start may be assigned, as a fraction
+	// of the load that crashes it. The maximum is low because the load may have grown since it was reported. Package
+	// balance uses the same margins.
 	minSlowStartMargin  = 0.4
 	maxSlowStartMargin  = 0.55
-	slowStartDeviations = 3.5  // standard deviations of random arrivals above the mean that must not crash a server
+	slowStartDeviations = 3.5  // random arrivals this many standard deviations above the mean must not crash a server
 	minCapDecrease      = 0.05 // fraction of a cap; smaller decreases are deferred to the next time caps are raised
 )
 
-// slowStartCaps records when the slow-start caps of a pool were raised last, and the load that they are based on.
+// slowStartCaps records when the slow-start caps of a pool were last raised, and the load that they are based on.
 type slowStartCaps struct {
 	raisedAt float64
 	load     float64 // requests in flight
--- a/assignment/weights.go
+++ b/assignment/weights.go
@@ -8,9 +8,11 @@
 const (
 	// softmaxTemperature is a difference of payoffs: a server whose payoff is 0.2 less has about an eighth of the weight.
 	// Package balance selects servers with the same temperature.
-	softmaxTemperature   = 0.1
-	maxWeightRatio       = 4.0 // of a weight to the mean or vice versa, since one proxy sees only part of the requests
-	trialWeight          = 0.1 // weight of a server after a pause
+	softmaxTemperature = 0.1
+	// maxWeightRatio bounds the weight that results from a server's payoff to between 1/4 and 4, where a server of mean
+	// payoff has 1. The payoffs are estimated by one proxy, which sees only part of the requests.
+	maxWeightRatio       = 4.0
+	trialWeight          = 0.1 // weight during a trial, and first weight after a pause; servers of mean payoff have 1
 	minWeightChange      = 0.2 // fraction of a weight; a smaller change is not worth an update of every subscriber
 	maxWeightStep        = 2.0 // maximum factor by which a weight changes in one update
 	weightUpdateInterval = 2.0 // seconds
@@ -61,7 +63,7 @@
 
 // assignWeights sets the weights of the servers of one priority, and returns the fraction of requests to drop. The caps
 // assume that all requests of the pool go to this priority, because subscribers in different zones have different
-// priorities, and some may have no healthy server of the first.
+// priorities, and some may have no healthy server of priority 0.
 func (p *Pool) assignWeights(servers []Server, priority int) (drop float64) {
 	var healthy []*Server
 	var weights, caps []float64
@@ -89,8 +91,9 @@
 	return max(1-capacity*p.caps.load/p.load.value, 0) // of the measured load, not of the minimum that caps.load assumes
 }
 
-// distribute distributes the whole, 1, in proportion to weights, with no share above its cap. It returns the shares,
-// and the sum of the caps if that is less than 1, else 1. If it is less, the shares are scaled to a sum of 1.
+// distribute divides a total of 1 into shares in proportion to weights, with no share above its cap. It returns the
+// shares and the capacity, which is the sum of the caps, but at most 1. If the capacity is less than 1, the shares are
+// scaled up to a sum of 1.
 func distribute(weights, caps []float64) (shares []float64, capacity float64) {
 	shares = make([]float64, len(weights))
 	capped := make([]bool, len(weights))
@@ -107,8 +110,9 @@
 	return shares, 1 - remaining
 }
 
-// distributeRemaining distributes the remaining part of the whole among the shares that are not capped yet. It returns
-// what remains without the shares that reached their caps, and whether there were any, so that it must be called again.
+// distributeRemaining divides the remaining part of the total among the shares that are not at their caps yet. It
+// returns the part that is left after the shares that now reached their caps, and whether there were any. If so, it
+// must be called again.
 func distributeRemaining(weights, caps, shares []float64, capped []bool, remaining float64) (rest float64, again bool) {
 	sum := 0.0
 	for i, weight := range weights {
--- a/lifecycle/adminstate.go
+++ b/lifecycle/adminstate.go
@@ -2,12 +2,12 @@
 
 import "maps"
 
-// Switch records the last admin call of one kind: to drain the proxy or end the drain, or to disable or enable a
-// server.
+// Switch records the last admin call that drained the proxy or ended its drain, or the last one that disabled or
+// enabled a server.
 type Switch struct {
-	On        bool    `json:"On"`    // the proxy is drained, or the server disabled
-	ChangedAt float64 `json:"At"`    // time of the call, in seconds since 1970
-	Since     float64 `json:"Since"` // when the server was disabled last, in seconds since 1970; 0 for the proxy
+	On        bool    `json:"On"`    // the proxy is drained, or the server is disabled
+	ChangedAt float64 `json:"At"`    // time of that admin call, in seconds since 1970
+	Since     float64 `json:"Since"` // when the server was last disabled, in seconds since 1970; 0 for the proxy
 }
 
 // supersededBy reports whether other replaces s. Of two calls at the same time, all processes must choose the same one.
@@ -27,8 +27,8 @@
 	return AdminState{Drain: a.Drain, Servers: maps.Clone(a.Servers)}
 }
 
-// Merge takes over each switch of another process of the proxy that supersedes the one in a, and reports whether there
-// was one. Merging is commutative, associative and idempotent.
+// Merge merges the state of another process of the proxy into a: each switch in other that supersedes the one in a
+// replaces it. It reports whether a changed. Merging is commutative, associative and idempotent.
 func (a *AdminState) Merge(other AdminState) bool {
 	changed := a.Drain.supersededBy(other.Drain)
 	if changed {
--- a/lifecycle/idset.go
+++ b/lifecycle/idset.go
@@ -1,6 +1,6 @@
 package lifecycle
 
-// IDSet holds the hashes of all server ids that were ever in the endpoint list, so that an admin call for an unknown id
+// IDSet holds the hashes of the server ids that have been in the endpoint list, so that an admin call for an unknown id
 // can be rejected. When it is full, it drops the hash that was added first, and admin calls for that server are
 // rejected as unknown.
 type IDSet struct {
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -1,17 +1,18 @@
 package lifecycle
 
-// The timing of a drain and of a hot restart, in seconds since the drain or stop was requested. Four seconds after a
-// drain, no connection may be idle, and no request in progress may be younger than two seconds.
+// The timing of a drain and of a hot restart, in seconds. Four seconds after a drain was requested, no connection may
+// be idle, and no request in progress may be younger than two seconds.
 const (
 	// DrainNotice is how long connections are kept open after a drain was requested. The load balancer in front of the
 	// proxy detects the drain within 0.3 s and opens new connections until then.
 	DrainNotice = 0.5
-	// IdleCloseSpread is the time over which the closing of idle connections is spread.
+	// IdleCloseSpread is the time over which the closing of idle connections is spread. It begins after DrainNotice.
 	IdleCloseSpread = 1.1
-	// AdmitDuration is how long requests are admitted after a drain was requested. A request that is completely received
-	// later is rejected at once.
+	// AdmitDuration is how long requests are still admitted after a drain was requested. A request whose last byte is
+	// received after that time is rejected immediately.
 	AdmitDuration = 1.8
-	// NewConnectionCloseSpread is the age at which a connection that has sent no request is closed after AdmitDuration.
+	// NewConnectionCloseSpread is the age from which a connection that has sent no request yet is closed, once
+	// AdmitDuration is over.
 	NewConnectionCloseSpread = 0.3
 )
 
@@ -23,11 +24,11 @@
 	PredecessorServing bool    // the previous process still serves
 	Terminating        bool    // every connection is closed after its next response
 	SuccessorServing   bool    // the next process accepts clients in place of this one
-	IdleCloseDeadline  float64 // when a stopped process with a successor must have closed all idle connections
+	IdleCloseDeadline  float64 // when a replaced process must have closed all idle connections, in seconds since 1970
 }
 
-// WantsClients reports whether the load balancer in front may send new clients to the proxy, whichever process accepts
-// them.
+// WantsClients reports whether the load balancer in front of the proxy may send new clients to it. They may be accepted
+// by this process, its predecessor or its successor.
 func (p *Process) WantsClients() bool {
 	return !p.Drain.On && (p.SuccessorServing || (p.Serving || p.PredecessorServing) && p.StoppedAt == 0)
 }
@@ -38,12 +39,14 @@
 // AcceptsConnections reports whether this process, rather than its successor, accepts connections.
 func (p *Process) AcceptsConnections() bool { return !p.SuccessorServing }
 
-// ClosesAfterResponse reports whether connections are closed after their next response.
+// ClosesAfterResponse reports whether each client connection is closed after its next response: because this process is
+// terminating, because it is drained for longer than DrainNotice, or because its successor has replaced it.
 func (p *Process) ClosesAfterResponse(now float64) bool {
 	return p.Terminating || p.drainNoticed(now) || p.replaced()
 }
 
-// AdmitsRequests reports whether a request that is completely received now is admitted; if not, it is rejected at once.
+// AdmitsRequests reports whether a request whose last byte is received now is admitted. If not, it is rejected
+// immediately.
 func (p *Process) AdmitsRequests(now float64) bool {
 	return !p.Drain.On || now < p.Drain.ChangedAt+AdmitDuration
 }
@@ -72,5 +75,5 @@
 	return p.Drain.On && now >= p.Drain.ChangedAt+DrainNotice
 }
 
-// replaced reports whether this process was requested to stop and its successor serves.
+// replaced reports whether this process was requested to stop and its successor already accepts clients in its place.
 func (p *Process) replaced() bool { return p.StoppedAt > 0 && p.SuccessorServing }
--- a/limits/fair.go
+++ b/limits/fair.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	fairThreshold  = 0.9 // fraction of the capacity in use from which routes at or above their quota are rejected
+	fairThreshold  = 0.9 // once this fraction of the capacity is in use, a request beyond its route's quota is rejected
 	activeDuration = 1.0 // seconds for which a route counts as active after its last request
 )
 
@@ -12,9 +12,9 @@
 // their quotas.
 type FairLimiter struct {
 	Capacity int       // maximum number of requests in flight
-	Weights  []float64 // by route
+	Weights  []float64 // weight of each route; the index is the number of the route
 
-	inFlight    []int     // requests, by route
+	inFlight    []int     // number of requests in flight, by route
 	total       int       // sum of inFlight
 	lastAcquire []float64 // time of the last call of Acquire, by route
 }
--- a/limits/fair_test.go
+++ b/limits/fair_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// One route may fill a pool up to the threshold; after that, each route that sends requests must reach its quota.
+// A route may exceed its quota while less than fairThreshold of a pool's capacity is in use. From then on, each route
+// that sends requests must reach its quota, which is its share of the capacity by weight.
 func TestRoutesComeToTheirQuotas(t *testing.T) {
 	limiter := NewFairLimiter(100, []float64{1, 1, 2})
 	for range 90 {
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -15,9 +15,9 @@
 // applies to all requests together uses the key 0.
 type Limit struct {
 	Name        string
-	Rate        float64 // requests per second; 0: no limit
-	Burst       float64 // requests admitted at once after an idle time; less than 1 counts as 1
-	Concurrency int     // requests in flight; 0: no limit
+	Rate        float64 // requests per second for each key; 0: no limit
+	Burst       float64 // requests that a key may send at once after an idle time; less than 1 counts as 1
+	Concurrency int     // requests in flight for each key; 0: no limit
 	MaxKeys     int     // keys whose rate is tracked; 0: a million (1 << 20)
 }
 
@@ -44,7 +44,7 @@
 // Rejection says which limit rejected a request.
 type Rejection struct {
 	Limit      int     // index in the list passed to New
-	RetryAfter float64 // seconds until the request would be admitted; 0: once another request of the key ends
+	RetryAfter float64 // seconds until it would be admitted; 0: unknown, another request of the key must end first
 }
 
 // Limits enforces a list of limits. By convention, wider limits come first in the list.
@@ -56,7 +56,7 @@
 type limitState struct {
 	Limit
 	rates    *rateTable     // nil: no rate limit
-	inFlight map[uint64]int // requests, by key
+	inFlight map[uint64]int // number of requests in flight, by key
 }
 
 // Permit records the limits under which an admitted request is counted. The zero value records none.
@@ -80,8 +80,8 @@
 }
 
 // Acquire checks a request against the limits of its keys, in order. If a limit rejects the request, the limits checked
-// before it are restored, so that a rejected request counts toward no limit. The Permit keeps a reference to keys until
-// it is released.
+// before it stop counting the request, so that a rejected request counts toward no limit. The Permit keeps a reference
+// to keys until it is released.
 func (l *Limits) Acquire(now float64, keys []LimitKey) (Permit, *Rejection) {
 	for i, key := range keys {
 		retryAfter, admitted := l.limits[key.Limit].acquire(now, key.Key)
--- a/limits/overload.go
+++ b/limits/overload.go
@@ -3,10 +3,10 @@
 import "math"
 
 const (
-	maxWaitFraction   = 0.75 // fraction of its latency objective for which a request may be queued, to be answered in time
-	standingDelay     = 0.1  // seconds after which a queue that was never empty counts as a standing queue
-	rejectInterval    = 2    // every second dispatch prefers the oldest queued request if it must be rejected
-	levelsPerDoubling = 2    // priority levels from one weight to its double
+	maxWaitFraction   = 0.75 // maximum time from arrival to dispatch, as a fraction of the latency objective
+	standingDelay     = 0.1  // seconds; a queue that has not been empty for longer than this is a standing queue
+	rejectInterval    = 2    // every second dispatch takes the oldest queued request if it is late
+	levelsPerDoubling = 2    // priority levels per doubling of the weight
 	minWeight         = 1e-9 // lower bound of a request's weight, so that its logarithm is finite
 )
 
@@ -16,13 +16,14 @@
 //
 // The request with the greatest weight (its priority weight per unit of work) is dispatched first. Among requests of
 // equal priority, tenants share the dispatches by start-time fair queueing (Goyal, Vin and Cheng, 1996). A request that
-// has been queued too long to be answered in time is rejected. For that, every second dispatch takes the oldest request
-// if it is late: if all late requests were rejected at once, clients that retry immediately would use up the core.
+// has been queued too long to be answered in time (see maxWaitFraction) is late, and is rejected when it is dispatched.
+// Every second dispatch takes the oldest request if it is late. If all late requests were rejected at once, clients
+// that retry immediately would use up the core.
 //
 // Overload also measures how much of the duration of attempts is spent in the proxy rather than at the servers. All
 // times are in seconds.
 type Overload struct {
-	Admitted, Queued, Rejected int // numbers of requests since the start
+	Admitted, Queued, Rejected int // counts of requests since the start
 
 	inProgress    int
 	maxInProgress int
@@ -37,10 +38,10 @@
 type Waiter struct {
 	Owner any // the caller's value for the request, passed to RequestArrived
 
-	priority    int     // logarithm of the weight: a level is a factor of the square root of 2
-	finishTag   float64 // virtual finish time in fair queueing
+	priority    int     // logarithm of the weight, rounded down; one level is a factor of the square root of 2
+	finishTag   float64 // virtual finish time of the request; see fairClock
 	arrivedAt   float64
-	latestStart float64 // the request is rejected if dispatched later
+	latestStart float64 // if dispatched after this time, the request is late and is rejected
 	heapIndex   int     // -1: dispatched
 }
 
@@ -77,7 +78,7 @@
 	return false, waiter
 }
 
-// decide dispatches a request: it is in progress from now on, and admitted unless it is too late.
+// decide rejects a request that is late, and admits any other. In both cases the request is in progress from now on.
 func (o *Overload) decide(now float64, waiter *Waiter) (admitted bool) {
 	o.inProgress++
 	if now > waiter.latestStart {
@@ -90,7 +91,8 @@
 	return true
 }
 
-// RequestDone records that a request is no longer in progress, and reports whether requests are queued.
+// RequestDone records that a request is no longer in progress. It reports whether other requests are queued; if so, the
+// caller must call Dispatch.
 func (o *Overload) RequestDone() (queued bool) {
 	o.inProgress--
 	return !o.queue.empty()
@@ -113,7 +115,7 @@
 	return dispatched && !o.queue.empty()
 }
 
-// next returns the queued request to dispatch next: every rejectInterval-th time the oldest one if it is too late, else
+// next returns the queued request to dispatch next: every rejectInterval-th time the oldest one if it is late, else
 // the one of the highest priority.
 func (o *Overload) next(now float64) *Waiter {
 	o.dispatchCount++
@@ -140,15 +142,16 @@
 // Lag returns an upper estimate of the avoidable time that an attempt spends in the proxy, at most maxLag.
 func (o *Overload) Lag() float64 { return o.delays.lag() }
 
-// fairClock holds the virtual time of start-time fair queueing, in requests.
+// fairClock holds the virtual time of start-time fair queueing. Its unit is one request: the finish tag of a request is
+// its virtual start time plus 1, and a tenant's next request starts no earlier than at the finish tag of its last one.
 type fairClock struct {
 	now     float64
-	tenants []float64 // finish tag of each tenant's last request; index 0 is shared by all unknown tenants
+	tenants []float64 // finish tag of the last request that arrived, by tenant + 1; index 0: all unknown tenants
 }
 
 func newFairClock(tenants int) fairClock { return fairClock{tenants: make([]float64, tenants+1)} }
 
-// tag returns the finish tag of a tenant's next request.
+// tag computes the finish tag of a tenant's next request, records it as the tenant's last one and returns it.
 func (c *fairClock) tag(tenant int) float64 {
 	index := tenant + 1
 	if index < 0 || index >= len(c.tenants) {
--- a/limits/overload_test.go
+++ b/limits/overload_test.go
@@ -185,8 +185,8 @@
 	assert.False(m.t, m.inProgress < m.maxInProgress && len(m.queued) > 0, "a queued request could be dispatched")
 }
 
-// For any sequence of calls: requests in progress stay within the limit, each request gets one decision, late requests
-// are never admitted, and no request is admitted while one of a greater weight stays queued.
+// For any sequence of calls: at most maxInProgress requests are in progress, each request gets one decision, late
+// requests are rejected, and no request is admitted while another one with a greater weight stays queued.
 func TestOverloadInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxInProgress := rapid.IntRange(1, 4).Draw(t, "maxInProgress")
--- a/limits/ratetable.go
+++ b/limits/ratetable.go
@@ -14,8 +14,8 @@
 // It is a hash table with open addressing and linear probing, so that a request accesses one region of memory. With a
 // million keys, a Go map and a list for the eviction order cost twice as much.
 type rateTable struct {
-	interval     float64 // seconds between requests at the rate
-	burst        float64 // seconds by which a key may be ahead of the rate
+	interval     float64 // seconds from one request to the next at the limit's rate
+	burst        float64 // burst tolerance of GCRA: seconds by which requests may arrive earlier than the rate allows
 	maxKeys      int
 	entries      []rateEntry // their number is a power of two, and at least half of them are free
 	count        int         // keys in the table
@@ -25,7 +25,7 @@
 
 type rateEntry struct {
 	key    uint64  // 0: the entry is free
-	fullAt float64 // when the token bucket of the key is full again
+	fullAt float64 // time in seconds at which the token bucket of the key is full again
 }
 
 func newRateTable(limit Limit) *rateTable {
@@ -55,7 +55,8 @@
 	}
 }
 
-// take admits a request of a key and returns 0, or returns the number of seconds until one would be admitted.
+// take counts a request for a key and returns 0, if the rate allows the request now. Otherwise it counts nothing and
+// returns the number of seconds until the rate would allow a request for that key.
 func (t *rateTable) take(now float64, key uint64) (retryAfter float64) {
 	if key == 0 {
 		key = keyZero
@@ -110,7 +111,7 @@
 	}
 }
 
-// evictOne evicts, from a sample of the keys, the one that was idle for longest.
+// evictOne evicts one key: of a sample of the keys, the one with the earliest fullAt, which has been idle for longest.
 func (t *rateTable) evictOne(now float64) {
 	victim := t.oldestOfSample()
 	if t.entries[victim].fullAt > now {
--- a/limits/retry.go
+++ b/limits/retry.go
@@ -17,7 +17,7 @@
 
 var safetyNames = [...]string{"non-idempotent", "keyed", "idempotent"}
 
-// String returns the term for requests of this safety, as the sub-command explain prints it.
+// String returns the name that the sub-command explain prints, such as "idempotent".
 func (s RetrySafety) String() string { return safetyNames[s] }
 
 // RetryRule says which requests may be retried, by their method and idempotency key, and how often.
@@ -56,9 +56,9 @@
 // zero value is ready to use.
 type RetryBudget struct {
 	Ratio           float64 // maximum number of retries per first attempt
-	Allowed, Denied int     // numbers of retries since the start
+	Allowed, Denied int     // counts of retries since the start
 
-	firstAttempts, retries float64 // recent numbers, which decay over budgetWindow
+	firstAttempts, retries float64 // counts that decay exponentially with the time constant budgetWindow
 	decayedAt              float64 // time of the last decay, in seconds
 }
 
--- a/limits/waitqueue.go
+++ b/limits/waitqueue.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// arrivalsSlack is how many dispatched requests arrivals may still hold before it is compacted, in addition to as many
-// as are queued.
+// arrivalsSlack sets when arrivals is compacted: once it holds more dispatched requests than arrivalsSlack plus the
+// number of queued ones.
 const arrivalsSlack = 64
 
 // waitQueue holds the queued requests in two orders: by priority and by arrival.
--- a/routes/action.go
+++ b/routes/action.go
@@ -52,7 +52,8 @@
 	return NormalizePath(action.Rewrite + m.path[len(m.compiled.path):])
 }
 
-// Location returns the value of a redirect's Location field. The route's action must be a redirect.
+// Location returns the value of a redirect's Location field. The query is that of the request, and the route's action
+// must be a redirect.
 func (m *Match) Location(query string) string {
 	redirect := m.Route.Action.Redirect
 	location := redirect.To
--- a/routes/compile.go
+++ b/routes/compile.go
@@ -14,7 +14,7 @@
 	maxRoutes      = 1_000_000
 	maxNesting     = 8    // levels of routes below an outermost route
 	maxTextBytes   = 4096 // length of a path, expression or host
-	maxRoutePools  = 64   // of one route
+	maxRoutePools  = 64   // pools of one route
 	minFixedStatus = 200
 	maxFixedStatus = 599
 )
--- a/routes/condition.go
+++ b/routes/condition.go
@@ -42,8 +42,8 @@
 	return matches != c.Negate
 }
 
-// queryParameter returns the value of the first parameter with a name in a query, without decoding it, and whether
-// there is one.
+// queryParameter returns the value of the first parameter in a query that has the given name, and whether there is one.
+// It does not decode the value.
 func queryParameter(query, name string) (string, bool) {
 	for query != "" {
 		var parameter string
--- a/routes/failover.go
+++ b/routes/failover.go
@@ -1,19 +1,19 @@
 package routes
 
-// Failover decides when the backup of a pool serves its requests: from when the pool has had no admitted server for
-// ActivateAfter, until it has had one for RecoverAfter. The second delay prevents the requests from switching back and
-// forth between the pools while the first one flaps.
+// Failover decides whether a pool's requests go to its backup pool. The backup takes over once the pool has had no
+// admitted server for ActivateAfter. The pool takes its requests back once it has had an admitted server for
+// RecoverAfter without interruption, so that requests do not switch back and forth while its servers flap.
 type Failover struct {
 	ActivateAfter float64 // seconds
 	RecoverAfter  float64 // seconds
 
 	active   bool
-	observed bool    // Active was called
+	observed bool    // Active was called at least once
 	admitted bool    // the pool had an admitted server at the last call of Active
-	since    float64 // time in seconds since which admitted has its value
+	since    float64 // time in seconds at which admitted last changed
 }
 
-// Active records whether the pool has an admitted server now, and reports whether its backup serves its requests. The
+// Active records whether the pool has an admitted server now, and reports whether its requests go to the backup. The
 // time now is in seconds.
 func (f *Failover) Active(now float64, admitted bool) bool {
 	if !f.observed || admitted != f.admitted {
--- a/routes/match.go
+++ b/routes/match.go
@@ -61,7 +61,8 @@
 	return Match{}, false
 }
 
-// longestPrefix returns the first route whose conditions match, of the longest prefix that has such a route; nil: none.
+// longestPrefix finds the longest prefix of the path that has a route whose conditions match, and returns the first
+// such route; nil: none.
 func (v *virtualHost) longestPrefix(request *Request, trace tracer) *compiledRoute {
 	for n := v.prefixes.longest(request.Path); n != nil; n = n.shorter {
 		for _, c := range n.routes {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// endsAtSegment reports whether the route's prefix may match the path: the prefix of one of the kind Segments must end
+// endsAtSegment reports whether the route's prefix may match the path: for a route of the kind Segments, it must end
 // where a segment of the path ends.
 func (c *compiledRoute) endsAtSegment(path string) bool {
 	return c.Kind != Segments || len(path) <= len(c.path) || c.path == "/" || path[len(c.path)] == '/'
--- a/routes/path.go
+++ b/routes/path.go
@@ -55,7 +55,7 @@
 	}
 	bare, _, parameters := strings.Cut(segment, ";")
 	switch {
-	case parameters && isDotSegment(bare): // some servers ignore the parameters and resolve the dot segment
+	case parameters && isDotSegment(bare): // rejected: some servers ignore the parameters and resolve the dot segment
 		return "a dot segment with parameters"
 	case segment == "..":
 		if len(b.starts) == 0 {
--- a/routes/route.go
+++ b/routes/route.go
@@ -68,7 +68,8 @@
 
 // Fields are a request's header fields.
 type Fields interface {
-	// Get returns the value of the first field with a name, which is not case-sensitive, and whether there is one.
+	// Get returns the value of the first field with the given name, and whether there is one. Names are not
+	// case-sensitive.
 	Get(name string) (value string, present bool)
 }
 
--- a/routes/tree.go
+++ b/routes/tree.go
@@ -111,7 +111,7 @@
 	return best
 }
 
-// child returns the child whose text begins with a byte; nil: none.
+// child returns the child whose text begins with the byte first; nil: none.
 func (n *node) child(first byte) *node {
 	low, high := 0, len(n.edges)
 	for low < high {
