--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,10 +1,10 @@
-// Package balance decides where a proxy sends its requests. It does no input or output and keeps no clock: every call
-// takes the present time in seconds and returns the Actions that the proxy has to carry out. RequestArrived returns a
-// handle of a request; what happens to the request later is a call on that handle.
+// Package balance selects the server for each request of a proxy. It does no I/O and reads no clock: a call reports an
+// event with the present time in seconds, and returns the Actions that the proxy has to carry out. RequestArrived
+// returns a handle of the request, on which the proxy reports all later events of that request.
 //
 // A Balancer is not safe for concurrent use; one goroutine owns it and all its requests. The same calls with the same
-// Deployment.Seed always return the same actions. Each mechanism has a file and a type of its own; the reasons for
-// them are in docs/design.md, those of the constants in docs/capacity.md.
+// Deployment.Seed always return the same actions. Each mechanism has a file and a type of its own; docs/design.md
+// explains the mechanisms, docs/capacity.md the constants.
 package balance
 
 import (
@@ -15,16 +15,16 @@
 	"lockloom/internal/pcg"
 )
 
-// timerTolerance, in seconds, is how much earlier than asked for a timer may fire.
+// timerTolerance is how many seconds before the requested time a timer may fire.
 const timerTolerance = 1e-6
 
-// Balancer decides for one proxy. It is not safe for concurrent use.
+// Balancer selects servers for the requests of one proxy. It is not safe for concurrent use.
 type Balancer struct {
 	deployment Deployment
 	random     pcg.Rand
-	now        float64      // s, of the call that is being answered
-	actions    Actions      // of that call
-	servers    []*server    // by Endpoint.Index; nil where there is none
+	now        float64      // s, time of the call in progress
+	actions    Actions      // to be returned by the call in progress
+	servers    []*server    // by Endpoint.Index; nil if no server has the index
 	classes    []classState // by RequestInfo.Class
 
 	traffic     trafficStats
@@ -39,31 +39,31 @@
 	process     processState
 }
 
-// trafficStats are what this proxy receives, and how long answers take.
+// trafficStats describes the requests that this proxy receives and the latencies of their answers.
 type trafficStats struct {
 	keys        histogram.Shares
 	latencies   histogram.Times // s, of all classes
-	priority    float64         // of requests, smoothed
+	priority    float64         // mean priority of requests, smoothed
 	arrivals    float64         // requests so far
 	interval    float64         // s between arrivals, smoothed
 	lastArrival float64
 }
 
-// arrived counts a request.
+// arrived counts a request and updates the mean interval between arrivals.
 func (t *trafficStats) arrived(now float64) {
 	t.arrivals++
 	t.interval += max(meanSmoothing, 1/t.arrivals) * (now - t.lastArrival - t.interval)
 	t.lastArrival = now
 }
 
-// processState is what the proxy process tells of itself.
+// processState is what the proxy process reports about itself.
 type processState struct {
-	budgetShare    float64 // see SetBudgetShare
-	attemptStretch float64 // see SetLocalDelay
-	localDelay     float64 // s
+	budgetShare float64 // see SetBudgetShare
+	delayFactor float64 // see SetLocalDelay
+	localDelay  float64 // s, see SetLocalDelay
 }
 
-// New returns a Balancer, or an error that names the setting on which it cannot decide.
+// New returns a Balancer, or an error that names the missing or invalid setting.
 func New(d Deployment, now float64) (*Balancer, error) {
 	if err := d.validate(); err != nil {
 		return nil, err
@@ -77,9 +77,9 @@
 		queue:      requestQueue{lastSend: now},
 		estimates:  sharedEstimates{fleet: &estimate{lifetime: estimateLifetime}},
 		endpoints:  endpointPoller{delay: minPollDelay, pollAt: math.Inf(1)},
-		process:    processState{budgetShare: 1, attemptStretch: 1},
+		process:    processState{budgetShare: 1, delayFactor: 1},
 	}
-	// One proxy of many, which hears nothing from the others, would learn the limits too slowly.
+	// In a large fleet without gossip, each proxy sees too few answers to learn the limits at the normal rate.
 	if initial, _ := b.limitBounds(0); initial < minBindingLimit && !d.Gossip {
 		b.concurrency.growth = initialLimitGrowth
 	}
@@ -94,12 +94,12 @@
 	return b, nil
 }
 
-// Deployment returns what the balancer was made with.
+// Deployment returns the settings that the balancer was created with.
 func (b *Balancer) Deployment() Deployment { return b.deployment }
 
-// RequestArrived accepts a request. The request gets exactly one answer: that of an attempt, or a Reply.
+// RequestArrived accepts a request. The request gets exactly one answer: the response of an attempt, or a Reply.
 func (b *Balancer) RequestArrived(now float64, info RequestInfo) (*Request, *Actions) {
-	b.begin(now)
+	b.beginCall(now)
 	class := &b.classes[info.Class]
 	r := &Request{
 		RequestInfo:  info,
@@ -119,24 +119,26 @@
 	return r, b.dispatch()
 }
 
-// ResponseStarted tells that a streamed answer began: the request now belongs to that attempt.
+// ResponseStarted reports that the response of an attempt began to stream to the client. The request ends with that
+// attempt, and its others are canceled where that is allowed.
 func (r *Request) ResponseStarted(now float64, index int) *Actions {
-	b := r.balancer.begin(now)
-	if !r.over && index < len(r.attempts) {
+	b := r.balancer.beginCall(now)
+	if !r.finished && index < len(r.attempts) {
 		a := &r.attempts[index]
 		b.recordOutcome(r, a, Succeeded, now-a.sentAt)
 		a.started = true
-		b.release(a) // answers that are streamed for minutes would fill the server's limit
+		b.release(a) // responses that stream for minutes would exhaust the server's limit
 		b.finish(r, index)
 	}
 	return &b.actions
 }
 
-// BodyCompleted tells that the last byte of a streamed request body was sent. The attempt counts from now, and takes
-// capacity from now on: the server begins with the last byte, and a slow client is no fault of the server.
+// BodyCompleted reports that the last byte of a streamed request body was sent. The latency of the attempt is measured
+// from now, and it takes capacity from now on: the server starts work on the last byte, and a slow client must not make
+// the server look slow.
 func (r *Request) BodyCompleted(now float64) *Actions {
-	b := r.balancer.begin(now)
-	if r.over {
+	b := r.balancer.beginCall(now)
+	if r.finished {
 		return &b.actions
 	}
 	for i := range r.attempts {
@@ -151,39 +153,40 @@
 	return &b.actions
 }
 
-// ClientDisconnected tells that the client has gone; no answer is owed.
+// ClientDisconnected reports that the client closed its connection. The request gets no answer.
 func (r *Request) ClientDisconnected(now float64) *Actions {
-	b := r.balancer.begin(now)
-	if !r.over {
+	b := r.balancer.beginCall(now)
+	if !r.finished {
 		b.finish(r, noAttempt)
 	}
 	return &b.actions
 }
 
-// AttemptEnded tells how an attempt ended after a latency in seconds, and whether the request is over with it or was
-// over before.
-func (r *Request) AttemptEnded(now float64, index int, outcome Outcome, latency float64, over bool) *Actions {
-	b := r.balancer.begin(now)
+// AttemptEnded reports the outcome of an attempt and its latency in seconds. finished says whether the request is
+// answered, by this attempt or earlier.
+func (r *Request) AttemptEnded(now float64, index int, outcome Outcome, latency float64, finished bool) *Actions {
+	b := r.balancer.beginCall(now)
 	if index >= len(r.attempts) || !r.attempts[index].inFlight {
 		return &b.actions
 	}
 	a := &r.attempts[index]
 	b.endAttempt(r, a, outcome)
-	streamed := a.started && outcome == Succeeded // the time to its end is the client's
+	streamed := a.started && outcome == Succeeded // the client's read rate sets the time to the end of the stream
 	if !streamed {
 		b.recordOutcome(r, a, outcome, latency)
 	}
-	b.continueRequest(r, outcome, over)
+	b.continueRequest(r, outcome, finished)
 	return b.dispatch()
 }
 
-// TimerFired is the request's own timer: for an overdue attempt, and for the answer before the deadline.
+// TimerFired handles the request's timer, set by RequestAction.WakeAt: it hedges an overdue attempt, and answers the
+// request just before its deadline.
 func (r *Request) TimerFired(now float64) *Actions {
-	b := r.balancer.begin(now)
-	if r.over {
+	b := r.balancer.beginCall(now)
+	if r.finished {
 		return &b.actions
 	}
-	if now >= r.Deadline-answerMargin { // the end of an attempt may be told only after the deadline
+	if now >= r.Deadline-answerMargin { // AttemptEnded might not be called before the deadline
 		b.answerUnserved(r)
 		return &b.actions
 	}
@@ -196,26 +199,26 @@
 	return b.dispatch()
 }
 
-// TimerFired is the balancer's own timer, set by Actions.WakeAt.
+// TimerFired handles the balancer's timer, set by Actions.WakeAt.
 func (b *Balancer) TimerFired(now float64) *Actions {
-	b.begin(now)
+	b.beginCall(now)
 	b.actions.Subscribe = b.endpoints.takePoll(now)
 	return b.dispatch()
 }
 
-// SetBudgetShare sets this balancer's share, from 0 to 1, of the slow-start budgets of its proxy: two processes of one
-// proxy, each with the whole budget, would overload a server together.
+// SetBudgetShare sets this balancer's share, from 0 to 1, of the proxy's slow-start budgets. Two processes of one proxy
+// that each used the whole budget would together overload a server.
 func (b *Balancer) SetBudgetShare(share float64) { b.process.budgetShare = share }
 
-// SetLocalDelay sets how many times longer attempts take here than at their servers, and by how many seconds at most in
-// all likelihood: answers wait here while this proxy's own core is overloaded. No server counts as overdue or full for
-// that.
-func (b *Balancer) SetLocalDelay(stretch, delay float64) {
-	b.process.attemptStretch, b.process.localDelay = max(stretch, 1), max(delay, 0)
+// SetLocalDelay sets the delay that this proxy adds to attempts while its own core is overloaded: factor is the latency
+// measured here over the latency at the server, and delay is an upper estimate of the added seconds. It raises the
+// capacity of servers and the age at which an attempt is overdue, so that no server counts as full or hanging for it.
+func (b *Balancer) SetLocalDelay(factor, delay float64) {
+	b.process.delayFactor, b.process.localDelay = max(factor, 1), max(delay, 0)
 }
 
-// begin starts the answer to a call.
-func (b *Balancer) begin(now float64) *Balancer {
+// beginCall advances the clock to now and clears the actions of the last call.
+func (b *Balancer) beginCall(now float64) *Balancer {
 	if b.loadsKnown() {
 		b.concurrency.credit = 0
 		b.loadReports.latencyHeadroom = b.latencyHeadroom()
@@ -226,12 +229,12 @@
 	return b
 }
 
-// addAction adds an action for a request.
+// addAction appends an action for a request to the result of the call in progress.
 func (b *Balancer) addAction(action RequestAction) {
 	b.actions.Requests = append(b.actions.Requests, action)
 }
 
-// wakeAt asks for a call at this time, unless an earlier one is asked for.
+// wakeAt sets the balancer's timer, unless it is set to an earlier time; 0 sets none.
 func (b *Balancer) wakeAt(at float64) {
 	if at > 0 && (b.actions.WakeAt == 0 || at < b.actions.WakeAt) {
 		b.actions.WakeAt = at
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSameSeedSameDecisions(t *testing.T) {
-	play := func() (all []RequestAction) {
+	run := func() (all []RequestAction) {
 		proxy := startProxy(t, deployment(), 5)
 		for i := range 300 {
 			proxy.clock += 0.01
@@ -20,44 +20,45 @@
 		}
 		return all
 	}
-	assert.Equal(t, play(), play())
+	assert.Equal(t, run(), run())
 }
 
-// A client that sends slowly must not fill the limits with idle attempts, nor make its server look slow.
+// Guards against slow clients: while a request body is streamed, the attempt must neither take up the limit of its
+// server nor count as overdue or slow.
 func TestStreamedRequestBody(t *testing.T) {
 	proxy := startProxy(t, deployment(), 2)
 	var streaming []*Request
 	for range 20 { // many times the capacity
 		request, actions := proxy.arrive(RequestInfo{Deadline: 900, Streaming: true})
-		assert.Equal(t, 1, countSends(actions), "they wait for their clients, not for capacity")
+		assert.Equal(t, 1, countSends(actions), "a streamed request is sent regardless of capacity")
 		streaming = append(streaming, request)
 	}
 	assert.Zero(t, proxy.concurrency.inFlight)
 	_, actions := proxy.arrive(RequestInfo{})
-	assert.Equal(t, 1, countSends(actions), "and take none from others")
+	assert.Equal(t, 1, countSends(actions), "streamed requests take no capacity from others")
 	proxy.clock = 30
 	request := streaming[0]
 	completed := request.BodyCompleted(proxy.clock)
-	assert.Equal(t, 2, proxy.concurrency.inFlight, "from its last byte on it is at work")
+	assert.Equal(t, 2, proxy.concurrency.inFlight, "a completed body takes capacity")
 	assert.Greater(t, completed.Requests[0].WakeAt, proxy.clock)
 	before := proxy.payoffOf(request.attempts[0].server, 0)
-	assert.Empty(t, request.TimerFired(proxy.clock+0.01).Requests, "not overdue: it counts from then")
+	assert.Empty(t, request.TimerFired(proxy.clock+0.01).Requests, "the age counts from the end of the body")
 	request.AttemptEnded(proxy.clock+0.05, 0, Succeeded, 0.05, true)
 	assert.Equal(t, 1, proxy.concurrency.inFlight)
 	assert.GreaterOrEqual(t, proxy.payoffOf(request.attempts[0].server, 0), before-0.1)
-	streaming[1].AttemptEnded(proxy.clock+0.05, 0, ConnectFailed, 0, false) // its client left it unfinished
-	assert.Equal(t, 1, proxy.concurrency.inFlight, "what took no capacity gives none back")
+	streaming[1].AttemptEnded(proxy.clock+0.05, 0, ConnectFailed, 0, false) // its client disconnected
+	assert.Equal(t, 1, proxy.concurrency.inFlight, "an attempt that took no capacity releases none")
 }
 
 func TestStreamedResponseBelongsToItsAttempt(t *testing.T) {
 	proxy := startProxy(t, deployment(), 6)
 	request, _ := proxy.arrive(RequestInfo{})
 	assert.Empty(t, replies(request.ResponseStarted(0.2, 0).Requests))
-	assert.Empty(t, request.TimerFired(0.999).Requests, "no deadline for a stream that began")
+	assert.Empty(t, request.TimerFired(0.999).Requests, "a stream that began has no deadline")
 	assert.False(t, request.Done())
 	request.AttemptEnded(5, 0, Succeeded, 5, true)
 	assert.True(t, request.Done())
-	assert.Greater(t, proxy.payoffOf(request.attempts[0].server, 0), 0.7, "judged by when it began, not by its end")
+	assert.Greater(t, proxy.payoffOf(request.attempts[0].server, 0), 0.7, "the latency is that of the response start")
 }
 
 func TestOneAnswerBeforeTheDeadline(t *testing.T) {
@@ -79,6 +80,6 @@
 	}
 	proxy := startProxy(t, deployment(), 6)
 	_, actions := proxy.arrive(RequestInfo{Deadline: answerMargin / 2})
-	assert.Zero(t, countSends(actions), "too late to send at all")
+	assert.Zero(t, countSends(actions), "too close to the deadline for an attempt")
 	assert.Len(t, replies(actions), 1)
 }
--- a/balance/breaker.go
+++ b/balance/breaker.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	breakerWindow        = 15.0 // s; older counts say little of now
-	classBreakerWindow   = 5.0  // s
-	breakerCooldown      = 5.0  // s that a server is paused, at least
-	cooldownJitter       = 0.5  // of breakerCooldown, so that pauses of many servers do not end together
+	breakerWindow        = 15.0 // s; older counts say little about the present state
+	classBreakerWindow   = 5.0  // s, for the breaker of one class at a server
+	breakerCooldown      = 5.0  // s, the minimum that a server is paused
+	cooldownJitter       = 0.5  // of breakerCooldown, added at random, so that many servers are not readmitted at once
 	minBreakerResults    = 5    // results; a breaker opens only after more of them
-	maxFailureShare      = 0.5  // of the results of a window
+	maxFailureShare      = 0.5  // of the results of a window; a breaker opens above it
 	maxReportedResults   = 50   // results of one server that count in a report
-	sharedFailureServers = 4    // one in so many servers may fail what the others do not
+	sharedFailureDivisor = 4    // its reciprocal is the quantile of the servers' failure shares that counts as shared
 )
 
-// breaker pauses a server, or one class at a server, after too many failures.
+// breaker is a circuit breaker that pauses a server, or one class at a server, after too many failures.
 type breaker struct {
-	tracked     bool // a failure began a window
-	paused      bool
-	failures    int // of the window
-	results     int
+	tracked     bool // there was a failure, so results are counted
+	paused      bool // open, or half-open after the cooldown
+	failures    int  // in the window
+	results     int  // in the window, failures included
 	windowStart float64
-	lastResult  float64
+	lastResult  float64 // time of the last result
 	cooldown    float64 // s, from lastResult on
 	inFlight    int     // attempts
 }
 
-// admits reports whether an attempt may be sent: always, or as a trial after the cooldown, one at a time.
+// admits reports whether an attempt may be sent: always while the breaker is closed, and after the cooldown one at a
+// time, as a trial.
 func (br *breaker) admits(now float64) bool {
 	return !br.paused || now >= br.lastResult+br.cooldown && br.inFlight == 0
 }
 
-// onTrial reports whether the breaker is paused, but admits an attempt.
+// onTrial reports whether the breaker is paused, but admits an attempt as a trial.
 func (br *breaker) onTrial(now float64) bool { return br.paused && br.admits(now) }
 
-// record counts a result; sharedFailures is the share of failures that servers have in common. Where all fail alike,
-// pausing them all helps nobody, so the bar rises with that share.
+// record counts a result and opens or closes the breaker. sharedFailures is the share of failures that servers have in
+// common. The threshold rises with it, since pausing all servers that fail alike would leave none to send to.
 func (br *breaker) record(now float64, ok bool, window, sharedFailures float64, random *pcg.Rand) {
 	if ok && !br.tracked {
 		return
@@ -53,14 +54,14 @@
 		return
 	}
 	br.failures++
-	bar := maxFailureShare + (1-maxFailureShare)*sharedFailures
-	if br.results > minBreakerResults && float64(br.failures)/float64(br.results) > bar {
+	threshold := maxFailureShare + (1-maxFailureShare)*sharedFailures
+	if br.results > minBreakerResults && float64(br.failures)/float64(br.results) > threshold {
 		br.paused = true
 		br.cooldown = breakerCooldown * (1 + cooldownJitter*random.Float64())
 	}
 }
 
-// recentFailureShare is the share of failures in a window that is not too old.
+// recentFailureShare is the share of failures in the window, or 0 if the last result is older than breakerWindow.
 func (br *breaker) recentFailureShare(now float64) float64 {
 	if br.results > 0 && now-br.lastResult < breakerWindow {
 		return float64(br.failures) / float64(br.results)
@@ -68,14 +69,14 @@
 	return 0
 }
 
-// failureStats are the failures of all servers.
+// failureStats describes the failures of all servers.
 type failureStats struct {
-	share  float64   // of all results, smoothed
-	shares []float64 // scratch of sharedFailures
+	share  float64   // of failures in the results of all servers, smoothed
+	shares []float64 // buffer of sharedFailures, reused
 }
 
-// recordResult counts a result in the breakers of a server. A server that fails one class serves the others well, so
-// its own breaker never opens for that; the breaker of the class there does.
+// recordResult counts a result in two breakers: that of the server and that of the class at this server. A server may
+// fail one class and serve the others well, which opens only the breaker of that class.
 func (b *Balancer) recordResult(class int, s *server, ok bool) {
 	b.failures.share -= meanSmoothing * b.failures.share
 	if !ok {
@@ -85,8 +86,8 @@
 	s.classBreakers[class].record(b.now, ok, classBreakerWindow, b.sharedFailures(class, ok), &b.random)
 }
 
-// sharedFailures is the share of failures in a class that three servers in four exceed: what only some fail, up to that
-// many, is not shared. A success is held to no bar and needs none.
+// sharedFailures is the first quartile of the servers' failure shares in a class: failures count as shared if more than
+// three servers in four have them. It is 0 for a success, for which the breaker has no threshold.
 func (b *Balancer) sharedFailures(class int, ok bool) float64 {
 	if ok {
 		return 0
@@ -102,39 +103,40 @@
 		return 0
 	}
 	slices.Sort(shares)
-	return shares[len(shares)/sharedFailureServers]
+	return shares[len(shares)/sharedFailureDivisor]
 }
 
-// ReportedOutcomes are the attempts of a class that others sent to a server, by how they ended.
+// ReportedOutcomes counts the attempts of a class that other clients sent to a server, by outcome.
 type ReportedOutcomes struct{ Endpoint, Class, Succeeded, Failed int }
 
-// counted is how many of the results count: more would tell no more and take long.
+// counted is the number of results that count. More would add no information, but take long to record.
 func (o *ReportedOutcomes) counted() int { return min(o.Succeeded+o.Failed, maxReportedResults) }
 
-// failuresUpTo is how many of the first n counted results are failures.
+// failuresUpTo returns the number of failures among the first n counted results.
 func (o *ReportedOutcomes) failuresUpTo(n int) int {
 	total, counted := o.Succeeded+o.Failed, o.counted()
 	failed := (o.Failed*counted + total/2) / total
 	return n * failed / counted
 }
 
-// OutcomesReported takes in the attempts that others made since their last report. The failures of one server in a row,
-// or all its results before those of another, would pause a server that mostly succeeds, or raise the bar for all; so
-// the results of each server are spread evenly over the report, a failure last.
-func (b *Balancer) OutcomesReported(now float64, all []ReportedOutcomes) {
-	b.begin(now)
+// OutcomesReported records the attempts that other clients made since their last report. The failures of one server
+// recorded in a row would pause a server that mostly succeeds, and all results of one server before those of the next
+// would raise the thresholds of all. So the results of each server are spread evenly over the report, a failure
+// last.
+func (b *Balancer) OutcomesReported(now float64, outcomes []ReportedOutcomes) {
+	b.beginCall(now)
 	rounds := 0
-	for i := range all {
-		rounds = max(rounds, all[i].counted())
+	for i := range outcomes {
+		rounds = max(rounds, outcomes[i].counted())
 	}
 	for round := 1; round <= rounds; round++ {
-		for i := range all {
-			b.recordReported(&all[i], round, rounds)
+		for i := range outcomes {
+			b.recordReported(&outcomes[i], round, rounds)
 		}
 	}
 }
 
-// recordReported takes in the result of a server that falls into a round, if one does.
+// recordReported records the reported result that falls into a round, if one does.
 func (b *Balancer) recordReported(o *ReportedOutcomes, round, rounds int) {
 	counted := o.counted()
 	last := round * counted / rounds
@@ -144,17 +146,17 @@
 	failures := o.failuresUpTo(last) - o.failuresUpTo(last-1)
 	s := b.servers[o.Endpoint]
 	b.recordResult(o.Class, s, failures == 0)
-	b.learnPayoff(s, o.Class, 1-float64(failures), b.now, resultNoise)
+	b.learnPayoff(s, o.Class, 1-float64(failures), b.now, resultVariance)
 }
 
-// Availability reports whether any listed server is admitted without a breaker, and whether one is for a trial only.
-func (b *Balancer) Availability(now float64) (any, trial bool) {
-	b.begin(now)
+// Availability reports whether any listed server is not paused, and whether any paused one admits a trial.
+func (b *Balancer) Availability(now float64) (admitted, trial bool) {
+	b.beginCall(now)
 	for _, s := range b.servers {
 		if s != nil && s.State == Ready {
-			any = any || !s.breaker.paused
+			admitted = admitted || !s.breaker.paused
 			trial = trial || s.breaker.onTrial(b.now)
 		}
 	}
-	return any, trial
+	return admitted, trial
 }
--- a/balance/breaker_test.go
+++ b/balance/breaker_test.go
@@ -15,17 +15,17 @@
 	}{
 		{"too few results", "fffff", 0, "", true},
 		{"more than half failing", "ffffff", 0, "", false},
-		{"successes before the first failure go uncounted", "ssssssssffffff", 0, "", false},
-		{"half failing is not over half", "fsfsfsfs", 0, "", true},
+		{"successes before the first failure do not count", "ssssssssffffff", 0, "", false},
+		{"exactly half failing", "fsfsfsfs", 0, "", true},
 		{"a rejection leaves the breaker alone", "rrrrrrrrrr", 0, "", true},
-		{"a canceled attempt counts neither way", "fffffcccc", 0, "", true},
-		{"a success clears", "ffffffs", 0, "", true},
-		{"the next failure pauses again", "ffffffsf", 0, "", false},
+		{"a canceled attempt does not count", "fffffcccc", 0, "", true},
+		{"a success closes the breaker", "ffffffs", 0, "", true},
+		{"the next failure opens it again", "ffffffsf", 0, "", false},
 		{"a late answer is no failure", "llllllll", 0, "", true},
 		{"the window resets", "fffff", breakerWindow + 1, "f", true},
-		{"within the window all count", "fffff", breakerWindow - 1, "f", false},
-		{"still cooling down", "ffffff", breakerCooldown * 0.9, "", false},
-		{"cooled down", "ffffff", breakerCooldown*(1+cooldownJitter) + 0.1, "", true},
+		{"results within the window count", "fffff", breakerWindow - 1, "f", false},
+		{"cooldown not over", "ffffff", breakerCooldown * 0.9, "", false},
+		{"cooldown over", "ffffff", breakerCooldown*(1+cooldownJitter) + 0.1, "", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			proxy := startProxy(t, deployment(), 2)
@@ -54,21 +54,22 @@
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[0]}, ServerError, 0)
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[1]}, Succeeded, 0.05)
 	}
-	assert.Positive(t, countDraws(0)[0], "what it does well it goes on doing")
+	assert.Positive(t, countDraws(0)[0], "the class that succeeds is still sent to the server")
 	assert.Zero(t, countDraws(1)[0])
 	proxy.now += breakerCooldown * (1 + cooldownJitter)
-	assert.Positive(t, countDraws(1)[0], "cooled down")
+	assert.Positive(t, countDraws(1)[0], "trial after the cooldown")
 	trial := &Request{balancer: proxy.Balancer, class: &proxy.classes[1], RequestInfo: RequestInfo{Class: 1}}
 	proxy.send(trial, proxy.servers[0])
-	assert.Zero(t, countDraws(1)[0], "one at a time")
+	assert.Zero(t, countDraws(1)[0], "only one trial at a time")
 }
 
-// Where most servers fail one class, the fleet's own share of failures must not keep each from being paused.
+// Guards against a class breaker that never opens: if most servers fail a class, but some serve it, the failures must
+// not count as shared by all servers and raise the threshold.
 func TestClassFailingAtMostServersIsPausedThere(t *testing.T) {
 	for _, c := range []struct{ bad, paused int }{{7, 7}, {10, 0}} {
 		proxy := startProxy(t, deployment(), 10)
 		for _, s := range proxy.servers {
-			proxy.endAttempts(s, "fsss") // begins the window
+			proxy.endAttempts(s, "fsss") // starts the window of the breaker
 		}
 		proxy.clock += classBreakerWindow + 1
 		for range minBreakerResults + 1 {
@@ -94,7 +95,7 @@
 	proxy := startProxy(t, deployment(), 4)
 	for range 40 {
 		for _, s := range proxy.servers {
-			proxy.endAttempts(s, "fffs") // all fail alike, three in four
+			proxy.endAttempts(s, "fffs") // all servers fail three in four attempts
 		}
 	}
 	paused := 0
@@ -107,7 +108,7 @@
 	proxy.endAttempts(proxy.servers[0], "ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff")
 	proxy.endAttempts(proxy.servers[1], "sssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssssss")
 	proxy.endAttempts(proxy.servers[0], "f")
-	assert.True(t, proxy.servers[0].breaker.paused, "one that only it fails is paused still")
+	assert.True(t, proxy.servers[0].breaker.paused, "failures of one server only still pause it")
 }
 
 func TestHangingServerIsPausedBeforeTheDeadline(t *testing.T) {
@@ -127,13 +128,14 @@
 	for _, request := range hung {
 		request.TimerFired(0.2)
 	}
-	assert.True(t, proxy.servers[0].breaker.paused, "well before any deadline")
+	assert.True(t, proxy.servers[0].breaker.paused, "paused before the deadline of any attempt")
 }
 
-// Reported outcomes pause and readmit as own results would, by the share that failed and not by their order.
+// Guards against breakers that depend on the order in which reported outcomes are recorded: only their share of
+// failures may decide whether a server is paused or readmitted.
 func TestReportedOutcomesPauseAndReadmit(t *testing.T) {
 	for _, c := range []struct {
-		succeeded, failed, after int // after: succeeded, in a second report
+		succeeded, failed, after int // after: successes in a second report
 		paused                   bool
 	}{
 		{100, 0, 0, false},
@@ -144,7 +146,7 @@
 		{10, 90, 1, false},
 	} {
 		proxy := startProxy(t, deployment(), 9)
-		report := []ReportedOutcomes{{0, 0, c.succeeded, c.failed}, {77, 0, 5, 5}} // the last is of no server
+		report := []ReportedOutcomes{{0, 0, c.succeeded, c.failed}, {77, 0, 5, 5}} // the last one is of an unknown server
 		for i := 1; i < 9; i++ {
 			report = append(report, ReportedOutcomes{i, 0, 95, 5})
 		}
@@ -154,7 +156,7 @@
 		for i := range all {
 			assert.Equal(t, i == 0 && c.paused, all[i].Paused, "%d: %+v", i, c)
 		}
-		assert.Equal(t, c.paused, proxy.ServerStatuses(20)[0].Trial, "cooled down")
+		assert.Equal(t, c.paused, proxy.ServerStatuses(20)[0].Trial, "trial after the cooldown")
 		if c.paused {
 			assert.Less(t, all[0].Payoff, all[1].Payoff)
 		}
--- a/balance/checkpoint.go
+++ b/balance/checkpoint.go
@@ -5,10 +5,10 @@
 	"lockloom/internal/pcg"
 )
 
-// A capture begins with the complete state of a balancer, so that a replay can start in the middle of its life. The
-// types of this file are that stored form. internal/graphcodec writes them by memory layout: the order and the types
-// of their fields are published, so a field that is not stored any more stays as a blank one. The state that the
-// decisions work on may change freely, as long as it can be converted to this form and back.
+// A capture begins with the complete state of a balancer, so that a replay can start at any time after the start of the
+// proxy. The types of this file are the stored form of that state. internal/graphcodec encodes them by memory layout,
+// so the order and the types of their fields must not change, and a field that is no longer stored remains as a blank
+// one. All other types of this package may change, as long as they can be converted to the stored form and back.
 
 // Checkpoint is the stored form of a Balancer. It shares no memory with the balancer.
 type Checkpoint struct {
@@ -17,7 +17,7 @@
 	now             float64
 	servers         []*checkpointServer
 	classes         []checkpointClass
-	waiting         []*RequestCheckpoint
+	queue           []*RequestCheckpoint
 	candidates      []checkpointCandidate
 	_               []float64
 	_               Actions
@@ -26,7 +26,7 @@
 	admitted        float64
 	keys            histogram.Shares
 	latencies       histogram.Times
-	usualPriority   float64
+	meanPriority    float64
 	arrivals        float64
 	arrivalInterval float64
 	lastArrival     float64
@@ -49,7 +49,7 @@
 	_               GossipMessage
 	idleCheckAt     float64
 	budgetShare     float64
-	attemptStretch  float64
+	delayFactor     float64
 	localDelay      float64
 	limitGrowth     float64
 }
@@ -62,25 +62,25 @@
 	arrivedAt    float64
 	attempts     []checkpointAttempt
 	inFlight     int
-	over         bool
-	waiting      bool
+	finished     bool
+	queued       bool
 	relativeWork float64
 	priority     float64
 	placement    uint64
 }
 
 type checkpointAttempt struct {
-	server     *checkpointServer
-	pod        int
-	zone       int
-	sentAt     float64
-	contention float64
-	inFlight   bool
-	neverRan   bool
-	started    bool
-	overdue    bool
-	released   bool
-	noRoute    bool
+	server        *checkpointServer
+	pod           int
+	zone          int
+	sentAt        float64
+	contention    float64
+	inFlight      bool
+	neverRan      bool
+	started       bool
+	overdue       bool
+	released      bool
+	connectFailed bool
 }
 
 type checkpointClass struct {
@@ -152,11 +152,12 @@
 	capacity float64
 }
 
-// CheckpointError says why a Checkpoint cannot be restored: something in it refers to what it does not hold.
+// CheckpointError reports that a Checkpoint cannot be restored, because a value is missing or refers to one that the
+// Checkpoint does not contain.
 type CheckpointError struct {
-	Reference string // what holds the dangling reference
+	Reference string // the missing or dangling reference
 }
 
 func (e *CheckpointError) Error() string {
-	return "checkpoint: dangling reference of " + e.Reference
+	return "invalid checkpoint: " + e.Reference
 }
--- a/balance/checkpoint_restore.go
+++ b/balance/checkpoint_restore.go
@@ -1,7 +1,7 @@
 package balance
 
-// Restore builds the balancer and its requests that a Checkpoint was made of. It returns a *CheckpointError where the
-// Checkpoint refers to what it does not hold.
+// Restore returns the balancer and the requests of which the Checkpoint was made. It returns a *CheckpointError if a
+// value is missing or refers to one that the Checkpoint does not contain.
 func (c *Checkpoint) Restore(requests map[uint64]*RequestCheckpoint) (*Balancer, map[uint64]*Request, error) {
 	r := &checkpointReader{
 		checkpoint: c,
@@ -25,7 +25,8 @@
 	return r.balancer, restored, nil
 }
 
-// checkpointReader builds a balancer, each value that several others point to once.
+// checkpointReader builds a balancer from its stored form. Its maps ensure that a value to which several others point
+// is built only once.
 type checkpointReader struct {
 	checkpoint *Checkpoint
 	balancer   *Balancer
@@ -35,7 +36,7 @@
 	requests   map[*RequestCheckpoint]*Request
 }
 
-// balancer returns a Balancer with all that refers to nothing else.
+// balancer returns a Balancer without classes, estimates, models, servers, requests and candidates.
 func (c *Checkpoint) balancer() *Balancer {
 	return &Balancer{
 		deployment: c.deployment,
@@ -44,7 +45,7 @@
 		traffic: trafficStats{
 			keys:        c.keys,
 			latencies:   c.latencies,
-			priority:    c.usualPriority,
+			priority:    c.meanPriority,
 			arrivals:    c.arrivals,
 			interval:    c.arrivalInterval,
 			lastArrival: c.lastArrival,
@@ -83,9 +84,9 @@
 			received: c.gossipReceived,
 		},
 		process: processState{
-			budgetShare:    c.budgetShare,
-			attemptStretch: c.attemptStretch,
-			localDelay:     c.localDelay,
+			budgetShare: c.budgetShare,
+			delayFactor: c.delayFactor,
+			localDelay:  c.localDelay,
 		},
 	}
 }
@@ -93,10 +94,10 @@
 func (r *checkpointReader) restore() error {
 	c, b := r.checkpoint, r.balancer
 	if len(c.classes) == 0 {
-		return &CheckpointError{"the balancer: no class"}
+		return &CheckpointError{"no classes"}
 	}
 	if c.fleet == nil {
-		return &CheckpointError{"the balancer: no estimate of the fleet"}
+		return &CheckpointError{"no estimate of the fleet"}
 	}
 	b.estimates.fleet = r.estimate(c.fleet)
 	if err := r.restoreClasses(); err != nil {
@@ -104,7 +105,7 @@
 	}
 	for _, stored := range c.models {
 		if stored == nil {
-			return &CheckpointError{"a machine model"}
+			return &CheckpointError{"a machine model is nil"}
 		}
 		b.estimates.models = append(b.estimates.models, r.model(stored))
 	}
@@ -127,7 +128,7 @@
 	for i := range c.classes {
 		stored := &c.classes[i]
 		if stored.all != &c.latencies {
-			return &CheckpointError{"class " + stored.class.Name + " to the latencies of all classes"}
+			return &CheckpointError{"class " + stored.class.Name + " does not refer to the latencies of all classes"}
 		}
 		b.classes = append(b.classes, classState{
 			Class:             stored.class,
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// restoreQueue restores the requests that wait and the candidates of the last draw.
+// restoreQueue restores the queued requests and the candidates of the last draw.
 func (r *checkpointReader) restoreQueue() error {
 	c, b := r.checkpoint, r.balancer
 	for i := range c.candidates {
@@ -158,28 +159,28 @@
 			capacity: stored.capacity,
 		})
 	}
-	for _, stored := range c.waiting {
+	for _, stored := range c.queue {
 		request, err := r.request(stored)
 		if err != nil {
 			return err
 		}
-		b.queue.waiting = append(b.queue.waiting, request)
+		b.queue.requests = append(b.queue.requests, request)
 	}
 	return nil
 }
 
 func (r *checkpointReader) estimate(stored *checkpointEstimate) *estimate {
-	if o := r.estimates[stored]; o != nil {
-		return o
+	if e := r.estimates[stored]; e != nil {
+		return e
 	}
-	o := &estimate{
+	e := &estimate{
 		payoff:     stored.payoff,
 		confidence: stored.confidence,
 		updatedAt:  stored.updatedAt,
 		lifetime:   stored.lifetime,
 	}
-	r.estimates[stored] = o
-	return o
+	r.estimates[stored] = e
+	return e
 }
 
 func (r *checkpointReader) model(stored *checkpointModel) *model {
@@ -200,7 +201,7 @@
 
 func (r *checkpointReader) server(stored *checkpointServer) (*server, error) {
 	if stored == nil {
-		return nil, &CheckpointError{"an attempt or a candidate to its server"}
+		return nil, &CheckpointError{"an attempt or a candidate has no server"}
 	}
 	if s := r.servers[stored]; s != nil {
 		return s, nil
@@ -208,7 +209,7 @@
 	classes := len(r.checkpoint.classes)
 	if stored.model == nil || len(stored.general) != generalEstimates || len(stored.byClass) != classes+1 ||
 		len(stored.classBreakers) != classes || len(stored.observations) != classes+1 {
-		return nil, &CheckpointError{"a server to its classes, its machine model or its estimates"}
+		return nil, &CheckpointError{"a server has no model, or a wrong number of breakers, estimates or observations"}
 	}
 	s := &server{
 		Endpoint:    stored.endpoint,
@@ -217,7 +218,7 @@
 		scores:      serverScores{relativeLatency: stored.relativeLatency},
 		limit:       concurrencyLimit{value: stored.limit, minimum: stored.minLimit},
 		load:        reportedLoad{inFlight: stored.reportedLoad, at: stored.reportedAt, sentSince: stored.sentSince},
-		slowStart:   slowStartBudget{saved: stored.budget, filledAt: stored.budgetAt},
+		slowStart:   slowStartBudget{tokens: stored.budget, refilledAt: stored.budgetAt},
 		lastSuccess: stored.lastSuccess,
 		lastUsed:    stored.lastUsed,
 		drained:     stored.drained,
@@ -249,11 +250,11 @@
 
 func (r *checkpointReader) estimateList(stored []*checkpointEstimate) ([]*estimate, error) {
 	list := make([]*estimate, len(stored))
-	for i, o := range stored {
-		if o == nil {
-			return nil, &CheckpointError{"a server to an estimate"}
+	for i, e := range stored {
+		if e == nil {
+			return nil, &CheckpointError{"an estimate of a server is nil"}
 		}
-		list[i] = r.estimate(o)
+		list[i] = r.estimate(e)
 	}
 	return list, nil
 }
@@ -273,14 +274,14 @@
 
 func (r *checkpointReader) request(stored *RequestCheckpoint) (*Request, error) {
 	if stored == nil {
-		return nil, &CheckpointError{"the queue or the caller to a request"}
+		return nil, &CheckpointError{"a request is nil"}
 	}
 	if request := r.requests[stored]; request != nil {
 		return request, nil
 	}
 	c, class := r.checkpoint, stored.info.Class
 	if stored.balancer != c || class < 0 || class >= len(c.classes) || stored.class != &c.classes[class] {
-		return nil, &CheckpointError{"a request to its balancer or its class"}
+		return nil, &CheckpointError{"a request refers to another balancer or to an unknown class"}
 	}
 	request := &Request{
 		RequestInfo:  stored.info,
@@ -288,8 +289,8 @@
 		class:        &r.balancer.classes[class],
 		arrivedAt:    stored.arrivedAt,
 		inFlight:     stored.inFlight,
-		over:         stored.over,
-		waiting:      stored.waiting,
+		finished:     stored.finished,
+		queued:       stored.queued,
 		relativeWork: stored.relativeWork,
 		priority:     stored.priority,
 		placement:    stored.placement,
@@ -308,16 +309,16 @@
 
 func (a *checkpointAttempt) attempt(s *server) attempt {
 	return attempt{
-		server:     s,
-		pod:        a.pod,
-		zone:       a.zone,
-		sentAt:     a.sentAt,
-		contention: a.contention,
-		inFlight:   a.inFlight,
-		neverRan:   a.neverRan,
-		started:    a.started,
-		overdue:    a.overdue,
-		released:   a.released,
-		noRoute:    a.noRoute,
+		server:        s,
+		pod:           a.pod,
+		zone:          a.zone,
+		sentAt:        a.sentAt,
+		contention:    a.contention,
+		inFlight:      a.inFlight,
+		neverRan:      a.neverRan,
+		started:       a.started,
+		overdue:       a.overdue,
+		released:      a.released,
+		connectFailed: a.connectFailed,
 	}
 }
--- a/balance/checkpoint_save.go
+++ b/balance/checkpoint_save.go
@@ -2,7 +2,8 @@
 
 import "lockloom/internal/histogram"
 
-// Checkpoint returns the stored form of the balancer and of the given requests, by the same keys. It changes nothing.
+// Checkpoint returns the stored form of the balancer and of the given requests, by the same keys. It does not change
+// the balancer.
 func (b *Balancer) Checkpoint(requests map[uint64]*Request) (*Checkpoint, map[uint64]*RequestCheckpoint) {
 	w := newCheckpointWriter(b)
 	stored := make(map[uint64]*RequestCheckpoint, len(requests))
@@ -12,7 +13,8 @@
 	return w.checkpoint, stored
 }
 
-// checkpointWriter converts a balancer, each value that several others point to once.
+// checkpointWriter converts a balancer to its stored form. Its maps ensure that a value to which several others point
+// is converted only once.
 type checkpointWriter struct {
 	balancer   *Balancer
 	checkpoint *Checkpoint
@@ -45,13 +47,13 @@
 	for i := range b.selection.candidates {
 		c.candidates = append(c.candidates, w.candidate(&b.selection.candidates[i]))
 	}
-	for _, r := range b.queue.waiting {
-		c.waiting = append(c.waiting, w.request(r))
+	for _, r := range b.queue.requests {
+		c.queue = append(c.queue, w.request(r))
 	}
 	return w
 }
 
-// scalars is a Checkpoint with all that refers to nothing else.
+// scalars returns a Checkpoint without classes, estimates, models, servers, requests and candidates.
 func (b *Balancer) scalars() *Checkpoint {
 	return &Checkpoint{
 		deployment:      b.deployment,
@@ -62,7 +64,7 @@
 		admitted:        b.selection.admitted,
 		keys:            b.traffic.keys,
 		latencies:       b.traffic.latencies,
-		usualPriority:   b.traffic.priority,
+		meanPriority:    b.traffic.priority,
 		arrivals:        b.traffic.arrivals,
 		arrivalInterval: b.traffic.interval,
 		lastArrival:     b.traffic.lastArrival,
@@ -82,7 +84,7 @@
 		gossipReceived:  b.gossip.received,
 		idleCheckAt:     b.endpoints.idleCheckAt,
 		budgetShare:     b.process.budgetShare,
-		attemptStretch:  b.process.attemptStretch,
+		delayFactor:     b.process.delayFactor,
 		localDelay:      b.process.localDelay,
 		limitGrowth:     b.concurrency.growth,
 	}
@@ -113,7 +115,7 @@
 	return stored
 }
 
-// model makes the estimate a part of the model, as it is in the balancer.
+// model converts a machine model. Pointers to its estimate then refer to the copy that is embedded in the stored model.
 func (w *checkpointWriter) model(m *model) *checkpointModel {
 	if stored := w.models[m]; stored != nil {
 		return stored
@@ -151,8 +153,8 @@
 		sentSince:       s.load.sentSince,
 		minLimit:        s.limit.minimum,
 		limit:           s.limit.value,
-		budget:          s.slowStart.saved,
-		budgetAt:        s.slowStart.filledAt,
+		budget:          s.slowStart.tokens,
+		budgetAt:        s.slowStart.refilledAt,
 	}
 	w.servers[s] = stored
 	for i := range s.classBreakers {
@@ -169,8 +171,8 @@
 
 func (w *checkpointWriter) estimateList(list []*estimate) []*checkpointEstimate {
 	stored := make([]*checkpointEstimate, len(list))
-	for i, o := range list {
-		stored[i] = w.estimate(o)
+	for i, e := range list {
+		stored[i] = w.estimate(e)
 	}
 	return stored
 }
@@ -208,8 +210,8 @@
 		class:        &w.checkpoint.classes[r.Class],
 		arrivedAt:    r.arrivedAt,
 		inFlight:     r.inFlight,
-		over:         r.over,
-		waiting:      r.waiting,
+		finished:     r.finished,
+		queued:       r.queued,
 		relativeWork: r.relativeWork,
 		priority:     r.priority,
 		placement:    r.placement,
@@ -223,16 +225,16 @@
 
 func (w *checkpointWriter) attempt(a *attempt) checkpointAttempt {
 	return checkpointAttempt{
-		server:     w.server(a.server),
-		pod:        a.pod,
-		zone:       a.zone,
-		sentAt:     a.sentAt,
-		contention: a.contention,
-		inFlight:   a.inFlight,
-		neverRan:   a.neverRan,
-		started:    a.started,
-		overdue:    a.overdue,
-		released:   a.released,
-		noRoute:    a.noRoute,
+		server:        w.server(a.server),
+		pod:           a.pod,
+		zone:          a.zone,
+		sentAt:        a.sentAt,
+		contention:    a.contention,
+		inFlight:      a.inFlight,
+		neverRan:      a.neverRan,
+		started:       a.started,
+		overdue:       a.overdue,
+		released:      a.released,
+		connectFailed: a.connectFailed,
 	}
 }
--- a/balance/checkpoint_test.go
+++ b/balance/checkpoint_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// trafficBeforeCheckpoint returns a proxy of a fleet that gossips with attempts in flight, some at a server that the
-// endpoint list has lost, and with requests that wait.
+// trafficBeforeCheckpoint returns a proxy of a fleet that gossips, and its requests. Some are queued, and some have an
+// attempt in flight at a server that was removed from the endpoint list.
 func trafficBeforeCheckpoint(t *testing.T) (*testProxy, map[uint64]*Request) {
 	t.Helper()
 	d := sidecarDeployment()
@@ -31,10 +31,11 @@
 	return proxy, requests
 }
 
-// A restored balancer and the original answer the same calls with the same actions.
+// Guards against state that a checkpoint omits: a restored balancer and the original must return the same actions for
+// the same calls.
 func TestRestoredBalancerDecidesTheSame(t *testing.T) {
 	original, requests := trafficBeforeCheckpoint(t)
-	require.NotEmpty(t, original.queue.waiting)
+	require.NotEmpty(t, original.queue.requests)
 	require.NotEmpty(t, original.selection.candidates)
 	checkpoint, stored := original.Checkpoint(requests)
 	b, restored, err := checkpoint.Restore(stored)
@@ -42,20 +43,20 @@
 	require.Len(t, restored, len(requests))
 	assert.Equal(t, original.CurrentStatuses(), b.CurrentStatuses())
 	copied := &testProxy{Balancer: b, clock: original.clock, refs: original.refs}
-	onLostServer := 0
+	onRemovedServer := 0
 	for key := range uint64(61) {
 		request := requests[key]
 		if request == nil {
 			continue
 		}
 		if len(request.attempts) > 0 && request.attempts[0].server.State == Removed {
-			onLostServer++
+			onRemovedServer++
 		}
 		assert.Equal(t, request.ScoreBreakdown(), restored[key].ScoreBreakdown())
 		want := *request.AttemptEnded(original.clock, 0, ServerError, 0.05, false)
 		assert.Equal(t, want, *restored[key].AttemptEnded(copied.clock, 0, ServerError, 0.05, false))
 	}
-	assert.Positive(t, onLostServer)
+	assert.Positive(t, onRemovedServer)
 	for range 200 {
 		original.clock += 0.02
 		copied.clock = original.clock
@@ -67,7 +68,7 @@
 }
 
 func TestCheckpointWithADanglingReferenceIsRejected(t *testing.T) {
-	for name, damage := range map[string]func(*Checkpoint, map[uint64]*RequestCheckpoint){
+	for name, corrupt := range map[string]func(*Checkpoint, map[uint64]*RequestCheckpoint){
 		"no class":                   func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.classes = nil },
 		"no fleet estimate":          func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.fleet = nil },
 		"no machine model":           func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.models[0] = nil },
@@ -78,13 +79,13 @@
 		},
 		"latencies of another":       func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.classes[0].all = nil },
 		"candidate without a server": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.candidates[0].server = nil },
-		"nobody waits":               func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.waiting[0] = nil },
+		"queued request missing":     func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) { c.queue[0] = nil },
 		"no request":                 func(_ *Checkpoint, r map[uint64]*RequestCheckpoint) { r[1] = nil },
 		"request of another balancer": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
-			c.waiting[0].balancer = &Checkpoint{}
+			c.queue[0].balancer = &Checkpoint{}
 		},
 		"request of an unknown class": func(c *Checkpoint, _ map[uint64]*RequestCheckpoint) {
-			c.waiting[0].info.Class = 9
+			c.queue[0].info.Class = 9
 		},
 		"attempt without a server": func(_ *Checkpoint, r map[uint64]*RequestCheckpoint) {
 			attempts := make([]checkpointAttempt, 1)
@@ -94,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			proxy, requests := trafficBeforeCheckpoint(t)
 			c, stored := proxy.Checkpoint(requests)
-			damage(c, stored)
+			corrupt(c, stored)
 			_, _, err := c.Restore(stored)
 			var dangling *CheckpointError
 			assert.ErrorAs(t, err, &dangling)
--- a/balance/class.go
+++ b/balance/class.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	meanSmoothing     = 0.02  // part of a mean that one value replaces
-	baseRiseSmoothing = 0.002 // the same where the base latency rises: it follows a slower fleet, not a crowd
+	meanSmoothing     = 0.02  // weight of one value in a smoothed mean
+	baseRiseSmoothing = 0.002 // the same for a rising base latency, which is to follow slower servers, but no overload
 	maxLatencyGuess   = 1.0   // s, for a class without answers so far
-	minRelativeWork   = 0.5   // that a latency is divided or multiplied by
+	minRelativeWork   = 0.5   // the least by which a latency is divided or multiplied
 )
 
-// classState is what was learned of a class.
+// classState is a class with what was learned about it.
 type classState struct {
 	Class
-	latencies         histogram.Times  // s, for usual work
-	unloadedLatencies histogram.Times  // the same divided by the attempts that shared a core of the server
-	meanWork          float64          // s, of RequestInfo.ExpectedWork
-	baseLatency       float64          // s, the median while little waits
+	latencies         histogram.Times  // s, scaled to mean work
+	unloadedLatencies histogram.Times  // s, the same divided by the attempts per core of the server
+	meanWork          float64          // s, smoothed mean of RequestInfo.ExpectedWork
+	baseLatency       float64          // s, the median without queueing
 	allLatencies      *histogram.Times // of all classes
 }
 
-// relativeWork returns a request's expected work over the usual of its class, and learns from it.
+// relativeWork returns a request's expected work over the mean of its class, and updates the mean.
 func (c *classState) relativeWork(expected float64) float64 {
 	relative := 1.0
 	if expected > 0 {
@@ -34,9 +34,9 @@
 	return relative
 }
 
-// medianLatency is what an answer of this class usually takes. While too little is known it is a quarter of the latency
-// objective, or the median of all classes: where the objective is long, the first request would count as slow beyond
-// all others and wait for as long.
+// medianLatency is the median latency of this class for mean work. With too few answers it is a quarter of the latency
+// objective, but no more than the median of all classes if that quarter is over maxLatencyGuess: with a long objective,
+// the first request would be expected to take far too long, and be queued for as long.
 func (c *classState) medianLatency() float64 {
 	guess := c.LatencyObjective / 4
 	if guess > maxLatencyGuess {
@@ -45,13 +45,13 @@
 	return c.latencies.Quantile(0.5, guess)
 }
 
-// medianUnloadedLatency is the same at a server that does nothing else.
+// medianUnloadedLatency is the median latency of this class, for mean work, at a server without other load.
 func (c *classState) medianUnloadedLatency() float64 {
 	return c.unloadedLatencies.Quantile(0.5, c.LatencyObjective/4)
 }
 
-// learnBaseLatency follows the unloaded median: down soon, up slowly. The mere minimum would stay with the luckiest
-// answers of the start.
+// learnBaseLatency makes the base latency follow the unloaded median, faster down than up. A plain minimum would remain
+// at the fastest answers of the start.
 func (c *classState) learnBaseLatency(median float64) {
 	if median > c.baseLatency {
 		c.baseLatency += baseRiseSmoothing * (median - c.baseLatency)
@@ -60,13 +60,13 @@
 	}
 }
 
-// expectedLatency is what an answer to this request usually takes.
+// expectedLatency is the median latency of the class, scaled to the work of this request.
 func (r *Request) expectedLatency() float64 {
 	return r.class.medianLatency() * max(r.relativeWork, minRelativeWork)
 }
 
-// expectedWork is what an answer to this request usually takes where little waits. The base latency follows a fall of
-// the median slowly, so the lower of both counts.
+// expectedWork is the latency expected of this request without queueing, in seconds. The base latency follows a falling
+// median with a delay, so the lower of the two counts.
 func (r *Request) expectedWork() float64 {
 	return min(r.class.baseLatency, r.class.medianLatency()) * max(r.relativeWork, minRelativeWork)
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -3,29 +3,29 @@
 import "math"
 
 const (
-	minPollDelay         = 0.25 // s; the first delay before the endpoint list is asked for again
+	minPollDelay         = 0.25 // s; the first delay before the endpoint list is requested again
 	maxPollDelay         = 4.0  // s
-	pollJitter           = 0.5  // of the delay, either way
-	removedServerTimeout = 1.0  // s after its last answer that a server which the list has lost is still sent to
-	maxIdleDuration      = 2.0  // s; keeping a connection for longer costs more than opening it anew
-	idleCloseMargin      = 0.5  // s before the server closes an idle connection
-	idleCheckInterval    = 0.02 // s between looks at idle connections
+	pollJitter           = 0.5  // of the delay, added or subtracted at most
+	removedServerTimeout = 1.0  // s since its last success, for which a server removed from the list is still used
+	maxIdleDuration      = 2.0  // s; keeping a connection idle for longer costs more than opening a new one
+	idleCloseMargin      = 0.5  // s before the server closes an idle connection, from when it counts as closed
+	idleCheckInterval    = 0.02 // s between checks for idle connections
 )
 
-// endpointPoller decides when to ask for the endpoint list, and when to look at idle connections.
+// endpointPoller schedules the requests for the endpoint list and the checks for idle connections.
 type endpointPoller struct {
-	delay       float64 // s before the next poll after a failure
+	delay       float64 // s before the next poll after a failure, without jitter
 	pollAt      float64 // +Inf: no poll is due
 	idleCheckAt float64
 }
 
-// failed sets the next poll, each later than the one before.
+// failed schedules the next poll after a failure, with exponential backoff.
 func (p *endpointPoller) failed(now, random, notificationDeadline float64) {
 	p.pollAt = now + p.delay*(pollJitter+random)
 	p.delay = min(2*p.delay, maxPollDelay, max(notificationDeadline/4, minPollDelay))
 }
 
-// takePoll reports, once, whether it is time to poll.
+// takePoll reports whether a poll is due, and clears it.
 func (p *endpointPoller) takePoll(now float64) bool {
 	if now < p.pollAt-timerTolerance {
 		return false
@@ -34,9 +34,10 @@
 	return true
 }
 
-// EndpointsUpdated takes in the endpoint list or, unless full, its changed entries. The first list also subscribes.
+// EndpointsUpdated applies the endpoint list or, unless full, its changed entries. The first list also subscribes to
+// changes, if PollsEndpoints is set.
 func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []Endpoint) *Actions {
-	b.begin(now)
+	b.beginCall(now)
 	b.updateEndpoints(full, list)
 	if !first {
 		b.endpoints.delay = minPollDelay
@@ -45,28 +46,28 @@
 	return b.dispatch()
 }
 
-// PollFailed tells that the endpoint list could not be had, or that the subscription ended.
+// PollFailed reports that the endpoint list could not be fetched, or that the subscription ended.
 func (b *Balancer) PollFailed(now float64) *Actions {
-	b.begin(now)
-	if b.deployment.PollsEndpoints { // without a subscription, changes count as received soon, though none was heard
+	b.beginCall(now)
+	if b.deployment.PollsEndpoints { // without a subscription, changes soon count as received, though none was
 		b.endpoints.failed(now, b.random.Float64(), b.deployment.NotificationDeadline)
 		b.wakeAt(b.endpoints.pollAt)
 	}
 	return &b.actions
 }
 
-// HasEndpoint reports whether a server is still known: as listed, or as one that still serves. An index that is not
-// will not be named again.
+// HasEndpoint reports whether the server of an index is listed, or was removed but still serves. Later actions do not
+// refer to any other index, unless the list adds it again.
 func (b *Balancer) HasEndpoint(index int) bool {
 	return index < len(b.servers) && b.servers[index] != nil
 }
 
-// updateEndpoints keeps the servers as the list tells them.
+// updateEndpoints creates, updates and removes servers by the entries of the list.
 func (b *Balancer) updateEndpoints(full bool, list []Endpoint) {
 	if full {
 		for _, s := range b.servers {
 			if s != nil {
-				s.State = Removed // unless the list still has it, below
+				s.State = Removed // unless updateEndpoint sets another state below
 			}
 		}
 	}
@@ -80,7 +81,7 @@
 	}
 }
 
-// updateEndpoint takes in one entry. A server that was restarted is a new one.
+// updateEndpoint applies one entry. A server that was restarted gets a new state.
 func (b *Balancer) updateEndpoint(e Endpoint) {
 	for len(b.servers) <= e.Index {
 		b.servers = append(b.servers, nil)
@@ -94,18 +95,18 @@
 	s.drained = s.drained || e.State == Draining
 }
 
-// stillServing reports whether a server that the list has lost may be sent to, as long as it goes on answering. One
-// that is up again would be warming up, which the list could not tell.
+// stillServing reports whether a server that was removed from the list may be used: only while it goes on answering,
+// since after a restart it would be warming up, which a list without it cannot report.
 func (b *Balancer) stillServing(s *server) bool {
 	return b.deployment.RemovalIsAdvisory && s.State == Removed && !s.drained && b.now < s.lastSuccess+removedServerTimeout
 }
 
-// connectionOpen reports whether a connection to a server is idle, as far as its attempts tell.
+// connectionOpen reports whether there should be an open connection to a server, by the time of its last attempt.
 func (b *Balancer) connectionOpen(s *server) bool {
 	return s.lastUsed > 0 && b.now < s.lastUsed+b.deployment.ServerIdleTimeout-idleCloseMargin
 }
 
-// closeIdleConnections closes connections that were idle for too long, where they have a cost.
+// closeIdleConnections closes connections that were idle for maxIdleDuration, if open connections have a cost.
 func (b *Balancer) closeIdleConnections() {
 	d := &b.deployment
 	if !d.Sidecar && !d.Gossip || d.ConnectionCost == 0 || b.endpoints.idleCheckAt > b.now {
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -17,24 +17,24 @@
 	proxy.endAttempts(proxy.servers[1], "ffffff")
 	proxy.EndpointsUpdated(1, false, false, entry(0, Draining, 0))
 	proxy.EndpointsUpdated(1, false, false, entry(1, Ready, 1))
-	assert.False(t, proxy.servers[1].breaker.tracked, "a restart has a new breaker")
-	assert.True(t, proxy.warmingUp(proxy.servers[1]), "and is warming up")
+	assert.False(t, proxy.servers[1].breaker.tracked, "a restarted server has a new breaker")
+	assert.True(t, proxy.warmingUp(proxy.servers[1]), "a restarted server is warming up")
 	proxy.clock = 1
 	for range 20 {
 		request, _ := proxy.arrive(RequestInfo{})
 		for _, a := range request.attempts {
-			assert.NotZero(t, a.server.Index, "nothing new to a draining server")
+			assert.NotZero(t, a.server.Index, "no new requests to a draining server")
 		}
 	}
 	proxy.EndpointsUpdated(2, true, false, endpointList(2))
-	assert.Nil(t, proxy.servers[2], "a full list removes what it leaves out")
+	assert.Nil(t, proxy.servers[2], "a full list removes servers that it omits")
 	proxy.EndpointsUpdated(2, false, false, entry(1, Removed, 1))
 	assert.Nil(t, proxy.servers[1])
 }
 
-// Where only a drain binds, a server that goes on answering is kept, though the list has lost it. In the strings s and
-// f are results, g means gone, b back, d draining, r gone and restarted, o left out of a full list, w a wait; want is
-// whether the server is sent to and kept.
+// With RemovalIsAdvisory, a server that goes on answering stays in use although it was removed from the list. Each
+// letter is an event: s a success, f a failure, g removed, b listed again, d draining, r removed after a restart, o
+// omitted from a full list, w the timeout passes. want is whether the server is sent to, and whether it is kept.
 func TestAdvisoryRemovalKeepsAServingServer(t *testing.T) {
 	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining}
 	startedAt := map[rune]float64{'r': 49.9}
@@ -89,9 +89,9 @@
 		assert.False(t, b.TimerFired(actions.WakeAt-0.01).Subscribe)
 		last, now = actions.WakeAt-now, actions.WakeAt
 		assert.True(t, b.TimerFired(now).Subscribe)
-		assert.False(t, b.TimerFired(now+1).Subscribe, "polled once a failure")
+		assert.False(t, b.TimerFired(now+1).Subscribe, "one poll per failure")
 	}
-	assert.Greater(t, last, minPollDelay, "the delays grow")
+	assert.Greater(t, last, minPollDelay, "the delay increases with each failure")
 }
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleet is many balancers before the same servers, the first of which restarts at restartAt. The load of servers has no
-// effect on their answers: only what is sent to the restarted one is counted.
+// fleet simulates many balancers that share servers, the first of which restarts at restartAt. The load of a server has
+// no effect on its latency: the simulation only counts the attempts sent to the restarted server.
 type fleet struct {
 	now            float64
 	events         eventQueue
 	rand           *rand.Rand
 	deployment     Deployment
 	list           []Endpoint
-	slowdown       func(server int) float64 // factor on the latency of its answers
-	warmingUpSends []float64                // when the restarted server was sent to
+	slowdown       func(server int) float64 // factor on the latency of a server
+	warmingUpSends []float64                // times of the attempts sent to the restarted server
 }
 
 type event struct {
@@ -28,7 +28,7 @@
 
 type eventQueue []event
 
-// The methods of heap.Interface, by time.
+// Methods of heap.Interface; events are ordered by time.
 
 func (q eventQueue) Len() int           { return len(q) }
 func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
@@ -40,12 +40,12 @@
 	return last
 }
 
-// after has an action happen so many seconds from now.
+// after schedules an action in so many seconds.
 func (f *fleet) after(seconds float64, action func()) {
 	heap.Push(&f.events, event{f.now + seconds, action})
 }
 
-// fleetMember is one balancer of a fleet. Started again, it knows nothing.
+// fleetMember is one proxy of a fleet. A restart replaces its balancer with a new one, without any state.
 type fleetMember struct {
 	*fleet
 	balancer *Balancer
@@ -55,7 +55,7 @@
 
 const (
 	restartAt      = 20.0  // s
-	workPerRequest = 0.025 // s, the mean
+	workPerRequest = 0.025 // s, mean
 )
 
 func (m *fleetMember) start() {
@@ -65,7 +65,7 @@
 	m.carryOut(m.balancer.EndpointsUpdated(m.now, true, true, m.list))
 }
 
-// schedule makes a call on the balancer, unless the member was restarted by then.
+// schedule schedules a call on the balancer, which is skipped if the member is restarted before.
 func (m *fleetMember) schedule(at float64, call func() *Actions) {
 	b := m.balancer
 	m.after(at-m.now, func() {
@@ -109,14 +109,14 @@
 	m.carryOut(actions)
 }
 
-// capacityShare is the share of its capacity that the restarted server has by now.
+// capacityShare is the share of its full capacity that the restarted server has now.
 func (f *fleet) capacityShare() float64 {
 	d := &f.deployment
 	return d.SlowStartFraction + (1-d.SlowStartFraction)*(f.now-restartAt)/d.SlowStartDuration
 }
 
-// newFleet returns so many proxies before servers at full capacity. Their traffic is uneven: a few receive seven times
-// as much as the others.
+// newFleet returns a fleet with servers at full capacity. Traffic is uneven: every ninth proxy receives seven times as
+// much as each of the others.
 func newFleet(proxies, servers int) (*fleet, []*fleetMember) {
 	f := &fleet{
 		rand:     rand.New(rand.NewPCG(1, uint64(proxies))),
@@ -149,7 +149,7 @@
 	return f, members
 }
 
-// restartServer starts the first server anew, which the members hear after different delays.
+// restartServer restarts the first server. The members receive the update after different delays.
 func (f *fleet) restartServer(members []*fleetMember) {
 	f.list[0].StartedAt = restartAt
 	for _, m := range members {
@@ -159,7 +159,7 @@
 	}
 }
 
-// run makes all calls until a time.
+// run processes all events until a time.
 func (f *fleet) run(until float64) {
 	for f.now < until {
 		next := heap.Pop(&f.events).(event)
@@ -168,8 +168,8 @@
 	}
 }
 
-// worstWindow returns what was sent to the server in the window that came closest to what is allowed, or passed it, and
-// the sends over the allowed ones: in any window the settings allow n sends, and 2 roots of n and 2 more by chance.
+// worstWindow returns the number of sends in the window with the greatest ratio of sends to allowed sends, and that
+// ratio. The allowed sends are the n that the settings give for the window, plus 2*sqrt(n)+2 for random variation.
 func (f *fleet) worstWindow() (sends int, overAllowed float64) {
 	overAllowed = math.Inf(-1)
 	for i, at := range f.warmingUpSends {
@@ -187,7 +187,8 @@
 	return sends, overAllowed
 }
 
-// Rule 4 binds the whole fleet, whatever happens while a server is warming up.
+// Guards against a server that is warming up being overloaded by the fleet as a whole, whatever happens in the
+// meantime.
 func TestSlowStartBudgetOverTheFleet(t *testing.T) {
 	for name, incident := range map[string]func(f *fleet, members []*fleetMember){
 		"nothing":              func(*fleet, []*fleetMember) {},
@@ -202,7 +203,7 @@
 			f.after(restartAt+8, func() { incident(f, members) })
 			f.run(restartAt + 12)
 			sends, overAllowed := f.worstWindow()
-			t.Logf("%d proxies, %s: %d at most in a window, %.2f of what is allowed then; %d in all",
+			t.Logf("%d proxies, %s: at most %d sends in a window, %.2f of those allowed; %d sends in all",
 				proxies, name, sends, overAllowed, len(f.warmingUpSends))
 			assert.LessOrEqual(t, overAllowed, 1.0, "%d proxies, %s", proxies, name)
 			assert.NotEmpty(t, f.warmingUpSends, "%d proxies, %s", proxies, name)
@@ -210,7 +211,7 @@
 	}
 }
 
-// slowerExceptFirst slows down all servers but the first few.
+// slowerExceptFirst returns a slowdown by a factor of all servers but the first few.
 func slowerExceptFirst(few int, factor float64) func(server int) float64 {
 	return func(server int) float64 {
 		if server < few {
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	observationTimeout  = 3.0   // s; older observations are not told on, nor taken in
-	gossipDelay         = 0.02  // s that a message is taken to be on its way
-	maxGossipPerRequest = 2.0   // messages, however cheap
-	minGossipInterval   = 0.001 // s between arrivals, for the rate that is told
+	observationTimeout  = 3.0   // s; older observations are neither sent nor accepted
+	gossipDelay         = 0.02  // s, the assumed network latency of a message
+	maxGossipPerRequest = 2.0   // messages, however low their cost is
+	minGossipInterval   = 0.001 // s between arrivals; bounds the rate that is sent
 )
 
-// gossipState is what this proxy tells its peers and hears from them.
+// gossipState is the state of gossip with the peers of this proxy.
 type gossipState struct {
-	budget   float64       // messages saved up
-	peerRate float64       // requests a second of a peer, smoothed; 0: not told
-	received float64       // messages
-	message  GossipMessage // reused for each
+	budget   float64       // messages that may be sent
+	peerRate float64       // requests per second of a peer, smoothed; 0: unknown
+	received float64       // messages received so far
+	message  GossipMessage // the last message sent; its memory is reused
 }
 
-// receive counts a message.
+// receive counts a message and updates the peer rate.
 func (g *gossipState) receive(message *GossipMessage) {
 	g.received++
 	g.peerRate += max(1/g.received, meanSmoothing) * (message.Rate - g.peerRate)
 }
 
-// GossipReceived takes in what a peer tells. It ages, weighs less than what this proxy saw, and counts once. It bears
-// on payoffs, loads and, where there is no capacity, limits; no rule and no breaker rests on it.
+// GossipReceived processes a message of a peer. Its observations are weighted by their age, have less weight than this
+// proxy's own, and count once. They change payoffs, loads and, for rejections, limits. Breakers, slow-start budgets and
+// the safety of retries do not depend on them, as they may be wrong.
 func (b *Balancer) GossipReceived(now float64, from int, message GossipMessage) *Actions {
-	b.begin(now)
+	b.beginCall(now)
 	if !b.deployment.Gossip || from == b.deployment.Self || from < 0 || from >= b.deployment.Proxies {
 		return &b.actions
 	}
@@ -40,7 +41,7 @@
 	return b.dispatch()
 }
 
-// observe takes in one observation of a peer.
+// observe applies one observation of a peer, unless it is too old, known already or of an unknown server or class.
 func (b *Balancer) observe(o *Observation) {
 	at := b.now - o.Age - gossipDelay
 	s := b.serverByNameHash(o.NameHash, at)
@@ -50,16 +51,16 @@
 		if at > s.load.at {
 			s.load.inFlight, s.load.at = o.Value, at
 		}
-	case at > s.scores.observations[o.Class].at+gossipDelay: // one that comes round would count again
-		b.learnPayoff(s, o.Class, o.Value, at, gossipNoise)
+	case at > s.scores.observations[o.Class].at+gossipDelay: // not one that was received before, from another peer
+		b.learnPayoff(s, o.Class, o.Value, at, gossipVariance)
 		if o.Class == b.rejectionClass() {
-			b.moveLimits(s, gossipRejectionCut, 1)
+			b.scaleLimits(s, gossipRejectionCut, 1)
 		}
 	}
 }
 
-// serverByNameHash returns the server of this name, if it was up at that time already: what was seen of a server before
-// its restart says nothing of it now.
+// serverByNameHash returns the server with this name hash if it had started by then, else nil: observations from before
+// a restart do not apply to the restarted server.
 func (b *Balancer) serverByNameHash(hash uint32, at float64) *server {
 	for _, s := range b.servers {
 		if s != nil && uint32(s.NameHash) == hash && s.StartedAt <= at {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// sendGossip orders a message to one peer by chance, as often as its cost allows.
+// sendGossip adds the sending of a message to a random peer to the actions, as often as its cost allows.
 func (b *Balancer) sendGossip() {
 	b.gossip.budget += min(overheadShare/max(b.deployment.GossipCost, 1e-9), maxGossipPerRequest)
 	if !b.deployment.Gossip || b.deployment.Proxies < 2 || b.gossip.budget < 1 {
@@ -81,7 +82,7 @@
 	b.actions.GossipPeer = peer % b.deployment.Proxies
 }
 
-// gossipMessage tells what was seen lately, the newest first.
+// gossipMessage returns a message with the recent observations of this proxy, the newest first.
 func (b *Balancer) gossipMessage() *GossipMessage {
 	list := b.gossip.message.Observations[:0]
 	for _, s := range b.servers {
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -13,13 +13,13 @@
 		name    string
 		from    int
 		message GossipMessage
-		worse   int // the server that has the lower payoff by it; -1: none
+		worse   int // the server whose payoff is lower afterwards; -1: none
 	}{
-		{"of a server that fails", 2, bad, 0},
+		{"of a failing server", 2, bad, 0},
 		{"from itself", 1, bad, -1},
 		{"from outside the fleet", 4, bad, -1},
-		{"from no number", -1, bad, -1},
-		{"nothing", 2, GossipMessage{}, -1},
+		{"from a negative index", -1, bad, -1},
+		{"no observations", 2, GossipMessage{}, -1},
 		{"too old", 2, gossipOf(Observation{NameHash: 1, Age: observationTimeout}), -1},
 		{"of a server that is not listed", 2, gossipOf(Observation{NameHash: 77}), -1},
 		{"of an unknown class", 2, gossipOf(Observation{NameHash: 1, Class: 9}), -1},
@@ -30,7 +30,7 @@
 		proxy.EndpointsUpdated(99, false, false, []Endpoint{{Index: 2, NameHash: 3, StartedAt: 99}})
 		proxy.GossipReceived(100, c.from, c.message)
 		once := proxy.payoffOf(proxy.servers[0], 0)
-		for i := range 9 * len(c.message.Observations) { // the same, passed on: its age grows by the delay at least
+		for i := range 9 * len(c.message.Observations) { // the same observation, forwarded: its age grows
 			c.message.Observations[0].Age += 0.01
 			proxy.GossipReceived(100+0.01*float64(i+1), c.from, c.message)
 		}
@@ -38,11 +38,11 @@
 			assert.Equal(t, i == c.worse, proxy.payoffOf(s, 0) < proxy.payoffOf(proxy.servers[1], 0), "%s: %d", c.name, i)
 			assert.False(t, s.breaker.paused, c.name)
 		}
-		assert.GreaterOrEqual(t, proxy.payoffOf(proxy.servers[0], 0), once, "%s: counted no second time", c.name)
+		assert.GreaterOrEqual(t, proxy.payoffOf(proxy.servers[0], 0), once, "%s: a forwarded observation counts once", c.name)
 	}
 }
 
-// A peer that tells wrong things of every server, all the time, is outweighed by own results.
+// Guards against a faulty peer: its wrong observations of every server must be outweighed by the proxy's own results.
 func TestFalseGossipIsOutweighed(t *testing.T) {
 	proxy := startProxy(t, sidecarDeployment(), 3)
 	for range 200 {
@@ -56,14 +56,14 @@
 		))
 	}
 	assert.Greater(t, proxy.payoffOf(proxy.servers[0], 0), proxy.payoffOf(proxy.servers[1], 0)+3*temperature)
-	assert.False(t, proxy.servers[0].breaker.paused, "gossip pauses no server")
-	assert.True(t, proxy.servers[1].breaker.paused, "nor readmits one")
+	assert.False(t, proxy.servers[0].breaker.paused, "gossip does not pause a server")
+	assert.True(t, proxy.servers[1].breaker.paused, "gossip does not readmit a server")
 }
 
-// Where neither gossip nor health checks are allowed, none is ever ordered, and equal calls return equal actions,
-// whatever else the deployment sets and whatever peers send.
+// Guards against gossip or health checks where the deployment does not allow them: none may be sent, and neither their
+// costs nor messages of peers may change the actions.
 func TestNoGossipNorHealthChecksWhereNotAllowed(t *testing.T) {
-	play := func(d Deployment) (all [][]RequestAction) {
+	run := func(d Deployment) (all [][]RequestAction) {
 		proxy := startProxy(t, d, 6)
 		for range 300 {
 			proxy.serveRequest(func(_ *Request, actions *Actions) {
@@ -79,7 +79,7 @@
 	withCosts := deployment()
 	withCosts.Self, withCosts.Zone, withCosts.GossipCost, withCosts.HealthCheckCost = 1, 1, 0.01, 0.05
 	withCosts.ConnectionCost, withCosts.HandshakeCost, withCosts.ServerIdleTimeout = 0.03, 0.12, 10
-	assert.Equal(t, play(deployment()), play(withCosts))
+	assert.Equal(t, run(deployment()), run(withCosts))
 }
 
 func TestGossipIsSentToOtherProxies(t *testing.T) {
@@ -87,7 +87,7 @@
 	sent := map[int]int{} // by peer
 	for range 300 {
 		proxy.serveRequest(func(_ *Request, actions *Actions) {
-			require.NotNil(t, actions.Gossip, "at this cost")
+			require.NotNil(t, actions.Gossip, "the cost allows a message per request")
 			sent[actions.GossipPeer]++
 			assert.InDelta(t, 10, actions.Gossip.Rate, 1)
 			for i, s := range actions.Gossip.Observations {
@@ -99,5 +99,5 @@
 	assert.Len(t, sent, 3)
 	assert.Zero(t, sent[1], "not to itself")
 	proxy.deployment.Proxies, proxy.deployment.Self = 1, 0
-	proxy.serveRequest(func(_ *Request, actions *Actions) { assert.Nil(t, actions.Gossip, "alone in its fleet") })
+	proxy.serveRequest(func(_ *Request, actions *Actions) { assert.Nil(t, actions.Gossip, "the only proxy of its fleet") })
 }
--- a/balance/hedge.go
+++ b/balance/hedge.go
@@ -1,7 +1,7 @@
 package balance
 
 const (
-	overdueMultiple = 1.5 // of the class's quantile of latencies
+	overdueMultiple = 1.5 // times the overdueQuantile of the latencies of the class
 	overdueQuantile = 0.9
 )
 
@@ -11,14 +11,15 @@
 	return overdueMultiple*quantile*max(r.relativeWork, 1) + b.process.localDelay
 }
 
-// overdue reports whether an attempt became overdue and was not counted so far.
+// overdue reports whether an attempt has become overdue and was not counted as such before.
 func (b *Balancer) overdue(r *Request, a *attempt) bool {
 	return a.inFlight && !a.overdue && !(b.now < a.sentAt+b.overdueAge(r)-timerTolerance)
 }
 
-// recordOverdue counts an overdue attempt as failed: else a server that hangs would be known only at the deadline. It
-// takes no capacity any more, since a class that hangs at a server would leave the others none; but where the limit is
-// too small to hold back an attempt, only the sum of all does, and overdue attempts have to count in it.
+// recordOverdue counts an overdue attempt as failed, since a server that hangs would otherwise be detected only at the
+// deadline. It also releases the attempt, so that a class that hangs at a server does not use up the capacity of the
+// others; not so if the limit is below minBindingLimit, since such limits hold back attempts only by their sum, in
+// which overdue attempts have to count.
 func (b *Balancer) recordOverdue(r *Request, a *attempt) {
 	a.overdue = true
 	if a.server.limit.value >= minBindingLimit {
@@ -27,8 +28,8 @@
 	b.recordFailed(r, a)
 }
 
-// hedge sends another attempt beside an overdue one, where there is capacity to spare: an attempt that was lost on its
-// way is never answered, at whatever server.
+// hedge sends another attempt while an overdue one is in flight, if there is spare capacity: an attempt that was lost
+// on the network is never answered, however healthy its server is.
 func (b *Balancer) hedge(r *Request) {
 	s, _ := b.selectServer(r)
 	if s == nil || !b.deployment.HedgingAllowed {
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An attempt that was lost on its way is never answered, whatever is known of its server.
+// Guards against requests that hang until the deadline after an attempt was lost on the network.
 func TestHedgedRequest(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -16,7 +16,7 @@
 		want     int // attempts after the timer
 	}{
 		{"idempotent", Idempotent, true, 0, 2},
-		{"keyed, in its pod and window", Keyed, true, 0, 2},
+		{"keyed, within its deduplication group and window", Keyed, true, 0, 2},
 		{"non-idempotent", NonIdempotent, true, 0, 1},
 		{"not allowed", Idempotent, false, 0, 1},
 		{"little capacity", Idempotent, true, 3, 1},
@@ -39,7 +39,7 @@
 			}
 			assert.NotSame(t, request.attempts[0].server, request.attempts[1].server)
 			actions := request.AttemptEnded(proxy.clock, 0, ConnectionLost, 0.2, false)
-			assert.Empty(t, actions.Requests, "the other may still answer")
+			assert.Empty(t, actions.Requests, "the other attempt may still succeed")
 			actions = request.AttemptEnded(proxy.clock, 1, Succeeded, 0.1, true)
 			assert.Empty(t, actions.Requests)
 			assert.True(t, request.Done())
@@ -47,7 +47,7 @@
 	}
 }
 
-// Requests of one class that hang at a server must not take up its limit while all others wait.
+// Guards against requests of one class that hang at a server and use up its limit, while all others are queued.
 func TestOverdueAttemptIsNotInFlight(t *testing.T) {
 	for _, c := range []struct {
 		limit    float64
@@ -58,10 +58,10 @@
 		proxy.servers[0].limit.value = c.limit
 		proxy.clock += proxy.overdueAge(request)
 		request.TimerFired(proxy.clock)
-		assert.Equal(t, c.inFlight, proxy.concurrency.inFlight, "in a large fleet only the sum binds")
+		assert.Equal(t, c.inFlight, proxy.concurrency.inFlight, "counts only below minBindingLimit")
 		assert.Equal(t, c.inFlight, proxy.servers[0].breaker.inFlight)
 		request.AttemptEnded(proxy.clock, 0, TimedOut, 1, true)
-		assert.Zero(t, proxy.concurrency.inFlight, "it is released once")
+		assert.Zero(t, proxy.concurrency.inFlight, "released only once")
 		assert.Zero(t, proxy.servers[0].breaker.inFlight)
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testProxy is one proxy under test with a clock of its own.
+// testProxy is a Balancer under test with the time and the request numbers of its caller.
 type testProxy struct {
 	*Balancer
 	clock float64
 	refs  int
 }
 
-// deployment returns plain settings of one of two proxies, for a test to change.
+// deployment returns the settings of one of two proxies, without gossip and health checks, for a test to change.
 func deployment(classes ...Class) Deployment {
 	if len(classes) == 0 {
 		classes = []Class{{Name: "plain"}}
@@ -36,7 +36,7 @@
 	}
 }
 
-// startProxy starts a proxy with n servers at full capacity, three to a pod, two zones in turn.
+// startProxy starts a proxy with the servers of endpointList(n), all at full capacity.
 func startProxy(t *testing.T, d Deployment, n int) *testProxy {
 	t.Helper()
 	b, err := New(d, 0)
@@ -46,7 +46,7 @@
 	return proxy
 }
 
-// endpointList returns n servers, three to a pod, two zones in turn.
+// endpointList returns n servers, three per pod, alternating between two zones.
 func endpointList(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -55,7 +55,7 @@
 	return list
 }
 
-// arrive hands in a request and returns it with the actions for requests.
+// arrive calls RequestArrived and returns the request and a copy of the actions for requests.
 func (proxy *testProxy) arrive(info RequestInfo) (*Request, []RequestAction) {
 	proxy.refs++
 	info.Ref = proxy.refs
@@ -66,7 +66,7 @@
 	return request, append([]RequestAction(nil), actions.Requests...)
 }
 
-// request returns a request of usual work that did not go through the queue.
+// request returns a request of mean work that was never queued.
 func (proxy *testProxy) request(info RequestInfo) *Request {
 	return &Request{
 		balancer:     proxy.Balancer,
@@ -76,13 +76,13 @@
 	}
 }
 
-// draw returns where a class's request would go now, and whether it would go somewhere if there were capacity.
+// draw returns the server selected for a request of a class, and whether one could be selected if it had capacity.
 func (proxy *testProxy) draw(class int) (*server, bool) {
 	return proxy.selectServer(proxy.request(RequestInfo{Deadline: 99, Class: class}))
 }
 
-// endAttempts lets attempts at a server end, a letter each: s succeeded in time, l succeeded late, f failed, r
-// rejected, c canceled.
+// endAttempts records the outcomes of attempts at a server, one per letter: s succeeded in time, l succeeded late, f
+// failed, r rejected, c canceled.
 func (proxy *testProxy) endAttempts(s *server, letters string) {
 	outcomes := map[rune]Outcome{'s': Succeeded, 'l': Succeeded, 'f': ServerError, 'r': ServerRejected, 'c': Canceled}
 	latencies := map[rune]float64{'s': 0.05, 'l': 0.5}
@@ -102,7 +102,7 @@
 	return n
 }
 
-// replies lists the answers that the proxy gives by itself.
+// replies lists the replies that the proxy itself generates.
 func replies(actions []RequestAction) (list []Reply) {
 	for _, action := range actions {
 		if action.Reply != NoReply {
@@ -112,21 +112,21 @@
 	return list
 }
 
-// sidecarDeployment returns settings of a fleet of four, a proxy to each client process, that gossips.
+// sidecarDeployment returns the settings of a proxy in a fleet of four that gossips, one proxy per client process.
 func sidecarDeployment() Deployment {
 	d := deployment()
 	d.Proxies, d.Self, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
 	return d
 }
 
-// healthCheckDeployment returns settings of a single proxy whose servers report their load.
+// healthCheckDeployment returns the settings of a single proxy whose servers report their load.
 func healthCheckDeployment() Deployment {
 	d := deployment()
 	d.Proxies, d.Sidecar, d.HealthChecks, d.HealthCheckCost = 1, true, true, 0.002
 	return d
 }
 
-// fillServers puts so many attempts in flight at each server.
+// fillServers counts this many attempts as in flight at each server.
 func (proxy *testProxy) fillServers(attempts int) {
 	for _, s := range proxy.servers {
 		s.breaker.inFlight = attempts
@@ -134,12 +134,12 @@
 	}
 }
 
-// gossipOf returns a message of a peer.
+// gossipOf returns a message of a peer with these observations.
 func gossipOf(observations ...Observation) GossipMessage {
 	return GossipMessage{Rate: 1, Observations: observations}
 }
 
-// serveRequest hands in a request, shows the actions to check, and has its attempt, if any, succeed.
+// serveRequest calls RequestArrived, passes the result to check, and lets the attempt, if there is one, succeed.
 func (proxy *testProxy) serveRequest(check func(*Request, *Actions)) {
 	proxy.clock += 0.1
 	request, actions := proxy.RequestArrived(proxy.clock, RequestInfo{Deadline: proxy.clock + 1})
--- a/balance/loadreports.go
+++ b/balance/loadreports.go
@@ -3,38 +3,38 @@
 import "math"
 
 const (
-	overheadShare             = 0.004 // of the service, to pay for health checks, and as much for gossip
-	maxHealthChecksPerRequest = 2.0   // health checks, however cheap
-	loadReportTimeout         = 3.0   // s; loads reported longer ago are not counted on
-	freshLoadDuration         = 0.08  // s; a report this old says little more than the mean
-	minMeanUtilization        = 0.02  // share of cores; below it the cores of a machine model cannot be told
-	minModelReports           = 50    // reports of a machine model before its cores are told
+	overheadShare             = 0.004 // share of the service that health checks may cost, and as much again for gossip
+	maxHealthChecksPerRequest = 2.0   // health checks, however low their cost is
+	loadReportTimeout         = 3.0   // s since the last load report, after which loads count as unknown
+	freshLoadDuration         = 0.08  // s; the time constant with which the weight of a report decays toward the mean load
+	minMeanUtilization        = 0.02  // share of cores; with less, the cores of a machine model cannot be estimated
+	minModelReports           = 50    // reports of a machine model before its cores are estimated
 )
 
-// loadReportStats are what servers report of their load, and the health checks that ask them.
+// loadReportStats is the state of health checks and of the load reports that they return.
 type loadReportStats struct {
-	lastReport        float64 // 0: never
-	healthCheckBudget float64 // health checks saved up
-	latencyHeadroom   float64 // latency objective over the usual latency of a request alone; the least of the classes
+	lastReport        float64 // time of the last report; 0: never
+	healthCheckBudget float64 // health checks that may be sent
+	latencyHeadroom   float64 // latency objective over the median unloaded latency; the minimum of the classes
 }
 
-// reportedLoad is what a server reported last.
+// reportedLoad is the last load that a server reported, or that a peer sent.
 type reportedLoad struct {
 	inFlight  float64 // attempts of all proxies
-	at        float64
-	sentSince int // attempts of this proxy
+	at        float64 // time of the report
+	sentSince int     // attempts that this proxy has sent since
 }
 
-// model is what servers on machines of one kind have in common.
+// model is what was learned about the servers of a machine model.
 type model struct {
 	estimate
 	inFlight    float64 // attempts at a server, smoothed
 	utilization float64 // share of its cores in use, smoothed
 	reports     float64
-	cores       float64 // the first over the second where least waits; 0: not known
+	cores       float64 // the minimum of inFlight over utilization, when the least is queued; 0: unknown
 }
 
-// report learns the cores from a load report.
+// report updates the estimated cores from a load report.
 func (m *model) report(r LoadReport) {
 	if r.Utilization < 0 {
 		return
@@ -50,12 +50,12 @@
 	}
 }
 
-// coresOrOne are the cores of a server of this model, as far as reports tell; else one is taken for granted.
+// coresOrOne is the estimated number of cores of a server of this model, or one if it is unknown.
 func (m *model) coresOrOne() float64 { return max(m.cores, 1) }
 
-// HealthChecked tells the result of a health check. One that fails is no failed request.
+// HealthChecked reports the result of a health check. A failed one does not count as a failed attempt.
 func (b *Balancer) HealthChecked(now float64, index int, ok bool, r LoadReport) *Actions {
-	b.begin(now)
+	b.beginCall(now)
 	if index < len(b.servers) && b.servers[index] != nil && ok && r.InFlight >= 0 {
 		s := b.servers[index]
 		s.load = reportedLoad{inFlight: r.InFlight, at: now}
@@ -65,12 +65,12 @@
 	return b.dispatch()
 }
 
-// requestHealthChecks orders health checks, as many for a request as their cost allows.
+// requestHealthChecks adds health checks of random servers to the actions, as many as their cost allows.
 func (b *Balancer) requestHealthChecks() {
 	stats := &b.loadReports
 	stats.healthCheckBudget = min(
 		stats.healthCheckBudget+overheadShare/max(b.deployment.HealthCheckCost, 1e-9),
-		maxHealthChecksPerRequest, // saved up while there is no list, they would come as a flood
+		maxHealthChecksPerRequest, // without a bound, those saved up while there is no endpoint list would be sent at once
 	)
 	for ; b.deployment.HealthChecks && stats.healthCheckBudget >= 1 && len(b.servers) > 0; stats.healthCheckBudget-- {
 		s := b.servers[int(b.random.Float64()*float64(len(b.servers)))]
@@ -80,22 +80,24 @@
 	}
 }
 
-// loadsKnown reports whether servers report their loads.
+// loadsKnown reports whether any server has reported its load within loadReportTimeout.
 func (b *Balancer) loadsKnown() bool {
 	return b.loadReports.lastReport > 0 && b.now < b.loadReports.lastReport+loadReportTimeout
 }
 
-// loadOf is how many attempts a server holds: as reported, or those of this proxy alone.
+// loadOf is the number of attempts in flight at a server. If loads are reported, it is the reported load, of which the
+// mean of all servers replaces more the older the report is, plus the attempts sent since; else only those of this
+// proxy.
 func (b *Balancer) loadOf(s *server) float64 {
 	if !b.loadsKnown() {
 		return float64(s.breaker.inFlight)
 	}
-	trust := math.Exp((s.load.at - b.now) / freshLoadDuration)
-	mean := (1 - trust) * b.concurrency.utilization * b.capacityOf(s)
-	return trust*s.load.inFlight + mean + float64(s.load.sentSince)
+	weight := math.Exp((s.load.at - b.now) / freshLoadDuration)
+	mean := (1 - weight) * b.concurrency.utilization * b.capacityOf(s)
+	return weight*s.load.inFlight + mean + float64(s.load.sentSince)
 }
 
-// latencyHeadroom is how many times longer than alone at a server a usual request may take, in the tightest class.
+// latencyHeadroom is the minimum of the classes of the latency objective over the median unloaded latency.
 func (b *Balancer) latencyHeadroom() float64 {
 	headroom := math.Inf(1)
 	for i := range b.classes {
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -12,63 +12,64 @@
 	proxy := startProxy(t, d, 1)
 	proxy.endAttempts(proxy.servers[0], "ssssssssss")
 	first, _ := proxy.arrive(RequestInfo{})
-	arriveAndWait := func(info RequestInfo) *Request {
+	arriveAndQueue := func(info RequestInfo) *Request {
 		request, actions := proxy.arrive(info)
-		require.Empty(t, replies(actions), "it waits while it can be in time")
+		require.Empty(t, replies(actions), "queued while it can be answered in time")
 		return request
 	}
-	for range 8 { // more than the capacity that is saved up
+	for range 8 { // more than the capacity and the credit
 		proxy.arrive(RequestInfo{Class: 1})
 	}
-	retry := arriveAndWait(RequestInfo{ClientRetry: true})
-	cheap := arriveAndWait(RequestInfo{})
-	expensive := arriveAndWait(RequestInfo{Class: 1})
+	retry := arriveAndQueue(RequestInfo{ClientRetry: true})
+	cheap := arriveAndQueue(RequestInfo{})
+	expensive := arriveAndQueue(RequestInfo{Class: 1})
 	assert.Greater(t, expensive.priority, cheap.priority)
-	assert.Less(t, retry.priority, cheap.priority, "a client's retry")
+	assert.Less(t, retry.priority, cheap.priority, "a client's retry has a lower priority")
 	actions := first.AttemptEnded(0.01, 0, Succeeded, 0.01, true)
 	require.Equal(t, 1, countSends(actions.Requests))
 	assert.Zero(t, cheap.inFlight+retry.inFlight, "the greatest priority is sent first")
-	assert.False(t, expensive.over)
+	assert.False(t, expensive.finished)
 	proxy.TimerFired(0.29)
-	assert.True(t, cheap.over && retry.over, "one that can no longer be in time is answered at once")
-	proxy.queue.waiting = nil
+	assert.True(t, cheap.finished && retry.finished, "answered at once when no longer possible in time")
+	proxy.queue.requests = nil
 	assert.Zero(t, proxy.TimerFired(0.5).WakeAt)
 }
 
-// Drawing for each waiting request among all servers at each event takes half a core at a proxy of a large fleet.
+// Guards against unbounded draws: one for each queued request at each event took half a core at a proxy of a large
+// fleet.
 func TestDrawsForWaitingRequestsAreBounded(t *testing.T) {
 	d := deployment(Class{Idempotency: NonIdempotent})
 	d.CacheAffinity, d.Proxies = true, 1
 	proxy := startProxy(t, d, 20)
 	first, _ := proxy.arrive(RequestInfo{Key: 9})
 	for _, s := range proxy.servers {
-		s.breaker.inFlight = 99 // none can take an attempt, though there is capacity in all
+		s.breaker.inFlight = 99 // no server has capacity, although their total has
 	}
 	for range 40 {
 		proxy.arrive(RequestInfo{Key: 9})
 	}
 	scored, before := 0, proxy.random
-	for proxy.dispatch(); before != proxy.random && scored < 40*20; scored++ { // a number drawn for each server
+	for proxy.dispatch(); before != proxy.random && scored < 40*20; scored++ { // one random number per scored server
 		before.Float64()
 	}
-	assert.Equal(t, []int{40, maxFruitlessDraws * 20}, []int{len(proxy.queue.waiting), scored})
+	assert.Equal(t, []int{40, maxFailedDraws * 20}, []int{len(proxy.queue.requests), scored})
 	lost := first.AttemptEnded(0, 0, ConnectionLost, 0, false)
-	assert.Equal(t, []Reply{Failed}, replies(lost.Requests), "it can go nowhere: it does not wait behind them")
+	assert.Equal(t, []Reply{Failed}, replies(lost.Requests), "a request that cannot be retried is answered at once")
 	proxy.concurrency.capacity, proxy.concurrency.inFlight, before = 0, 999, proxy.random
 	proxy.dispatch()
-	assert.Equal(t, before, proxy.random, "without capacity none is scored")
+	assert.Equal(t, before, proxy.random, "without capacity no server is scored")
 }
 
-// A client that waited more than half of its time and is rejected with nothing sent has waited in vain.
+// Guards against clients that wait for more than half of their deadline, only to be rejected without any attempt.
 func TestRequestWaitsOnlyWhileItCanBeAnsweredInTime(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		deadline float64
-		sent     bool // an attempt that never ran
+		sent     bool // there was an attempt, which never ran
 		until    float64
 	}{
-		{"a short deadline binds", 0.2, false, 0.2 * maxWaitShare},
-		{"not where an attempt was sent", 0.2, true, 0.2 - answerMargin - 0.075},
+		{"a short deadline binds", 0.2, false, 0.2 * maxQueueShare},
+		{"does not bind after an attempt", 0.2, true, 0.2 - answerMargin - 0.075},
 		{"the latency objective binds before a long one", 10, false, 0.3 - 0.075},
 	} {
 		proxy := startProxy(t, deployment(), 1)
@@ -85,17 +86,17 @@
 
 func TestWaitingRequestsShareOneTimer(t *testing.T) {
 	proxy := startProxy(t, deployment(), 1)
-	asked := 0
+	timers := 0
 	for range 10 {
 		if proxy.arrive(RequestInfo{}); proxy.actions.WakeAt > 0 {
-			asked++
+			timers++
 		}
 	}
-	assert.Equal(t, 1, asked, "a timer for every call would multiply without end")
+	assert.Equal(t, 1, timers, "one timer for all calls")
 }
 
-// For a class without answers, a quarter of a long latency objective is a bad guess: its first request would wait for
-// most of it beside idle servers.
+// Guards against a first request that is queued beside idle servers: for a class without answers, a quarter of a long
+// latency objective was taken as the expected latency.
 func TestFirstRequestOfAClassWithALongObjective(t *testing.T) {
 	d := deployment(Class{Name: "post", Idempotency: NonIdempotent}, Class{Name: "get"})
 	for i := range d.Classes {
--- a/balance/request.go
+++ b/balance/request.go
@@ -7,35 +7,35 @@
 	class        *classState
 	arrivedAt    float64
 	attempts     []attempt
-	inFlight     int // attempts
-	over         bool
-	waiting      bool    // in the queue
-	relativeWork float64 // over the usual of its class
+	inFlight     int     // attempts
+	finished     bool    // answered, or the client has disconnected
+	queued       bool    // in the queue
+	relativeWork float64 // expected work over the mean of its class
 	priority     float64
-	placement    uint64 // settles the noise of its draw; 0: chance does
+	placement    uint64 // hashed into the noise of its draw; 0: the noise is random
 }
 
-// attempt is one sending of a request to one server.
+// attempt is one attempt of a request at a server.
 type attempt struct {
-	server     *server
-	pod, zone  int // of the server when it was sent
-	sentAt     float64
-	contention float64 // attempts that shared each core of the server when it was sent
-	inFlight   bool
-	neverRan   bool
-	started    bool // its answer is streamed
-	overdue    bool // it was counted as a failure
-	released   bool // it takes no capacity
-	noRoute    bool // it could not connect
+	server        *server
+	pod, zone     int // of the server, when the attempt was sent
+	sentAt        float64
+	contention    float64 // attempts per core of the server, when the attempt was sent
+	inFlight      bool
+	neverRan      bool
+	started       bool // its response is being streamed to the client
+	overdue       bool // counted as a failure before its end
+	released      bool // not counted as in flight; see Balancer.release
+	connectFailed bool // its outcome was ConnectFailed
 }
 
-// noAttempt stands for the index of an attempt where there is none.
+// noAttempt is an index that no attempt has.
 const noAttempt = -1
 
 // Done reports whether nothing more will happen to the request or its attempts.
-func (r *Request) Done() bool { return r.over && r.inFlight == 0 }
+func (r *Request) Done() bool { return r.finished && r.inFlight == 0 }
 
-// lostAttempts counts the attempts that failed where they may have run.
+// lostAttempts counts the attempts that ended without an answer but may have run.
 func (r *Request) lostAttempts() (n int) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.inFlight && !a.neverRan {
@@ -56,7 +56,7 @@
 	r.inFlight++
 	b.concurrency.inFlight++
 	b.queue.sent(b.now)
-	if r.Streaming { // slow clients would fill a limit with idle attempts
+	if r.Streaming { // slow clients would use up a limit with idle attempts; see BodyCompleted
 		b.release(a)
 	}
 	b.addAction(RequestAction{
@@ -68,18 +68,18 @@
 	})
 }
 
-// endAttempt counts an attempt as ended.
+// endAttempt marks an attempt as ended and releases its capacity.
 func (b *Balancer) endAttempt(r *Request, a *attempt, outcome Outcome) {
-	a.inFlight, a.neverRan, a.noRoute = false, outcome.NeverRan(), outcome == ConnectFailed
+	a.inFlight, a.neverRan, a.connectFailed = false, outcome.NeverRan(), outcome == ConnectFailed
 	r.inFlight--
 	b.release(a)
 	a.server.attemptEnded(r.Class, a.sentAt, b.now)
 }
 
-// finish ends a request and cancels every attempt but the one to keep.
+// finish finishes a request and cancels all its attempts, where that is allowed, but the one with the index keep.
 func (b *Balancer) finish(r *Request, keep int) {
-	r.over = true
-	if r.waiting {
+	r.finished = true
+	if r.queued {
 		b.queue.remove(r)
 	}
 	for i := range r.attempts {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,40 +1,40 @@
 package balance
 
 const (
-	maxLostAttempts   = 2    // attempts of a request that failed where they may have run: it may be at fault itself
-	dedupWindowMargin = 0.01 // s before a deduplication window closes, for the way to the server
+	maxLostAttempts   = 2    // attempts of a request that failed but may have run: the request itself may be the cause
+	dedupWindowMargin = 0.01 // s before a deduplication window closes, for the network latency to the server
 )
 
-// continueRequest decides what becomes of a request after an attempt has ended.
-func (b *Balancer) continueRequest(r *Request, outcome Outcome, over bool) {
+// continueRequest answers, retries or finishes a request after one of its attempts has ended.
+func (b *Balancer) continueRequest(r *Request, outcome Outcome, finished bool) {
 	switch {
-	case r.over:
-	case over:
+	case r.finished:
+	case finished:
 		b.finish(r, noAttempt)
 	case r.inFlight > 0: // another attempt may still answer
-	case outcome == InvalidRequest: // sent on, it would set back each server in turn
+	case outcome == InvalidRequest: // a retry would only burden other servers
 		b.addAction(RequestAction{Ref: r.Ref, Reply: Failed})
 		b.finish(r, noAttempt)
-	case r.lostAttempts() >= maxLostAttempts: // a request that crashes servers would crash one after the other
+	case r.lostAttempts() >= maxLostAttempts: // retrying a request that crashes servers would crash each in turn
 		b.answerUnserved(r)
-	default: // selectServer sends it only where a repeat is harmless
+	default: // selectServer retries it only where that is safe
 		b.enqueue(r)
 	}
 }
 
-// repeatHarmless reports whether a request may be sent to a server after an attempt that may have run.
-func (b *Balancer) repeatHarmless(r *Request, a *attempt, s *server) bool {
+// retrySafe reports whether a request may be sent to a server after an attempt that may have run.
+func (b *Balancer) retrySafe(r *Request, a *attempt, s *server) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
 	case NonIdempotent:
 		return false
 	}
-	return !(b.now > a.sentAt+r.class.DedupWindow-dedupWindowMargin) && r.class.DedupScope.shared(a, s)
+	return !(b.now > a.sentAt+r.class.DedupWindow-dedupWindowMargin) && r.class.DedupScope.covers(a, s)
 }
 
-// shared reports whether a server drops what repeats an attempt.
-func (d DedupScope) shared(a *attempt, s *server) bool {
+// covers reports whether a server is in the deduplication group of an attempt, and so drops a repeat of it.
+func (d DedupScope) covers(a *attempt, s *server) bool {
 	switch d {
 	case DedupZone:
 		return s.Zone == a.zone
@@ -44,11 +44,11 @@
 	return true
 }
 
-// answerUnserved answers a request at once: rejected where a retry by the client is harmless, else failed.
+// answerUnserved answers a request without a server's response: Rejected if a retry by the client is safe, else Failed.
 func (b *Balancer) answerUnserved(r *Request) {
 	reply, retryAfter := Rejected, min(r.class.LatencyObjective, b.deployment.MaxRetryAfter)
 	for i := range r.attempts {
-		if !b.clientRetryHarmless(r, &r.attempts[i], retryAfter) {
+		if !b.clientRetrySafe(r, &r.attempts[i], retryAfter) {
 			reply = Failed
 		}
 	}
@@ -56,8 +56,9 @@
 	b.finish(r, noAttempt)
 }
 
-// clientRetryHarmless reports whether a retry after some seconds cannot repeat the effect of an attempt.
-func (b *Balancer) clientRetryHarmless(r *Request, a *attempt, retryAfter float64) bool {
+// clientRetrySafe reports whether a retry by the client after retryAfter seconds cannot repeat the effect of an
+// attempt.
+func (b *Balancer) clientRetrySafe(r *Request, a *attempt, retryAfter float64) bool {
 	if a.neverRan {
 		return true
 	}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request whose first two servers are both down must not go to and fro between them until it has no attempt left, and
-// one that crashes servers must not crash as many as it may have attempts.
+// Guards against a request that alternates between two servers that are down until it has used up its attempts, and
+// against one that crashes as many servers as it may have attempts.
 func TestRetriesOfARequestAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		kind     Idempotency
 		servers  int
-		outcomes []Outcome // of its attempts, each as soon as it is sent
+		outcomes []Outcome // of its attempts, in order
 		attempts int
 		want     []Reply
 	}{
@@ -33,7 +33,7 @@
 			if i == len(request.attempts) {
 				break
 			}
-			proxy.concurrency.credit = 9 // there is capacity for the next
+			proxy.concurrency.credit = 9 // capacity for the next attempt
 			actions = append(actions, request.AttemptEnded(proxy.clock, i, outcome, 0, false).Requests...)
 		}
 		assert.Len(t, request.attempts, c.attempts, "%v", c.outcomes)
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestRetryNeverRepeatsAnEffect has a cell for each kind of class and each thing an earlier attempt may have done.
+// TestRetryNeverRepeatsAnEffect covers each Idempotency and DedupScope with each outcome of the first attempt.
 func TestRetryNeverRepeatsAnEffect(t *testing.T) {
 	all := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 0.2}
 	long := Class{Idempotency: Keyed, DedupScope: DedupAll, DedupWindow: 9}
@@ -53,29 +53,29 @@
 		class   Class
 		first   Outcome
 		after   float64
-		servers int // 1: nowhere else to go; 6: two pods of three, two zones
+		servers int // 1: none left for a retry; 6: two pods of three servers, two zones
 		same    func(a, b Endpoint) bool
-		want    []Reply // nil: another attempt
+		want    []Reply // nil: a second attempt
 	}{
 		{"idempotent, server error", Class{}, ServerError, 0.1, 6, nil, nil},
-		{"idempotent, server error, nowhere", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
+		{"idempotent, server error, no other server", Class{}, ServerError, 0.1, 1, nil, []Reply{Rejected}},
 		{"non-idempotent, server error", single, ServerError, 0.1, 6, nil, []Reply{Failed}},
 		{"non-idempotent, connection lost", single, ConnectionLost, 0.1, 6, nil, []Reply{Failed}},
 		{"non-idempotent, timeout", single, TimedOut, 0.1, 6, nil, []Reply{Failed}},
 		{"non-idempotent, canceled", single, Canceled, 0.1, 6, nil, []Reply{Failed}},
 		{"non-idempotent, no capacity", single, ServerRejected, 0.1, 6, nil, nil},
 		{"non-idempotent, connect failed", single, ConnectFailed, 0.1, 6, nil, nil},
-		{"non-idempotent, never sent, nowhere", single, NotSent, 0.1, 1, nil, []Reply{Rejected}},
+		{"non-idempotent, never sent, no other server", single, NotSent, 0.1, 1, nil, []Reply{Rejected}},
 		{"keyed by all, server error", all, ServerError, 0.1, 6, nil, nil},
 		{"keyed by all, server error, window over", all, ServerError, 0.25, 6, nil, []Reply{Failed}},
-		{"keyed by all, server error, nowhere, known when its client retries",
+		{"keyed by all, server error, no other server, window open at the client's retry",
 			long, ServerError, 0.1, 1, nil, []Reply{Rejected}},
-		{"keyed by all, server error, nowhere, not known any more then", all, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"keyed by all, server error, no other server, window over by then", all, ServerError, 0.1, 1, nil, []Reply{Failed}},
 		{"keyed by all, no capacity, window over", all, ServerRejected, 0.25, 1, nil, []Reply{Rejected}},
 		{"keyed by zone, server error", zone, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Zone == b.Zone }, nil},
 		{"keyed by pod, server error", pod, ServerError, 0.1, 6, func(a, b Endpoint) bool { return a.Pod == b.Pod }, nil},
 		{"keyed by pod, connection lost, window over", pod, ConnectionLost, 0.25, 6, nil, []Reply{Failed}},
-		{"keyed by pod, server error, nowhere", pod, ServerError, 0.1, 1, nil, []Reply{Failed}},
+		{"keyed by pod, server error, no other server", pod, ServerError, 0.1, 1, nil, []Reply{Failed}},
 		{"keyed by pod, no capacity, window over", pod, ServerRejected, 0.2, 6, nil, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/balance/score.go
+++ b/balance/score.go
@@ -2,54 +2,57 @@
 
 import "math"
 
-// Payoffs are plain numbers: 1 for an answer at once, 0 for a failure.
+// A payoff is a number from 0 for a failure to 1 for an immediate answer.
 const (
-	temperature              = 0.1  // payoff; a server that is 0.23 worse is drawn a tenth as often
-	keyTemperature           = 0.25 // payoff, for requests with a key: a passing dip of a payoff must not move keys
-	relativeLatencySmoothing = 0.1  // part that one answer replaces
-	resultNoise              = 1.0  // chance in one payoff, over the usual square of what one server differs by
-	gossipNoise              = 10.0 // the same in a payoff that a peer tells
-	estimateLifetime         = 10.0 // s until an estimate that hears nothing has lost most of its weight
-	modelEstimateLifetime    = 60.0 // s, the same for a machine model
-	latencyPenalty           = 0.4  // payoff that an answer loses by using its whole latency objective
+	temperature              = 0.1  // payoff; a server whose payoff is 0.23 lower is drawn a tenth as often
+	keyTemperature           = 0.25 // payoff, for requests with a key: a brief drop of a payoff must not move keys
+	relativeLatencySmoothing = 0.1  // weight of one answer in the smoothed value
+	resultVariance           = 1.0  // variance of one payoff over the variance between the servers
+	gossipVariance           = 10.0 // the same for a payoff received from a peer
+	estimateLifetime         = 10.0 // s; the time constant with which an estimate decays without new results
+	modelEstimateLifetime    = 60.0 // s; the time constant for the estimate of a machine model
+	latencyPenalty           = 0.4  // payoff that an answer loses by taking its whole latency objective
 	latePayoff               = 0.3  // payoff of an answer after its latency objective
-	rejectedKeyPayoff        = 0.5  // payoff of a rejected attempt that may have been cached, in a fleet that gossips
+	rejectedKeyPayoff        = 0.5  // payoff of a rejected attempt with an affinity key, in a fleet that gossips
 )
 
-// The estimates of a server: of the fleet, of its machine model and its own. In a fleet that gossips a fourth one is of
-// a class there.
+// Indices of the estimates of a server: that of the fleet is first, then that of its machine model, then its own. In a
+// fleet that gossips there is a fourth one for each class at the server.
 const (
 	modelEstimate    = 1
 	ownEstimate      = 2
-	generalEstimates = 3 // how many there are
+	generalEstimates = 3 // the number of estimates that apply to all classes
 )
 
-// estimate is by how much the payoff of a group of servers differs from what else is known of them. It fades with time.
+// estimate is an offset of the expected payoff, common to a group of servers or specific to one, which is added to the
+// other estimates that apply. It decays exponentially to 0.
 type estimate struct {
-	payoff     float64
-	confidence float64 // from 0 to 1
+	payoff     float64 // difference, as of updatedAt
+	confidence float64 // from 0 to 1, as of updatedAt
 	updatedAt  float64
-	lifetime   float64 // s
+	lifetime   float64 // s, the time constant of the decay
 }
 
-// remaining is the part of the estimate that has not faded.
-func (e *estimate) remaining(now float64) float64 { return math.Exp((e.updatedAt - now) / e.lifetime) }
+// decayFactor is the factor by which the estimate has decayed since its last update.
+func (e *estimate) decayFactor(now float64) float64 {
+	return math.Exp((e.updatedAt - now) / e.lifetime)
+}
 
-// payoffAt is what is left of the payoff.
-func (e *estimate) payoffAt(now float64) float64 { return e.payoff * e.remaining(now) }
+// payoffAt is the payoff, decayed until now.
+func (e *estimate) payoffAt(now float64) float64 { return e.payoff * e.decayFactor(now) }
 
-// fade brings the estimate to the present.
-func (e *estimate) fade(now float64) {
-	e.payoff, e.confidence, e.updatedAt = e.payoffAt(now), e.confidence*e.remaining(now), now
+// decay updates the estimate to its decayed value.
+func (e *estimate) decay(now float64) {
+	e.payoff, e.confidence, e.updatedAt = e.payoffAt(now), e.confidence*e.decayFactor(now), now
 }
 
-// sharedEstimates are those that servers have in common.
+// sharedEstimates are the estimates that apply to several servers.
 type sharedEstimates struct {
 	fleet  *estimate
 	models []*model // by Endpoint.Model
 }
 
-// model returns the machine model of an index, a new one if need be.
+// model returns the machine model of an index, and creates it if it does not exist.
 func (e *sharedEstimates) model(index int) *model {
 	for len(e.models) <= index {
 		e.models = append(e.models, &model{estimate: estimate{lifetime: modelEstimateLifetime}})
@@ -57,15 +60,15 @@
 	return e.models[index]
 }
 
-// serverScores are what attempts at a server were worth, and what they took.
+// serverScores describes the payoffs and the latency of attempts at a server.
 type serverScores struct {
-	general         []*estimate   // that bear on all classes; see modelEstimate and ownEstimate
-	byClass         [][]*estimate // that bear on a class, the last on rejections
-	observations    []observation // the last of each class, and of rejections
-	relativeLatency float64       // over the usual for the same work, smoothed
+	general         []*estimate   // that apply to all classes; see modelEstimate and ownEstimate
+	byClass         [][]*estimate // that apply to each class; the last element is for rejections
+	observations    []observation // the latest of each class; the last element is for rejections
+	relativeLatency float64       // latency over the median of the class for the same work, smoothed
 }
 
-// observation is one with the time when it was made.
+// observation is an Observation with the time at which it was made.
 type observation struct {
 	Observation
 	at float64
@@ -88,8 +91,8 @@
 	return scores
 }
 
-// payoffOf is the payoff expected of a server. An estimate that hears nothing fades, so that the payoff returns to that
-// of servers alike.
+// payoffOf is the payoff expected of an attempt at a server. Without new results, the estimates of the server decay
+// faster than that of its machine model, so its payoff returns to that of the model.
 func (b *Balancer) payoffOf(s *server, class int) float64 {
 	payoff := 1.0
 	for _, e := range s.scores.byClass[class] {
@@ -98,33 +101,34 @@
 	return payoff
 }
 
-// learnPayoff takes in what an attempt at a server was worth at a time; noise is the chance in it. The surprise is
-// divided between the server, its model and the fleet by how little is known of each: one proxy of many hears too
-// seldom from one server, but often enough of its like.
-func (b *Balancer) learnPayoff(s *server, class int, payoff, at, noise float64) {
+// learnPayoff updates the estimates of a server with the payoff of an attempt, the time at which it was observed, and
+// its relative variance. The prediction error is divided between the server, its model and the fleet in proportion to
+// the uncertainty of each estimate: in a large fleet a proxy gets too few results from one server, but enough from all
+// servers of its model.
+func (b *Balancer) learnPayoff(s *server, class int, payoff, at, variance float64) {
 	s.scores.observations[class] = observation{Observation{Class: class, Value: payoff}, at}
-	surprise, total := payoff-b.payoffOf(s, class), noise
+	predictionError, total := payoff-b.payoffOf(s, class), variance
 	estimates := s.scores.byClass[class]
 	for _, e := range estimates {
-		e.fade(b.now)
+		e.decay(b.now)
 		total += 1 - e.confidence
 	}
 	for _, e := range estimates {
-		part := (1 - e.confidence) / total
-		e.payoff += part * surprise
-		e.confidence += part * (1 - e.confidence)
+		gain := (1 - e.confidence) / total
+		e.payoff += gain * predictionError
+		e.confidence += gain * (1 - e.confidence)
 	}
 }
 
-// rejectionClass stands for a class where rejections are learned.
+// rejectionClass is the index, after those of the classes, under which the payoffs of rejected attempts are learned.
 func (b *Balancer) rejectionClass() int { return len(b.classes) }
 
-// recordOutcome learns from how an attempt ended.
+// recordOutcome updates all statistics with the outcome of an attempt.
 func (b *Balancer) recordOutcome(r *Request, a *attempt, outcome Outcome, latency float64) {
 	switch outcome {
 	case Canceled:
 		b.recordCanceled(r, a)
-	case NotSent, InvalidRequest: // these say nothing of the server
+	case NotSent, InvalidRequest: // not caused by the server
 	case ServerRejected:
 		b.recordRejected(r, a)
 	case Succeeded:
@@ -136,47 +140,47 @@
 	}
 }
 
-// recordCanceled counts the time of an overdue attempt: if only answers counted, the slowest class would look as fast
-// as its luckiest answers.
+// recordCanceled counts the time so far of an overdue attempt as a latency: if only answers counted, a slow class would
+// seem to be as fast as those few of its attempts that were answered.
 func (b *Balancer) recordCanceled(r *Request, a *attempt) {
 	if a.overdue {
 		r.class.latencies.Add((b.now - a.sentAt) / max(r.relativeWork, minRelativeWork))
 	}
 }
 
-// recordRejected learns from a full server. It is no broken one: its breakers stay as they are.
+// recordRejected records a rejection by a full server. It is no failure, so the breakers do not change.
 func (b *Balancer) recordRejected(r *Request, a *attempt) {
-	// An attempt that is rejected at once uses up as much capacity as one that is served: else hundreds a second would
-	// pass.
+	// An attempt that is rejected at once uses as much credit as one that is served, else hundreds per second would be
+	// sent.
 	b.concurrency.credit -= max(r.class.medianLatency()-(b.now-a.sentAt), 0)
 	cut, payoff := rejectionCut, 0.0
 	if b.deployment.Gossip {
 		cut = gossipRejectionCut
 	}
-	// While everything is crowded, rejections would outweigh all else that payoffs tell of cached keys.
+	// While all servers are full, a payoff of 0 for each rejection would outweigh every other result of keyed requests.
 	if b.deployment.Gossip && b.cacheAffine(r) {
 		payoff = rejectedKeyPayoff
 	}
-	b.moveLimits(a.server, cut, 1)
-	b.learnPayoff(a.server, b.rejectionClass(), payoff, b.now, resultNoise)
+	b.scaleLimits(a.server, cut, 1)
+	b.learnPayoff(a.server, b.rejectionClass(), payoff, b.now, resultVariance)
 }
 
-// recordFailed learns from a failure.
+// recordFailed records a failure.
 func (b *Balancer) recordFailed(r *Request, a *attempt) {
 	b.recordResult(r.Class, a.server, false)
-	b.learnPayoff(a.server, r.Class, 0, b.now, resultNoise)
+	b.learnPayoff(a.server, r.Class, 0, b.now, resultVariance)
 }
 
-// recordSucceeded learns from an answer.
+// recordSucceeded records a successful answer.
 func (b *Balancer) recordSucceeded(r *Request, a *attempt, latency float64) {
 	a.server.lastSuccess = b.now
 	b.recordResult(r.Class, a.server, true)
 	b.learnLatency(r, a, latency)
-	b.learnPayoff(a.server, r.Class, r.payoffOfAnswer(latency), b.now, resultNoise)
+	b.learnPayoff(a.server, r.Class, r.payoffOfAnswer(latency), b.now, resultVariance)
 	b.learnLimit(r, a.server, latency)
 }
 
-// learnLatency takes in what an answer took.
+// learnLatency records the latency of an answer.
 func (b *Balancer) learnLatency(r *Request, a *attempt, latency float64) {
 	class, scores := r.class, &a.server.scores
 	unloaded := latency / max(a.contention, 1) / max(r.relativeWork, minRelativeWork)
@@ -188,12 +192,12 @@
 	class.learnBaseLatency(median)
 }
 
-// latencyObjective is that of the class, longer for a request of much work.
+// latencyObjective is that of the class, multiplied by the relative work of a request with more than the mean.
 func (r *Request) latencyObjective() float64 {
 	return r.class.LatencyObjective * max(r.relativeWork, 1)
 }
 
-// payoffOfAnswer is what an answer after this time is worth.
+// payoffOfAnswer is the payoff of an answer with this latency in seconds.
 func (r *Request) payoffOfAnswer(latency float64) float64 {
 	if objective := r.latencyObjective(); latency <= objective {
 		return 1 - latencyPenalty*latency/objective
--- a/balance/score_test.go
+++ b/balance/score_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// While everything is crowded every server rejects, and payoffs would tell of little else.
+// Guards against payoffs that reflect only rejections: while all servers are full, each of them rejects keyed requests.
 func TestPayoffOfARejectedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		cacheAffinity, gossip bool
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -6,42 +6,43 @@
 	"lockloom/internal/pcg"
 )
 
-// Costs are in units of the draw, in which payoffs are divided by the temperature.
+// Costs are in units of the score of a draw, in which payoffs are divided by the temperature.
 const (
-	zonePenalty        = 0.12 // payoff lost on the way to another zone
-	zoneCost           = 3.0  // of another zone, while there is capacity to choose
+	zonePenalty        = 0.12 // payoff that an attempt loses in another zone
+	zoneCost           = 3.0  // of a server in another zone, while capacity is spare
 	connectCost        = 15.0 // of opening a connection, times Deployment.HandshakeCost
-	crowdingCost       = 8.0  // of a full server over an empty one
-	crowdingMultiple   = 2.0  // of the mean in flight, above which a server is redrawn
-	spareCapacityShare = 0.5  // of the capacity; with more in flight, costs would keep servers idle
-	keyHomes           = 2    // servers to which a key is kept at first
-	keyHomeWaitShare   = 0.2  // of the latency objective, that a request waits for them
-	keyLoadShare       = 1.0  // of a server's even share of requests; a key with more counts as several keys
-	subsetMultiple     = 4.0  // times its even part of the servers, to which one proxy of many keeps
-	maxTrafficMultiple = 20.0 // times the even part of the traffic, or the even part over it
+	crowdingCost       = 8.0  // of a full server, relative to an empty one
+	crowdingMultiple   = 2.0  // of the mean attempts in flight; a server with more is drawn again
+	spareCapacityShare = 0.5  // of the capacity; with more in flight, zone and connect costs would keep servers idle
+	keyHomes           = 2    // home servers of a key: those with the best scores, which alone are used at first
+	keyHomeWaitShare   = 0.2  // of the latency objective, for which a request is queued for its key's home servers
+	keyLoadShare       = 1.0  // of a server's even share of requests; a key with more is treated as several keys
+	subsetMultiple     = 4.0  // size of a proxy's subset, as a multiple of the servers divided by the proxies
+	maxTrafficMultiple = 20.0 // bound of trafficMultiple; its reciprocal is the lower bound
 )
 
-// candidate is a server that may be sent the request that is drawn for.
+// candidate is a server to which the request at hand may be sent.
 type candidate struct {
 	server   *server
 	score    float64
 	load     float64 // attempts
-	crowding float64 // the load, or its part of the capacity where loads are reported
+	crowding float64 // the load; if loads are reported, the load over the capacity
 	capacity float64 // attempts
 }
 
-// selectionState is what the last draw left behind.
+// selectionState is the result of the last draw.
 type selectionState struct {
 	candidates []candidate
-	admitted   float64 // servers that were admitted, at least one
+	admitted   float64 // number of admitted servers, at least one
 }
 
-// cacheAffine reports whether servers may have cached what the request needs.
+// cacheAffine reports whether a request should go to servers that may have cached the data of its key.
 func (b *Balancer) cacheAffine(r *Request) bool { return b.deployment.CacheAffinity && r.Key != 0 }
 
-// placement settles where a request goes, alike for all requests of a place; 0 leaves it to chance. A key is kept to a
-// few servers; one with so many requests that it would crowd them counts as several keys. One proxy of many sees too
-// little of each server to tell them apart, so it keeps to a subset.
+// placement returns the hash that replaces the random noise in the draw of a request, so that requests with the same
+// placement prefer the same servers; 0: random noise. A key prefers a few servers; a key with so many requests that
+// they would overload these is treated as several keys. In a large fleet each proxy gets too few results per server to
+// rank them, so it uses a subset of the servers.
 func (b *Balancer) placement(r *Request) uint64 {
 	admitted := b.selection.admitted
 	if b.cacheAffine(r) {
@@ -53,7 +54,7 @@
 	return 0
 }
 
-// trafficMultiple is this proxy's part of the fleet's traffic over the even part, as far as peers tell theirs.
+// trafficMultiple is this proxy's request rate over the mean rate that its peers gossip, or 1 if that is unknown.
 func (b *Balancer) trafficMultiple() float64 {
 	if !b.deployment.Sidecar || b.gossip.peerRate == 0 {
 		return 1
@@ -62,24 +63,25 @@
 	return min(max(multiple, 1/maxTrafficMultiple), maxTrafficMultiple)
 }
 
-// mayAttempt reports whether another attempt of a request at a server is harmless and goes somewhere new.
+// mayAttempt reports whether another attempt of a request may be sent to a server: it must repeat no effect, and the
+// server must not be that of the last attempt, or of one that may have run or failed to connect.
 func (b *Balancer) mayAttempt(r *Request, s *server) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		last := i == len(r.attempts)-1
-		if a.server == s && (!a.neverRan || a.noRoute || last) {
+		if a.server == s && (!a.neverRan || a.connectFailed || last) {
 			return false
 		}
-		if !a.neverRan && !b.repeatHarmless(r, a, s) {
+		if !a.neverRan && !b.retrySafe(r, a, s) {
 			return false
 		}
 	}
 	return true
 }
 
-// selectServer draws a server for an attempt by the softmax of payoffs, in Gumbel form: the greatest payoff over
-// temperature plus noise. It returns nil where there is none to send to now, and reports whether some server would do
-// if it had capacity.
+// selectServer draws a server for an attempt from the softmax of the payoffs by the Gumbel-max trick: it takes the
+// greatest sum of payoff over temperature and Gumbel noise. It returns nil if no server can be sent to now, and reports
+// whether one could if it had capacity.
 func (b *Balancer) selectServer(r *Request) (chosen *server, possible bool) {
 	if len(r.attempts) >= b.deployment.MaxAttempts || b.now >= r.Deadline-answerMargin {
 		return nil, false
@@ -93,8 +95,8 @@
 		load = float64(c.inFlight)
 		maxCrowding = crowdingMultiple * load / float64(max(admitted, 1))
 	}
-	// A capacity below one attempt binds over time, not at once. Without capacity nothing is scored: with many waiting
-	// requests the scores took most of a core.
+	// This check also enforces a capacity below one attempt, on average over time. It precedes the scoring, which for many
+	// queued requests took most of a core.
 	if load >= b.availableCapacity(r.priority) {
 		return nil, possible
 	}
@@ -103,8 +105,8 @@
 	return b.drawCandidate(r, maxCrowding), possible
 }
 
-// collectCandidates lists the servers that may be sent the request. It returns the load of all admitted servers and
-// their number, and sets the capacity.
+// collectCandidates lists the servers to which the request may be sent, and sets the capacity. It returns the total
+// load and the number of the admitted servers.
 func (b *Balancer) collectCandidates(r *Request) (load float64, admitted int) {
 	b.selection.candidates, b.concurrency.capacity = b.selection.candidates[:0], 0
 	for _, s := range b.servers {
@@ -139,7 +141,7 @@
 	}
 }
 
-// payoffAndCost is what an attempt at a server is worth, and what it costs to go there.
+// payoffAndCost returns the payoff expected of an attempt at a server, and the cost of reaching the server.
 func (b *Balancer) payoffAndCost(r *Request, s *server) (payoff, cost float64) {
 	payoff = b.payoffOf(s, r.Class)
 	if !b.deployment.Gossip {
@@ -155,8 +157,9 @@
 	return payoff, cost
 }
 
-// score weighs a payoff. A key is moved by what servers of one machine model have in common, and less by what tells
-// them apart; a request without a key is weighed by what its work takes at this server.
+// score converts a payoff into the units of the draw. For a request with a key, the payoff common to a machine model
+// has its full weight and the remainder a lower one, so that keys seldom move to other servers. For one without, the
+// score is reduced by the time that work above the mean takes at this server.
 func (b *Balancer) score(r *Request, s *server, payoff float64) float64 {
 	if b.cacheAffine(r) {
 		common := s.scores.general[modelEstimate].payoffAt(b.now)
@@ -167,8 +170,9 @@
 	return (payoff - penalty) / temperature
 }
 
-// noise is Gumbel noise: by chance or, where the request has a placement, by that and the server. The placement of a
-// key is alike at every proxy; a proxy of many has a few of its own. Over all placements the draw is the same.
+// noise returns Gumbel noise: random or, if the request has a placement, a hash of that and the server's name. The
+// placement of a key is the same at every proxy; those of a subset are specific to the proxy. Over all placements the
+// hashed noise has the distribution of the random noise.
 func (b *Balancer) noise(r *Request, s *server) float64 {
 	u := b.random.Float64()
 	if r.placement != 0 {
@@ -177,12 +181,12 @@
 	return -math.Log(-math.Log(u))
 }
 
-// drawCandidate returns the candidate of the greatest score that is not too crowded, else the least crowded that was
-// drawn; nil: none can take an attempt.
+// drawCandidate returns the candidate with the greatest score whose crowding is at most maxCrowding, else the least
+// crowded one that was drawn, or nil if none has capacity.
 func (b *Balancer) drawCandidate(r *Request, maxCrowding float64) *server {
 	candidates := b.selection.candidates
 	draws := len(candidates)
-	// A key that is sent to every server is cached at none.
+	// A key whose requests go to every server is cached at none of them.
 	if b.cacheAffine(r) && b.now < r.arrivedAt+keyHomeWaitShare*r.class.LatencyObjective {
 		draws = min(draws, keyHomes)
 	}
@@ -207,8 +211,8 @@
 	return leastCrowded.server
 }
 
-// moveBestTo moves the greatest score of those from n on to n. The first draws settle most requests, so the whole list
-// is never sorted.
+// moveBestTo moves the candidate with the greatest score of candidates[n:] to index n. Most requests need only the
+// first few draws, so the list is not sorted as a whole.
 func moveBestTo(candidates []candidate, n int) {
 	for i := n + 1; i < len(candidates); i++ {
 		if candidates[i].score > candidates[n].score {
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -14,12 +14,12 @@
 		inFlight []int
 		min, max float64 // share of server 0
 	}{
-		{"alike", []string{"ssss", "ssss"}, []int{0, 0}, 0.4, 0.6},
-		{"without results it starts at the mean", []string{"ssss", ""}, []int{0, 0}, 0.4, 0.6},
+		{"equal results", []string{"ssss", "ssss"}, []int{0, 0}, 0.4, 0.6},
+		{"without results, a server has the mean payoff", []string{"ssss", ""}, []int{0, 0}, 0.4, 0.6},
 		{"a failing server is drawn seldom", []string{"ssssssss", "ffssffss"}, []int{0, 0}, 0.9, 1},
 		{"a slow server is drawn less", []string{"ssssssss", "llllllll"}, []int{0, 0}, 0.9, 1},
-		{"a crowded server is redrawn", []string{"ssssssss", "ffssffss", ""}, []int{5, 0, 0}, 0, 0},
-		{"the least crowded at last", []string{"", ""}, []int{3, 4}, 0.4, 1},
+		{"a crowded server is not selected", []string{"ssssssss", "ffssffss", ""}, []int{5, 0, 0}, 0, 0},
+		{"the least crowded if all are", []string{"", ""}, []int{3, 4}, 0.4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			proxy := startProxy(t, deployment(), len(c.results))
@@ -40,7 +40,7 @@
 	}
 }
 
-// selectByKey returns the server for a request of a key.
+// selectByKey returns the server selected for a request with a key.
 func selectByKey(proxy *testProxy, key uint64) *server {
 	s, _ := proxy.selectServer(&Request{
 		balancer:    proxy.Balancer,
@@ -84,7 +84,7 @@
 			}
 		}
 		assert.GreaterOrEqual(t, len(used), c.min)
-		assert.LessOrEqual(t, len(used), c.max, "a proxy that sees little of all can tell none apart")
+		assert.LessOrEqual(t, len(used), c.max, "in a large fleet a proxy uses only a subset")
 	}
 }
 
@@ -95,7 +95,7 @@
 		request, _ := proxy.arrive(RequestInfo{Key: 5})
 		used[request.placement] = true
 	}
-	assert.Greater(t, len(used), 30, "alone it would crowd two homes")
+	assert.Greater(t, len(used), 30, "a popular key uses more than its home servers")
 }
 
 func TestKeyWaitsForItsHomeServers(t *testing.T) {
@@ -113,11 +113,11 @@
 		s.breaker.inFlight = 1
 	}
 	s, possible := proxy.selectServer(request)
-	assert.Nil(t, s, "a key on every server is cached at none")
+	assert.Nil(t, s, "queued while its home servers are full")
 	assert.True(t, possible)
 	proxy.now = keyHomeWaitShare * proxy.classes[0].LatencyObjective
 	s, _ = proxy.selectServer(request)
-	assert.NotNil(t, s, "but it does not wait long")
+	assert.NotNil(t, s, "sent to other servers after keyHomeWaitShare")
 }
 
 func TestRequestOfMuchWorkGoesToAFastServer(t *testing.T) {
@@ -157,9 +157,9 @@
 	const penalty = zonePenalty / temperature
 	for _, c := range []struct {
 		sidecar, gossip bool
-		zone            int     // -1: not told
-		inFlight        int     // attempts at each server, of two that it can take
-		cost            float64 // in the draw; with little capacity left, servers elsewhere would stay idle
+		zone            int     // -1: unknown
+		inFlight        int     // attempts at each server; its limit is two
+		cost            float64 // in the draw; without spare capacity, servers in other zones would stay idle
 	}{
 		{true, true, 1, 0, penalty + zoneCost},
 		{false, true, 1, 0, penalty + zoneCost},
@@ -169,7 +169,7 @@
 	} {
 		d, here := sidecarDeployment(), 0
 		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.sidecar, c.gossip, c.zone, 1, 0
-		proxy := startProxy(t, d, 8) // two zones in turn
+		proxy := startProxy(t, d, 8) // alternating between two zones
 		proxy.fillServers(c.inFlight)
 		for range 400 {
 			s, _ := proxy.draw(0)
@@ -179,14 +179,13 @@
 	}
 }
 
-// A connection that would have to be opened costs a server in the draw, as far as opening has a cost and there is
-// capacity.
+// The score of a server without an open connection is lower by the cost of opening one, while there is spare capacity.
 func TestOpeningAConnectionCosts(t *testing.T) {
-	play := func(cost, idleTimeout float64, inFlight int) (all []int) {
+	draws := func(cost, idleTimeout float64, inFlight int) (all []int) {
 		d := sidecarDeployment()
 		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, cost, idleTimeout
 		proxy := startProxy(t, d, 8)
-		proxy.begin(9)
+		proxy.beginCall(9)
 		proxy.servers[0].lastUsed = 5
 		proxy.fillServers(inFlight)
 		for range 400 {
@@ -203,15 +202,15 @@
 		}
 		return n
 	}
-	assert.Equal(t, play(0, 0, 0), play(0, 10, 0), "where it costs nothing, the draws are as ever")
+	assert.Equal(t, draws(0, 0, 0), draws(0, 10, 0), "without a cost, the idle timeout has no effect")
 	even, cost := 400.0/8, math.Exp(0.12*connectCost)
-	assert.InDelta(t, 400*cost/(cost+7), first(play(0.12, 10, 0)), 40, "the open one, by what opening costs")
-	assert.InDelta(t, even, first(play(0.12, 10, 1)), 25, "no capacity to choose: as ever")
-	assert.InDelta(t, even, first(play(0.12, 3, 0)), 25, "closed for lying idle: as the others")
+	assert.InDelta(t, 400*cost/(cost+7), first(draws(0.12, 10, 0)), 40, "the open connection is preferred by the cost")
+	assert.InDelta(t, even, first(draws(0.12, 10, 1)), 25, "without spare capacity, all are drawn alike")
+	assert.InDelta(t, even, first(draws(0.12, 3, 0)), 25, "the idle connection counts as closed")
 }
 
-// Rule 4 must not depend on gossip. Absurd rates change a proxy's part of the traffic within bounds, and its slow-start
-// budgets not at all.
+// Guards against slow-start budgets that depend on gossip: absurd rates received from peers may change trafficMultiple
+// only within its bounds, and the budgets not at all.
 func TestTrafficMultipleIsBounded(t *testing.T) {
 	sends := map[int]bool{}
 	for _, rate := range []float64{0, 1e-9, 10, 4095} {
@@ -233,5 +232,5 @@
 		assert.Positive(t, sent)
 		sends[sent] = true
 	}
-	assert.Len(t, sends, 1, "as many, whatever peers told: %v", sends)
+	assert.Len(t, sends, 1, "sends must not depend on the peer rate: %v", sends)
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -1,34 +1,34 @@
 package balance
 
-// server is one server as this proxy knows it.
+// server is an endpoint with what was learned about it.
 type server struct {
 	Endpoint
-	breaker       breaker   // for requests of all classes
-	classBreakers []breaker // for those of one class
-	model         *model    // of its machine
+	breaker       breaker   // for all classes
+	classBreakers []breaker // by class
+	model         *model    // machine model
 	scores        serverScores
 	limit         concurrencyLimit
 	load          reportedLoad
 	slowStart     slowStartBudget
-	lastSuccess   float64 // when an attempt last succeeded
-	lastUsed      float64 // when an attempt last ended; 0: no connection is open
-	drained       bool    // the endpoint list said so since the server started
+	lastSuccess   float64 // time at which an attempt last succeeded
+	lastUsed      float64 // time at which an attempt last ended; 0: no connection is open
+	drained       bool    // the endpoint list has marked this incarnation as draining
 }
 
-// newServer returns a server of which nothing is known but its machine's model and cores.
+// newServer returns a server with initial state, of which only the machine model and the cores are known.
 func (b *Balancer) newServer(modelIndex int, cores float64) *server {
-	initial, least := b.limitBounds(cores)
+	initial, minimum := b.limitBounds(cores)
 	m := b.estimates.model(modelIndex)
 	return &server{
 		classBreakers: make([]breaker, len(b.classes)),
 		model:         m,
 		scores:        b.newServerScores(m),
-		limit:         concurrencyLimit{value: initial, minimum: least},
-		slowStart:     slowStartBudget{filledAt: b.now},
+		limit:         concurrencyLimit{value: initial, minimum: minimum},
+		slowStart:     slowStartBudget{refilledAt: b.now},
 	}
 }
 
-// attemptsInFlight counts the attempts at the server, overdue ones too.
+// attemptsInFlight counts the attempts in flight at the server, including released ones.
 func (s *server) attemptsInFlight() (n int) {
 	for i := range s.classBreakers {
 		n += s.classBreakers[i].inFlight
@@ -36,13 +36,14 @@
 	return n
 }
 
-// attemptSent and attemptEnded keep what is in flight at a server, together with Balancer.release.
+// attemptSent counts an attempt as in flight at the server.
 func (s *server) attemptSent(class int) {
 	s.breaker.inFlight++
 	s.load.sentSince++
 	s.classBreakers[class].inFlight++
 }
 
+// attemptEnded counts an attempt as ended. Balancer.release updates the count of the server's breaker.
 func (s *server) attemptEnded(class int, sentAt, now float64) {
 	s.classBreakers[class].inFlight--
 	if sentAt > s.load.at {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -9,7 +9,7 @@
 func TestSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fresh bool // this proxy has no results yet
+		fresh bool // the proxy has no results yet
 		work  float64
 	}{{"heavy first burst", false, 0.2}, {"light burst", false, 0.01}, {"a proxy just started", true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -19,7 +19,7 @@
 				proxy.endAttempts(proxy.servers[0], "ssssssssssssss")
 			}
 			proxy.classes[0].meanWork = 0.05
-			list := endpointList(4) // a whole fleet restarted at once
+			list := endpointList(4) // all servers restarted at once
 			for i := range list {
 				list[i].StartedAt = 0.001
 			}
@@ -36,10 +36,10 @@
 					}
 				}
 			}
-			assert.NotEmpty(t, cost, "servers that are warming up are used all the same")
+			assert.NotEmpty(t, cost, "servers that are warming up get some requests")
 			for _, sum := range cost {
 				share := d.CrashFactor * 2 * (d.SlowStartFraction + 0.1) * d.CrashDuration / float64(d.Proxies)
-				assert.Less(t, sum, share, "two cores' worth at the mean capacity of the window")
+				assert.Less(t, sum, share, "less than the budget of two cores at the mean capacity of the window")
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 func TestSlowStartBudgetOfManyProxies(t *testing.T) {
 	for _, c := range []struct {
 		age, least float64
-	}{{0, 0.25}, {15, 0.4}} { // the larger the budget, the less of it is left for chance
+	}{{0, 0.25}, {15, 0.4}} { // a larger budget needs a smaller margin for random variation
 		const seeds = 10
 		used := 0.0 // share of the budget
 		for seed := range uint64(seeds) {
@@ -62,7 +62,7 @@
 				proxy.EndpointsUpdated(c.age, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 				fleet = append(fleet, proxy)
 			}
-			var sent float64 // in one window, as all of them want to send
+			var sent float64 // work in one window, with requests at every proxy
 			for now := c.age + 0.01; now < c.age+d.CrashDuration; now += 0.05 {
 				for _, proxy := range fleet {
 					proxy.now = now
@@ -76,12 +76,12 @@
 			assert.Less(t, sent, budget*0.85)
 			used += sent / budget / seeds
 		}
-		assert.Greater(t, used, c.least, "it is used all the same, %v s after its start", c.age)
+		assert.Greater(t, used, c.least, "the budget is used %v s after the start", c.age)
 	}
 }
 
-// Two processes of one proxy, each with the proxy's whole part of a slow-start budget, would overload a server that is
-// warming up.
+// Guards against two processes of one proxy that each use the proxy's whole slow-start budget, and together overload a
+// server that is warming up.
 func TestSlowStartBudgetShare(t *testing.T) {
 	countSent := func(share float64) (n int) {
 		d := deployment()
@@ -125,7 +125,7 @@
 					sent++
 				}
 			}
-			assert.Greater(t, sent, 25, "what waits at another server is no work at this one")
+			assert.Greater(t, sent, 25, "queueing at another server does not reduce the budget of this one")
 		})
 	}
 }
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -1,18 +1,18 @@
 package balance
 
-// Snapshot is what a balancer learned, for the next one of the same proxy after a restart.
+// Snapshot holds what a balancer has learned, for its successor in the next process of the same proxy.
 type Snapshot struct {
-	BaseLatencies []float64        `json:"Bases"` // s, by class: what an answer takes when little waits
+	BaseLatencies []float64        `json:"Bases"` // s, by class: median latency without queueing
 	Servers       []ServerSnapshot `json:"Servers"`
 }
 
-// ServerSnapshot is what was learned of one server since its start.
+// ServerSnapshot holds what was learned about one server since its start.
 type ServerSnapshot struct {
 	NameHash        uint64  `json:"Mark"`
 	StartedAt       float64 `json:"UpSince"`
 	Limit           float64 `json:"Limit"`
 	RelativeLatency float64 `json:"Pace"`
-	Payoff          float64 `json:"Pay"` // of its own estimate, beside those of its model and the fleet
+	Payoff          float64 `json:"Pay"` // of its own estimate, to which those of its model and the fleet are added
 	Confidence      float64 `json:"Sure"`
 	Age             float64 `json:"Age"` // s since the estimate was updated
 	Paused          bool    `json:"Paused"`
@@ -21,9 +21,9 @@
 	Results         int     `json:"Results"`
 }
 
-// Snapshot returns what was learned.
+// Snapshot returns what the balancer has learned.
 func (b *Balancer) Snapshot(now float64) Snapshot {
-	b.begin(now)
+	b.beginCall(now)
 	var snapshot Snapshot
 	for i := range b.classes {
 		snapshot.BaseLatencies = append(snapshot.BaseLatencies, b.classes[i].baseLatency)
@@ -53,11 +53,11 @@
 	}
 }
 
-// Restore takes in what another balancer of this proxy learned. What was known of a server before its restart is not
-// true of it now, so only a server with the same start takes it over. It ages like anything heard, and no rule rests on
-// it.
+// Restore applies the snapshot of an earlier balancer of this proxy. What was learned about a server does not apply
+// after its restart, so a server has to have the same start time. Estimates decay by their age. The safety of retries
+// does not depend on a snapshot.
 func (b *Balancer) Restore(now float64, snapshot Snapshot) {
-	b.begin(now)
+	b.beginCall(now)
 	for i := range min(len(snapshot.BaseLatencies), len(b.classes)) {
 		if base := snapshot.BaseLatencies[i]; base > 0 && base <= b.classes[i].LatencyObjective {
 			b.classes[i].baseLatency = base
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The next process of a proxy takes over what was learned, but for servers that restarted or are not listed any more.
+// A snapshot is applied to all servers but those that have restarted or are no longer listed.
 func TestSnapshotIsRestoredByTheNextProcess(t *testing.T) {
 	proxy := startProxy(t, deployment(), 4)
 	proxy.clock = 20
@@ -33,11 +33,11 @@
 	assert.Equal(t, proxy.classes[0].baseLatency, next.classes[0].baseLatency)
 
 	restarted := startProxy(t, deployment(), 0)
-	list := endpointList(3) // the last is gone
+	list := endpointList(3) // the last server is no longer listed
 	list[1].StartedAt = 19
 	restarted.EndpointsUpdated(20, true, true, list)
 	restarted.Restore(20, snapshot)
-	assert.False(t, restarted.servers[1].breaker.paused, "it has restarted since")
+	assert.False(t, restarted.servers[1].breaker.paused, "a restarted server is not paused")
 	assert.Zero(t, restarted.servers[1].scores.general[ownEstimate].confidence)
 	assert.Len(t, restarted.ServerStatuses(20), 3)
 
@@ -46,10 +46,10 @@
 		snapshot.Servers[i].Age += 60
 	}
 	later.Restore(20, snapshot)
-	assert.InDelta(t, 0, later.servers[1].scores.general[ownEstimate].payoffAt(20), 0.01, "what is old moves nothing")
+	assert.InDelta(t, 0, later.servers[1].scores.general[ownEstimate].payoffAt(20), 0.01, "an old estimate has decayed")
 	later.Restore(20, Snapshot{BaseLatencies: []float64{-1, 7}, Servers: []ServerSnapshot{
 		{NameHash: 1, Limit: -3, RelativeLatency: 1},
 		{NameHash: 99, Limit: 1, RelativeLatency: 1},
 	}})
-	assert.Greater(t, later.servers[0].limit.value, 0.0, "impossible values are not taken in")
+	assert.Greater(t, later.servers[0].limit.value, 0.0, "invalid values are ignored")
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,20 +1,22 @@
 package balance
 
-// ServerStatus is what the decisions hold of one server, for those who ask why.
+// ServerStatus is the state of one server on which decisions are based, for diagnostics.
 type ServerStatus struct {
 	Endpoint          int
 	InFlight          int     // attempts
-	Limit, Payoff     float64 // attempts that it can have, and what one is worth there
+	Limit, Payoff     float64 // the concurrency limit in attempts, and the payoff expected of one
 	Paused, WarmingUp bool
-	Trial             bool    // paused, but after its cooldown: one attempt may go there
-	Errors, Results   int     // of the present window
-	Age               float64 // s since an attempt there ended
+	Trial             bool    // paused, but its cooldown is over: one attempt may be sent
+	Errors, Results   int     // in the window of its breaker
+	Age               float64 // s since its own estimate was updated
 }
 
-// ServerStatuses returns those of all listed servers.
-func (b *Balancer) ServerStatuses(now float64) []ServerStatus { return b.begin(now).CurrentStatuses() }
+// ServerStatuses returns the status of every listed server.
+func (b *Balancer) ServerStatuses(now float64) []ServerStatus {
+	return b.beginCall(now).CurrentStatuses()
+}
 
-// CurrentStatuses is ServerStatuses as of the last call. It changes nothing.
+// CurrentStatuses is ServerStatuses as of the last call. It does not change the state of the balancer.
 func (b *Balancer) CurrentStatuses() []ServerStatus {
 	var list []ServerStatus
 	for _, s := range b.servers {
@@ -40,24 +42,25 @@
 	}
 }
 
-// ScoreBreakdown is what speaks for and against a server for one request now, for those who ask why.
+// ScoreBreakdown holds the criteria by which a server is selected for one request, for diagnostics.
 type ScoreBreakdown struct {
 	Endpoint        int
 	State           EndpointState
-	Paused, Trial   bool // by the server's own breaker; and after its cooldown
-	Errors, Results int  // of that breaker
-	ClassPaused     bool // by the breaker of the request's class there
-	ClassErrors     int  // of that breaker
-	ClassResults    int
-	RetrySafe       bool // another attempt there is harmless
+	Paused, Trial   bool // by the breaker of the server; Trial: its cooldown is over
+	Errors, Results int  // in the window of that breaker
+	ClassPaused     bool // by the breaker of the request's class at the server
+	ClassErrors     int  // in the window of that breaker
+	ClassResults    int  // in the window of that breaker
+	RetrySafe       bool // another attempt may be sent there; see Balancer.mayAttempt
 	WarmingUp       bool
-	Load, Capacity  float64 // attempts; as many as it can have
-	Payoff          float64
-	Score           float64 // of the last draw, if it was in it; the greatest wins where there is capacity
-	Considered      bool
+	Load, Capacity  float64 // attempts at the server, and the number that it can have
+	Payoff          float64 // expected of an attempt
+	Score           float64 // in the last draw, if Considered; the greatest is selected if it has capacity
+	Considered      bool    // the server was a candidate in the last draw
 }
 
-// ScoreBreakdown returns those of all listed servers. It changes nothing. Scores are those of the last draw.
+// ScoreBreakdown returns the breakdown of every listed server. Scores are those of the last draw. It does not change
+// the state of the balancer.
 func (r *Request) ScoreBreakdown() (list []ScoreBreakdown) {
 	for _, s := range r.balancer.servers {
 		if s != nil {
@@ -87,7 +90,7 @@
 	}
 	for i := range b.selection.candidates {
 		if c := &b.selection.candidates[i]; c.server == s {
-			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: there was no capacity to draw for
+			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: not scored, for want of capacity
 		}
 	}
 	return breakdown
--- a/balance/validate.go
+++ b/balance/validate.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// setting is a number of a Deployment with the name that operators know it by.
+// setting is a number of a Deployment with its name in error messages.
 type setting struct {
 	name  string
 	value float64
 }
 
-// validate returns an error that names what in a deployment cannot be decided on.
+// validate returns an error that names the first missing or invalid setting, if there is one.
 func (d *Deployment) validate() error {
 	if len(d.Classes) == 0 {
 		return errors.New("no classes")
 	}
 	for _, class := range d.Classes {
 		if class.Deadline == 0 {
-			return fmt.Errorf("%s: no deadline", class.Name)
+			return fmt.Errorf("class %q has no deadline", class.Name)
 		}
 	}
 	for _, s := range d.settings() {
-		if !(s.value >= 0) { // NaN is no number either
-			return fmt.Errorf("%s is negative or no number: %v", s.name, s.value)
+		if !(s.value >= 0) { // true for NaN, too
+			return fmt.Errorf("%s is negative or not a number: %v", s.name, s.value)
 		}
 	}
 	return nil
 }
 
-// settings are all numbers that must not be negative.
+// settings returns the numbers that must not be negative.
 func (d *Deployment) settings() []setting {
 	list := []setting{
 		{"slow start duration", d.SlowStartDuration},
--- a/balance/validate_test.go
+++ b/balance/validate_test.go
@@ -13,7 +13,7 @@
 	}{
 		{"no classes", func(d *Deployment) { d.Classes = nil }},
 		{"plain: latency objective", func(d *Deployment) { d.Classes[0].LatencyObjective = -1 }},
-		{"plain: no deadline", func(d *Deployment) { d.Classes[0].Deadline = 0 }},
+		{`class "plain" has no deadline`, func(d *Deployment) { d.Classes[0].Deadline = 0 }},
 		{"slow start duration", func(d *Deployment) { d.SlowStartDuration = -1 }},
 		{"gossip cost", func(d *Deployment) { d.GossipCost = -1 }},
 		{"small: quota", func(d *Deployment) { d.Tenants = []Tenant{{"small", -1}} }},
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Asserted reports whether a broken invariant ends the program.
+// Asserted reports whether a broken invariant panics.
 const Asserted = true
 
-func fail(name string) { panic("does not hold: " + name) }
+func fail(name string) { panic("broken invariant: " + name) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant checks what must always hold. With the build tag debug a broken invariant ends the program; without
-// it, it is counted, and the counts are logged.
+// Package invariant checks invariants. With the build tag debug a broken invariant panics; without it, broken
+// invariants are counted by name, and the program logs the counts.
 package invariant
 
 import (
@@ -7,13 +7,14 @@
 	"sync"
 )
 
-// The broken invariants since the start, by name.
+// broken counts the broken invariants since the start of the process, by name. mu guards it.
 var (
 	mu     sync.Mutex
 	broken = map[string]int{}
 )
 
-// Holds checks an invariant and returns whether it holds. The name says what must hold.
+// Holds checks an invariant and returns whether it holds. The name states the invariant. Holds may be called
+// concurrently.
 func Holds(holds bool, name string) bool {
 	if !holds {
 		fail(name)
@@ -21,7 +22,7 @@
 	return holds
 }
 
-// Broken returns how often each invariant was found broken since the start. It may be called concurrently.
+// Broken returns how often each invariant was broken since the start of the process. It may be called concurrently.
 func Broken() map[string]int {
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Asserted reports whether a broken invariant ends the program.
+// Asserted reports whether a broken invariant panics.
 const Asserted = false
 
 func fail(name string) {
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,11 +1,11 @@
-// Package pcg is a small permuted congruential generator, and the hash that stands in for it where all proxies must
-// draw the same number.
+// Package pcg implements a permuted congruential generator with 64 bits of state (PCG-XSH-RR), and a hash that replaces
+// it where all proxies must draw the same number.
 package pcg
 
-// Rand is the generator; its value is its state, and at first its seed. It is not safe for concurrent use.
+// Rand is a random number generator. Its value is its state, and initially the seed. It is not safe for concurrent use.
 type Rand uint64
 
-// The generator's constants, of PCG's reference implementation.
+// Constants of the linear congruential generator, from the reference implementation of PCG.
 const (
 	multiplier = 6364136223846793005
 	increment  = 1442695040888963407
