--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,6 +1,6 @@
 // Package balance selects the server for each request of a proxy. It does no I/O and reads no clock: a call reports an
-// event with the present time in seconds, and returns the Actions that the proxy has to carry out. RequestArrived
-// returns a handle of the request, on which the proxy reports all later events of that request.
+// event and the current time in seconds, and returns the Actions that the proxy has to carry out. RequestArrived also
+// returns a handle for the request; the proxy reports all later events of that request by calling the handle's methods.
 //
 // A Balancer is not safe for concurrent use; one goroutine owns it and all its requests. The same calls with the same
 // Deployment.Seed always return the same actions. Each mechanism has a file and a type of its own; docs/design.md
@@ -15,14 +15,14 @@
 	"lockloom/internal/pcg"
 )
 
-// timerTolerance is how many seconds before the requested time a timer may fire.
+// A timer that fires up to timerTolerance seconds before the requested time counts as on time.
 const timerTolerance = 1e-6
 
 // Balancer selects servers for the requests of one proxy. It is not safe for concurrent use.
 type Balancer struct {
 	deployment Deployment
 	random     pcg.Rand
-	now        float64      // s, time of the call in progress
+	now        float64      // s, the time passed to the call in progress
 	actions    Actions      // to be returned by the call in progress
 	servers    []*server    // by Endpoint.Index; nil if no server has the index
 	classes    []classState // by RequestInfo.Class
@@ -43,10 +43,10 @@
 type trafficStats struct {
 	keys        histogram.Shares
 	latencies   histogram.Times // s, of all classes
-	priority    float64         // mean priority of requests, smoothed
-	arrivals    float64         // requests so far
-	interval    float64         // s between arrivals, smoothed
-	lastArrival float64
+	priority    float64         // smoothed mean priority of requests
+	arrivals    float64         // number of requests received so far
+	interval    float64         // s, smoothed mean time between arrivals
+	lastArrival float64         // time of the last arrival
 }
 
 // arrived counts a request and updates the mean interval between arrivals.
@@ -56,7 +56,7 @@
 	t.lastArrival = now
 }
 
-// processState is what the proxy process reports about itself.
+// processState holds what the proxy process reports about itself.
 type processState struct {
 	budgetShare float64 // see SetBudgetShare
 	delayFactor float64 // see SetLocalDelay
@@ -79,7 +79,8 @@
 		endpoints:  endpointPoller{delay: minPollDelay, pollAt: math.Inf(1)},
 		process:    processState{budgetShare: 1, delayFactor: 1},
 	}
-	// In a large fleet without gossip, each proxy sees too few answers to learn the limits at the normal rate.
+	// In a large fleet without gossip, a proxy receives too few answers to raise the limits fast enough at the normal
+	// rate of growth.
 	if initial, _ := b.limitBounds(0); initial < minBindingLimit && !d.Gossip {
 		b.concurrency.growth = initialLimitGrowth
 	}
@@ -97,7 +98,8 @@
 // Deployment returns the settings that the balancer was created with.
 func (b *Balancer) Deployment() Deployment { return b.deployment }
 
-// RequestArrived accepts a request. The request gets exactly one answer: the response of an attempt, or a Reply.
+// RequestArrived accepts a request. Unless its client disconnects, the request gets exactly one answer: the response to
+// an attempt, or a Reply.
 func (b *Balancer) RequestArrived(now float64, info RequestInfo) (*Request, *Actions) {
 	b.beginCall(now)
 	class := &b.classes[info.Class]
@@ -119,23 +121,23 @@
 	return r, b.dispatch()
 }
 
-// ResponseStarted reports that the response of an attempt began to stream to the client. The request ends with that
-// attempt, and its others are canceled where that is allowed.
+// ResponseStarted reports that the response to an attempt has begun to stream to the client. No further attempt is
+// sent, and the other attempts are canceled if Deployment.CancelAllowed is set.
 func (r *Request) ResponseStarted(now float64, index int) *Actions {
 	b := r.balancer.beginCall(now)
 	if !r.finished && index < len(r.attempts) {
 		a := &r.attempts[index]
 		b.recordOutcome(r, a, Succeeded, now-a.sentAt)
 		a.started = true
-		b.release(a) // responses that stream for minutes would exhaust the server's limit
+		b.release(a) // a response can stream for minutes: if counted as in flight, a few would use up the server's limit
 		b.finish(r, index)
 	}
 	return &b.actions
 }
 
-// BodyCompleted reports that the last byte of a streamed request body was sent. The latency of the attempt is measured
-// from now, and it takes capacity from now on: the server starts work on the last byte, and a slow client must not make
-// the server look slow.
+// BodyCompleted reports that the last byte of a streamed request body was sent. From now on the attempt takes capacity
+// and its latency is measured: the server starts work when it has received the last byte, and a slow client must not
+// make the server look slow.
 func (r *Request) BodyCompleted(now float64) *Actions {
 	b := r.balancer.beginCall(now)
 	if r.finished {
@@ -162,8 +164,8 @@
 	return &b.actions
 }
 
-// AttemptEnded reports the outcome of an attempt and its latency in seconds. finished says whether the request is
-// answered, by this attempt or earlier.
+// AttemptEnded reports the outcome of an attempt and its latency in seconds. finished reports whether the client has
+// received an answer, from this attempt or an earlier one.
 func (r *Request) AttemptEnded(now float64, index int, outcome Outcome, latency float64, finished bool) *Actions {
 	b := r.balancer.beginCall(now)
 	if index >= len(r.attempts) || !r.attempts[index].inFlight {
@@ -171,7 +173,8 @@
 	}
 	a := &r.attempts[index]
 	b.endAttempt(r, a, outcome)
-	streamed := a.started && outcome == Succeeded // the client's read rate sets the time to the end of the stream
+	// The latency of a streamed response was recorded at its start: its end depends on how fast the client reads.
+	streamed := a.started && outcome == Succeeded
 	if !streamed {
 		b.recordOutcome(r, a, outcome, latency)
 	}
@@ -186,7 +189,7 @@
 	if r.finished {
 		return &b.actions
 	}
-	if now >= r.Deadline-answerMargin { // AttemptEnded might not be called before the deadline
+	if now >= r.Deadline-answerMargin { // the attempts in flight may not end before the deadline
 		b.answerUnserved(r)
 		return &b.actions
 	}
@@ -210,14 +213,15 @@
 // that each used the whole budget would together overload a server.
 func (b *Balancer) SetBudgetShare(share float64) { b.process.budgetShare = share }
 
-// SetLocalDelay sets the delay that this proxy adds to attempts while its own core is overloaded: factor is the latency
-// measured here over the latency at the server, and delay is an upper estimate of the added seconds. It raises the
-// capacity of servers and the age at which an attempt is overdue, so that no server counts as full or hanging for it.
+// SetLocalDelay sets the delay that this proxy adds to attempts while its own CPU core is overloaded. factor is the
+// latency measured by the proxy divided by the latency at the server; it raises the capacity of servers, so that none
+// counts as full because of the delay. delay is an upper estimate of the added seconds; it raises the age at which an
+// attempt is overdue, so that no server counts as hanging because of the delay.
 func (b *Balancer) SetLocalDelay(factor, delay float64) {
 	b.process.delayFactor, b.process.localDelay = max(factor, 1), max(delay, 0)
 }
 
-// beginCall advances the clock to now and clears the actions of the last call.
+// beginCall advances the clock to now and clears the actions that the previous call returned.
 func (b *Balancer) beginCall(now float64) *Balancer {
 	if b.loadsKnown() {
 		b.concurrency.credit = 0
--- a/balance/breaker.go
+++ b/balance/breaker.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	breakerWindow        = 15.0 // s; older counts say little about the present state
-	classBreakerWindow   = 5.0  // s, for the breaker of one class at a server
-	breakerCooldown      = 5.0  // s, the minimum that a server is paused
-	cooldownJitter       = 0.5  // of breakerCooldown, added at random, so that many servers are not readmitted at once
-	minBreakerResults    = 5    // results; a breaker opens only after more of them
-	maxFailureShare      = 0.5  // of the results of a window; a breaker opens above it
-	maxReportedResults   = 50   // results of one server that count in a report
-	sharedFailureDivisor = 4    // its reciprocal is the quantile of the servers' failure shares that counts as shared
+	breakerWindow        = 15.0 // s, length of the window of a server's breaker; older results say little about its state
+	classBreakerWindow   = 5.0  // s, length of the window of the breaker for one class at a server
+	breakerCooldown      = 5.0  // s, the minimum time from the last result until a paused server gets a trial
+	cooldownJitter       = 0.5  // largest share of breakerCooldown added at random; keeps servers from returning together
+	minBreakerResults    = 5    // a breaker opens only if its window has more results than this
+	maxFailureShare      = 0.5  // a breaker opens if a greater share of its window's results failed; see breaker.record
+	maxReportedResults   = 50   // largest number of results that one entry of a report adds to the breakers
+	sharedFailureDivisor = 4    // 1/sharedFailureDivisor is the quantile of failure shares that sharedFailures returns
 )
 
 // breaker is a circuit breaker that pauses a server, or one class at a server, after too many failures.
 type breaker struct {
-	tracked     bool // there was a failure, so results are counted
-	paused      bool // open, or half-open after the cooldown
-	failures    int  // in the window
-	results     int  // in the window, failures included
+	tracked     bool // results are counted, which begins with the first failure
+	paused      bool // the breaker is open or, after the cooldown, half-open
+	failures    int  // failed results in the window
+	results     int  // all results in the window
 	windowStart float64
 	lastResult  float64 // time of the last result
-	cooldown    float64 // s, from lastResult on
-	inFlight    int     // attempts
+	cooldown    float64 // s after lastResult, during which no attempt is admitted while paused
+	inFlight    int     // attempts in flight
 }
 
 // admits reports whether an attempt may be sent: always while the breaker is closed, and after the cooldown one at a
@@ -35,11 +35,11 @@
 	return !br.paused || now >= br.lastResult+br.cooldown && br.inFlight == 0
 }
 
-// onTrial reports whether the breaker is paused, but admits an attempt as a trial.
+// onTrial reports whether the breaker is paused, but admits one attempt as a trial now.
 func (br *breaker) onTrial(now float64) bool { return br.paused && br.admits(now) }
 
-// record counts a result and opens or closes the breaker. sharedFailures is the share of failures that servers have in
-// common. The threshold rises with it, since pausing all servers that fail alike would leave none to send to.
+// record counts a result and opens or closes the breaker. sharedFailures is the share of failures that the servers have
+// in common. It raises the threshold: if all servers fail alike, pausing them all would leave none to send to.
 func (br *breaker) record(now float64, ok bool, window, sharedFailures float64, random *pcg.Rand) {
 	if ok && !br.tracked {
 		return
@@ -71,8 +71,8 @@
 
 // failureStats describes the failures of all servers.
 type failureStats struct {
-	share  float64   // of failures in the results of all servers, smoothed
-	shares []float64 // buffer of sharedFailures, reused
+	share  float64   // smoothed share of failures among the results of all servers
+	shares []float64 // buffer that sharedFailures reuses
 }
 
 // recordResult counts a result in two breakers: that of the server and that of the class at this server. A server may
@@ -86,8 +86,8 @@
 	s.classBreakers[class].record(b.now, ok, classBreakerWindow, b.sharedFailures(class, ok), &b.random)
 }
 
-// sharedFailures is the first quartile of the servers' failure shares in a class: failures count as shared if more than
-// three servers in four have them. It is 0 for a success, for which the breaker has no threshold.
+// sharedFailures returns the first quartile of the servers' failure shares in a class: at least three servers in four
+// have this share of failures or a greater one. It returns 0 for a success, which is not compared with a threshold.
 func (b *Balancer) sharedFailures(class int, ok bool) float64 {
 	if ok {
 		return 0
@@ -109,20 +109,21 @@
 // ReportedOutcomes counts the attempts of a class that other clients sent to a server, by outcome.
 type ReportedOutcomes struct{ Endpoint, Class, Succeeded, Failed int }
 
-// counted is the number of results that count. More would add no information, but take long to record.
+// counted returns the number of results to record. More than maxReportedResults would add no information, but take long
+// to record.
 func (o *ReportedOutcomes) counted() int { return min(o.Succeeded+o.Failed, maxReportedResults) }
 
-// failuresUpTo returns the number of failures among the first n counted results.
+// failuresUpTo returns the number of failures among the first n recorded results, over which they are spread evenly.
 func (o *ReportedOutcomes) failuresUpTo(n int) int {
 	total, counted := o.Succeeded+o.Failed, o.counted()
 	failed := (o.Failed*counted + total/2) / total
 	return n * failed / counted
 }
 
-// OutcomesReported records the attempts that other clients made since their last report. The failures of one server
-// recorded in a row would pause a server that mostly succeeds, and all results of one server before those of the next
-// would raise the thresholds of all. So the results of each server are spread evenly over the report, a failure
-// last.
+// OutcomesReported records the outcomes of attempts that other clients made since their last report. To record all
+// failures of a server in a row would pause a server that mostly succeeds, and to record all results of one server
+// before those of the next would raise the thresholds of all. So the results of all servers are recorded in turns, and
+// the failures of each server are spread evenly over its results, with a failure last.
 func (b *Balancer) OutcomesReported(now float64, outcomes []ReportedOutcomes) {
 	b.beginCall(now)
 	rounds := 0
@@ -136,7 +137,7 @@
 	}
 }
 
-// recordReported records the reported result that falls into a round, if one does.
+// recordReported records the next result of an entry of a report, if one falls into this round.
 func (b *Balancer) recordReported(o *ReportedOutcomes, round, rounds int) {
 	counted := o.counted()
 	last := round * counted / rounds
--- a/balance/breaker_test.go
+++ b/balance/breaker_test.go
@@ -40,9 +40,9 @@
 
 func TestClassFailingAtOneServerIsPausedThereOnly(t *testing.T) {
 	proxy := startProxy(t, deployment(Class{Name: "good"}, Class{Name: "bad"}), 2)
-	countDraws := func(class int) (used [2]int) {
+	countSelections := func(class int) (used [2]int) {
 		for range 100 {
-			s, _ := proxy.draw(class)
+			s, _ := proxy.selectForClass(class)
 			used[s.Index]++
 		}
 		return used
@@ -54,17 +54,17 @@
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[0]}, ServerError, 0)
 		proxy.recordOutcome(request, &attempt{server: proxy.servers[1]}, Succeeded, 0.05)
 	}
-	assert.Positive(t, countDraws(0)[0], "the class that succeeds is still sent to the server")
-	assert.Zero(t, countDraws(1)[0])
+	assert.Positive(t, countSelections(0)[0], "the class that succeeds is still sent to the server")
+	assert.Zero(t, countSelections(1)[0])
 	proxy.now += breakerCooldown * (1 + cooldownJitter)
-	assert.Positive(t, countDraws(1)[0], "trial after the cooldown")
+	assert.Positive(t, countSelections(1)[0], "trial after the cooldown")
 	trial := &Request{balancer: proxy.Balancer, class: &proxy.classes[1], RequestInfo: RequestInfo{Class: 1}}
 	proxy.send(trial, proxy.servers[0])
-	assert.Zero(t, countDraws(1)[0], "only one trial at a time")
+	assert.Zero(t, countSelections(1)[0], "only one trial at a time")
 }
 
-// Guards against a class breaker that never opens: if most servers fail a class, but some serve it, the failures must
-// not count as shared by all servers and raise the threshold.
+// Guards against a class breaker that never opens although most servers fail the class. As long as some servers serve
+// the class, the failures must not count as shared by all servers, which would raise the threshold of the breaker.
 func TestClassFailingAtMostServersIsPausedThere(t *testing.T) {
 	for _, c := range []struct{ bad, paused int }{{7, 7}, {10, 0}} {
 		proxy := startProxy(t, deployment(), 10)
--- a/balance/checkpoint_restore.go
+++ b/balance/checkpoint_restore.go
@@ -1,6 +1,6 @@
 package balance
 
-// Restore returns the balancer and the requests of which the Checkpoint was made. It returns a *CheckpointError if a
+// Restore returns the balancer and the requests from which the Checkpoint was made. It returns a *CheckpointError if a
 // value is missing or refers to one that the Checkpoint does not contain.
 func (c *Checkpoint) Restore(requests map[uint64]*RequestCheckpoint) (*Balancer, map[uint64]*Request, error) {
 	r := &checkpointReader{
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// restoreQueue restores the queued requests and the candidates of the last draw.
+// restoreQueue restores the queued requests and the candidates of the last selection of a server.
 func (r *checkpointReader) restoreQueue() error {
 	c, b := r.checkpoint, r.balancer
 	for i := range c.candidates {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -5,22 +5,22 @@
 // Limits are in attempts in flight at one server, of all proxies together, unless noted otherwise.
 const (
 	initialLimit        = 2.0  // attempts at a server of unknown capacity: one running, one queued
-	initialLimitPerCore = 3.0  // attempts, also the minimum, in a fleet that gossips, if the endpoint list gives the cores
-	minLimit            = 1.0  // attempts; no server is excluded by its limit alone
+	initialLimitPerCore = 3.0  // attempts, initial and minimum limit per core; see limitBounds for when it applies
+	minLimit            = 1.0  // attempts; limits do not fall further, since no server may be excluded by its limit alone
 	minBindingLimit     = 0.5  // attempts of one proxy; lower limits hold back attempts only by their sum over all servers
-	limitGrowth         = 1.2  // attempts per second at a server, divided by the number of proxies plus one
-	initialLimitGrowth  = 4.8  // the same, in a large fleet without gossip, until the limits were cut a few times
-	slowAnswerCut       = 0.9  // factor on the limit after a slow answer
-	rejectionCut        = 0.7  // factor on the limit after a rejection
-	gossipRejectionCut  = 0.95 // the same in a fleet that gossips, where many proxies count the same rejection
-	busyShare           = 0.9  // of the available capacity; with less in flight the limits do not bind
-	slowObjectiveShare  = 0.35 // of the latency objective; a slower answer was queued at the server
-	slowBaseMultiple    = 2.5  // of the base latency; a slower answer was queued at the server
-	minSlowBaseMultiple = 2.2  // of the base latency; in a fleet that gossips, a faster answer was not queued
-	maxBurst            = 10.0 // attempts beyond the capacity that unused capacity may pay for
-	burstCapacity       = 4.0  // attempts; the capacity at which maxBurst is halved
-	reservedShare       = 0.3  // of the reported capacity, for requests above the mean priority
-	fullServerObjective = 0.55 // of the latency objective, taken by a request at a full server that reports its load
+	limitGrowth         = 1.2  // attempts per second by which a limit grows, to be divided by the number of proxies plus 1
+	initialLimitGrowth  = 4.8  // limitGrowth in a large fleet without gossip, until the limits have been cut a few times
+	slowAnswerCut       = 0.9  // factor by which a slow answer multiplies the limit
+	rejectionCut        = 0.7  // factor by which a rejection multiplies the limit
+	gossipRejectionCut  = 0.95 // rejectionCut in a fleet that gossips, where many proxies count the same rejection
+	busyShare           = 0.9  // share of the available capacity; with less in flight, limits do not bind or change
+	slowObjectiveShare  = 0.35 // share of the latency objective; a slower answer was queued at the server
+	slowBaseMultiple    = 2.5  // multiple of the base latency; a slower answer was queued at the server
+	minSlowBaseMultiple = 2.2  // multiple of the base latency; in a fleet that gossips, a faster answer was not queued
+	maxBurst            = 10.0 // attempts beyond the capacity that credit may allow; see concurrencyStats.credit
+	burstCapacity       = 4.0  // attempts; the capacity at which only half of maxBurst is allowed
+	reservedShare       = 0.3  // share of the capacity kept for requests above the mean priority, if servers report loads
+	fullServerObjective = 0.55 // share of the latency objective that a request takes at a full server that reports loads
 )
 
 // concurrencyLimit is the maximum number of attempts of this proxy in flight at a server. A limit below one is a mean
@@ -34,14 +34,15 @@
 
 // concurrencyStats describes the attempts in flight at all servers and their capacity.
 type concurrencyStats struct {
-	inFlight    int     // attempts
-	capacity    float64 // attempts, at all admitted servers, as of the last draw
-	utilization float64 // of that capacity, from 0 to 1
-	credit      float64 // unused capacity, in attempts times seconds; negative: overused
-	growth      float64 // of limits, attempts per second; lowered by each cut; no effect below limitGrowth
+	inFlight    int     // attempts at all servers that are in flight and not released
+	capacity    float64 // attempts at all admitted servers together, as of the last selection of a server
+	utilization float64 // share of that capacity in use, from 0 to 1
+	credit      float64 // unused capacity, in attempts times seconds; negative: more was used than the capacity
+	growth      float64 // attempts per second by which limits grow, at least limitGrowth; each cut of a limit lowers it
 }
 
-// accrue adds the capacity that was unused for some seconds to the credit, up to maxCredit over a median latency.
+// accrue adds the unused capacity of some seconds to the credit, up to the credit that maxCredit attempts of the median
+// latency use.
 func (c *concurrencyStats) accrue(seconds, medianLatency float64) {
 	c.credit += (c.capacity - float64(c.inFlight)) * seconds
 	c.credit = min(c.credit, c.maxCredit()*medianLatency)
@@ -51,7 +52,7 @@
 // where arrivals are burstier.
 func (c *concurrencyStats) maxCredit() float64 { return maxBurst / (1 + c.capacity/burstCapacity) }
 
-// acquire counts an attempt as in flight again after release. Neither counts an attempt twice.
+// acquire counts an attempt as in flight again after release. To call either of them twice in a row changes nothing.
 func (b *Balancer) acquire(a *attempt) {
 	if a.released {
 		a.released = false
@@ -60,7 +61,8 @@
 	}
 }
 
-// release stops counting an attempt as in flight: when it ends, or while it takes no capacity of its server.
+// release stops counting an attempt as in flight: when the attempt ends, or as long as it takes no capacity of its
+// server, for example while the request body is still being received.
 func (b *Balancer) release(a *attempt) {
 	if !a.released {
 		a.released = true
@@ -70,8 +72,8 @@
 }
 
 // capacityOf is the number of attempts that a server may have in flight. If loads are reported, it is the number at
-// which a median request takes fullServerObjective of its latency objective, else this proxy's limit there. Attempts
-// that this proxy's own overloaded core delays are no load of the server, so delayFactor raises the limit.
+// which a median request takes fullServerObjective of its latency objective, else this proxy's limit there. The time by
+// which this proxy's own overloaded core delays attempts is no load on the server, so delayFactor raises the limit.
 func (b *Balancer) capacityOf(s *server) float64 {
 	if !b.loadsKnown() {
 		return s.limit.value * b.trafficMultiple() * b.process.delayFactor
@@ -81,7 +83,7 @@
 
 // availableCapacity is the number of attempts in flight below which a request of this priority may be sent: the
 // capacity, plus the credit spent over a median latency. A request below the mean priority has to leave a reserve. One
-// above it may exceed the capacity, since the queue is mostly too short for its order to favor that request.
+// above it may exceed the capacity: the queue is usually too short for its order alone to favor that request.
 func (b *Balancer) availableCapacity(priority float64) float64 {
 	mean, c := b.traffic.priority, &b.concurrency
 	reserve := (mean - priority) / max(mean+priority, 1e-9)
@@ -92,8 +94,8 @@
 }
 
 // limitBounds returns a server's initial and minimum limit. In a fleet that gossips, if the endpoint list gives the
-// cores, both are the attempts that the cores serve without queueing: a limit learned from answers alone would leave a
-// server idle that rejects before it becomes slow.
+// cores, both are the attempts that the cores serve without queueing: a server that rejects attempts before it becomes
+// slow would be left idle by a limit learned from its answers alone.
 func (b *Balancer) limitBounds(cores float64) (initial, minimum float64) {
 	initial, minimum = initialLimit, minLimit
 	if b.deployment.Gossip && !b.deployment.HealthChecks && cores > 0 {
@@ -106,7 +108,7 @@
 // learnLimit adjusts the limits to the latency of an answer, but only while most of the available capacity is in use.
 // At low load the latency does not depend on the limits, so limits adjusted then would be wrong once the load rises.
 func (b *Balancer) learnLimit(r *Request, s *server, latency float64) {
-	inFlight := float64(b.concurrency.inFlight + 1) // with the attempt that has ended
+	inFlight := float64(b.concurrency.inFlight + 1) // includes the attempt that has just ended
 	if b.loadsKnown() || inFlight < busyShare*b.availableCapacity(b.traffic.priority) {
 		return
 	}
@@ -129,9 +131,10 @@
 		(!b.deployment.Gossip || latency > minSlowBaseMultiple*unloaded)
 }
 
-// scaleLimits multiplies the limit of a server by a factor. The fewer results are known of this server, the more of the
-// change applies to all servers instead, by the factor others. A limit below minBindingLimit holds back attempts only
-// by its sum with the other limits, so in a fleet that gossips that part of its change is spread over all servers.
+// scaleLimits changes the limits after an answer or a rejection of server s. If many results of s are known, the limit
+// of s is multiplied by factor. The fewer are known, the less of this change applies, and the more the limits of all
+// servers are multiplied by others instead. A limit below minBindingLimit holds back attempts only by its sum with the
+// other limits, so in a fleet that gossips, the lower it is, the more of its change is spread over all servers.
 func (b *Balancer) scaleLimits(s *server, factor, others float64) {
 	ownShare := 1 - math.Pow(1-s.scores.general[ownEstimate].confidence, 2) //nolint:staticcheck // x*x may round otherwise
 	ownExponent := ownShare * min(s.limit.value/minBindingLimit, 1)
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -41,13 +41,13 @@
 		two.AttemptEnded(proxy.clock, 0, Succeeded, 0.05, true)
 	}
 	proxy.arrive(RequestInfo{})
-	// learnLimit counts the attempt that has just ended as in flight.
+	// Two attempts at a time are enough to raise the limits: learnLimit counts the one that has just ended as in flight.
 	assert.Greater(t, proxy.concurrency.capacity, 16*initialLimit/18+0.01)
 }
 
 // In a fleet that gossips, the initial limit of a server is proportional to its cores. In a large one, a rejection
-// changes the limits of all servers: guards against a cut of only one limit, which is too small to hold back attempts
-// by itself.
+// changes the limits of all servers. Guards against a cut of only one limit, which is too small there to hold back
+// attempts by itself.
 func TestConcurrencyLimitsWithGossip(t *testing.T) {
 	d := sidecarDeployment()
 	d.Proxies = 40
@@ -109,7 +109,7 @@
 			s := proxy.servers[0]
 			before := max(0.2, 1.2*s.limit.minimum)
 			s.limit.value, s.breaker.inFlight, proxy.selection.admitted = before, 1, 4
-			s.scores.general[ownEstimate].confidence = 0 // all of the change applies to all servers
+			s.scores.general[ownEstimate].confidence = 0 // so the whole change of the limit applies to all servers
 			proxy.endAttempts(s, "s")
 			return math.Log(s.limit.value / before)
 		}
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -4,19 +4,19 @@
 
 const (
 	minPollDelay         = 0.25 // s; the first delay before the endpoint list is requested again
-	maxPollDelay         = 4.0  // s
-	pollJitter           = 0.5  // of the delay, added or subtracted at most
-	removedServerTimeout = 1.0  // s since its last success, for which a server removed from the list is still used
+	maxPollDelay         = 4.0  // s; the longest delay before it is requested again
+	pollJitter           = 0.5  // largest share of the delay that is added or subtracted at random
+	removedServerTimeout = 1.0  // s after its last success until a server that was removed from the list is no longer used
 	maxIdleDuration      = 2.0  // s; keeping a connection idle for longer costs more than opening a new one
-	idleCloseMargin      = 0.5  // s before the server closes an idle connection, from when it counts as closed
+	idleCloseMargin      = 0.5  // s; an idle connection counts as closed this long before the server closes it
 	idleCheckInterval    = 0.02 // s between checks for idle connections
 )
 
 // endpointPoller schedules the requests for the endpoint list and the checks for idle connections.
 type endpointPoller struct {
 	delay       float64 // s before the next poll after a failure, without jitter
-	pollAt      float64 // +Inf: no poll is due
-	idleCheckAt float64
+	pollAt      float64 // time of the next poll; +Inf: none is scheduled
+	idleCheckAt float64 // time of the next check for idle connections; 0: none is scheduled
 }
 
 // failed schedules the next poll after a failure, with exponential backoff.
@@ -25,7 +25,7 @@
 	p.delay = min(2*p.delay, maxPollDelay, max(notificationDeadline/4, minPollDelay))
 }
 
-// takePoll reports whether a poll is due, and clears it.
+// takePoll reports whether a poll is due, and if so takes it off the schedule.
 func (p *endpointPoller) takePoll(now float64) bool {
 	if now < p.pollAt-timerTolerance {
 		return false
@@ -34,8 +34,8 @@
 	return true
 }
 
-// EndpointsUpdated applies the endpoint list or, unless full, its changed entries. The first list also subscribes to
-// changes, if PollsEndpoints is set.
+// EndpointsUpdated applies the endpoint list if full is set, else only its changed entries. first is set for the first
+// list that the proxy receives, which it answers with a subscription if Deployment.PollsEndpoints is set.
 func (b *Balancer) EndpointsUpdated(now float64, full, first bool, list []Endpoint) *Actions {
 	b.beginCall(now)
 	b.updateEndpoints(full, list)
@@ -49,15 +49,16 @@
 // PollFailed reports that the endpoint list could not be fetched, or that the subscription ended.
 func (b *Balancer) PollFailed(now float64) *Actions {
 	b.beginCall(now)
-	if b.deployment.PollsEndpoints { // without a subscription, changes soon count as received, though none was
+	// Without a subscription, the proxy does not receive changes that it is expected to know; see NotificationDeadline.
+	if b.deployment.PollsEndpoints {
 		b.endpoints.failed(now, b.random.Float64(), b.deployment.NotificationDeadline)
 		b.wakeAt(b.endpoints.pollAt)
 	}
 	return &b.actions
 }
 
-// HasEndpoint reports whether the server of an index is listed, or was removed but still serves. Later actions do not
-// refer to any other index, unless the list adds it again.
+// HasEndpoint reports whether the server with this index is listed, or was removed from the list but still serves. If
+// not, no later action refers to the index, unless the list contains the server again.
 func (b *Balancer) HasEndpoint(index int) bool {
 	return index < len(b.servers) && b.servers[index] != nil
 }
@@ -81,7 +82,7 @@
 	}
 }
 
-// updateEndpoint applies one entry. A server that was restarted gets a new state.
+// updateEndpoint applies one entry of the endpoint list. It drops what was learned about a server before a restart.
 func (b *Balancer) updateEndpoint(e Endpoint) {
 	for len(b.servers) <= e.Index {
 		b.servers = append(b.servers, nil)
@@ -95,13 +96,13 @@
 	s.drained = s.drained || e.State == Draining
 }
 
-// stillServing reports whether a server that was removed from the list may be used: only while it goes on answering,
-// since after a restart it would be warming up, which a list without it cannot report.
+// stillServing reports whether a server that was removed from the list may be used. It may only while it goes on
+// answering: after a pause it may have restarted and be warming up, which cannot be seen from a list that omits it.
 func (b *Balancer) stillServing(s *server) bool {
 	return b.deployment.RemovalIsAdvisory && s.State == Removed && !s.drained && b.now < s.lastSuccess+removedServerTimeout
 }
 
-// connectionOpen reports whether there should be an open connection to a server, by the time of its last attempt.
+// connectionOpen reports whether a connection to a server is probably open, judging by when its last attempt ended.
 func (b *Balancer) connectionOpen(s *server) bool {
 	return s.lastUsed > 0 && b.now < s.lastUsed+b.deployment.ServerIdleTimeout-idleCloseMargin
 }
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -34,7 +34,8 @@
 
 // With RemovalIsAdvisory, a server that goes on answering stays in use although it was removed from the list. Each
 // letter is an event: s a success, f a failure, g removed, b listed again, d draining, r removed after a restart, o
-// omitted from a full list, w the timeout passes. want is whether the server is sent to, and whether it is kept.
+// omitted from a full list, w removedServerTimeout passes. want is whether requests are sent to the server, and
+// whether it is kept.
 func TestAdvisoryRemovalKeepsAServingServer(t *testing.T) {
 	states := map[rune]EndpointState{'g': Removed, 'r': Removed, 'd': Draining}
 	startedAt := map[rune]float64{'r': 49.9}
@@ -67,7 +68,7 @@
 				}
 			}
 			proxy.now = proxy.clock
-			s, _ := proxy.draw(0)
+			s, _ := proxy.selectForClass(0)
 			proxy.EndpointsUpdated(proxy.now, false, false, nil)
 			kept := want[1] && (advisory || events == "sd")
 			assert.Equal(t, [2]bool{advisory && want[0], kept}, [2]bool{s != nil, proxy.HasEndpoint(0)}, events)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -40,7 +40,7 @@
 	return last
 }
 
-// after schedules an action in so many seconds.
+// after schedules an action after a delay in seconds.
 func (f *fleet) after(seconds float64, action func()) {
 	heap.Push(&f.events, event{f.now + seconds, action})
 }
@@ -50,7 +50,7 @@
 	*fleet
 	balancer *Balancer
 	requests []*Request
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 }
 
 const (
@@ -65,7 +65,7 @@
 	m.carryOut(m.balancer.EndpointsUpdated(m.now, true, true, m.list))
 }
 
-// schedule schedules a call on the balancer, which is skipped if the member is restarted before.
+// schedule schedules a call on the balancer. The call is skipped if the member is restarted before that time.
 func (m *fleetMember) schedule(at float64, call func() *Actions) {
 	b := m.balancer
 	m.after(at-m.now, func() {
@@ -159,7 +159,7 @@
 	}
 }
 
-// run processes all events until a time.
+// run processes events until the simulated time reaches until.
 func (f *fleet) run(until float64) {
 	for f.now < until {
 		next := heap.Pop(&f.events).(event)
@@ -168,8 +168,9 @@
 	}
 }
 
-// worstWindow returns the number of sends in the window with the greatest ratio of sends to allowed sends, and that
-// ratio. The allowed sends are the n that the settings give for the window, plus 2*sqrt(n)+2 for random variation.
+// worstWindow returns the number of attempts that were sent to the restarted server in the window with the greatest
+// ratio of sent to allowed attempts, and that ratio. A window lasts CrashDuration. If its budget is enough for n
+// attempts, n plus 2*sqrt(n)+2 are allowed, the latter for random variation.
 func (f *fleet) worstWindow() (sends int, overAllowed float64) {
 	overAllowed = math.Inf(-1)
 	for i, at := range f.warmingUpSends {
@@ -187,8 +188,8 @@
 	return sends, overAllowed
 }
 
-// Guards against a server that is warming up being overloaded by the fleet as a whole, whatever happens in the
-// meantime.
+// Guards against a fleet whose proxies together overload a server that is warming up, also if an incident changes the
+// traffic or the fleet meanwhile.
 func TestSlowStartBudgetOverTheFleet(t *testing.T) {
 	for name, incident := range map[string]func(f *fleet, members []*fleetMember){
 		"nothing":              func(*fleet, []*fleetMember) {},
@@ -211,7 +212,7 @@
 	}
 }
 
-// slowerExceptFirst returns a slowdown by a factor of all servers but the first few.
+// slowerExceptFirst returns a slowdown that multiplies the latencies of all servers but the first few by a factor.
 func slowerExceptFirst(few int, factor float64) func(server int) float64 {
 	return func(server int) float64 {
 		if server < few {
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -8,27 +8,28 @@
 const (
 	observationTimeout  = 3.0   // s; older observations are neither sent nor accepted
 	gossipDelay         = 0.02  // s, the assumed network latency of a message
-	maxGossipPerRequest = 2.0   // messages, however low their cost is
-	minGossipInterval   = 0.001 // s between arrivals; bounds the rate that is sent
+	maxGossipPerRequest = 2.0   // messages per request at most, however low their cost is
+	minGossipInterval   = 0.001 // s; shorter intervals between requests count as this one, which bounds GossipMessage.Rate
 )
 
 // gossipState is the state of gossip with the peers of this proxy.
 type gossipState struct {
-	budget   float64       // messages that may be sent
-	peerRate float64       // requests per second of a peer, smoothed; 0: unknown
-	received float64       // messages received so far
-	message  GossipMessage // the last message sent; its memory is reused
+	budget   float64       // number of messages that may be sent
+	peerRate float64       // smoothed mean of the peers' requests per second; 0: unknown
+	received float64       // number of messages received so far
+	message  GossipMessage // the last message sent; its memory is reused for the next one
 }
 
-// receive counts a message and updates the peer rate.
+// receive counts a message and updates peerRate.
 func (g *gossipState) receive(message *GossipMessage) {
 	g.received++
 	g.peerRate += max(1/g.received, meanSmoothing) * (message.Rate - g.peerRate)
 }
 
-// GossipReceived processes a message of a peer. Its observations are weighted by their age, have less weight than this
-// proxy's own, and count once. They change payoffs, loads and, for rejections, limits. Breakers, slow-start budgets and
-// the safety of retries do not depend on them, as they may be wrong.
+// GossipReceived processes a message from a peer. The peer's observations have less weight than this proxy's own, and
+// each counts only once, even if it is received from several peers; a load also loses weight with its age. They change
+// payoffs, loads and, for rejections, limits. Breakers, slow-start budgets and the safety of retries do not depend on
+// gossip, as it may be wrong.
 func (b *Balancer) GossipReceived(now float64, from int, message GossipMessage) *Actions {
 	b.beginCall(now)
 	if !b.deployment.Gossip || from == b.deployment.Self || from < 0 || from >= b.deployment.Proxies {
@@ -41,7 +42,7 @@
 	return b.dispatch()
 }
 
-// observe applies one observation of a peer, unless it is too old, known already or of an unknown server or class.
+// observe applies one observation of a peer, unless it is too old, already known, or of an unknown server or class.
 func (b *Balancer) observe(o *Observation) {
 	at := b.now - o.Age - gossipDelay
 	s := b.serverByNameHash(o.NameHash, at)
@@ -51,7 +52,7 @@
 		if at > s.load.at {
 			s.load.inFlight, s.load.at = o.Value, at
 		}
-	case at > s.scores.observations[o.Class].at+gossipDelay: // not one that was received before, from another peer
+	case at > s.scores.observations[o.Class].at+gossipDelay: // else it was probably received before, from another peer
 		b.learnPayoff(s, o.Class, o.Value, at, gossipVariance)
 		if o.Class == b.rejectionClass() {
 			b.scaleLimits(s, gossipRejectionCut, 1)
@@ -59,8 +60,8 @@
 	}
 }
 
-// serverByNameHash returns the server with this name hash if it had started by then, else nil: observations from before
-// a restart do not apply to the restarted server.
+// serverByNameHash returns the server with this name hash if it had started by the time at, else nil: observations from
+// before a restart do not apply to the restarted server.
 func (b *Balancer) serverByNameHash(hash uint32, at float64) *server {
 	for _, s := range b.servers {
 		if s != nil && uint32(s.NameHash) == hash && s.StartedAt <= at {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// sendGossip adds the sending of a message to a random peer to the actions, as often as its cost allows.
+// sendGossip adds a message to a random peer to the actions, as often as Deployment.GossipCost allows.
 func (b *Balancer) sendGossip() {
 	b.gossip.budget += min(overheadShare/max(b.deployment.GossipCost, 1e-9), maxGossipPerRequest)
 	if !b.deployment.Gossip || b.deployment.Proxies < 2 || b.gossip.budget < 1 {
--- a/balance/hedge.go
+++ b/balance/hedge.go
@@ -1,8 +1,8 @@
 package balance
 
 const (
-	overdueMultiple = 1.5 // times the overdueQuantile of the latencies of the class
-	overdueQuantile = 0.9
+	overdueMultiple = 1.5 // an attempt is overdue at the age of overdueMultiple times the overdueQuantile
+	overdueQuantile = 0.9 // quantile of the latencies of the class
 )
 
 // overdueAge is the age in seconds at which an attempt of this request is overdue.
@@ -11,15 +11,15 @@
 	return overdueMultiple*quantile*max(r.relativeWork, 1) + b.process.localDelay
 }
 
-// overdue reports whether an attempt has become overdue and was not counted as such before.
+// overdue reports whether an attempt in flight is overdue and has not been recorded as overdue before.
 func (b *Balancer) overdue(r *Request, a *attempt) bool {
 	return a.inFlight && !a.overdue && !(b.now < a.sentAt+b.overdueAge(r)-timerTolerance)
 }
 
-// recordOverdue counts an overdue attempt as failed, since a server that hangs would otherwise be detected only at the
-// deadline. It also releases the attempt, so that a class that hangs at a server does not use up the capacity of the
-// others; not so if the limit is below minBindingLimit, since such limits hold back attempts only by their sum, in
-// which overdue attempts have to count.
+// recordOverdue records an overdue attempt as failed: otherwise a server that hangs would be detected only at the
+// deadline. It also stops counting the attempt as in flight, so that a class whose attempts hang at a server does not
+// use up the server's limit for the other classes. A limit below minBindingLimit is an exception: such limits hold back
+// attempts only by their sum, in which overdue attempts have to count.
 func (b *Balancer) recordOverdue(r *Request, a *attempt) {
 	a.overdue = true
 	if a.server.limit.value >= minBindingLimit {
--- a/balance/hedge_test.go
+++ b/balance/hedge_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// Guards against requests of one class that hang at a server and use up its limit, while all others are queued.
+// Guards against requests of one class that hang at a server and use up its limit, while those of all other classes are
+// queued.
 func TestOverdueAttemptIsNotInFlight(t *testing.T) {
 	for _, c := range []struct {
 		limit    float64
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testProxy is a Balancer under test with the time and the request numbers of its caller.
+// testProxy is a Balancer under test, with the current time and the number of the last request, which a proxy keeps.
 type testProxy struct {
 	*Balancer
 	clock float64
@@ -55,7 +55,8 @@
 	return list
 }
 
-// arrive calls RequestArrived and returns the request and a copy of the actions for requests.
+// arrive calls RequestArrived, by default with a deadline in 1 s. It returns the request and a copy of
+// Actions.Requests.
 func (proxy *testProxy) arrive(info RequestInfo) (*Request, []RequestAction) {
 	proxy.refs++
 	info.Ref = proxy.refs
@@ -66,7 +67,7 @@
 	return request, append([]RequestAction(nil), actions.Requests...)
 }
 
-// request returns a request of mean work that was never queued.
+// request returns a request of mean work that did not pass through RequestArrived.
 func (proxy *testProxy) request(info RequestInfo) *Request {
 	return &Request{
 		balancer:     proxy.Balancer,
@@ -76,8 +77,8 @@
 	}
 }
 
-// draw returns the server selected for a request of a class, and whether one could be selected if it had capacity.
-func (proxy *testProxy) draw(class int) (*server, bool) {
+// selectForClass calls selectServer for a new request of a class.
+func (proxy *testProxy) selectForClass(class int) (*server, bool) {
 	return proxy.selectServer(proxy.request(RequestInfo{Deadline: 99, Class: class}))
 }
 
@@ -92,7 +93,7 @@
 	}
 }
 
-// countSends counts the attempts that are sent.
+// countSends counts the actions that send an attempt.
 func countSends(actions []RequestAction) (n int) {
 	for _, action := range actions {
 		if action.Send {
@@ -102,7 +103,7 @@
 	return n
 }
 
-// replies lists the replies that the proxy itself generates.
+// replies lists the replies in the actions.
 func replies(actions []RequestAction) (list []Reply) {
 	for _, action := range actions {
 		if action.Reply != NoReply {
@@ -112,7 +113,7 @@
 	return list
 }
 
-// sidecarDeployment returns the settings of a proxy in a fleet of four that gossips, one proxy per client process.
+// sidecarDeployment returns the settings of a proxy in a fleet of four that gossips, with one proxy per client process.
 func sidecarDeployment() Deployment {
 	d := deployment()
 	d.Proxies, d.Self, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
--- a/balance/loadreports.go
+++ b/balance/loadreports.go
@@ -3,35 +3,35 @@
 import "math"
 
 const (
-	overheadShare             = 0.004 // share of the service that health checks may cost, and as much again for gossip
-	maxHealthChecksPerRequest = 2.0   // health checks, however low their cost is
+	overheadShare             = 0.004 // share of the service's cost allowed for health checks, and the same for gossip
+	maxHealthChecksPerRequest = 2.0   // health checks per request at most, however low their cost is
 	loadReportTimeout         = 3.0   // s since the last load report, after which loads count as unknown
-	freshLoadDuration         = 0.08  // s; the time constant with which the weight of a report decays toward the mean load
-	minMeanUtilization        = 0.02  // share of cores; with less, the cores of a machine model cannot be estimated
-	minModelReports           = 50    // reports of a machine model before its cores are estimated
+	freshLoadDuration         = 0.08  // s; time constant with which a report loses weight; older loads are not gossiped
+	minMeanUtilization        = 0.02  // share of cores in use; with less, the cores of a machine model cannot be estimated
+	minModelReports           = 50    // reports from servers of a machine model before its cores are estimated
 )
 
 // loadReportStats is the state of health checks and of the load reports that they return.
 type loadReportStats struct {
 	lastReport        float64 // time of the last report; 0: never
-	healthCheckBudget float64 // health checks that may be sent
-	latencyHeadroom   float64 // latency objective over the median unloaded latency; the minimum of the classes
+	healthCheckBudget float64 // number of health checks that may be sent
+	latencyHeadroom   float64 // see Balancer.latencyHeadroom
 }
 
 // reportedLoad is the last load that a server reported, or that a peer sent.
 type reportedLoad struct {
-	inFlight  float64 // attempts of all proxies
+	inFlight  float64 // attempts in flight from all proxies
 	at        float64 // time of the report
-	sentSince int     // attempts that this proxy has sent since
+	sentSince int     // attempts in flight that this proxy has sent after the report
 }
 
-// model is what was learned about the servers of a machine model.
+// model is what this balancer has learned about the servers of a machine model.
 type model struct {
 	estimate
-	inFlight    float64 // attempts at a server, smoothed
-	utilization float64 // share of its cores in use, smoothed
-	reports     float64
-	cores       float64 // the minimum of inFlight over utilization, when the least is queued; 0: unknown
+	inFlight    float64 // smoothed mean of the requests in flight at a server
+	utilization float64 // smoothed mean of the share of a server's cores in use
+	reports     float64 // number of reports
+	cores       float64 // the least inFlight/utilization so far, as queueing raises this ratio; 0: unknown
 }
 
 // report updates the estimated cores from a load report.
@@ -70,7 +70,7 @@
 	stats := &b.loadReports
 	stats.healthCheckBudget = min(
 		stats.healthCheckBudget+overheadShare/max(b.deployment.HealthCheckCost, 1e-9),
-		maxHealthChecksPerRequest, // without a bound, those saved up while there is no endpoint list would be sent at once
+		maxHealthChecksPerRequest, // otherwise checks saved up before the endpoint list arrives would be sent all at once
 	)
 	for ; b.deployment.HealthChecks && stats.healthCheckBudget >= 1 && len(b.servers) > 0; stats.healthCheckBudget-- {
 		s := b.servers[int(b.random.Float64()*float64(len(b.servers)))]
@@ -85,9 +85,9 @@
 	return b.loadReports.lastReport > 0 && b.now < b.loadReports.lastReport+loadReportTimeout
 }
 
-// loadOf is the number of attempts in flight at a server. If loads are reported, it is the reported load, of which the
-// mean of all servers replaces more the older the report is, plus the attempts sent since; else only those of this
-// proxy.
+// loadOf is the number of attempts in flight at a server. If servers report loads, it is the reported load plus the
+// attempts sent since; the older the report is, the more of it is replaced by the mean load of all servers. Otherwise
+// it counts only this proxy's attempts.
 func (b *Balancer) loadOf(s *server) float64 {
 	if !b.loadsKnown() {
 		return float64(s.breaker.inFlight)
@@ -97,7 +97,8 @@
 	return weight*s.load.inFlight + mean + float64(s.load.sentSince)
 }
 
-// latencyHeadroom is the minimum of the classes of the latency objective over the median unloaded latency.
+// latencyHeadroom returns the ratio of the latency objective to the median unloaded latency, the smallest of all
+// classes.
 func (b *Balancer) latencyHeadroom() float64 {
 	headroom := math.Inf(1)
 	for i := range b.classes {
--- a/balance/loadreports_test.go
+++ b/balance/loadreports_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestReportedLoadsSteerSelection(t *testing.T) {
-	proxy, draws := startProxy(t, healthCheckDeployment(), 4), map[*server]int{}
-	drawAfter := func(reports ...LoadReport) (*server, bool) {
+	proxy, selected := startProxy(t, healthCheckDeployment(), 4), map[*server]int{}
+	selectAfter := func(reports ...LoadReport) (*server, bool) {
 		for i, r := range reports {
 			proxy.HealthChecked(1, i, true, r)
 		}
-		return proxy.draw(0)
+		return proxy.selectForClass(0)
 	}
 	for range 200 {
-		s, _ := drawAfter(LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{0, 0.1})
-		draws[s]++
+		s, _ := selectAfter(LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{2, 0.9}, LoadReport{0, 0.1})
+		selected[s]++
 	}
-	assert.Greater(t, draws[proxy.servers[3]], 150, "the idle server is preferred")
-	s, possible := drawAfter(LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1})
+	assert.Greater(t, selected[proxy.servers[3]], 150, "the idle server is preferred")
+	s, possible := selectAfter(LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1}, LoadReport{900, 1})
 	assert.Nil(t, s, "all servers are over their capacity")
 	assert.True(t, possible)
 	proxy.TimerFired(1 + loadReportTimeout + 0.1)
-	s, _ = proxy.draw(0)
+	s, _ = proxy.selectForClass(0)
 	assert.NotNil(t, s, "after the last report has expired, only this proxy's attempts count")
 	proxy = startProxy(t, healthCheckDeployment(), 2)
 	for range 200 {
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -35,8 +35,8 @@
 	assert.Zero(t, proxy.TimerFired(0.5).WakeAt)
 }
 
-// Guards against unbounded draws: one for each queued request at each event took half a core at a proxy of a large
-// fleet.
+// Guards against an unbounded number of selections: one for each queued request at each event took half a CPU core at a
+// proxy of a large fleet.
 func TestDrawsForWaitingRequestsAreBounded(t *testing.T) {
 	d := deployment(Class{Idempotency: NonIdempotent})
 	d.CacheAffinity, d.Proxies = true, 1
@@ -52,7 +52,7 @@
 	for proxy.dispatch(); before != proxy.random && scored < 40*20; scored++ { // one random number per scored server
 		before.Float64()
 	}
-	assert.Equal(t, []int{40, maxFailedDraws * 20}, []int{len(proxy.queue.requests), scored})
+	assert.Equal(t, []int{40, maxFailedSelections * 20}, []int{len(proxy.queue.requests), scored})
 	lost := first.AttemptEnded(0, 0, ConnectionLost, 0, false)
 	assert.Equal(t, []Reply{Failed}, replies(lost.Requests), "a request that cannot be retried is answered at once")
 	proxy.concurrency.capacity, proxy.concurrency.inFlight, before = 0, 999, proxy.random
@@ -60,7 +60,8 @@
 	assert.Equal(t, before, proxy.random, "without capacity no server is scored")
 }
 
-// Guards against clients that wait for more than half of their deadline, only to be rejected without any attempt.
+// Guards against requests that are queued for more than half of the time to their deadline, and then rejected without
+// any attempt.
 func TestRequestWaitsOnlyWhileItCanBeAnsweredInTime(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -95,8 +96,8 @@
 	assert.Equal(t, 1, timers, "one timer for all calls")
 }
 
-// Guards against a first request that is queued beside idle servers: for a class without answers, a quarter of a long
-// latency objective was taken as the expected latency.
+// Guards against a class's first request being queued although servers are idle: as the class had no answers, a quarter
+// of its long latency objective was taken as the expected latency.
 func TestFirstRequestOfAClassWithALongObjective(t *testing.T) {
 	d := deployment(Class{Name: "post", Idempotency: NonIdempotent}, Class{Name: "get"})
 	for i := range d.Classes {
--- a/balance/request.go
+++ b/balance/request.go
@@ -7,12 +7,12 @@
 	class        *classState
 	arrivedAt    float64
 	attempts     []attempt
-	inFlight     int     // attempts
+	inFlight     int     // attempts in flight
 	finished     bool    // answered, or the client has disconnected
 	queued       bool    // in the queue
 	relativeWork float64 // expected work over the mean of its class
 	priority     float64
-	placement    uint64 // hashed into the noise of its draw; 0: the noise is random
+	placement    uint64 // see Balancer.placement; 0: none
 }
 
 // attempt is one attempt of a request at a server.
@@ -22,10 +22,10 @@
 	sentAt        float64
 	contention    float64 // attempts per core of the server, when the attempt was sent
 	inFlight      bool
-	neverRan      bool
+	neverRan      bool // it is certain that no server ran it
 	started       bool // its response is being streamed to the client
 	overdue       bool // counted as a failure before its end
-	released      bool // not counted as in flight; see Balancer.release
+	released      bool // not counted in breaker.inFlight and concurrencyStats.inFlight; see Balancer.release
 	connectFailed bool // its outcome was ConnectFailed
 }
 
@@ -35,7 +35,8 @@
 // Done reports whether nothing more will happen to the request or its attempts.
 func (r *Request) Done() bool { return r.finished && r.inFlight == 0 }
 
-// lostAttempts counts the attempts that ended without an answer but may have run.
+// lostAttempts counts the attempts that have ended and may have run. It is called only while the request is unanswered,
+// so all of them failed.
 func (r *Request) lostAttempts() (n int) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.inFlight && !a.neverRan {
@@ -56,7 +57,7 @@
 	r.inFlight++
 	b.concurrency.inFlight++
 	b.queue.sent(b.now)
-	if r.Streaming { // slow clients would use up a limit with idle attempts; see BodyCompleted
+	if r.Streaming { // otherwise slow clients would use up a server's limit; see BodyCompleted
 		b.release(a)
 	}
 	b.addAction(RequestAction{
@@ -76,7 +77,7 @@
 	a.server.attemptEnded(r.Class, a.sentAt, b.now)
 }
 
-// finish finishes a request and cancels all its attempts, where that is allowed, but the one with the index keep.
+// finish marks a request as finished. If canceling is allowed, it cancels all its attempts but the one with index keep.
 func (b *Balancer) finish(r *Request, keep int) {
 	r.finished = true
 	if r.queued {
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,8 +1,8 @@
 package balance
 
 const (
-	maxLostAttempts   = 2    // attempts of a request that failed but may have run: the request itself may be the cause
-	dedupWindowMargin = 0.01 // s before a deduplication window closes, for the network latency to the server
+	maxLostAttempts   = 2    // failed attempts that may have run; a request with as many may be the cause, so retries end
+	dedupWindowMargin = 0.01 // s before a deduplication window ends, when retries stop: the network latency counts
 )
 
 // continueRequest answers, retries or finishes a request after one of its attempts has ended.
@@ -12,17 +12,17 @@
 	case finished:
 		b.finish(r, noAttempt)
 	case r.inFlight > 0: // another attempt may still answer
-	case outcome == InvalidRequest: // a retry would only burden other servers
+	case outcome == InvalidRequest: // other servers would find it invalid, too
 		b.addAction(RequestAction{Ref: r.Ref, Reply: Failed})
 		b.finish(r, noAttempt)
-	case r.lostAttempts() >= maxLostAttempts: // retrying a request that crashes servers would crash each in turn
+	case r.lostAttempts() >= maxLostAttempts: // if the request crashes servers, retries would crash one after another
 		b.answerUnserved(r)
-	default: // selectServer retries it only where that is safe
+	default: // selectServer selects only servers at which a retry is safe
 		b.enqueue(r)
 	}
 }
 
-// retrySafe reports whether a request may be sent to a server after an attempt that may have run.
+// retrySafe reports whether a request may be sent to server s after attempt a, which may have run.
 func (b *Balancer) retrySafe(r *Request, a *attempt, s *server) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -33,7 +33,7 @@
 	return !(b.now > a.sentAt+r.class.DedupWindow-dedupWindowMargin) && r.class.DedupScope.covers(a, s)
 }
 
-// covers reports whether a server is in the deduplication group of an attempt, and so drops a repeat of it.
+// covers reports whether server s is in the deduplication group of attempt a, so that it drops a repeat of the attempt.
 func (d DedupScope) covers(a *attempt, s *server) bool {
 	switch d {
 	case DedupZone:
@@ -44,7 +44,7 @@
 	return true
 }
 
-// answerUnserved answers a request without a server's response: Rejected if a retry by the client is safe, else Failed.
+// answerUnserved answers a request that no server has served: Rejected if a retry by the client is safe, else Failed.
 func (b *Balancer) answerUnserved(r *Request) {
 	reply, retryAfter := Rejected, min(r.class.LatencyObjective, b.deployment.MaxRetryAfter)
 	for i := range r.attempts {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a request that alternates between two servers that are down until it has used up its attempts, and
-// against one that crashes as many servers as it may have attempts.
+// Guards against a request that uses up its attempts by alternating between two servers that are down, and against one
+// that crashes a server with each of its attempts.
 func TestRetriesOfARequestAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		kind     Idempotency
--- a/balance/score.go
+++ b/balance/score.go
@@ -4,31 +4,31 @@
 
 // A payoff is a number from 0 for a failure to 1 for an immediate answer.
 const (
-	temperature              = 0.1  // payoff; a server whose payoff is 0.23 lower is drawn a tenth as often
-	keyTemperature           = 0.25 // payoff, for requests with a key: a brief drop of a payoff must not move keys
-	relativeLatencySmoothing = 0.1  // weight of one answer in the smoothed value
-	resultVariance           = 1.0  // variance of one payoff over the variance between the servers
-	gossipVariance           = 10.0 // the same for a payoff received from a peer
+	temperature              = 0.1  // payoff; a server whose payoff is 0.23 lower is selected a tenth as often
+	keyTemperature           = 0.25 // payoff, for requests with an affinity key: a brief drop of a payoff must move no key
+	relativeLatencySmoothing = 0.1  // weight of one answer in serverScores.relativeLatency
+	resultVariance           = 1.0  // variance of one attempt's payoff, divided by the variance of payoffs between servers
+	gossipVariance           = 10.0 // resultVariance for a payoff received from a peer
 	estimateLifetime         = 10.0 // s; the time constant with which an estimate decays without new results
 	modelEstimateLifetime    = 60.0 // s; the time constant for the estimate of a machine model
-	latencyPenalty           = 0.4  // payoff that an answer loses by taking its whole latency objective
+	latencyPenalty           = 0.4  // payoff that an answer loses if it takes its whole latency objective
 	latePayoff               = 0.3  // payoff of an answer after its latency objective
 	rejectedKeyPayoff        = 0.5  // payoff of a rejected attempt with an affinity key, in a fleet that gossips
 )
 
-// Indices of the estimates of a server: that of the fleet is first, then that of its machine model, then its own. In a
-// fleet that gossips there is a fourth one for each class at the server.
+// Indices of the estimates that apply to a server: the estimate of all servers is first, then that of the server's
+// machine model, then the server's own. In a fleet that gossips, a fourth one applies to each class at the server.
 const (
 	modelEstimate    = 1
 	ownEstimate      = 2
 	generalEstimates = 3 // the number of estimates that apply to all classes
 )
 
-// estimate is an offset of the expected payoff, common to a group of servers or specific to one, which is added to the
-// other estimates that apply. It decays exponentially to 0.
+// estimate is a learned correction of the expected payoff, common to a group of servers or specific to one. The payoff
+// expected at a server is 1 plus all estimates that apply to it. An estimate decays exponentially to 0.
 type estimate struct {
-	payoff     float64 // difference, as of updatedAt
-	confidence float64 // from 0 to 1, as of updatedAt
+	payoff     float64 // the correction, as of updatedAt
+	confidence float64 // in the correction as of updatedAt: 0 without results, toward 1 with many recent ones
 	updatedAt  float64
 	lifetime   float64 // s, the time constant of the decay
 }
@@ -38,10 +38,10 @@
 	return math.Exp((e.updatedAt - now) / e.lifetime)
 }
 
-// payoffAt is the payoff, decayed until now.
+// payoffAt returns the correction of the payoff, decayed until now.
 func (e *estimate) payoffAt(now float64) float64 { return e.payoff * e.decayFactor(now) }
 
-// decay updates the estimate to its decayed value.
+// decay replaces the payoff and the confidence with their values decayed until now.
 func (e *estimate) decay(now float64) {
 	e.payoff, e.confidence, e.updatedAt = e.payoffAt(now), e.confidence*e.decayFactor(now), now
 }
@@ -52,7 +52,7 @@
 	models []*model // by Endpoint.Model
 }
 
-// model returns the machine model of an index, and creates it if it does not exist.
+// model returns the machine model with an index (Endpoint.Model), which it creates if it does not exist.
 func (e *sharedEstimates) model(index int) *model {
 	for len(e.models) <= index {
 		e.models = append(e.models, &model{estimate: estimate{lifetime: modelEstimateLifetime}})
@@ -62,10 +62,10 @@
 
 // serverScores describes the payoffs and the latency of attempts at a server.
 type serverScores struct {
-	general         []*estimate   // that apply to all classes; see modelEstimate and ownEstimate
-	byClass         [][]*estimate // that apply to each class; the last element is for rejections
-	observations    []observation // the latest of each class; the last element is for rejections
-	relativeLatency float64       // latency over the median of the class for the same work, smoothed
+	general         []*estimate   // the estimates that apply to all classes; see modelEstimate and ownEstimate
+	byClass         [][]*estimate // the estimates that apply to each class; the last element is for rejections
+	observations    []observation // the latest one of each class; the last element is for rejections
+	relativeLatency float64       // smoothed ratio of the latency to the median of the class for the same work
 }
 
 // observation is an Observation with the time at which it was made.
@@ -101,10 +101,10 @@
 	return payoff
 }
 
-// learnPayoff updates the estimates of a server with the payoff of an attempt, the time at which it was observed, and
-// its relative variance. The prediction error is divided between the server, its model and the fleet in proportion to
-// the uncertainty of each estimate: in a large fleet a proxy gets too few results from one server, but enough from all
-// servers of its model.
+// learnPayoff updates the estimates that apply to a server with the payoff of an attempt. at is the time at which the
+// payoff was observed, and variance is resultVariance or gossipVariance. The prediction error is divided between the
+// estimates of the server, of its machine model and of all servers in proportion to their uncertainty: in a large fleet
+// a proxy gets too few results from one server, but enough from all servers of its model.
 func (b *Balancer) learnPayoff(s *server, class int, payoff, at, variance float64) {
 	s.scores.observations[class] = observation{Observation{Class: class, Value: payoff}, at}
 	predictionError, total := payoff-b.payoffOf(s, class), variance
@@ -120,7 +120,7 @@
 	}
 }
 
-// rejectionClass is the index, after those of the classes, under which the payoffs of rejected attempts are learned.
+// rejectionClass is the index that stands for rejected attempts, after the indices of the classes.
 func (b *Balancer) rejectionClass() int { return len(b.classes) }
 
 // recordOutcome updates all statistics with the outcome of an attempt.
@@ -140,8 +140,8 @@
 	}
 }
 
-// recordCanceled counts the time so far of an overdue attempt as a latency: if only answers counted, a slow class would
-// seem to be as fast as those few of its attempts that were answered.
+// recordCanceled counts the time that an overdue attempt has taken until now as a latency: if only answers counted, a
+// slow class would seem to be as fast as those few of its attempts that were answered.
 func (b *Balancer) recordCanceled(r *Request, a *attempt) {
 	if a.overdue {
 		r.class.latencies.Add((b.now - a.sentAt) / max(r.relativeWork, minRelativeWork))
@@ -150,14 +150,15 @@
 
 // recordRejected records a rejection by a full server. It is no failure, so the breakers do not change.
 func (b *Balancer) recordRejected(r *Request, a *attempt) {
-	// An attempt that is rejected at once uses as much credit as one that is served, else hundreds per second would be
-	// sent.
+	// An attempt that is rejected at once must use as much credit as one that is served, or else hundreds of attempts per
+	// second would be sent to full servers.
 	b.concurrency.credit -= max(r.class.medianLatency()-(b.now-a.sentAt), 0)
 	cut, payoff := rejectionCut, 0.0
 	if b.deployment.Gossip {
 		cut = gossipRejectionCut
 	}
-	// While all servers are full, a payoff of 0 for each rejection would outweigh every other result of keyed requests.
+	// While all servers are full, many requests with an affinity key are rejected. If a rejection had a payoff of 0, the
+	// rejections would outweigh all other results of these requests.
 	if b.deployment.Gossip && b.cacheAffine(r) {
 		payoff = rejectedKeyPayoff
 	}
@@ -192,7 +193,7 @@
 	class.learnBaseLatency(median)
 }
 
-// latencyObjective is that of the class, multiplied by the relative work of a request with more than the mean.
+// latencyObjective is that of the class; for a request with more work than the mean, it is scaled by the relative work.
 func (r *Request) latencyObjective() float64 {
 	return r.class.LatencyObjective * max(r.relativeWork, 1)
 }
--- a/balance/score_test.go
+++ b/balance/score_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against payoffs that reflect only rejections: while all servers are full, each of them rejects keyed requests.
+// Guards against payoffs that reflect only rejections: while all servers are full, each of them rejects requests with
+// an affinity key.
 func TestPayoffOfARejectedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		cacheAffinity, gossip bool
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -6,31 +6,31 @@
 	"lockloom/internal/pcg"
 )
 
-// Costs are in units of the score of a draw, in which payoffs are divided by the temperature.
+// Costs are subtracted from scores. A score is a payoff divided by the temperature; see Balancer.score.
 const (
 	zonePenalty        = 0.12 // payoff that an attempt loses in another zone
-	zoneCost           = 3.0  // of a server in another zone, while capacity is spare
-	connectCost        = 15.0 // of opening a connection, times Deployment.HandshakeCost
-	crowdingCost       = 8.0  // of a full server, relative to an empty one
-	crowdingMultiple   = 2.0  // of the mean attempts in flight; a server with more is drawn again
-	spareCapacityShare = 0.5  // of the capacity; with more in flight, zone and connect costs would keep servers idle
-	keyHomes           = 2    // home servers of a key: those with the best scores, which alone are used at first
-	keyHomeWaitShare   = 0.2  // of the latency objective, for which a request is queued for its key's home servers
-	keyLoadShare       = 1.0  // of a server's even share of requests; a key with more is treated as several keys
-	subsetMultiple     = 4.0  // size of a proxy's subset, as a multiple of the servers divided by the proxies
-	maxTrafficMultiple = 20.0 // bound of trafficMultiple; its reciprocal is the lower bound
+	zoneCost           = 3.0  // cost of a server in another zone while there is spare capacity
+	connectCost        = 15.0 // cost of opening a connection, multiplied by Deployment.HandshakeCost
+	crowdingCost       = 8.0  // cost of a full server, compared with an empty one
+	crowdingMultiple   = 2.0  // multiple of the mean attempts in flight per server; a server with more is passed over
+	spareCapacityShare = 0.5  // share of the capacity; with more in use, zone and connect costs would keep servers idle
+	keyHomes           = 2    // number of home servers of a key: those with the best scores, which alone are used at first
+	keyHomeWaitShare   = 0.2  // share of the latency objective for which a request may go only to its key's home servers
+	keyLoadShare       = 1.0  // multiple of a server's equal share of requests; a key with more is treated as several keys
+	subsetMultiple     = 4.0  // size of a proxy's subset, as a multiple of the number of servers per proxy
+	maxTrafficMultiple = 20.0 // upper bound of trafficMultiple; its reciprocal is the lower bound
 )
 
-// candidate is a server to which the request at hand may be sent.
+// candidate is a server to which the current request may be sent.
 type candidate struct {
 	server   *server
 	score    float64
-	load     float64 // attempts
-	crowding float64 // the load; if loads are reported, the load over the capacity
-	capacity float64 // attempts
+	load     float64 // attempts in flight; see Balancer.loadOf
+	crowding float64 // the load; if servers report loads, the load divided by the capacity
+	capacity float64 // attempts; see Balancer.capacityOf
 }
 
-// selectionState is the result of the last draw.
+// selectionState holds the candidates of the last selection of a server, for any request.
 type selectionState struct {
 	candidates []candidate
 	admitted   float64 // number of admitted servers, at least one
@@ -39,10 +39,11 @@
 // cacheAffine reports whether a request should go to servers that may have cached the data of its key.
 func (b *Balancer) cacheAffine(r *Request) bool { return b.deployment.CacheAffinity && r.Key != 0 }
 
-// placement returns the hash that replaces the random noise in the draw of a request, so that requests with the same
-// placement prefer the same servers; 0: random noise. A key prefers a few servers; a key with so many requests that
-// they would overload these is treated as several keys. In a large fleet each proxy gets too few results per server to
-// rank them, so it uses a subset of the servers.
+// placement returns a hash that replaces the random noise when a server is selected for the request, so that requests
+// with the same placement prefer the same servers; 0 keeps the noise random. Requests with the same affinity key have
+// the same placement, unless they would overload the key's few servers; then the key is treated as several keys. In a
+// large fleet each proxy gets too few results per server to rank all servers, so the placements of its other requests
+// limit them to a subset.
 func (b *Balancer) placement(r *Request) uint64 {
 	admitted := b.selection.admitted
 	if b.cacheAffine(r) {
@@ -54,7 +55,7 @@
 	return 0
 }
 
-// trafficMultiple is this proxy's request rate over the mean rate that its peers gossip, or 1 if that is unknown.
+// trafficMultiple is this proxy's request rate divided by the mean rate that its peers gossip, or 1 if none is known.
 func (b *Balancer) trafficMultiple() float64 {
 	if !b.deployment.Sidecar || b.gossip.peerRate == 0 {
 		return 1
@@ -63,8 +64,9 @@
 	return min(max(multiple, 1/maxTrafficMultiple), maxTrafficMultiple)
 }
 
-// mayAttempt reports whether another attempt of a request may be sent to a server: it must repeat no effect, and the
-// server must not be that of the last attempt, or of one that may have run or failed to connect.
+// mayAttempt reports whether the next attempt of a request may be sent to a server. It may not if the attempt could
+// repeat an effect that an earlier attempt had on the servers. Nor may it if an earlier attempt was sent to this server
+// and was the last one, may have run, or could not connect.
 func (b *Balancer) mayAttempt(r *Request, s *server) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -79,9 +81,10 @@
 	return true
 }
 
-// selectServer draws a server for an attempt from the softmax of the payoffs by the Gumbel-max trick: it takes the
-// greatest sum of payoff over temperature and Gumbel noise. It returns nil if no server can be sent to now, and reports
-// whether one could if it had capacity.
+// selectServer selects a server for the next attempt of a request at random. The probabilities are the softmax of the
+// scores: it uses the Gumbel-max trick, which adds Gumbel noise to each score, about the payoff divided by the
+// temperature, and takes the server with the greatest sum. chosen is nil if no server can receive an attempt now;
+// possible reports whether one could if it had capacity.
 func (b *Balancer) selectServer(r *Request) (chosen *server, possible bool) {
 	if len(r.attempts) >= b.deployment.MaxAttempts || b.now >= r.Deadline-answerMargin {
 		return nil, false
@@ -95,8 +98,8 @@
 		load = float64(c.inFlight)
 		maxCrowding = crowdingMultiple * load / float64(max(admitted, 1))
 	}
-	// This check also enforces a capacity below one attempt, on average over time. It precedes the scoring, which for many
-	// queued requests took most of a core.
+	// This check also enforces a capacity below one attempt, on average over time. It comes before the scoring, which
+	// would take most of a CPU core while many requests are queued.
 	if load >= b.availableCapacity(r.priority) {
 		return nil, possible
 	}
@@ -105,8 +108,9 @@
 	return b.drawCandidate(r, maxCrowding), possible
 }
 
-// collectCandidates lists the servers to which the request may be sent, and sets the capacity. It returns the total
-// load and the number of the admitted servers.
+// collectCandidates sets the candidates, which are the servers to which the request may be sent, and the capacity of
+// all admitted servers, which are those whose breaker admits an attempt. It returns the total load and the number of
+// the admitted servers.
 func (b *Balancer) collectCandidates(r *Request) (load float64, admitted int) {
 	b.selection.candidates, b.concurrency.capacity = b.selection.candidates[:0], 0
 	for _, s := range b.servers {
@@ -157,9 +161,10 @@
 	return payoff, cost
 }
 
-// score converts a payoff into the units of the draw. For a request with a key, the payoff common to a machine model
-// has its full weight and the remainder a lower one, so that keys seldom move to other servers. For one without, the
-// score is reduced by the time that work above the mean takes at this server.
+// score returns the score of a server with a payoff, which is the payoff divided by the temperature. For a request with
+// an affinity key, only the part that all servers of the machine model have in common is divided by that, and the rest
+// by the higher keyTemperature, so that keys seldom move to other servers. For other requests, the score is reduced by
+// the time that work above the mean takes at this server.
 func (b *Balancer) score(r *Request, s *server, payoff float64) float64 {
 	if b.cacheAffine(r) {
 		common := s.scores.general[modelEstimate].payoffAt(b.now)
@@ -170,9 +175,9 @@
 	return (payoff - penalty) / temperature
 }
 
-// noise returns Gumbel noise: random or, if the request has a placement, a hash of that and the server's name. The
-// placement of a key is the same at every proxy; those of a subset are specific to the proxy. Over all placements the
-// hashed noise has the distribution of the random noise.
+// noise returns Gumbel noise. It is random or, if the request has a placement, derived from a hash of the placement and
+// the server's name. The placement of a key is the same at every proxy; the placements that select a subset are
+// specific to the proxy. Over all placements the hashed noise has the same distribution as the random noise.
 func (b *Balancer) noise(r *Request, s *server) float64 {
 	u := b.random.Float64()
 	if r.placement != 0 {
@@ -181,12 +186,13 @@
 	return -math.Log(-math.Log(u))
 }
 
-// drawCandidate returns the candidate with the greatest score whose crowding is at most maxCrowding, else the least
-// crowded one that was drawn, or nil if none has capacity.
+// drawCandidate tries candidates in the order of their scores, the greatest first. It returns the first one that has
+// capacity and whose crowding is at most maxCrowding, else the least crowded one tried that has capacity, else nil. A
+// server that is warming up needs slow-start budget instead of capacity.
 func (b *Balancer) drawCandidate(r *Request, maxCrowding float64) *server {
 	candidates := b.selection.candidates
 	draws := len(candidates)
-	// A key whose requests go to every server is cached at none of them.
+	// If the requests of a key went to every server, no server would keep the data of the key in its cache.
 	if b.cacheAffine(r) && b.now < r.arrivedAt+keyHomeWaitShare*r.class.LatencyObjective {
 		draws = min(draws, keyHomes)
 	}
@@ -212,7 +218,7 @@
 }
 
 // moveBestTo moves the candidate with the greatest score of candidates[n:] to index n. Most requests need only the
-// first few draws, so the list is not sorted as a whole.
+// first few candidates, so the list is not sorted as a whole.
 func moveBestTo(candidates []candidate, n int) {
 	for i := n + 1; i < len(candidates); i++ {
 		if candidates[i].score > candidates[n].score {
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -16,8 +16,8 @@
 	}{
 		{"equal results", []string{"ssss", "ssss"}, []int{0, 0}, 0.4, 0.6},
 		{"without results, a server has the mean payoff", []string{"ssss", ""}, []int{0, 0}, 0.4, 0.6},
-		{"a failing server is drawn seldom", []string{"ssssssss", "ffssffss"}, []int{0, 0}, 0.9, 1},
-		{"a slow server is drawn less", []string{"ssssssss", "llllllll"}, []int{0, 0}, 0.9, 1},
+		{"a failing server is selected seldom", []string{"ssssssss", "ffssffss"}, []int{0, 0}, 0.9, 1},
+		{"a slow server is selected less often", []string{"ssssssss", "llllllll"}, []int{0, 0}, 0.9, 1},
 		{"a crowded server is not selected", []string{"ssssssss", "ffssffss", ""}, []int{5, 0, 0}, 0, 0},
 		{"the least crowded if all are", []string{"", ""}, []int{3, 4}, 0.4, 1},
 	} {
@@ -30,7 +30,7 @@
 			}
 			n := 0
 			for range 500 {
-				if s, _ := proxy.draw(0); s.Index == 0 {
+				if s, _ := proxy.selectForClass(0); s.Index == 0 {
 					n++
 				}
 			}
@@ -159,7 +159,7 @@
 		sidecar, gossip bool
 		zone            int     // -1: unknown
 		inFlight        int     // attempts at each server; its limit is two
-		cost            float64 // in the draw; without spare capacity, servers in other zones would stay idle
+		cost            float64 // by which the score is lower; without spare capacity, servers in other zones would stay idle
 	}{
 		{true, true, 1, 0, penalty + zoneCost},
 		{false, true, 1, 0, penalty + zoneCost},
@@ -172,7 +172,7 @@
 		proxy := startProxy(t, d, 8) // alternating between two zones
 		proxy.fillServers(c.inFlight)
 		for range 400 {
-			s, _ := proxy.draw(0)
+			s, _ := proxy.selectForClass(0)
 			here += s.Zone
 		}
 		assert.InDelta(t, 400/(1+math.Exp(-c.cost)), here, 40, "%v", c)
@@ -181,7 +181,7 @@
 
 // The score of a server without an open connection is lower by the cost of opening one, while there is spare capacity.
 func TestOpeningAConnectionCosts(t *testing.T) {
-	draws := func(cost, idleTimeout float64, inFlight int) (all []int) {
+	selections := func(cost, idleTimeout float64, inFlight int) (all []int) {
 		d := sidecarDeployment()
 		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, cost, idleTimeout
 		proxy := startProxy(t, d, 8)
@@ -189,7 +189,7 @@
 		proxy.servers[0].lastUsed = 5
 		proxy.fillServers(inFlight)
 		for range 400 {
-			s, _ := proxy.draw(0)
+			s, _ := proxy.selectForClass(0)
 			all = append(all, s.Index)
 		}
 		return all
@@ -202,11 +202,11 @@
 		}
 		return n
 	}
-	assert.Equal(t, draws(0, 0, 0), draws(0, 10, 0), "without a cost, the idle timeout has no effect")
+	assert.Equal(t, selections(0, 0, 0), selections(0, 10, 0), "without a cost, the idle timeout has no effect")
 	even, cost := 400.0/8, math.Exp(0.12*connectCost)
-	assert.InDelta(t, 400*cost/(cost+7), first(draws(0.12, 10, 0)), 40, "the open connection is preferred by the cost")
-	assert.InDelta(t, even, first(draws(0.12, 10, 1)), 25, "without spare capacity, all are drawn alike")
-	assert.InDelta(t, even, first(draws(0.12, 3, 0)), 25, "the idle connection counts as closed")
+	assert.InDelta(t, 400*cost/(cost+7), first(selections(0.12, 10, 0)), 40, "the cost favors the open connection")
+	assert.InDelta(t, even, first(selections(0.12, 10, 1)), 25, "without spare capacity, all are selected alike")
+	assert.InDelta(t, even, first(selections(0.12, 3, 0)), 25, "the idle connection counts as closed")
 }
 
 // Guards against slow-start budgets that depend on gossip: absurd rates received from peers may change trafficMultiple
--- a/balance/server.go
+++ b/balance/server.go
@@ -1,6 +1,6 @@
 package balance
 
-// server is an endpoint with what was learned about it.
+// server is an endpoint and what this balancer has learned about it.
 type server struct {
 	Endpoint
 	breaker       breaker   // for all classes
@@ -11,11 +11,11 @@
 	load          reportedLoad
 	slowStart     slowStartBudget
 	lastSuccess   float64 // time at which an attempt last succeeded
-	lastUsed      float64 // time at which an attempt last ended; 0: no connection is open
-	drained       bool    // the endpoint list has marked this incarnation as draining
+	lastUsed      float64 // time at which an attempt last ended; 0: never, or its connections were closed since
+	drained       bool    // the endpoint list has marked this incarnation of the server as draining
 }
 
-// newServer returns a server with initial state, of which only the machine model and the cores are known.
+// newServer returns a server with initial state, for a machine model and a number of cores (0: unknown).
 func (b *Balancer) newServer(modelIndex int, cores float64) *server {
 	initial, minimum := b.limitBounds(cores)
 	m := b.estimates.model(modelIndex)
@@ -28,7 +28,7 @@
 	}
 }
 
-// attemptsInFlight counts the attempts in flight at the server, including released ones.
+// attemptsInFlight counts the attempts in flight at the server, including those that Balancer.release no longer counts.
 func (s *server) attemptsInFlight() (n int) {
 	for i := range s.classBreakers {
 		n += s.classBreakers[i].inFlight
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -47,8 +47,8 @@
 
 func TestSlowStartBudgetOfManyProxies(t *testing.T) {
 	for _, c := range []struct {
-		age, least float64
-	}{{0, 0.25}, {15, 0.4}} { // a larger budget needs a smaller margin for random variation
+		age, minUsed float64 // s since the server's start; the least share of the budget that has to be used
+	}{{0, 0.25}, {15, 0.4}} { // the budget grows with age, so less of it is a margin for random variation
 		const seeds = 10
 		used := 0.0 // share of the budget
 		for seed := range uint64(seeds) {
@@ -76,7 +76,7 @@
 			assert.Less(t, sent, budget*0.85)
 			used += sent / budget / seeds
 		}
-		assert.Greater(t, used, c.least, "the budget is used %v s after the start", c.age)
+		assert.Greater(t, used, c.minUsed, "the budget is used %v s after the start", c.age)
 	}
 }
 
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -12,11 +12,11 @@
 	StartedAt       float64 `json:"UpSince"`
 	Limit           float64 `json:"Limit"`
 	RelativeLatency float64 `json:"Pace"`
-	Payoff          float64 `json:"Pay"` // of its own estimate, to which those of its model and the fleet are added
+	Payoff          float64 `json:"Pay"` // the server's own estimate, without those of its machine model and the fleet
 	Confidence      float64 `json:"Sure"`
 	Age             float64 `json:"Age"` // s since the estimate was updated
 	Paused          bool    `json:"Paused"`
-	PauseRemaining  float64 `json:"PausedFor"` // s
+	PauseRemaining  float64 `json:"PausedFor"` // s until the cooldown is over
 	Errors          int     `json:"Errors"`
 	Results         int     `json:"Results"`
 }
@@ -53,9 +53,9 @@
 	}
 }
 
-// Restore applies the snapshot of an earlier balancer of this proxy. What was learned about a server does not apply
-// after its restart, so a server has to have the same start time. Estimates decay by their age. The safety of retries
-// does not depend on a snapshot.
+// Restore applies the snapshot of the balancer in the previous process of this proxy. What was learned about a server
+// does not apply after the server's restart, so it is restored only for servers with the same start time. Estimates
+// decay by their age. The safety of retries does not depend on a snapshot.
 func (b *Balancer) Restore(now float64, snapshot Snapshot) {
 	b.beginCall(now)
 	for i := range min(len(snapshot.BaseLatencies), len(b.classes)) {
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,14 +1,14 @@
 package balance
 
-// ServerStatus is the state of one server on which decisions are based, for diagnostics.
+// ServerStatus is the state of one server that decides whether it receives attempts, for diagnostics.
 type ServerStatus struct {
 	Endpoint          int
-	InFlight          int     // attempts
-	Limit, Payoff     float64 // the concurrency limit in attempts, and the payoff expected of one
+	InFlight          int     // attempts of this proxy that count as in flight
+	Limit, Payoff     float64 // the concurrency limit in attempts, and the payoff expected of an attempt of class 0
 	Paused, WarmingUp bool
 	Trial             bool    // paused, but its cooldown is over: one attempt may be sent
-	Errors, Results   int     // in the window of its breaker
-	Age               float64 // s since its own estimate was updated
+	Errors, Results   int     // failures and all results in the window of its breaker
+	Age               float64 // s since the server's own estimate of the payoff was updated
 }
 
 // ServerStatuses returns the status of every listed server.
@@ -16,7 +16,8 @@
 	return b.beginCall(now).CurrentStatuses()
 }
 
-// CurrentStatuses is ServerStatuses as of the last call. It does not change the state of the balancer.
+// CurrentStatuses returns what ServerStatuses does, as of the time of the last call. Unlike ServerStatuses, it does not
+// change the state of the balancer.
 func (b *Balancer) CurrentStatuses() []ServerStatus {
 	var list []ServerStatus
 	for _, s := range b.servers {
@@ -46,21 +47,21 @@
 type ScoreBreakdown struct {
 	Endpoint        int
 	State           EndpointState
-	Paused, Trial   bool // by the breaker of the server; Trial: its cooldown is over
-	Errors, Results int  // in the window of that breaker
-	ClassPaused     bool // by the breaker of the request's class at the server
-	ClassErrors     int  // in the window of that breaker
-	ClassResults    int  // in the window of that breaker
-	RetrySafe       bool // another attempt may be sent there; see Balancer.mayAttempt
+	Paused, Trial   bool // the server's breaker is paused, and whether its cooldown is over, so that it admits a trial
+	Errors, Results int  // failures and all results in the window of that breaker
+	ClassPaused     bool // the breaker of the request's class at the server admits no attempt
+	ClassErrors     int  // failures in the window of the class breaker
+	ClassResults    int  // all results in the window of the class breaker
+	RetrySafe       bool // the request's next attempt may be sent to this server; see Balancer.mayAttempt
 	WarmingUp       bool
-	Load, Capacity  float64 // attempts at the server, and the number that it can have
-	Payoff          float64 // expected of an attempt
-	Score           float64 // in the last draw, if Considered; the greatest is selected if it has capacity
-	Considered      bool    // the server was a candidate in the last draw
+	Load, Capacity  float64 // attempts in flight and their limit, of all proxies if servers report loads, else of this one
+	Payoff          float64 // the payoff expected of an attempt
+	Score           float64 // if Considered: score in the last selection, the greatest one with capacity wins
+	Considered      bool    // the server was a candidate in the last selection
 }
 
-// ScoreBreakdown returns the breakdown of every listed server. Scores are those of the last draw. It does not change
-// the state of the balancer.
+// ScoreBreakdown returns the breakdown of every listed server for this request. The scores are those of the last
+// selection of a server, for whichever request. It does not change the state of the balancer.
 func (r *Request) ScoreBreakdown() (list []ScoreBreakdown) {
 	for _, s := range r.balancer.servers {
 		if s != nil {
@@ -90,7 +91,7 @@
 	}
 	for i := range b.selection.candidates {
 		if c := &b.selection.candidates[i]; c.server == s {
-			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: not scored, for want of capacity
+			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: not scored, as there was no capacity
 		}
 	}
 	return breakdown
--- a/balance/types.go
+++ b/balance/types.go
@@ -6,7 +6,7 @@
 // Values of Idempotency.
 const (
 	Idempotent    Idempotency = iota // may run again
-	Keyed                            // carries an idempotency key by which a deduplication group drops repeats
+	Keyed                            // carries an idempotency key, by which the servers of a group drop repeats
 	NonIdempotent                    // must never run twice
 )
 
@@ -23,17 +23,17 @@
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes. Most comments also state whether the server may have executed the attempt ("run").
 const (
 	Succeeded      Outcome = iota // the server answered without an error
-	ServerError                   // the server returned an error; it may have run
-	ServerRejected                // the server had no capacity; it never ran
-	TimedOut                      // no answer in time; it may have run, or be running
-	ConnectFailed                 // no connection in time; it never ran
-	ConnectionLost                // the connection dropped; it may have run
-	Canceled                      // the proxy canceled it; it may have run
-	NotSent                       // it was not sent; it never ran
-	InvalidRequest                // the server found the request invalid; it may have run
+	ServerError                   // the server returned an error; the attempt may have run
+	ServerRejected                // the server had no capacity; the attempt never ran
+	TimedOut                      // no answer in time; the attempt may have run, or still be running
+	ConnectFailed                 // no connection was established in time; the attempt never ran
+	ConnectionLost                // the connection dropped; the attempt may have run
+	Canceled                      // the proxy canceled the attempt; it may have run
+	NotSent                       // the attempt was not sent; it never ran
+	InvalidRequest                // the server found the request invalid; the attempt may have run
 )
 
 // outcomeNames are the names in logs and in the output of lockloomctl why.
@@ -49,69 +49,70 @@
 	InvalidRequest: "request_fault",
 }
 
-// String returns the outcome's name in logs.
+// String returns the name that logs use for the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // NeverRan reports whether an outcome proves that the attempt never ran.
 func (o Outcome) NeverRan() bool { return o == ServerRejected || o == ConnectFailed || o == NotSent }
 
-// Reply is a final answer that the proxy itself generates. A successful request needs none: the response of its first
+// Reply is a final answer that the proxy itself generates. A successful request needs none: the response to its first
 // successful attempt is forwarded to the client.
 type Reply uint8
 
 // Replies.
 const (
-	NoReply  Reply = iota // the request is not answered yet
-	Rejected              // not served; a retry by the client is safe
-	Failed                // not served; it may have taken effect
+	NoReply  Reply = iota // the proxy generates no answer now
+	Rejected              // the request was not served; a retry by the client is safe
+	Failed                // the request was not served, but may have taken effect
 )
 
-// Deployment holds the settings of a Balancer. Times are in seconds; costs and shares have no unit.
+// Deployment holds the settings of a Balancer. Times are in seconds; costs are shares of the cost of the whole service.
 type Deployment struct {
-	Seed           uint64  `json:"Seed"`      // of all random decisions
-	Proxies        int     `json:"Proxies"`   // number in the fleet, this one included
+	Seed           uint64  `json:"Seed"`      // seed of all random decisions
+	Proxies        int     `json:"Proxies"`   // number of proxies in the fleet, this one included
 	Self           int     `json:"Self"`      // index of this proxy among them, from 0
-	Zone           int     `json:"Zone"`      // of this proxy; -1: unknown
-	Sidecar        bool    `json:"Apart"`     // one proxy per client process, so their traffic differs widely
+	Zone           int     `json:"Zone"`      // zone of this proxy; -1: unknown
+	Sidecar        bool    `json:"Apart"`     // each client process has its own proxy, so their traffic differs widely
 	Gossip         bool    `json:"Peers"`     // proxies may send gossip to one another
 	HealthChecks   bool    `json:"Probes"`    // servers may be sent health checks, which return their load
-	ConnectionCost float64 `json:"ConnPrice"` // cost of a hundred open connections per server, as a share of the service
-	HandshakeCost  float64 `json:"OpenPrice"` // cost of opening a connection per request, as a share of the service
+	ConnectionCost float64 `json:"ConnPrice"` // cost of keeping a hundred connections per server open
+	HandshakeCost  float64 `json:"OpenPrice"` // cost of opening one connection per request
 
-	// ServerIdleTimeout is the longest time after which a server closes an idle connection; 0: unknown.
+	// ServerIdleTimeout is the time after which a server closes an idle connection at the latest; 0: unknown.
 	ServerIdleTimeout float64 `json:"IdleFor"`
 
-	GossipCost      float64  `json:"PeerPrice"`  // cost of a full message per request, as a share of the service
-	HealthCheckCost float64  `json:"ProbePrice"` // cost of a health check per request, as a share of the service
+	GossipCost      float64  `json:"PeerPrice"`  // cost of sending one full gossip message per request
+	HealthCheckCost float64  `json:"ProbePrice"` // cost of sending one health check per request
 	Classes         []Class  `json:"Tariffs"`
 	Tenants         []Tenant `json:"Customers"`
-	WeightByWork    bool     `json:"ValueByWork"` // priority weights are per unit of a request's work
-	MaxAttempts     int      `json:"MaxLegs"`     // per request
-	CancelAllowed   bool     `json:"CallOff"`     // attempts may be canceled
-	HedgingAllowed  bool     `json:"Beside"`      // attempts of a request may be in flight together
+	WeightByWork    bool     `json:"ValueByWork"` // Class.PriorityWeight is per unit of a request's work, not per request
+	MaxAttempts     int      `json:"MaxLegs"`     // most attempts per request, the first one included
+	CancelAllowed   bool     `json:"CallOff"`     // attempts in flight may be canceled
+	HedgingAllowed  bool     `json:"Beside"`      // two attempts of a request may be in flight at once
 	MaxRetryAfter   float64  `json:"MaxAdvice"`   // the longest Retry-After that clients honor; 0: none
-	CacheAffinity   bool     `json:"WarmKeys"`    // a server that served a key recently has less work with it
+	CacheAffinity   bool     `json:"WarmKeys"`    // a server has less work with an affinity key that it served recently
 
-	// RemovalIsAdvisory allows sending to a server that the endpoint list has removed or omits, unless it was draining.
+	// RemovalIsAdvisory allows sending to a server that the endpoint list has removed or omits, as long as the server
+	// still answers and unless it was draining.
 	RemovalIsAdvisory bool `json:"GoneAdvises"`
 
-	PollsEndpoints       bool    `json:"AsksList"`     // the endpoint list has to be subscribed to
-	NotificationDeadline float64 `json:"AskEvery"`     // without a subscription for this long, changes count as received
-	SlowStartFraction    float64 `json:"ColdShare"`    // least share of its capacity that a server has at its start
-	SlowStartDuration    float64 `json:"ColdFor"`      // from its start until a server has its full capacity
-	CrashFactor          float64 `json:"FallMultiple"` // multiple of its capacity that crashes a server that is warming up
-	CrashDuration        float64 `json:"FallFor"`      // time for which that load has to last
+	PollsEndpoints       bool    `json:"AsksList"`     // the proxy has to subscribe to the endpoint list
+	NotificationDeadline float64 `json:"AskEvery"`     // time after which a change of the list always counts as received
+	SlowStartFraction    float64 `json:"ColdShare"`    // least share of its full capacity that a server has when it starts
+	SlowStartDuration    float64 `json:"ColdFor"`      // time from a server's start until it has its full capacity
+	CrashFactor          float64 `json:"FallMultiple"` // multiple of its capacity that crashes a server as it warms up
+	CrashDuration        float64 `json:"FallFor"`      // time for which that load has to last to crash the server
 }
 
 // Class is a class of requests. Times are in seconds.
 type Class struct {
 	Name             string      `json:"Name"`
 	Idempotency      Idempotency `json:"Kind"`
-	DedupScope       DedupScope  `json:"Scope"`    // for Keyed
-	DedupWindow      float64     `json:"Window"`   // for Keyed: time for which repeats are dropped
-	LatencyObjective float64     `json:"Due"`      // an answer within it earns the full weight; 0: Deadline/2
-	Deadline         float64     `json:"HardStop"` // after which the client gives up
-	PriorityWeight   float64     `json:"Value"`    // relative value of an answer in time
+	DedupScope       DedupScope  `json:"Scope"`    // for Keyed: the servers that drop repeats
+	DedupWindow      float64     `json:"Window"`   // for Keyed: time after sending for which repeats are dropped
+	LatencyObjective float64     `json:"Due"`      // an answer within it earns the full PriorityWeight; 0: Deadline/2
+	Deadline         float64     `json:"HardStop"` // time from the request's arrival until the client gives up
+	PriorityWeight   float64     `json:"Value"`    // value of an answer in time, relative to other classes
 }
 
 // Tenant is a group of clients with a common quota.
@@ -133,25 +134,25 @@
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Index     int    // small number, constant for this server as long as the proxy runs
-	NameHash  uint64 // hash of its name, the same at every proxy
+	NameHash  uint64 // hash of the server's name, the same at every proxy
 	Zone      int
 	Pod       int
 	Model     int // machine model, a small number
 	State     EndpointState
-	Cores     float64 // approximate, from the endpoint list; 0: unknown
-	StartedAt float64 // s, time of its last start; 0: long ago
+	Cores     float64 // approximate number of CPU cores; 0: unknown
+	StartedAt float64 // s, time at which the server last started; 0: long ago
 }
 
 // RequestInfo describes a request that arrives at the proxy.
 type RequestInfo struct {
-	Ref          int     // the caller's number for it, returned in each RequestAction
+	Ref          int     // the number by which the caller identifies the request, returned in each RequestAction
 	Class        int     // index in Deployment.Classes
 	Tenant       int     // index in Deployment.Tenants; -1: none
-	Key          uint64  // hash of its affinity key, the same at every proxy; 0: none
+	Key          uint64  // hash of the request's affinity key, the same at every proxy; 0: none
 	Deadline     float64 // s, time at which the client gives up
-	ExpectedWork float64 // s, approximate; 0: unknown
+	ExpectedWork float64 // s of server work, approximate; 0: unknown
 	ClientRetry  bool    // the client is known to be retrying
-	Streaming    bool    // its body is still being received: the server works on it from BodyCompleted on
+	Streaming    bool    // its body is still being received; the server starts work after BodyCompleted
 }
 
 // RequestAction tells the proxy what to do for a request. Zero fields require nothing.
@@ -160,16 +161,16 @@
 	Send          bool    // send another attempt
 	Endpoint      int     // with Send: index of the server
 	Deadline      float64 // s, with Send: time at which the attempt times out
-	CancelAttempt int     // cancel the attempt of this number, counted from 1
+	CancelAttempt int     // number of the attempt to cancel, counted from 1
 	Reply         Reply
-	RetryAfter    float64 // s, with Rejected: time after which to retry; 0: not set
+	RetryAfter    float64 // s after which the client may retry, if Reply is Rejected; 0: not set
 	WakeAt        float64 // s, call the request's TimerFired at this time; 0: no call
 }
 
-// LoadReport is the load that a server reports in a health check; -1 for a value that it does not report.
+// LoadReport is the load that a server reports when its health is checked; -1 for a value that it does not report.
 type LoadReport struct {
-	InFlight    float64 // requests in flight at the server
-	Utilization float64 // share of its cores in use
+	InFlight    float64 // requests in flight at the server, of all proxies
+	Utilization float64 // share of its CPU cores in use
 }
 
 // GossipMessage is a message of one proxy to another. It may be lost, late or wrong.
@@ -181,12 +182,12 @@
 // Observation is a proxy's latest observation of a server: the payoff of an attempt of a class there, or its load.
 type Observation struct {
 	NameHash uint32  // the lower half of Endpoint.NameHash
-	Class    int     // -1: Value is a load; len(Deployment.Classes): of a rejected attempt
+	Class    int     // -1: Value is a load; len(Deployment.Classes): Value is the payoff of a rejected attempt
 	Age      float64 // s, at the time of sending
 	Value    float64 // payoff of the attempt, 0 if it failed; or the load
 }
 
-// Actions is what to do after a call. It is valid until the next call.
+// Actions is what the proxy has to do after a call to a Balancer or a Request. It is valid until the next call.
 type Actions struct {
 	HealthChecks []int           // send a health check to these servers
 	CloseIdle    []int           // close the idle connections to these servers
--- a/balance/validate.go
+++ b/balance/validate.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// setting is a number of a Deployment with its name in error messages.
+// setting is a number in a Deployment, and its name in error messages.
 type setting struct {
 	name  string
 	value float64
 }
 
-// validate returns an error that names the first missing or invalid setting, if there is one.
+// validate returns an error that names the first missing or invalid setting, or nil if there is none.
 func (d *Deployment) validate() error {
 	if len(d.Classes) == 0 {
 		return errors.New("no classes")
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,5 +1,5 @@
 // Package pcg implements a permuted congruential generator with 64 bits of state (PCG-XSH-RR), and a hash that replaces
-// it where all proxies must draw the same number.
+// it where all proxies must get the same number.
 package pcg
 
 // Rand is a random number generator. Its value is its state, and initially the seed. It is not safe for concurrent use.
