--- a/balance/queue.go
+++ b/balance/queue.go
@@ -3,60 +3,62 @@
 import "slices"
 
 const (
-	answerMargin          = 0.01 // s before the deadline that a request is answered; over two timer ticks of any proxy
-	clientRetryPriority   = 0.2  // of the priority, for a client's retry: most of its latency objective is gone
-	maxWaitShare          = 0.4  // of the time to the deadline, to wait for a first attempt
-	maxFruitlessDraws     = 8    // for waiting requests, in one dispatch
-	dispatchInterval      = 0.02 // s between dispatches when nothing else happens
-	sendIntervalSmoothing = 0.05 // part of the interval between sends that one replaces
+	answerMargin          = 0.01 // s before the deadline, by when a request is answered; over two timer ticks of any proxy
+	clientRetryPriority   = 0.2  // factor on the priority of a client's retry: most of its latency objective has passed
+	maxQueueShare         = 0.4  // share of the time to the deadline that a request may be queued before its first attempt
+	maxFailedSelections   = 8    // selections without a server, after which a dispatch selects servers only for retries
+	dispatchInterval      = 0.02 // s until queued requests are dispatched again, if no other call does so before
+	sendIntervalSmoothing = 0.05 // weight of one interval in requestQueue.sendInterval
 )
 
-// requestQueue holds the requests that wait with nothing in flight, by priority, then by age.
+// requestQueue holds the requests that are to be sent, ordered by descending priority, then by time of enqueueing.
 type requestQueue struct {
-	waiting      []*Request
-	sendInterval float64 // s between sends while requests wait, smoothed
-	lastSend     float64
-	dispatchAt   float64 // the timer that was asked for last
+	requests     []*Request
+	sendInterval float64 // s, smoothed interval between sent attempts while requests are queued
+	lastSend     float64 // time at which the last attempt was sent
+	dispatchAt   float64 // time for which the balancer's timer was last set to dispatch the queue
 }
 
-// insert adds a request. At a quiet proxy the time since the last send is not what requests wait.
+// insert adds a request. If the queue was empty, the time since the last sent attempt must not count in sendInterval:
+// there was no request to send.
 func (q *requestQueue) insert(r *Request, now float64) {
-	i := len(q.waiting)
+	i := len(q.requests)
 	if i == 0 {
 		q.lastSend = now
 	}
-	for i > 0 && q.waiting[i-1].priority < r.priority {
+	for i > 0 && q.requests[i-1].priority < r.priority {
 		i--
 	}
-	q.waiting, r.waiting = slices.Insert(q.waiting, i, r), true
+	q.requests, r.queued = slices.Insert(q.requests, i, r), true
 }
 
-// remove takes a request out.
+// remove removes a request.
 func (q *requestQueue) remove(r *Request) {
-	i := slices.Index(q.waiting, r)
-	q.waiting = slices.Delete(q.waiting, i, i+1)
-	r.waiting = false
+	i := slices.Index(q.requests, r)
+	q.requests = slices.Delete(q.requests, i, i+1)
+	r.queued = false
 }
 
-// sent counts a send. Only while requests wait does each send go to one of them.
+// sent records that an attempt was sent. It updates sendInterval only while other requests are queued: only then is the
+// next attempt sent as soon as there is capacity.
 func (q *requestQueue) sent(now float64) {
-	if len(q.waiting) > 0 {
+	if len(q.requests) > 0 {
 		q.sendInterval += sendIntervalSmoothing * (now - q.lastSend - q.sendInterval)
 	}
 	q.lastSend = now
 }
 
-// nextDispatch returns when to look at the waiting requests again; 0: a timer is set already. A timer for every call
-// would multiply without end.
+// nextDispatch returns the time at which to dispatch the queued requests again, or 0 if none are queued or the timer is
+// already set. If every call set a timer, and every timer made a call, the number of timers would grow without bound.
 func (q *requestQueue) nextDispatch(now float64) float64 {
-	if len(q.waiting) == 0 || q.dispatchAt > now {
+	if len(q.requests) == 0 || q.dispatchAt > now {
 		return 0
 	}
 	q.dispatchAt = now + dispatchInterval
 	return q.dispatchAt
 }
 
-// priority is the value of answering this request in time, for its work.
+// priority is the value of answering this request in time, per second of its work.
 func (b *Balancer) priority(r *Request) float64 {
 	priority := r.class.PriorityWeight
 	if !b.deployment.WeightByWork {
@@ -68,21 +70,21 @@
 	return priority
 }
 
-// enqueue has a request wait for dispatch, which sends it at once where there is capacity.
+// enqueue queues a request for dispatch, which sends it at once if there is capacity.
 func (b *Balancer) enqueue(r *Request) { b.queue.insert(r, b.now) }
 
-// dispatch sends waiting requests where there is capacity, answers those that can no longer be in time, and returns the
-// actions of the call.
+// dispatch sends queued requests while there is capacity, rejects or fails those that no server can answer in time, and
+// returns the actions of the call.
 func (b *Balancer) dispatch() *Actions {
-	full, fruitless := false, 0
-	for i := 0; i < len(b.queue.waiting); {
-		r := b.queue.waiting[i]
+	full, failedSelections := false, 0
+	for i := 0; i < len(b.queue.requests); {
+		r := b.queue.requests[i]
 		var s *server
 		possible := true
-		if !full || len(r.attempts) > 0 { // one with attempts may have nowhere left to go, and is answered at once then
+		if !full || len(r.attempts) > 0 { // a retry for which no server is left has to be answered at once
 			if s, possible = b.selectServer(r); s == nil && possible {
-				fruitless++
-				full = full || fruitless >= maxFruitlessDraws || b.othersFruitless(r)
+				failedSelections++
+				full = full || failedSelections >= maxFailedSelections || b.noServerForRest(r)
 			}
 		}
 		switch {
@@ -100,24 +102,25 @@
 	return &b.actions
 }
 
-// othersFruitless reports whether those that wait behind a request would find no server either, after it found none:
-// drawing for all of them at each event would take the core.
-func (b *Balancer) othersFruitless(r *Request) bool {
+// noServerForRest reports, after no server was found for a request, whether none would be found for those queued behind
+// it either. To select servers for all of them at each event would take a whole CPU core.
+func (b *Balancer) noServerForRest(r *Request) bool {
 	return float64(b.concurrency.inFlight) >= b.availableCapacity(r.priority) ||
 		len(r.attempts) == 0 && !b.cacheAffine(r)
 }
 
-// canAnswerInTime reports whether a request with so many before it can still be answered in time. A client that is
-// rejected with nothing sent has waited in vain.
-func (b *Balancer) canAnswerInTime(r *Request, before int) bool {
-	sendAt := b.now + float64(before+1)*b.queue.sendInterval
+// canAnswerInTime reports whether a request can still be answered in time; ahead is the number of requests before it in
+// the queue. A request without any attempt is rejected earlier than that, after maxQueueShare of the time to its
+// deadline, since otherwise the client would spend most of that time waiting for a rejection.
+func (b *Balancer) canAnswerInTime(r *Request, ahead int) bool {
+	sendAt := b.now + float64(ahead+1)*b.queue.sendInterval
 	inTime := sendAt+r.expectedLatency() <= min(r.arrivedAt+r.class.LatencyObjective, r.Deadline-answerMargin)
-	return inTime && (len(r.attempts) > 0 || sendAt <= r.arrivedAt+maxWaitShare*(r.Deadline-r.arrivedAt))
+	return inTime && (len(r.attempts) > 0 || sendAt <= r.arrivedAt+maxQueueShare*(r.Deadline-r.arrivedAt))
 }
 
-// Capacity returns the attempts in flight, how many a request of this priority may have in flight, both as of the last
-// draw, and how many requests wait.
-func (r *Request) Capacity() (inFlight int, available float64, waiting int) {
+// Capacity returns the number of attempts in flight, the number of attempts up to which this request may be sent at its
+// priority, based on the capacity as of the last selection of a server, and the number of queued requests.
+func (r *Request) Capacity() (inFlight int, available float64, queued int) {
 	b := r.balancer
-	return b.concurrency.inFlight, b.availableCapacity(r.priority), len(b.queue.waiting)
+	return b.concurrency.inFlight, b.availableCapacity(r.priority), len(b.queue.requests)
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,20 +1,23 @@
 package balance
 
-// ServerStatus is what the decisions hold of one server, for those who ask why.
+// ServerStatus is the state of one server that decides whether it receives attempts, for diagnostics.
 type ServerStatus struct {
 	Endpoint          int
-	InFlight          int     // attempts
-	Limit, Payoff     float64 // attempts that it can have, and what one is worth there
+	InFlight          int     // attempts of this proxy that count as in flight
+	Limit, Payoff     float64 // the concurrency limit in attempts, and the payoff expected of an attempt of class 0
 	Paused, WarmingUp bool
-	Trial             bool    // paused, but after its cooldown: one attempt may go there
-	Errors, Results   int     // of the present window
-	Age               float64 // s since an attempt there ended
+	Trial             bool    // paused, but its cooldown is over: one attempt may be sent
+	Errors, Results   int     // failures and all results in the window of its breaker
+	Age               float64 // s since the server's own estimate of the payoff was updated
 }
 
-// ServerStatuses returns those of all listed servers.
-func (b *Balancer) ServerStatuses(now float64) []ServerStatus { return b.begin(now).CurrentStatuses() }
+// ServerStatuses returns the status of every listed server.
+func (b *Balancer) ServerStatuses(now float64) []ServerStatus {
+	return b.beginCall(now).CurrentStatuses()
+}
 
-// CurrentStatuses is ServerStatuses as of the last call. It changes nothing.
+// CurrentStatuses returns what ServerStatuses does, as of the time of the last call. Unlike ServerStatuses, it does not
+// change the state of the balancer.
 func (b *Balancer) CurrentStatuses() []ServerStatus {
 	var list []ServerStatus
 	for _, s := range b.servers {
@@ -40,24 +43,25 @@
 	}
 }
 
-// ScoreBreakdown is what speaks for and against a server for one request now, for those who ask why.
+// ScoreBreakdown holds the criteria by which a server is selected for one request, for diagnostics.
 type ScoreBreakdown struct {
 	Endpoint        int
 	State           EndpointState
-	Paused, Trial   bool // by the server's own breaker; and after its cooldown
-	Errors, Results int  // of that breaker
-	ClassPaused     bool // by the breaker of the request's class there
-	ClassErrors     int  // of that breaker
-	ClassResults    int
-	RetrySafe       bool // another attempt there is harmless
+	Paused, Trial   bool // the server's breaker is paused, and whether its cooldown is over, so that it admits a trial
+	Errors, Results int  // failures and all results in the window of that breaker
+	ClassPaused     bool // the breaker of the request's class at the server admits no attempt
+	ClassErrors     int  // failures in the window of the class breaker
+	ClassResults    int  // all results in the window of the class breaker
+	RetrySafe       bool // the request's next attempt may be sent to this server; see Balancer.mayAttempt
 	WarmingUp       bool
-	Load, Capacity  float64 // attempts; as many as it can have
-	Payoff          float64
-	Score           float64 // of the last draw, if it was in it; the greatest wins where there is capacity
-	Considered      bool
+	Load, Capacity  float64 // attempts in flight and their limit, of all proxies if servers report loads, else of this one
+	Payoff          float64 // the payoff expected of an attempt
+	Score           float64 // if Considered: score in the last selection, the greatest one with capacity wins
+	Considered      bool    // the server was a candidate in the last selection
 }
 
-// ScoreBreakdown returns those of all listed servers. It changes nothing. Scores are those of the last draw.
+// ScoreBreakdown returns the breakdown of every listed server for this request. The scores are those of the last
+// selection of a server, for whichever request. It does not change the state of the balancer.
 func (r *Request) ScoreBreakdown() (list []ScoreBreakdown) {
 	for _, s := range r.balancer.servers {
 		if s != nil {
@@ -87,7 +91,7 @@
 	}
 	for i := range b.selection.candidates {
 		if c := &b.selection.candidates[i]; c.server == s {
-			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: there was no capacity to draw for
+			breakdown.Score, breakdown.Considered = c.score, c.score != 0 // 0: not scored, as there was no capacity
 		}
 	}
 	return breakdown
