--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,8 +9,8 @@
 	"lockloom/balance"
 )
 
-// maxRoundTrip bounds what is taken off an exchange's SendBy for its way to the server: a connection that took longer
-// to open lost a packet.
+// maxRoundTrip caps the round-trip time that is subtracted from an exchange's SendBy: if a connection took longer to
+// open, a packet was lost, and that time says nothing about the next request.
 const maxRoundTrip = 50 * time.Millisecond
 
 // connection is one connection to a server. One goroutine opens it and writes requests (run), another reads responses
@@ -18,28 +18,28 @@
 type connection struct {
 	pool       *Pool
 	server     *server
-	generation int       // the server's when it was opened
-	idleSince  time.Time // the owner's
+	generation int       // of the server when the connection was opened
+	idleSince  time.Time // accessed by the owner only
 	requests   chan *Exchange
 
-	hasUnread func() bool   // see HasUnreadBytes; called by the writer, under the lock
-	roundTrip time.Duration // to the server and back, as far as known
+	hasUnread func() bool   // see HasUnreadBytes; called by the writing goroutine with mu held
+	roundTrip time.Duration // estimated from the connect time, at most maxRoundTrip
 
 	mu           sync.Mutex
-	netConn      net.Conn // nil: not open yet
+	netConn      net.Conn // nil until the connection is open
 	current      *Exchange
 	readDeadline time.Time
-	closed       bool // it takes no more exchanges
+	closed       bool // no further exchange may be started
 }
 
-// setReadDeadline sets when reading ends without a byte. The caller holds the lock.
+// setReadDeadline sets the time at which a read without data fails. The caller holds the lock.
 func (c *connection) setReadDeadline(at time.Time) {
 	c.readDeadline = at
 	c.netConn.SetReadDeadline(at)
 }
 
-// begin hands over an exchange, and returns false if the connection was found closed.
-func (c *connection) begin(ex *Exchange) bool {
+// startExchange passes an exchange to the writing goroutine, and returns false if the connection is closed.
+func (c *connection) startExchange(ex *Exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -48,11 +48,11 @@
 	ex.conn = c
 	c.current = ex
 	c.setReadDeadline(ex.Deadline)
-	c.requests <- ex // never blocks: the writer took the last one before its response came
+	c.requests <- ex // never blocks: the writer received the previous exchange before that ended
 	return true
 }
 
-// cancel ends an exchange by closing its connection: a late response must not be taken for that of another request.
+// cancel cancels an exchange and closes its connection, so that a late response is not read as that of another request.
 func (c *connection) cancel(ex *Exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,11 +65,11 @@
 	}
 }
 
-// withhold cancels an exchange whose writing has not begun.
-func (c *connection) withhold(ex *Exchange) {
+// cancelUnwritten cancels an exchange if writing it has not started.
+func (c *connection) cancelUnwritten(ex *Exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current == ex && !ex.begun {
+	if c.current == ex && !ex.writeStarted {
 		ex.canceled = true
 	}
 }
@@ -80,7 +80,7 @@
 	return ex.canceled
 }
 
-// run opens the connection for its first exchange, starts its reader and writes requests until the reader ends.
+// run opens the connection for its first exchange, starts the reading goroutine and writes requests until that ends.
 func (c *connection) run(ex *Exchange, addr string) {
 	if err := c.open(ex, addr); err != nil {
 		c.connectFailed(ex, err)
@@ -93,7 +93,7 @@
 	}
 }
 
-// open connects to a server.
+// open connects to a server within ConnectTimeout and the exchange's deadline.
 func (c *connection) open(ex *Exchange, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), min(c.pool.ConnectTimeout, time.Until(ex.Deadline)))
 	defer cancel()
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// connectFailed reports an exchange that has no connection.
+// connectFailed reports an exchange whose connection could not be opened.
 func (c *connection) connectFailed(ex *Exchange, err error) {
 	result := Result{Outcome: balance.ConnectFailed, EndedAt: time.Now(), Err: err}
 	c.mu.Lock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -8,75 +8,75 @@
 	"lockloom/balance"
 )
 
-// ErrClientGone closes the Stream of a response whose client has gone, and is the error of an exchange that was not
-// sent because of that.
+// ErrClientGone is the error with which the Stream of a response is closed when its client has gone, and the error of
+// an exchange that was not sent for that reason.
 var ErrClientGone = errors.New("the client has gone")
 
-// Why an exchange was not sent, or why a response is not its response.
+// Reasons why an exchange was not sent, or why the bytes received are not its response.
 var (
-	errUnsolicited = errors.New("closed, or a response to no request")
-	errCanceled    = errors.New("canceled")
-	errTooLate     = errors.New("too late to be sent again")
-	errDraining    = errors.New("the server is draining")
-	errEarly       = errors.New("a response that came before its request was written")
+	errUnsolicited   = errors.New("connection closed by the server, or bytes received, before the request was written")
+	errCanceled      = errors.New("canceled")
+	errTooLate       = errors.New("request would reach the server after its send-by time")
+	errDraining      = errors.New("the server is draining")
+	errEarlyResponse = errors.New("response received before the request was written")
 )
 
-// Exchange is one request to one server: an attempt. Its exported fields are set before Send and not changed after it.
+// Exchange is one attempt: a request to one server. Its exported fields must not be changed after Send.
 type Exchange struct {
-	Head, Tail, Body []byte      // written one after the other
-	Deadline         time.Time   // without a response by then it has timed out
-	SendBy           time.Time   // not sent if it cannot be at its server by then; zero: no such bound
-	ClientGone       func() bool // if true it is not sent; called by any goroutine; nil: no client waits for it
-	Passthrough      bool        // a response is forwarded as it is, unless it is a failure of the server itself
-	HeadOnly         bool        // only a head is requested
+	Head, Tail, Body []byte      // written in this order
+	Deadline         time.Time   // the exchange times out without a response by then
+	SendBy           time.Time   // the request is not sent if it would reach the server later; zero: no limit
+	ClientGone       func() bool // if true the request is not sent; called from any goroutine; nil: it has no client
+	Passthrough      bool        // responses are forwarded unchanged; only a status of 500 or above is a server error
+	HeadOnly         bool        // the request is a HEAD request: its response has no body
 
-	Upload          *Upload       // the rest of a body that is not stored; nil: Body is complete
-	ResponseTimeout time.Duration // of an exchange with an Upload, from its last byte; 0: Deadline holds
+	Upload          *Upload       // streams the rest of a body that is not stored; nil: Body is complete
+	ResponseTimeout time.Duration // for the response, from the Upload's last byte on; 0: Deadline applies
 
-	// Both are called on the owner's goroutine.
-	OnResponseStarted func(Result) // a large response streams; called at most once, before OnDone; nil: none streams
-	OnDone            func(Result) // called once
+	// Both callbacks run on the owner's goroutine.
+	OnResponseStarted func(Result) // streaming has started; called at most once, before OnDone; nil: no streaming
+	OnDone            func(Result) // the exchange has ended; called exactly once
 
 	progress
 }
 
-// progress is how far an exchange has come.
+// progress is the state of an exchange between Send and OnDone.
 type progress struct {
 	conn        *connection
-	connectTime time.Duration // of the connection that was opened for it; 0 on an idle one; the writer's until written
+	connectTime time.Duration // of a connection opened for the exchange, else 0; the writer's until writeDone is closed
 
-	// Under the connection's lock.
-	beganAt     time.Time // when writing began
-	canceled    bool      // it is not to be sent any more, or its connection is closed
-	begun       bool      // its bytes may go out from now on
-	isStreaming bool      // its response has begun to stream
+	// Guarded by the connection's lock.
+	writeStartedAt time.Time
+	canceled       bool // it must not be sent any more, or its connection is closed
+	writeStarted   bool // its bytes may be sent from now on
+	isStreaming    bool // streaming its response has started
 
-	// Set by the writer before it closes written, and read after that.
-	written  chan struct{}
-	sentAt   time.Time // beganAt, or for an exchange that opened its connection as much earlier as that took
-	complete bool      // its last byte is written
-	partial  bool      // a byte may have gone out
+	// Set by the writer before it closes writeDone, and read after that.
+	writeDone     chan struct{}
+	sentAt        time.Time // writeStartedAt minus connectTime
+	fullyWritten  bool
+	partlyWritten bool // at least one byte may have been sent
 }
 
-// Result is what came of an exchange.
+// Result is the result of an exchange, or its state when the response starts to stream.
 type Result struct {
 	Outcome       balance.Outcome
-	SentAt        time.Time      // when it was written, or, if it opened its connection, as much earlier; zero: it was not
-	EndedAt       time.Time      // when the response's end was received, or whatever else ended it
+	SentAt        time.Time      // when writing started, less the time to open the connection for it; zero: not sent
+	EndedAt       time.Time      // when the response was completely received, or the exchange failed
 	Err           error          // why there is no complete response
-	Status        int            // of a response; 0: none came
-	Length        int            // of its body, or of the one that a HeadOnly request leaves out; -1: unknown
-	Fields        []byte         // the field lines to forward, of a successful response and of any with Passthrough
-	Body          []byte         // of a response that has begun to stream: its first bytes
-	ReservedBytes int64          // memory held for Body: whoever gets the Result gives it back
-	Stream        *io.PipeReader // of a response that has begun to stream: the rest. It is read to its end or closed
+	Status        int            // of the response; 0: none was received
+	Length        int            // of the body, or what a response to HEAD announces, in bytes; -1: unknown
+	Fields        []byte         // header field lines to forward, if the status is 200 or with Passthrough
+	Body          []byte         // the complete body, or in OnResponseStarted its first bytes
+	ReservedBytes int64          // memory reserved for Body, which the receiver of the Result must release
+	Stream        *io.PipeReader // in OnResponseStarted: the rest of the body; must be read to its end or closed
 }
 
-// awaitWritten waits until the writing of a request has ended. An upload is stopped first: it may wait for its client,
-// who waits for the response.
-func (ex *Exchange) awaitWritten() {
+// awaitWriteDone waits until writing the request has ended. An upload is stopped first: it may be waiting for its
+// client, which may be waiting for the response.
+func (ex *Exchange) awaitWriteDone() {
 	if ex.Upload != nil && ex.Upload.Started() {
 		ex.Upload.Stop()
 	}
-	<-ex.written
+	<-ex.writeDone
 }
--- a/internal/upstream/outcome.go
+++ b/internal/upstream/outcome.go
@@ -7,28 +7,29 @@
 	"lockloom/balance"
 )
 
-// What each ending of an exchange proves. A server of the platform runs a request when its last byte has come, and says
-// with X-Never-Ran that it did not run it; any other server (Passthrough) may begin before.
+// How the end of an exchange maps to an outcome, and whether the server may have run the request. A server of the
+// platform runs a request only after it has received its last byte, and sends X-Never-Ran if it did not run it; any
+// other server (Passthrough) may start before.
 //
-//	ending                                                 outcome          may it have run?
+//	end of the exchange                                    outcome          may have run?
 //	a response with status 200 (Passthrough: below 500)    Succeeded        yes
 //	503 or 504 with X-Never-Ran                            ServerRejected   no
-//	4xx, but for 408 and 429, which tell of time and load  InvalidRequest   yes
+//	4xx except 408 and 429, which are due to time and load InvalidRequest   yes
 //	a response with any other status                       ServerError      yes
 //	no connection                                          ConnectFailed    no
-//	no response, last byte not written                     ConnectFailed    no
-//	the same, Passthrough, a byte written                  ConnectionLost   yes
-//	a 200 that came before the last byte was written       ConnectFailed    no: it cannot be its response
+//	no response, request not fully written                 ConnectFailed    no
+//	the same with Passthrough, request partly written      ConnectionLost   yes
+//	a 200 received before the request was fully written    ConnectFailed    no: it cannot be its response
 //	not written: canceled, client gone, too late, draining NotSent          no
-//	not written: the connection was closed or had bytes    NotSent          no
-//	canceled, last byte not written                        NotSent          no
-//	canceled, last byte written                            Canceled         yes
-//	the deadline passed, last byte written                 TimedOut         yes
-//	reset, cut short or malformed, last byte written       ConnectionLost   yes
-//	its response streamed, and its client went or canceled Canceled         yes
-//	its response streamed, and failed                      ConnectionLost   yes
+//	not written: connection closed, or bytes unread        NotSent          no
+//	canceled, request not fully written                    NotSent          no
+//	canceled, request fully written                        Canceled         yes
+//	the deadline passed, request fully written             TimedOut         yes
+//	reset, cut short or malformed, request fully written   ConnectionLost   yes
+//	response streamed, then client gone or canceled        Canceled         yes
+//	response streamed, then failed                         ConnectionLost   yes
 
-// succeeded reports whether a status is one of success for an exchange.
+// succeeded reports whether a response with this status counts as successful.
 func (ex *Exchange) succeeded(status int) bool {
 	return status == 200 || ex.Passthrough && status < 500
 }
@@ -46,18 +47,18 @@
 	return balance.ServerError
 }
 
-// failureOutcome returns the outcome of an exchange whose writing has ended and that has no complete response.
+// failureOutcome returns the outcome of an exchange without a complete response. Writing its request must have ended.
 func (c *connection) failureOutcome(ex *Exchange, err error) balance.Outcome {
-	if ex.Passthrough && !ex.complete && ex.partial {
+	if ex.Passthrough && !ex.fullyWritten && ex.partlyWritten {
 		return balance.ConnectionLost
 	}
 	canceled := c.isCanceled(ex)
 	switch {
-	case canceled && ex.complete:
+	case canceled && ex.fullyWritten:
 		return balance.Canceled
 	case canceled:
 		return balance.NotSent
-	case !ex.complete:
+	case !ex.fullyWritten:
 		return balance.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.TimedOut
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -12,17 +12,17 @@
 	"lockloom/balance"
 )
 
-// What a response, or its failure, proves.
+// Checks the outcome for each kind of response and of its failure, and whether the connection is reused.
 func TestOutcomeOfResponse(t *testing.T) {
 	const noBody = "Content-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name, response string
-		ends           bool // the server closes after it
+		closes         bool // the server closes the connection after the response
 		want           balance.Outcome
-		reused         bool // the connection is used again
+		reused         bool
 	}{
 		{"successful", okResponse, false, balance.Succeeded, true},
-		{"successful to the close", "HTTP/1.1 200 OK\r\n\r\nok", true, balance.Succeeded, false},
+		{"successful, until close", "HTTP/1.1 200 OK\r\n\r\nok", true, balance.Succeeded, false},
 		{"successful and closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false,
 			balance.Succeeded, false},
 		{"more than one response", okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", false,
@@ -31,7 +31,7 @@
 		{"rejected", "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\n" + noBody, false, balance.ServerRejected, true},
 		{"rejected late", "HTTP/1.1 504 x\r\nx-never-ran: 1\r\n" + noBody, false, balance.ServerRejected, true},
 		{"503 that may have run", "HTTP/1.1 503 x\r\n" + noBody, false, balance.ServerError, true},
-		{"never ran, but of no such status", "HTTP/1.1 500 x\r\nX-Never-Ran: 1\r\n" + noBody, false,
+		{"never ran, with a status other than 503 and 504", "HTTP/1.1 500 x\r\nX-Never-Ran: 1\r\n" + noBody, false,
 			balance.ServerError, true},
 		{"invalid request", "HTTP/1.1 404 x\r\n" + noBody, false, balance.InvalidRequest, true},
 		{"too many requests", "HTTP/1.1 429 x\r\n" + noBody, false, balance.ServerError, true},
@@ -46,17 +46,17 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newTestPool()
 			_, got := p.attempt(0)
-			end := <-p.ends
-			readRequest(t, end)
-			respond(end, c.response)
-			if c.ends {
-				end.Close()
+			serverConn := <-p.serverConns
+			readRequest(t, serverConn)
+			respond(serverConn, c.response)
+			if c.closes {
+				serverConn.Close()
 			}
-			p.settle()
+			p.runUntilIdle()
 			if c.want == balance.TimedOut {
 				assert.Empty(t, *got, c.name)
 				time.Sleep(time.Second)
-				p.settle()
+				p.runUntilIdle()
 			}
 			if assert.Len(t, *got, 1, c.name) {
 				r := (*got)[0]
@@ -70,14 +70,14 @@
 			}
 			assert.Equal(t, c.reused, p.Total() == 1, c.name)
 			p.Close()
-			p.settle()
+			p.runUntilIdle()
 			assert.Zero(t, p.Total(), c.name)
-			end.Close()
+			serverConn.Close()
 		})
 	}
 }
 
-// A large response that does not stream takes only memory that was reserved for it.
+// Guards against a large response that is stored, since it does not stream, without memory reserved for it.
 func TestLargeResponseIsStoredInReservedMemory(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, c := range []struct {
@@ -89,36 +89,36 @@
 		{"enough memory", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 400000, balance.Succeeded},
 		{"too little memory", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 400000, 399999, balance.ConnectionLost},
 		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", 399999, 1 << 30, balance.ConnectionLost},
-		{"too large in any case", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 400000, 1 << 40,
+		{"over maxReservedBytes", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", 400000, 1 << 40,
 			balance.ConnectionLost},
 		{"chunks", chunked + "61a80\r\n", 400000, maxReservedBytes, balance.Succeeded},
 		{"chunks without memory", chunked + "61a80\r\n", 400000, 0, balance.ConnectionLost},
 		{"chunks without end", chunked + "ffffff\r\n", 2 * maxReservedBytes, 1 << 30, balance.ConnectionLost},
-		{"to the close", "HTTP/1.1 200 OK\r\n\r\n", 400000, maxReservedBytes, balance.Succeeded},
+		{"until close", "HTTP/1.1 200 OK\r\n\r\n", 400000, maxReservedBytes, balance.Succeeded},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newTestPool()
 			p.freeMemory = c.freeMemory
 			_, got := p.attempt(0)
-			end := <-p.ends
-			readRequest(t, end)
-			respond(end, c.head)
-			respond(end, strings.Repeat("x", c.size))
+			serverConn := <-p.serverConns
+			readRequest(t, serverConn)
+			respond(serverConn, c.head)
+			respond(serverConn, strings.Repeat("x", c.size))
 			if strings.HasPrefix(c.head, chunked) && c.want == balance.Succeeded {
-				respond(end, "\r\n0\r\n\r\n")
+				respond(serverConn, "\r\n0\r\n\r\n")
 			}
-			end.Close()
-			p.settle()
+			serverConn.Close()
+			p.runUntilIdle()
 			if assert.Len(t, *got, 1, c.name) {
 				r := (*got)[0]
 				assert.Equal(t, c.want, r.Outcome, c.name)
 				if c.want == balance.Succeeded {
 					assert.Len(t, r.Body, c.size, c.name)
-					assert.Equal(t, c.freeMemory-p.freeMemory, r.ReservedBytes, "whoever gets it gives it back: %s", c.name)
+					assert.Equal(t, c.freeMemory-p.freeMemory, r.ReservedBytes, "%s: memory to be released", c.name)
 				}
 			}
 			p.Close()
-			p.settle()
+			p.runUntilIdle()
 		})
 	}
 }
@@ -127,11 +127,11 @@
 	for _, c := range []struct {
 		name string
 		set  func(*testPool)
-		cut  bool // the server reads a part of the request, then closes
+		cut  bool // the server reads part of the request, then closes the connection
 		want balance.Outcome
 	}{
-		{"refused", func(p *testPool) { p.refuses = true }, false, balance.ConnectFailed},
-		{"never open", func(p *testPool) { p.hangs = true }, false, balance.ConnectFailed},
+		{"refused", func(p *testPool) { p.refuseDials = true }, false, balance.ConnectFailed},
+		{"never open", func(p *testPool) { p.hangDials = true }, false, balance.ConnectFailed},
 		{"broken before the last byte", func(*testPool) {}, true, balance.ConnectFailed},
 		{"not read in time", func(*testPool) {}, false, balance.ConnectFailed},
 	} {
@@ -141,17 +141,17 @@
 			began := time.Now()
 			_, got := p.attempt(0)
 			if c.cut {
-				end := <-p.ends
-				_, err := io.ReadFull(end, make([]byte, 5))
+				serverConn := <-p.serverConns
+				_, err := io.ReadFull(serverConn, make([]byte, 5))
 				assert.NoError(t, err)
-				end.Close()
+				serverConn.Close()
 			}
-			p.settle()
+			p.runUntilIdle()
 			time.Sleep(75 * time.Millisecond)
-			p.settle()
+			p.runUntilIdle()
 			if len(*got) == 0 {
 				time.Sleep(time.Second)
-				p.settle()
+				p.runUntilIdle()
 			}
 			if assert.Len(t, *got, 1, c.name) {
 				assert.Equal(t, c.want, (*got)[0].Outcome, c.name)
@@ -164,8 +164,8 @@
 	}
 }
 
-// A response that comes while its request is still being written does not wait for a body that nobody reads. A 200
-// cannot be the response to it: a server begins with the last byte.
+// Guards against delaying a response that is received while its request is still being written, which the server may
+// never read. A 200 is not accepted then: a server runs a request only after its last byte.
 func TestResponseBeforeRequestIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		response string
@@ -179,11 +179,11 @@
 			p := newTestPool()
 			began := time.Now()
 			_, got := p.attempt(0)
-			end := <-p.ends
-			synctest.Wait() // until its writer waits for the server, which reads nothing
-			respond(end, c.response)
+			serverConn := <-p.serverConns
+			synctest.Wait() // until the writer blocks, since the server reads nothing
+			respond(serverConn, c.response)
 			time.Sleep(2 * lateWriteTimeout)
-			p.settle()
+			p.runUntilIdle()
 			if assert.Len(t, *got, 1) {
 				assert.Equal(t, c.want, (*got)[0].Outcome)
 				assert.Equal(t, began, (*got)[0].EndedAt)
@@ -193,34 +193,34 @@
 	}
 }
 
-// A late response to a canceled attempt does not reach the next request on its connection.
+// Guards against reading a late response to a canceled attempt as the response to the next request.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool()
 		ex, got := p.attempt(0)
-		<-p.ends
-		p.settle() // nothing of it is read: its last byte is not written
+		<-p.serverConns
+		p.runUntilIdle() // the server reads nothing, so the last byte is not written
 		p.Cancel(ex)
-		p.settle()
+		p.runUntilIdle()
 		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
 
 		ex, got = p.attempt(0)
-		end := <-p.ends
-		readRequest(t, end)
+		serverConn := <-p.serverConns
+		readRequest(t, serverConn)
 		p.Cancel(ex)
 		p.Cancel(ex)
-		p.settle()
+		p.runUntilIdle()
 		assert.Equal(t, balance.Canceled, (*got)[0].Outcome)
-		_, err := end.Write([]byte(okResponse))
+		_, err := serverConn.Write([]byte(okResponse))
 		assert.Error(t, err)
 		assert.Zero(t, p.Total())
 
-		p.hangs = true
+		p.hangDials = true
 		ex, got = p.attempt(0)
-		p.settle()
+		p.runUntilIdle()
 		p.Cancel(ex)
 		time.Sleep(p.ConnectTimeout)
-		p.settle()
+		p.runUntilIdle()
 		assert.Equal(t, balance.NotSent, (*got)[0].Outcome)
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
 // Package upstream keeps the connections to servers and sends requests over them. A Pool belongs to one goroutine, its
 // owner: only the owner calls its methods, and the results of exchanges are reported on that goroutine.
 //
-// Nothing is sent twice from here: each exchange is written once at most, and its Outcome says what that proves; see
-// outcome.go.
+// The package never retries: each exchange is written at most once, and the Outcome of its Result states whether the
+// server may have run the request; see outcome.go.
 package upstream
 
 import (
@@ -13,48 +13,48 @@
 	"time"
 )
 
-// Pool hands out connections, of a server's idle ones the longest idle first: what a server sends after a response, or
-// its close, has arrived by then.
+// Pool reuses the connections to each server, the longest idle one first: by then, anything that the server sent after
+// its last response, or its close of the connection, has most likely arrived.
 type Pool struct {
-	ConnectTimeout time.Duration          // a connection that is not open by then has failed
-	IdleTimeout    time.Duration          // a connection that is idle for so long is closed
-	MaxConnections int                    // at once, those that are being opened included
-	ReserveMemory  func(bytes int64) bool // asks for memory for a large response; called by any goroutine
+	ConnectTimeout time.Duration          // limit for establishing a connection
+	IdleTimeout    time.Duration          // connections that have been idle for this long are closed
+	MaxConnections int                    // limit for all servers together, including connections being opened
+	ReserveMemory  func(bytes int64) bool // reserves memory for a large response; called from any goroutine
 	Counters
 
 	dial    func(ctx context.Context, addr string) (net.Conn, error)
 	post    func(func()) // runs a function on the owner's goroutine
-	closed  atomic.Bool  // no connection is kept any more
-	onBytes func()       // nil but in tests: called when bytes have come, before it is decided what they are
-	servers []*server    // by index
-	total   int          // connections
+	closed  atomic.Bool  // set by Close: no connection is kept idle any more
+	onBytes func()       // test hook, else nil: called when bytes were received, before they are assigned to an exchange
+	servers []*server    // by the index that the caller passes to each method
+	total   int          // connections to all servers, including those being opened
 }
 
-// Counters count since the pool was made.
+// Counters holds totals since the pool was created.
 type Counters struct {
-	Opened  int // connections that were begun to be opened
-	Retired int // idle connections that were closed here
-	Lost    int // idle connections that their server closed
-	Full    int // exchanges that were not sent because of MaxConnections
+	Opened  int // connections whose opening was started
+	Retired int // idle connections closed by the pool
+	Lost    int // idle connections closed by their server
+	Full    int // exchanges not sent because MaxConnections was reached
 }
 
-// server is where one server listens, and the connections to it.
+// server is the address of one server and the connections to it.
 type server struct {
-	addr       string
-	startedAt  float64
-	generation int           // a connection of an earlier one is not used again
-	idle       []*connection // the last used last
-	open       int           // connections, idle or not
-	stopsAt    atomic.Int64  // nothing is written to it from then on, in Unix nanoseconds; 0: no such bound
+	addr          string
+	startedAt     float64       // start time of the server's process
+	generation    int           // incremented by CloseIdle; connections of an earlier generation are not reused
+	idle          []*connection // the most recently used last
+	open          int           // connections, idle and in use
+	stopSendingAt atomic.Int64  // Unix nanoseconds from which nothing is written to the server; 0: never
 }
 
-// New returns a pool without servers. dial opens its connections, and post runs a function on the owner's goroutine;
-// dial is called by any goroutine, and so is post.
+// New returns a pool without servers. dial opens its connections, and post runs a function on the owner's goroutine.
+// Both are called from any goroutine.
 func New(dial func(ctx context.Context, addr string) (net.Conn, error), post func(func())) *Pool {
 	return &Pool{dial: dial, post: post}
 }
 
-// SetEndpoint sets where a server listens and when it started. Idle connections to it are closed if either has changed.
+// SetEndpoint sets the address and the start time of a server. If either has changed, idle connections are closed.
 func (p *Pool) SetEndpoint(index int, addr string, started float64) {
 	for len(p.servers) <= index {
 		p.servers = append(p.servers, &server{})
@@ -77,33 +77,34 @@
 	s.idle = s.idle[:0]
 }
 
-// StopSendingAt sets from when on nothing is written to a server; zero: no such bound. An attempt that was ordered in
-// time may be on a connection that takes longer to open than a drain's grace.
+// StopSendingAt sets the time from which nothing is written to a server; the zero time removes the limit. The limit is
+// checked before each write, since an attempt that was started in time may wait for its connection for longer than the
+// grace of a drain.
 func (p *Pool) StopSendingAt(index int, at time.Time) {
 	if at.IsZero() {
-		p.servers[index].stopsAt.Store(0)
+		p.servers[index].stopSendingAt.Store(0)
 	} else {
-		p.servers[index].stopsAt.Store(at.UnixNano())
+		p.servers[index].stopSendingAt.Store(at.UnixNano())
 	}
 }
 
-// sendingStopped reports whether nothing may be written to a server any more. It is safe for concurrent use.
+// sendingStopped reports whether the time set by StopSendingAt has passed. It is safe for concurrent use.
 func (s *server) sendingStopped() bool {
-	stopsAt := s.stopsAt.Load()
-	return stopsAt != 0 && time.Now().UnixNano() > stopsAt
+	stopSendingAt := s.stopSendingAt.Load()
+	return stopSendingAt != 0 && time.Now().UnixNano() > stopSendingAt
 }
 
-// Remove forgets a server, whose index may be given to another. Connections in use are closed when their exchange ends.
+// Remove removes a server. Its index may be reused; connections in use are closed when their exchange ends.
 func (p *Pool) Remove(index int) {
 	p.CloseIdle(index)
 	p.servers[index] = &server{}
 }
 
-// Send starts an exchange on an idle connection or a new one. It returns false if there may be no more connections:
-// nothing was sent then, and nothing will be reported.
+// Send starts an exchange on an idle connection or a new one. It returns false if MaxConnections is reached and no
+// connection is idle: nothing was sent then, and no result will be reported.
 func (p *Pool) Send(index int, ex *Exchange) bool {
 	s := p.servers[index]
-	ex.written = make(chan struct{})
+	ex.writeDone = make(chan struct{})
 	if p.sendOnIdle(s, ex) {
 		return true
 	}
@@ -120,8 +121,8 @@
 	return true
 }
 
-// sendOnIdle starts an exchange on an idle connection, and returns false if there is none. One that was idle for too
-// long is not used: if its server is closing it, the request would end in a reset.
+// sendOnIdle starts an exchange on an idle connection, and returns false if there is none. A connection that was idle
+// for IdleTimeout is not used: if its server is closing it, the request would end in a connection reset.
 func (p *Pool) sendOnIdle(s *server, ex *Exchange) bool {
 	now := time.Now()
 	for len(s.idle) > 0 {
@@ -129,20 +130,20 @@
 		s.idle = slices.Delete(s.idle, 0, 1)
 		if now.Sub(c.idleSince) >= p.IdleTimeout {
 			p.retire(c)
-		} else if c.begin(ex) {
+		} else if c.startExchange(ex) {
 			return true
 		}
 	}
 	return false
 }
 
-// Cancel gives an exchange up and closes its connection. It is still reported.
+// Cancel cancels an exchange and closes its connection. The exchange is still reported.
 func (p *Pool) Cancel(ex *Exchange) { ex.conn.cancel(ex) }
 
-// DiscardResponse has an exchange whose writing has not begun end as not sent; any other goes on.
-func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.withhold(ex) }
+// DiscardResponse ends an exchange as not sent if writing it has not started; any other exchange continues.
+func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.cancelUnwritten(ex) }
 
-// CloseExpired closes connections that were idle for too long.
+// CloseExpired closes the connections that have been idle for IdleTimeout.
 func (p *Pool) CloseExpired() {
 	now := time.Now()
 	for _, s := range p.servers {
@@ -163,20 +164,20 @@
 	}
 }
 
-// SetMaxConnections sets how many connections there may be at once. Idle ones in excess are closed.
+// SetMaxConnections sets MaxConnections, to 1 at least. Idle connections in excess are closed.
 func (p *Pool) SetMaxConnections(maxConnections int) {
 	p.MaxConnections = max(maxConnections, 1)
 	for excess := p.total - p.MaxConnections; excess > 0 && p.retireLongestIdle(); excess-- {
 	}
 }
 
-// Total returns how many connections there are, those that are being opened included.
+// Total returns the number of connections to all servers, including those being opened.
 func (p *Pool) Total() int { return p.total }
 
-// InFlight returns how many connections to a server carry an exchange, or are opened for one.
+// InFlight returns the number of connections to a server that carry an exchange or are being opened for one.
 func (p *Pool) InFlight(index int) int { return p.servers[index].open - len(p.servers[index].idle) }
 
-// retireLongestIdle closes the connection that was idle for longest, and returns false if none is idle.
+// retireLongestIdle closes the connection that has been idle for longest, and returns false if none is idle.
 func (p *Pool) retireLongestIdle() bool {
 	var longest *server
 	for _, s := range p.servers {
@@ -192,13 +193,13 @@
 	return true
 }
 
-// retire closes an idle connection. Its reader posts its end.
+// retire closes an idle connection. Its reading goroutine then removes it from the pool.
 func (p *Pool) retire(c *connection) {
 	p.Retired++
 	c.netConn.Close()
 }
 
-// putIdle takes back a connection whose exchange is over, unless it has ended meanwhile.
+// putIdle makes a connection idle after its exchange, or closes it if it must not be reused.
 func (p *Pool) putIdle(c *connection) {
 	c.mu.Lock()
 	closed := c.closed
@@ -211,7 +212,7 @@
 	c.server.idle = append(c.server.idle, c)
 }
 
-// forget drops a connection that has ended.
+// forget removes a connection that has ended from the pool.
 func (p *Pool) forget(c *connection) {
 	p.total--
 	c.server.open--
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,31 +15,31 @@
 	"lockloom/balance"
 )
 
-// testPool is a pool whose owner is the test.
+// testPool is a pool owned by the goroutine of the test.
 type testPool struct {
 	*Pool
-	posted     chan func()
-	ends       chan net.Conn // the servers' ends of its connections, as they are opened
-	refuses    bool          // connections are refused
-	hangs      bool          // connections do not come up
-	dials      []string
-	freeMemory int64
+	posted      chan func()
+	serverConns chan net.Conn // the servers' sides of the connections, in the order of opening
+	refuseDials bool
+	hangDials   bool     // connections do not open before their timeout
+	dials       []string // the addresses
+	freeMemory  int64    // bytes left to reserve
 }
 
 func newTestPool() *testPool {
-	p := &testPool{posted: make(chan func(), 100), ends: make(chan net.Conn, 100)}
+	p := &testPool{posted: make(chan func(), 100), serverConns: make(chan net.Conn, 100)}
 	p.Pool = New(func(ctx context.Context, addr string) (net.Conn, error) {
 		p.dials = append(p.dials, addr)
-		if p.refuses {
+		if p.refuseDials {
 			return nil, errors.New("refused")
 		}
-		if p.hangs {
+		if p.hangDials {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		ours, theirs := net.Pipe()
-		p.ends <- theirs
-		return ours, nil
+		clientConn, serverConn := net.Pipe()
+		p.serverConns <- serverConn
+		return clientConn, nil
 	}, func(f func()) { p.posted <- f })
 	p.ReserveMemory = func(bytes int64) bool {
 		p.freeMemory -= bytes
@@ -53,8 +53,8 @@
 	return p
 }
 
-// settle lets all happen that can happen without time passing.
-func (p *testPool) settle() {
+// runUntilIdle runs posted functions until all goroutines are blocked, without advancing the clock.
+func (p *testPool) runUntilIdle() {
 	for {
 		synctest.Wait()
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// attempt sends an exchange, and returns it and where its results are appended. The exchange is nil if it was not sent.
+// attempt sends an exchange and returns it, or nil if it was not sent, and the slice to which its results are appended.
 func (p *testPool) attempt(index int) (*Exchange, *[]Result) {
 	results := &[]Result{}
 	ex := newExchange(time.Second, func(r Result) { *results = append(*results, r) })
@@ -76,7 +76,7 @@
 	return ex, results
 }
 
-// newExchange returns a small exchange.
+// newExchange returns an exchange of a small GET request.
 func newExchange(timeout time.Duration, onDone func(Result)) *Exchange {
 	return &Exchange{
 		Head:     []byte("GET /a HTTP/1.1\r\n"),
@@ -86,17 +86,17 @@
 	}
 }
 
-// respond writes at a server's end. A pool may close its connection before it has taken all, which is no error here: a
-// test sees it in the exchange's result.
-func respond(end net.Conn, text string) { _, _ = io.WriteString(end, text) }
+// respond writes to the server's side of a connection. It ignores errors, since a pool may close its connection before
+// all is written; a test sees that in the exchange's result.
+func respond(serverConn net.Conn, text string) { _, _ = io.WriteString(serverConn, text) }
 
-// readRequest reads a request at a server's end.
-func readRequest(t *testing.T, end net.Conn) {
+// readRequest reads a request without a body on the server's side of a connection.
+func readRequest(t *testing.T, serverConn net.Conn) {
 	t.Helper()
 	buf := make([]byte, 100)
 	n := 0
 	for !strings.HasSuffix(string(buf[:n]), "\r\n\r\n") {
-		m, err := end.Read(buf[n:])
+		m, err := serverConn.Read(buf[n:])
 		if !assert.NoError(t, err) {
 			return
 		}
@@ -104,24 +104,25 @@
 	}
 }
 
-// okResponse is a successful response, with a field to forward and one not to.
+// okResponse is a successful response with one field to forward and one that is not forwarded.
 const okResponse = "HTTP/1.1 200 OK\r\nX-Kept: 1\r\nEndpoint-Load-Metrics: TEXT util=1\r\nContent-Length: 2\r\n\r\nok"
 
 func TestConnectionIsReused(t *testing.T) {
 	reused, reopened := []string{"one:1"}, []string{"one:1", "one:1"}
 	for _, c := range []struct {
 		name   string
-		before func(p *testPool, end net.Conn) // the next attempt
+		before func(p *testPool, conn net.Conn) // runs before the second attempt
 		dials  []string
 	}{
 		{"at once", func(*testPool, net.Conn) {}, reused},
 		{"idle for a while", func(p *testPool, _ net.Conn) { time.Sleep(p.IdleTimeout - 1); p.CloseExpired() }, reused},
-		// A request to a connection that the server is closing ends in a reset, and may have run.
+		// A request on a connection that the server is closing ends in a reset, and may appear to have run.
 		{"idle for long", func(p *testPool, _ net.Conn) { time.Sleep(p.IdleTimeout) }, reopened},
 		{"idle for long, expired", func(p *testPool, _ net.Conn) { time.Sleep(p.IdleTimeout); p.CloseExpired() }, reopened},
-		{"closed by the server, owner notified", func(p *testPool, end net.Conn) { end.Close(); p.settle() }, reopened},
-		{"closed by the server, owner unaware", func(_ *testPool, end net.Conn) { end.Close(); synctest.Wait() }, reopened},
-		{"response to no request", func(_ *testPool, end net.Conn) { respond(end, okResponse[:1]) }, reopened},
+		{"closed by the server, owner notified",
+			func(p *testPool, conn net.Conn) { conn.Close(); p.runUntilIdle() }, reopened},
+		{"closed by the server, owner unaware", func(_ *testPool, conn net.Conn) { conn.Close(); synctest.Wait() }, reopened},
+		{"response to no request", func(_ *testPool, conn net.Conn) { respond(conn, okResponse[:1]) }, reopened},
 		{"server restarted", func(p *testPool, _ net.Conn) { p.SetEndpoint(0, "one:1", 7) }, reopened},
 		{"server moved", func(p *testPool, _ net.Conn) { p.SetEndpoint(0, "one:2", 0) }, []string{"one:1", "one:2"}},
 		{"server listed again", func(p *testPool, _ net.Conn) { p.SetEndpoint(0, "one:1", 0) }, reused},
@@ -129,41 +130,41 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newTestPool()
 			_, first := p.attempt(0)
-			end := <-p.ends
-			readRequest(t, end)
-			respond(end, okResponse)
-			p.settle()
+			serverConn := <-p.serverConns
+			readRequest(t, serverConn)
+			respond(serverConn, okResponse)
+			p.runUntilIdle()
 			assert.Len(t, *first, 1)
-			c.before(p, end)
+			c.before(p, serverConn)
 			_, second := p.attempt(0)
-			p.settle()
+			p.runUntilIdle()
 			assert.Equal(t, c.dials, p.dials, c.name)
 			if len(c.dials) > 1 {
-				end = <-p.ends
+				serverConn = <-p.serverConns
 			}
-			readRequest(t, end)
-			respond(end, okResponse)
-			p.settle()
+			readRequest(t, serverConn)
+			respond(serverConn, okResponse)
+			p.runUntilIdle()
 			if assert.Len(t, *second, 1, c.name) {
 				assert.Equal(t, balance.Succeeded, (*second)[0].Outcome, c.name)
 			}
 			assert.Equal(t, 1, p.Total(), c.name)
 			p.Close()
-			p.settle()
+			p.runUntilIdle()
 		})
 	}
 }
 
-// The connection to a server that moved while an attempt was in flight there ends with the attempt.
+// If a server's address changes during an attempt, the connection is closed after the attempt and not reused.
 func TestServerMovesDuringAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool()
 		_, got := p.attempt(0)
-		end := <-p.ends
-		readRequest(t, end)
+		serverConn := <-p.serverConns
+		readRequest(t, serverConn)
 		p.SetEndpoint(0, "one:2", 0)
-		respond(end, okResponse)
-		p.settle()
+		respond(serverConn, okResponse)
+		p.runUntilIdle()
 		assert.Equal(t, balance.Succeeded, (*got)[0].Outcome)
 		assert.Zero(t, p.Total())
 	})
@@ -173,28 +174,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool()
 		_, first := p.attempt(0)
-		one := <-p.ends
+		one := <-p.serverConns
 		p.attempt(0)
-		two := <-p.ends
-		p.settle()
+		two := <-p.serverConns
+		p.runUntilIdle()
 		ex, _ := p.attempt(1)
 		assert.Nil(t, ex, "both are in use")
 		assert.Equal(t, 1, p.Full)
 		readRequest(t, one)
 		respond(one, okResponse)
-		p.settle()
+		p.runUntilIdle()
 		assert.Len(t, *first, 1)
 		_, third := p.attempt(1)
-		p.settle()
-		end := <-p.ends
-		readRequest(t, end)
-		respond(end, okResponse)
-		p.settle()
-		assert.Len(t, *third, 1, "an idle connection was closed for it")
+		p.runUntilIdle()
+		serverConn := <-p.serverConns
+		readRequest(t, serverConn)
+		respond(serverConn, okResponse)
+		p.runUntilIdle()
+		assert.Len(t, *third, 1, "an idle connection was closed to make room")
 		assert.Equal(t, 2, p.Total())
 		two.Close()
 		p.Close()
-		p.settle()
+		p.runUntilIdle()
 		assert.Zero(t, p.Total())
 	})
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -7,44 +7,44 @@
 	"lockloom/internal/http1"
 )
 
-// write writes a request, unless it is unwanted by now or the connection is unusable.
+// write writes a request, unless it must not be sent any more or the connection is unusable.
 func (c *connection) write(ex *Exchange) {
-	usable, unwanted := c.beginWriting(ex)
-	if usable && unwanted != nil {
-		c.reportNotSent(ex, unwanted)
+	usable, notSent := c.startWriting(ex)
+	if usable && notSent != nil {
+		c.reportNotSent(ex, notSent)
 		return
 	}
 	err := errUnsolicited
 	if usable {
 		err = c.writeRequest(ex)
 	}
-	ex.complete = err == nil
-	close(ex.written)
+	ex.fullyWritten = err == nil
+	close(ex.writeDone)
 	if err != nil {
-		c.netConn.Close() // the reader reports it
+		c.netConn.Close() // the reading goroutine then reports the exchange
 	}
 }
 
-// beginWriting decides whether a request is written: if the connection is usable and unwanted is nil. Something that
-// came before the request, such as a second copy of the last response, would be read as the response to it; and a
-// request that is written to a connection that the server has closed may seem to have run.
-func (c *connection) beginWriting(ex *Exchange) (usable bool, unwanted error) {
+// startWriting decides whether a request is written: if the connection is usable and notSent is nil. A connection with
+// unread bytes is unusable, since these, such as a second copy of the last response, would be read as the response to
+// the request. So is one that the server has closed, since a request written to it would appear to have run.
+func (c *connection) startWriting(ex *Exchange) (usable bool, notSent error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	usable = !c.closed && !c.hasUnread()
-	unwanted = c.whyUnwanted(ex)
-	ex.begun = usable && unwanted == nil
-	ex.beganAt = time.Now()
-	if usable && unwanted != nil {
-		c.current = nil // the connection is good for another exchange
+	notSent = c.notSentReason(ex)
+	ex.writeStarted = usable && notSent == nil
+	ex.writeStartedAt = time.Now()
+	if usable && notSent != nil {
+		c.current = nil // the connection can be used for another exchange
 	}
-	return usable, unwanted
+	return usable, notSent
 }
 
-// whyUnwanted returns why an exchange is not to be sent any more, nil if it is. It is called last before the first
-// byte, for first attempts and retries alike: since the attempt was ordered, the writer may have waited for its
-// connection or for a processor. The caller holds the lock.
-func (c *connection) whyUnwanted(ex *Exchange) error {
+// notSentReason returns why an exchange must not be sent any more, or nil. It is called just before the first byte is
+// written, for first attempts and retries alike: since Send, the writer may have waited for its connection or for a
+// processor. The caller holds the lock.
+func (c *connection) notSentReason(ex *Exchange) error {
 	switch {
 	case ex.canceled:
 		return errCanceled
@@ -58,22 +58,22 @@
 	return nil
 }
 
-// reportNotSent reports an exchange that is unwanted, and gives the connection back.
+// reportNotSent reports an exchange that was not written, and makes the connection idle.
 func (c *connection) reportNotSent(ex *Exchange, reason error) {
-	close(ex.written)
-	result := Result{Outcome: balance.NotSent, EndedAt: ex.beganAt, Err: reason}
+	close(ex.writeDone)
+	result := Result{Outcome: balance.NotSent, EndedAt: ex.writeStartedAt, Err: reason}
 	c.pool.post(func() {
 		c.pool.putIdle(c)
 		ex.OnDone(result)
 	})
 }
 
-// writeRequest writes all of a request.
+// writeRequest writes a whole request, including its upload.
 func (c *connection) writeRequest(ex *Exchange) error {
 	c.netConn.SetWriteDeadline(ex.Deadline)
-	ex.sentAt = ex.beganAt.Add(-ex.connectTime)
+	ex.sentAt = ex.writeStartedAt.Add(-ex.connectTime)
 	n, err := http1.WriteCounted(c.netConn, ex.Head, ex.Tail, ex.Body)
-	ex.partial = n > 0
+	ex.partlyWritten = n > 0
 	if err != nil || ex.Upload == nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// expectResponse sets when an exchange that has not ended is to have its response, unless that streams already.
+// expectResponse sets the deadline of an exchange's response, unless the exchange has ended or the response streams.
 func (c *connection) expectResponse(ex *Exchange, by time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -15,7 +15,8 @@
 	"lockloom/balance"
 )
 
-// A retry is not sent after the window in which its server drops repeats, even if its connection was slow to open.
+// Guards against a retry that reaches its server after the deduplication window, because its connection was slow to
+// open: the server would run the request a second time.
 func TestSendByHoldsAfterSlowConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPool()
@@ -30,37 +31,38 @@
 		ex.SendBy = time.Now().Add(40 * time.Millisecond)
 		p.Send(0, ex)
 		time.Sleep(60 * time.Millisecond)
-		p.settle()
+		p.runUntilIdle()
 		if assert.Len(t, got, 1) {
 			assert.Equal(t, balance.NotSent, got[0].Outcome)
 		}
 		_, second := p.attempt(0)
-		end := <-p.ends
-		readRequest(t, end)
-		respond(end, okResponse)
-		p.settle()
-		assert.Len(t, *second, 1, "the connection is good for another")
+		serverConn := <-p.serverConns
+		readRequest(t, serverConn)
+		respond(serverConn, okResponse)
+		p.runUntilIdle()
+		assert.Len(t, *second, 1, "the connection can be used for another exchange")
 		assert.Len(t, p.dials, 1)
 		p.Close()
-		p.settle()
+		p.runUntilIdle()
 	})
 }
 
-// What waits on a connection before a request is written is not taken for its response.
+// Guards against reading bytes that were received before a request was written as its response, and against writing a
+// request to a connection that the server has closed.
 func TestUnsolicitedBytes(t *testing.T) {
 	for _, unsolicited := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold", ""} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NoError(t, err)
-		ours, err := net.Dial("tcp", ln.Addr().String())
+		clientConn, err := net.Dial("tcp", ln.Addr().String())
 		assert.NoError(t, err)
-		end, err := ln.Accept()
+		serverConn, err := ln.Accept()
 		assert.NoError(t, err)
-		assert.False(t, HasUnreadBytes(ours))
-		respond(end, unsolicited)
+		assert.False(t, HasUnreadBytes(clientConn))
+		respond(serverConn, unsolicited)
 		if unsolicited == "" {
-			assert.NoError(t, end.(*net.TCPConn).CloseWrite())
+			assert.NoError(t, serverConn.(*net.TCPConn).CloseWrite())
 		}
-		for !HasUnreadBytes(ours) {
+		for !HasUnreadBytes(clientConn) {
 			time.Sleep(time.Millisecond)
 		}
 		posted := make(chan func(), 2)
@@ -70,14 +72,14 @@
 		ex := &Exchange{
 			Head:     []byte("GET"),
 			OnDone:   func(r Result) { got = append(got, r) },
-			progress: progress{written: make(chan struct{})},
+			progress: progress{writeDone: make(chan struct{})},
 		}
 		c := &connection{
 			pool:      p,
 			server:    p.servers[0],
 			requests:  make(chan *Exchange, 1),
-			hasUnread: unreadProbe(ours),
-			netConn:   ours,
+			hasUnread: unreadProbe(clientConn),
+			netConn:   clientConn,
 			current:   ex,
 		}
 		c.write(ex)
@@ -87,15 +89,16 @@
 			assert.Equal(t, balance.NotSent, got[0].Outcome)
 		}
 		(<-posted)()
-		rest, _ := io.ReadAll(end)
+		rest, _ := io.ReadAll(serverConn)
 		assert.Empty(t, rest, "nothing is written")
-		end.Close()
+		serverConn.Close()
 		ln.Close()
 	}
 }
 
-// The goroutine that writes may have to wait for a processor: until its request has a response from elsewhere, or past
-// the window in which a repeat is dropped, or a drain's grace, or until its client has gone.
+// Guards against a request that is sent although it must not be any more, because the writing goroutine was not
+// scheduled in time: another attempt has a response, the deduplication window or a drain's grace has passed, or the
+// client has gone.
 func TestUnwantedRequestIsNotWritten(t *testing.T) {
 	const roundTrip = 40 * time.Millisecond
 	for _, c := range []struct {
@@ -104,16 +107,16 @@
 		want bool
 	}{
 		{"in time", func(*Pool, *Exchange) {}, true},
-		{"withheld", func(p *Pool, ex *Exchange) { p.DiscardResponse(ex) }, false},
-		{"past the window", func(_ *Pool, ex *Exchange) { ex.SendBy = time.Now().Add(-1) }, false},
-		{"past the window once it is there", func(_ *Pool, ex *Exchange) {
+		{"canceled before writing", func(p *Pool, ex *Exchange) { p.DiscardResponse(ex) }, false},
+		{"past SendBy", func(_ *Pool, ex *Exchange) { ex.SendBy = time.Now().Add(-1) }, false},
+		{"past SendBy once the request arrives", func(_ *Pool, ex *Exchange) {
 			ex.SendBy = time.Now().Add(roundTrip / 2)
 		}, false},
-		{"its client has gone", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return true } }, false},
-		{"its client is there", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return false } }, true},
-		{"its server is draining", func(p *Pool, ex *Exchange) { p.StopSendingAt(0, time.Now().Add(-1)) }, false},
+		{"client has gone", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return true } }, false},
+		{"client is connected", func(_ *Pool, ex *Exchange) { ex.ClientGone = func() bool { return false } }, true},
+		{"server is draining", func(p *Pool, ex *Exchange) { p.StopSendingAt(0, time.Now().Add(-1)) }, false},
 	} {
-		ours, end := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		posted := make(chan func(), 3)
 		p := New(nil, func(f func()) { posted <- f })
 		p.SetEndpoint(0, "one:1", 0)
@@ -122,16 +125,16 @@
 			Head:     []byte("GET"),
 			Deadline: time.Now().Add(time.Minute),
 			OnDone:   func(r Result) { got = append(got, r) },
-			progress: progress{written: make(chan struct{})},
+			progress: progress{writeDone: make(chan struct{})},
 		}
 		conn := &connection{
 			pool:         p,
 			server:       p.servers[0],
 			generation:   p.servers[0].generation,
 			requests:     make(chan *Exchange, 1),
-			hasUnread:    unreadProbe(ours),
+			hasUnread:    unreadProbe(clientConn),
 			roundTrip:    roundTrip,
-			netConn:      ours,
+			netConn:      clientConn,
 			current:      ex,
 			readDeadline: ex.Deadline,
 		}
@@ -139,21 +142,21 @@
 		c.set(p, ex)
 		go conn.write(ex)
 		if !c.want {
-			end.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+			serverConn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		}
 		buf := make([]byte, 10)
-		n, err := end.Read(buf)
+		n, err := serverConn.Read(buf)
 		assert.Equal(t, c.want, n > 0, c.name)
 		if n == 0 {
-			assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "%s: the connection is good for another", c.name)
+			assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "%s: the connection is not closed", c.name)
 		} else {
-			end.Close()
-			<-ex.written
+			serverConn.Close()
+			<-ex.writeDone
 			go conn.read()
 		}
 		(<-posted)()
 		assert.Equal(t, !c.want, slices.Contains(p.servers[0].idle, conn), c.name)
-		end.Close()
+		serverConn.Close()
 		if assert.Len(t, got, 1, c.name) {
 			assert.Equal(t, !c.want, got[0].Outcome == balance.NotSent, c.name)
 			assert.Equal(t, c.want, !got[0].SentAt.IsZero(), c.name)
@@ -161,20 +164,20 @@
 	}
 	p := New(nil, nil)
 	c := &connection{pool: p}
-	ex := &Exchange{progress: progress{conn: c, begun: true}}
+	ex := &Exchange{progress: progress{conn: c, writeStarted: true}}
 	c.current = ex
 	p.DiscardResponse(ex)
-	assert.False(t, ex.canceled, "an exchange that is being written goes on")
+	assert.False(t, ex.canceled, "an exchange that is being written is not canceled")
 }
 
-// Bytes that a server sent before its request was written are not read as its response, even if the reader took them
-// from the system just before the writer looked for any.
+// Guards against reading bytes that a server sent before a request was written as its response, if the reader took them
+// from the system just before the writer checked for unread bytes.
 func TestBytesReceivedBeforeRequestIsWritten(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
 	posted := make(chan func(), 10)
-	readerHasBytes, goOn := make(chan bool, 1), make(chan bool)
+	readerHasBytes, resumeReader := make(chan bool, 1), make(chan bool)
 	p := New(func(ctx context.Context, addr string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", addr)
 	}, func(f func()) { posted <- f })
@@ -185,9 +188,9 @@
 	p.SetEndpoint(0, ln.Addr().String(), 0)
 	times := 0
 	p.onBytes = func() {
-		if times++; times == 2 { // the reader has the second response, and has not looked at it
+		if times++; times == 2 { // the reader has the second response, but has not parsed it
 			readerHasBytes <- true
-			<-goOn
+			<-resumeReader
 		}
 	}
 	send := func(got chan Result) {
@@ -195,24 +198,24 @@
 	}
 	first, second := make(chan Result, 1), make(chan Result, 1)
 	send(first)
-	end, err := ln.Accept()
+	serverConn, err := ln.Accept()
 	assert.NoError(t, err)
-	defer end.Close()
-	readRequest(t, end)
-	time.Sleep(50 * time.Millisecond) // the system reports receive times from a little after it was asked to
-	respond(end, okResponse)
+	defer serverConn.Close()
+	readRequest(t, serverConn)
+	time.Sleep(50 * time.Millisecond) // the system reports receive times only some time after they are enabled
+	respond(serverConn, okResponse)
 	for len(first) == 0 {
 		(<-posted)()
 	}
-	respond(end, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold") // a second response to the first request
+	respond(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold") // a second response to the first request
 	<-readerHasBytes
 	send(second)
-	readRequest(t, end) // it is written: the system holds nothing that the writer could have seen
-	close(goOn)
+	readRequest(t, serverConn) // it was written: the system held no unread bytes
+	close(resumeReader)
 	for len(second) == 0 {
 		(<-posted)()
 	}
 	r := <-second
-	assert.Equal(t, balance.ConnectionLost, r.Outcome, "it may run, and this is not its response")
+	assert.Equal(t, balance.ConnectionLost, r.Outcome, "the request may have run, and the bytes are not its response")
 	assert.Empty(t, r.Body)
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// lateWriteTimeout is what the rest of a request has to be written in once its response is complete.
+	// lateWriteTimeout bounds writing the rest of a request whose response is already complete.
 	lateWriteTimeout = 10 * time.Millisecond
-	// maxReservedBytes is the largest body over http1.DefaultMaxBytes that is stored, if there is memory for it.
+	// maxReservedBytes is the size of the largest response body that is stored. Bodies over http1.DefaultMaxBytes are
+	// stored only if memory was reserved for them.
 	maxReservedBytes = 1 << 20
 )
 
-// read reads responses until the connection ends, and notices a close by the server while no response is due.
+// read reads responses until the connection ends, and detects a close by the server while the connection is idle.
 func (c *connection) read() {
 	source := recvtime.NewReader(c.netConn)
 	reader := http1.NewReader(source)
@@ -28,27 +29,27 @@
 	c.pool.post(func() { c.pool.forget(c) })
 }
 
-// readNext waits for bytes, reports the exchange that they end, and returns whether the connection stays open.
+// readNext waits for bytes, reports the exchange that they belong to, and returns whether the connection stays open.
 func (c *connection) readNext(reader *http1.Reader, source *recvtime.Reader) bool {
 	err := c.wait(reader)
 	if c.pool.onBytes != nil {
 		c.pool.onBytes()
 	}
-	ex, begun, err := c.awaiting(source, err)
+	ex, started, err := c.currentExchange(source, err)
 	if ex == nil {
 		return false
 	}
 	var result Result
 	reusable := false
-	if begun {
+	if started {
 		result, reusable = c.readResponse(reader, ex, err)
 		result.SentAt = ex.sentAt
-		// What waited here to be read had been received before.
+		// The system may have received the response before this goroutine read it.
 		if at := source.Received(); result.Status > 0 && at.After(ex.sentAt) && at.Before(result.EndedAt) {
 			result.EndedAt = at
 		}
 	} else {
-		<-ex.written // nothing of it was
+		<-ex.writeDone // nothing was written
 		result = Result{Outcome: balance.NotSent, Err: errUnsolicited, EndedAt: time.Now()}
 	}
 	reusable = reusable && !c.pool.closed.Load()
@@ -56,8 +57,9 @@
 	return reusable
 }
 
-// wait blocks until a byte has come or the time for a response is over. The read deadline belongs to an exchange and is
-// not removed when that ends: it may pass while the connection is idle, or just as the next exchange begins.
+// wait blocks until a byte was received, the connection ended or the deadline of the current exchange passed. A read
+// deadline is not removed when its exchange ends: one that passes while the connection is idle, or just as the next
+// exchange starts, is ignored.
 func (c *connection) wait(reader *http1.Reader) error {
 	for {
 		err := reader.Wait()
@@ -67,7 +69,7 @@
 	}
 }
 
-// isTimedOut reports whether a read deadline that has passed is that of the current exchange.
+// isTimedOut reports whether the read deadline that has passed belongs to the current exchange.
 func (c *connection) isTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,23 +80,24 @@
 	return !time.Now().Before(c.readDeadline)
 }
 
-// awaiting returns the exchange that bytes, or the end of the connection with waitErr, were awaited for, nil for none,
-// and whether its writing had begun. Bytes that were received before that are no response to it, even if they were
-// taken from the system before the writer looked for any: its err is errEarly then.
-func (c *connection) awaiting(source *recvtime.Reader, waitErr error) (ex *Exchange, begun bool, err error) {
+// currentExchange returns the exchange that received bytes, or the end of the connection with waitErr, belong to, or
+// nil, and whether writing it had started; if not, no other exchange may start on the connection. Bytes received before
+// writing started are no response to the request, even if the reader took them from the system before the writer
+// checked for unread bytes: err is errEarlyResponse then.
+func (c *connection) currentExchange(source *recvtime.Reader, waitErr error) (ex *Exchange, started bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ex = c.current
-	begun = ex != nil && ex.begun
-	c.closed = !begun
+	started = ex != nil && ex.writeStarted
+	c.closed = !started
 	receivedAt := source.Received()
-	if begun && waitErr == nil && !receivedAt.IsZero() && receivedAt.Before(ex.beganAt) {
-		return ex, begun, errEarly
+	if started && waitErr == nil && !receivedAt.IsZero() && receivedAt.Before(ex.writeStartedAt) {
+		return ex, started, errEarlyResponse
 	}
-	return ex, begun, waitErr
+	return ex, started, waitErr
 }
 
-// report ends the current exchange. The connection is idle again or, if it is not reusable, closed.
+// report reports the current exchange, and makes the connection idle or, if it is not reusable, closes it.
 func (c *connection) report(ex *Exchange, result Result, reusable bool) {
 	if !reusable {
 		c.netConn.Close()
@@ -111,8 +114,8 @@
 	})
 }
 
-// readResponse reads the response to an exchange, of which a byte has come unless err says otherwise. It returns what
-// came of the exchange and whether the connection may be used again.
+// readResponse reads the response to an exchange, unless waiting for its first byte ended with err. It returns the
+// result of the exchange and whether the connection can be reused.
 func (c *connection) readResponse(reader *http1.Reader, ex *Exchange, err error) (Result, bool) {
 	if err != nil {
 		return c.failed(ex, Result{}, err)
@@ -126,7 +129,7 @@
 		head.Length = 0
 		head.Chunked = false
 	}
-	// Reading the body invalidates the head's slices: what is needed of them is taken before.
+	// Reading the body invalidates the head's slices, so the fields to keep are copied first.
 	neverRan := string(head.Get("X-Never-Ran")) == "1"
 	if head.Status == 200 || ex.Passthrough {
 		result.Fields = http1.AppendForwardedFields(nil, head, "Endpoint-Load-Metrics", "X-Never-Ran")
@@ -143,8 +146,8 @@
 	return c.completed(reader, ex, head, result)
 }
 
-// reserve asks for memory for a body over http1.DefaultMaxBytes, of this length or, if it is negative, of an unknown
-// one, and lets the reader read so much. It returns the bytes that it got; without any, reading the body fails.
+// reserve reserves memory for a body over http1.DefaultMaxBytes, or of unknown length if length is negative, and raises
+// the reader's limit accordingly. It returns the reserved bytes; if it reserved none, reading a larger body fails.
 func (c *connection) reserve(reader *http1.Reader, length int) int64 {
 	if length >= 0 && length <= http1.DefaultMaxBytes {
 		return 0
@@ -159,32 +162,32 @@
 	return int64(length)
 }
 
-// failed ends an exchange without a complete response.
+// failed completes the result of an exchange without a complete response, and closes the connection.
 func (c *connection) failed(ex *Exchange, result Result, err error) (Result, bool) {
 	result.EndedAt = time.Now()
 	c.netConn.Close()
-	ex.awaitWritten()
+	ex.awaitWriteDone()
 	result.Outcome = c.failureOutcome(ex, err)
 	result.Err = err
 	return result, false
 }
 
-// completed ends an exchange with a complete response. Its request may not be written yet: either the writer has not
-// run since the last byte went out, which must not cost the connection, or it is writing a long body that the server
-// answered without reading, which must not delay the response.
+// completed completes the result of an exchange with a complete response. Writing the request may not have ended:
+// either the writer has not been scheduled since it sent the last byte, and the connection should be kept, or it is
+// still sending a long body that the server responded to without reading, and must not delay the response.
 func (c *connection) completed(reader *http1.Reader, ex *Exchange, head *http1.Head, result Result) (Result, bool) {
 	result.EndedAt = time.Now()
 	select {
-	case <-ex.written:
+	case <-ex.writeDone:
 	default:
 		c.netConn.SetWriteDeadline(result.EndedAt.Add(lateWriteTimeout))
 	}
-	ex.awaitWritten()
-	if !ex.complete && result.Outcome == balance.Succeeded && !ex.Passthrough && ex.Upload == nil {
+	ex.awaitWriteDone()
+	if !ex.fullyWritten && result.Outcome == balance.Succeeded && !ex.Passthrough && ex.Upload == nil {
 		c.netConn.Close()
 		result.Outcome = balance.ConnectFailed
-		result.Err = errEarly
+		result.Err = errEarlyResponse
 		return result, false
 	}
-	return result, !head.Close && ex.complete && !reader.Buffered()
+	return result, !head.Close && ex.fullyWritten && !reader.Buffered()
 }
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// HasUnreadBytes reports whether bytes, or the peer's end of sending, wait to be read on a connection, as far as that
-// can be seen. A goroutine that is blocked in a read of them may not have run yet.
+// HasUnreadBytes reports whether the system holds unread bytes of a connection, or the peer has closed its sending
+// side. There may be some even while a goroutine is blocked in a read, since it may not have been scheduled yet. The
+// result is false for a connection that is not a socket, and true for one that is closed.
 func HasUnreadBytes(conn net.Conn) bool { return unreadProbe(conn)() }
 
-// unreadProbe returns HasUnreadBytes for one connection, without an allocation a call. It is not safe for concurrent
-// use.
+// unreadProbe returns HasUnreadBytes for one connection as a function that does not allocate. It is not safe for
+// concurrent use.
 func unreadProbe(conn net.Conn) func() bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -36,8 +37,8 @@
 	}
 }
 
-// ClosedByPeer reports whether the peer has closed a connection or ended its sending, whatever bytes wait before that,
-// as far as that can be seen. A connection that is closed here counts too.
+// ClosedByPeer reports whether the peer has closed a connection or its sending side, even if there are unread bytes. It
+// returns false for a connection that is not a socket, and true for one that was closed by this process.
 func ClosedByPeer(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -56,9 +57,9 @@
 	return hungUp || err != nil
 }
 
-// connectTime returns how long a connection took to open, where measured is what this process saw. It may have been too
-// busy to see it open at once, which is no fault of the peer's: the system's round-trip time is better, unless the
-// system had to send twice.
+// connectTime returns how long a connection took to open, given the time that this process measured. A busy process may
+// have noticed the open connection late, which is no fault of the peer: the kernel's round-trip time is used instead if
+// it is shorter and the kernel did not have to retransmit.
 func connectTime(conn net.Conn, measured time.Duration) time.Duration {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// streamIdleTimeout bounds the time without a byte of a response that streams, or for a piece of an upload to be
-	// taken.
+	// streamIdleTimeout bounds the wait for the next bytes of a response that streams, and each write of an upload.
 	streamIdleTimeout = 30 * time.Second
-	// streamStartDelay is the time from a large response's head to its streaming, if a byte of its body has come.
+	// streamStartDelay is the delay from the head of a large response to the start of its streaming, if a byte of the
+	// body has been received by then.
 	streamStartDelay = 8 * time.Millisecond
-	// streamStartBytes is how much of a response whose length is known to be large is stored before it streams.
+	// streamStartBytes is how many bytes of a response are stored before it streams, if its announced length is over
+	// http1.DefaultMaxBytes.
 	streamStartBytes = 16 << 10
 	// streamBufferBytes is the size of the buffer between reading and writing.
 	streamBufferBytes = 16 << 10
-	// maxStreamBytes is the longest response that a platform's server may announce; a longer one is malformed.
+	// maxStreamBytes is the largest Content-Length that a server of the platform may announce; a larger one is malformed.
 	maxStreamBytes = 64 << 20
 )
 
-// isStreamable reports whether a response is large, or of unknown length, and may be passed on as it comes.
+// isStreamable reports whether a response may stream: it is successful, and its body is over http1.DefaultMaxBytes or
+// of unknown length.
 func (ex *Exchange) isStreamable(head *http1.Head) bool {
 	if ex.OnResponseStarted == nil || head.Length >= 0 && head.Length <= http1.DefaultMaxBytes {
 		return false
@@ -35,46 +37,46 @@
 	return ex.succeeded(head.Status)
 }
 
-// responseStream passes a large response on as it comes, at its client's pace: what is not taken is not read. Until it
-// starts, its bytes are stored: if it ends or fails by then, it is a small response, or one that another attempt may
-// still give.
+// responseStream forwards a large response while it is received, at the pace at which the client reads it. Until
+// streaming starts, the body is stored: a response that ends before that is returned whole, and one that fails before
+// that can still be replaced by another attempt.
 type responseStream struct {
-	conn    *connection
-	ex      *Exchange
-	result  Result    // without the outcome
-	enough  int       // stored bytes with which it starts
-	startBy time.Time // when it starts, if a byte has come
+	conn       *connection
+	ex         *Exchange
+	result     Result    // all but its outcome is set
+	startBytes int       // streaming starts once so many bytes are stored
+	startBy    time.Time // streaming starts at this time if any bytes are stored
 
 	mu     sync.Mutex
-	stored []byte         // until it starts
-	out    *io.PipeWriter // nil: not started
-	ended  bool           // it did not start, and does not any more
+	stored []byte         // body bytes received before streaming starts
+	out    *io.PipeWriter // nil until streaming starts
+	ended  bool           // the body ended before streaming started; it must not start any more
 }
 
-// stream reads a large response. It returns what came of the exchange and whether the connection may be used again.
+// stream reads a large response. It returns the result of the exchange and whether the connection can be reused.
 func (c *connection) stream(reader *http1.Reader, ex *Exchange, head *http1.Head, result Result) (Result, bool) {
-	closes := head.Close // reading on invalidates the head
+	closes := head.Close // reading the body invalidates the head
 	s := &responseStream{
-		conn:    c,
-		ex:      ex,
-		result:  result,
-		enough:  http1.DefaultMaxBytes + 1,
-		startBy: time.Now().Add(streamStartDelay),
+		conn:       c,
+		ex:         ex,
+		result:     result,
+		startBytes: http1.DefaultMaxBytes + 1,
+		startBy:    time.Now().Add(streamStartDelay),
 	}
 	if head.Length > http1.DefaultMaxBytes {
-		s.enough = streamStartBytes
+		s.startBytes = streamStartBytes
 	}
-	// Without a timer, a client would wait for a response that its server sends slowly.
+	// Without the timer, bytes already stored would be held back while the server sends nothing more.
 	timer := time.AfterFunc(streamStartDelay, s.startAfterDelay)
 	defer timer.Stop()
 	err := s.copy(reader.StreamBody(head.Length, head.Chunked))
 	if !s.finish(err) {
 		return s.result, false
 	}
-	return s.result, !closes && ex.complete && !reader.Buffered()
+	return s.result, !closes && ex.fullyWritten && !reader.Buffered()
 }
 
-// startAfterDelay starts a response that has begun to come.
+// startAfterDelay starts streaming if any bytes of the body are stored.
 func (s *responseStream) startAfterDelay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,8 +85,9 @@
 	}
 }
 
-// start hands over what is stored and a pipe for the rest. The response counts as given from now on, and may take
-// longer than any deadline. The caller holds the lock, so that the start is posted before the exchange's end.
+// start passes the stored bytes and a pipe for the rest to OnResponseStarted. From now on the exchange's deadline no
+// longer applies, only streamIdleTimeout does. The caller holds the lock, so that OnResponseStarted is posted before
+// OnDone.
 func (s *responseStream) start() {
 	var in *io.PipeReader
 	in, s.out = io.Pipe()
@@ -99,7 +102,7 @@
 	s.conn.pool.post(func() { s.ex.OnResponseStarted(started) })
 }
 
-// copy reads a body to its end, and returns why it ended: io.EOF if it is complete.
+// copy reads a body to its end, and returns why reading ended: io.EOF if the body is complete.
 func (s *responseStream) copy(body io.Reader) error {
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -115,7 +118,7 @@
 				err = writeErr
 			}
 		}
-		// What a slow client takes its time for does not count.
+		// The time for which a slow client blocked the write above does not count as idle time of the server.
 		s.conn.netConn.SetReadDeadline(time.Now().Add(streamIdleTimeout))
 		if err != nil {
 			return err
@@ -123,8 +126,8 @@
 	}
 }
 
-// store takes what was read, and the error of that read, unless the response has started before. It starts the response
-// once enough of it has come or its time has.
+// store stores what was read, and returns false if streaming has started before. It starts streaming once startBytes
+// are stored or startBy has passed, but not if the read returned an error.
 func (s *responseStream) store(read []byte, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +139,7 @@
 		s.ended = true
 		return true
 	}
-	if len(s.stored) >= s.enough || len(s.stored) > 0 && time.Now().After(s.startBy) {
+	if len(s.stored) >= s.startBytes || len(s.stored) > 0 && time.Now().After(s.startBy) {
 		s.start()
 	}
 	return true
@@ -163,7 +166,7 @@
 
 // succeed completes the result of a complete response.
 func (s *responseStream) succeed(started bool) {
-	s.ex.awaitWritten()
+	s.ex.awaitWriteDone()
 	if !started {
 		s.result.Body = s.stored
 		s.result.Length = len(s.stored)
@@ -171,24 +174,24 @@
 	s.result.Outcome = balance.Succeeded
 }
 
-// fail completes the result of a response that failed before it started: there is none.
+// fail completes the result of a response that failed before streaming started: nothing of it was forwarded.
 func (s *responseStream) fail(err error) {
 	s.conn.netConn.Close()
-	s.ex.awaitWritten()
+	s.ex.awaitWriteDone()
 	s.result.Status = 0
 	s.result.Fields = nil
 	s.result.Outcome = s.conn.failureOutcome(s.ex, err)
 	s.result.Err = err
 }
 
-// abort completes the result of a response that its client has a part of.
+// abort completes the result of a response that failed after streaming started.
 func (s *responseStream) abort(err error) {
 	if s.conn.isCanceled(s.ex) || errors.Is(err, io.ErrClosedPipe) || errors.Is(err, ErrClientGone) {
-		s.result.Outcome = balance.Canceled // its client has gone
+		s.result.Outcome = balance.Canceled // the client has gone
 	} else {
 		s.result.Outcome = balance.ConnectionLost
 		s.result.Err = err
 	}
 	s.conn.netConn.Close()
-	s.ex.awaitWritten()
+	s.ex.awaitWriteDone()
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -10,11 +10,11 @@
 	"lockloom/internal/http1"
 )
 
-// ErrUploadStopped is what the client's side of an upload gets from a write when its request has its response.
-var ErrUploadStopped = errors.New("the body is not wanted any more")
+// ErrUploadStopped is the error of a write to Upload.In after Stop, as when the response has been received.
+var ErrUploadStopped = errors.New("upload stopped: the rest of the request body is not needed")
 
-// Upload is a request body that is streamed, once, and not stored. The client's side writes into In and closes it at
-// the body's end.
+// Upload is a request body that is streamed to one server and not stored, so that it can be sent only once. The
+// client's goroutine writes the body to In and closes In at its end.
 type Upload struct {
 	Chunked bool
 	In      *io.PipeWriter
@@ -22,20 +22,21 @@
 	started atomic.Bool
 }
 
-// NewUpload returns an upload of a body that is sent in chunks, or as it is.
+// NewUpload returns an upload that is sent with chunked transfer coding, or as it is.
 func NewUpload(chunked bool) *Upload {
 	u := &Upload{Chunked: chunked}
 	u.out, u.In = io.Pipe()
 	return u
 }
 
-// Started reports whether some of the body may have gone to a server: there can be no other attempt then.
+// Started reports whether part of the body may have been sent to a server: no other attempt is possible then.
 func (u *Upload) Started() bool { return u.started.Load() }
 
-// Stop ends the client's side with ErrUploadStopped: nothing more of the body is wanted.
+// Stop makes writes to In fail with ErrUploadStopped: the rest of the body is not needed.
 func (u *Upload) Stop() { u.out.CloseWithError(ErrUploadStopped) }
 
-// sendTo writes the body to a server as it comes. Only the server's time is bounded, not the client's.
+// sendTo writes the body to a server as it is received from the client. Only the writes have a timeout; how long the
+// client may take is not bounded here.
 func (u *Upload) sendTo(conn net.Conn) error {
 	u.started.Store(true)
 	var body io.Writer = conn
