--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	dialTimeout  = time.Second // to an agent on the same machine
-	maxListBytes = 4 << 20     // of a list: some ten thousand endpoints
+	dialTimeout  = time.Second // for connecting to an agent on the same machine
+	maxListBytes = 4 << 20     // size of a list in JSON, enough for about ten thousand endpoints
 )
 
-// call is one call for the list, with a goroutine of its own. It delivers events until its end, which is the last one.
+// call is one call for the endpoint list, on its own goroutine. It sends events to the watch; the last one reports its
+// end.
 type call struct {
 	stop    context.CancelFunc
-	watch   *Watch // of which only Addr and Dial are read here
-	version int64  // from which on it follows the list
+	watch   *Watch // only its Addr and Dial may be accessed here
+	version int64  // of the list to continue from
 	events  chan<- event
 }
 
-// run makes the call and delivers its events until it or the context ends.
+// run makes the call and sends its events until the call or the context ends.
 func (c *call) run(ctx context.Context) {
 	deliver := func(e event) {
 		e.from = c
@@ -41,7 +42,7 @@
 	deliver(event{err: err, result: result})
 }
 
-// follow connects, asks for the list and delivers its events. It returns how and why the call ended.
+// follow connects, requests the list and delivers the events received. It returns how and why the call ended.
 func (c *call) follow(ctx context.Context, deliver func(event)) (notification.CallResult, error) {
 	conn, err := c.dial(ctx)
 	if err != nil {
@@ -65,7 +66,7 @@
 	case err != nil:
 		return notification.Refused, err
 	case head.Status != 200 || !head.Chunked:
-		return notification.Rejected, fmt.Errorf("no stream: status %d", head.Status)
+		return notification.Rejected, fmt.Errorf("no chunked 200 response from discovery: status %d", head.Status)
 	}
 	objects := &objectReader{source: response.Rest(), conn: conn}
 	return notification.Broken, readLists(objects, receiveTime(source), deliver)
@@ -77,10 +78,10 @@
 	return c.watch.Dial(ctx, c.watch.Addr)
 }
 
-// readLists delivers the lists and heartbeats of a stream, and returns why the stream ended. A malformed list ends it:
-// the list as it was stays in force.
+// readLists delivers the lists and heartbeats of a stream, and returns why the stream ended. A malformed list ends the
+// stream; the list received before it remains in use.
 func readLists(objects *objectReader, receivedAt func() time.Time, deliver func(event)) error {
-	objects.onGap = func() { deliver(event{receivedAt: receivedAt()}) }
+	objects.onHeartbeat = func() { deliver(event{receivedAt: receivedAt()}) }
 	scanner := bufio.NewScanner(objects)
 	scanner.Buffer(nil, maxListBytes)
 	scanner.Split(objects.split)
@@ -94,11 +95,11 @@
 	if err := scanner.Err(); err != nil {
 		return err
 	}
-	return errors.New("ended by discovery")
+	return errors.New("stream ended by discovery")
 }
 
-// receiveTime returns a function that says when the bytes read last reached this machine: an overloaded process may
-// read them much later. Where the system cannot tell, it is now.
+// receiveTime returns a function that returns when the system received the bytes that were read last, since an
+// overloaded process may read them much later. If that is unknown, the function returns the current time.
 func receiveTime(source *recvtime.Reader) func() time.Time {
 	return func() time.Time {
 		if at := source.Received(); !at.IsZero() {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery follows the endpoint list of a discovery service: it reads and writes lists in the service's form,
-// and keeps a watch on their changes. When a change counts as received is decided by package notification.
+// Package discovery follows the endpoint list of a discovery service: it decodes and encodes lists in the JSON format
+// of the service, and watches for changes. Package notification decides when a change counts as received.
 package discovery
 
 import (
@@ -8,15 +8,15 @@
 	"lockloom/internal/settings"
 )
 
-// List is an endpoint list, or the changes of one.
+// List is an endpoint list, or a set of changes to one.
 type List struct {
 	Version    int64
-	Full       bool      // endpoints that it does not name are gone
-	NotifiedAt time.Time // the earliest time at which it may have counted as received; zero: when it is applied
+	Full       bool      // the list is complete: endpoints not in Entries are removed
+	NotifiedAt time.Time // earliest time at which the list may count as received; zero: the time it is applied
 	Entries    []Entry
 }
 
-// Entry is an endpoint and the address where it listens.
+// Entry is an endpoint and the address on which it listens.
 type Entry struct {
 	settings.Entry
 	Addr string
--- a/internal/discovery/list_json.go
+++ b/internal/discovery/list_json.go
@@ -10,14 +10,14 @@
 	"lockloom/internal/settings"
 )
 
-// listJSON is a list in the service's form.
+// listJSON is a List in the JSON format of the discovery service.
 type listJSON struct {
 	Version *int64      `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []entryJSON `json:"servers"`
 }
 
-// entryJSON is an entry in the service's form.
+// entryJSON is an Entry in the JSON format of the discovery service.
 type entryJSON struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -29,14 +29,14 @@
 	Weight    float64 `json:"weight"`
 }
 
-// endpointStates are the states by their published names.
+// endpointStates maps the names of states in JSON to the states.
 var endpointStates = map[string]balance.EndpointState{
 	"active":  balance.Ready,
 	"leaving": balance.Draining,
 	"left":    balance.Removed,
 }
 
-// stateName returns the published name of a state, "" if it has none.
+// stateName returns the name of a state in JSON, or "" if it has none.
 func stateName(state balance.EndpointState) string {
 	for name, s := range endpointStates {
 		if s == state {
@@ -46,11 +46,11 @@
 	return ""
 }
 
-// MarshalJSON writes the service's form, without NotifiedAt.
+// MarshalJSON encodes the list in the format of the discovery service, which omits NotifiedAt.
 func (l List) MarshalJSON() ([]byte, error) {
-	form := listJSON{Version: &l.Version, Full: l.Full, Servers: make([]entryJSON, len(l.Entries))}
+	encoded := listJSON{Version: &l.Version, Full: l.Full, Servers: make([]entryJSON, len(l.Entries))}
 	for i, e := range l.Entries {
-		form.Servers[i] = entryJSON{
+		encoded.Servers[i] = entryJSON{
 			ID:        e.Name,
 			Addr:      e.Addr,
 			Zone:      e.ZoneName,
@@ -61,21 +61,21 @@
 			Weight:    e.Cores,
 		}
 	}
-	return json.Marshal(form)
+	return json.Marshal(encoded)
 }
 
-// UnmarshalJSON reads the service's form. It returns an error for a list that cannot be followed: one without a
-// version, or with an entry that has no name, no address to connect to, an unknown state or a negative number.
+// UnmarshalJSON decodes the format of the discovery service. It returns an error for a list without a version, or with
+// an entry that has no ID, no address to connect to, an unknown state or a negative number.
 func (l *List) UnmarshalJSON(text []byte) error {
-	var form listJSON
-	if err := json.Unmarshal(text, &form); err != nil {
+	var decoded listJSON
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return err
 	}
-	if form.Version == nil {
+	if decoded.Version == nil {
 		return errors.New("version: missing")
 	}
-	*l = List{Version: *form.Version, Full: form.Full}
-	for _, server := range form.Servers {
+	*l = List{Version: *decoded.Version, Full: decoded.Full}
+	for _, server := range decoded.Servers {
 		e, err := server.entry()
 		if err != nil {
 			return err
@@ -85,35 +85,35 @@
 	return nil
 }
 
-// entry returns the entry that a form stands for.
-func (f *entryJSON) entry() (Entry, error) {
-	state, known := endpointStates[f.State]
+// entry converts an entry from its JSON format.
+func (j *entryJSON) entry() (Entry, error) {
+	state, known := endpointStates[j.State]
 	if !known {
-		return Entry{}, fmt.Errorf("%q: state: unknown: %q", f.ID, f.State)
+		return Entry{}, fmt.Errorf("endpoint %q: state: unknown: %q", j.ID, j.State)
 	}
-	if f.ID == "" {
-		return Entry{}, errors.New("id: missing")
+	if j.ID == "" {
+		return Entry{}, errors.New("endpoint: id: missing")
 	}
-	if _, _, err := net.SplitHostPort(f.Addr); err != nil && state != balance.Removed {
-		return Entry{}, fmt.Errorf("%q: addr: %w", f.ID, err)
+	if _, _, err := net.SplitHostPort(j.Addr); err != nil && state != balance.Removed {
+		return Entry{}, fmt.Errorf("endpoint %q: addr: %w", j.ID, err)
 	}
-	if f.StartedMs < 0 {
-		return Entry{}, fmt.Errorf("%q: started_ms: negative: %v", f.ID, f.StartedMs)
+	if j.StartedMs < 0 {
+		return Entry{}, fmt.Errorf("endpoint %q: started_ms: negative: %v", j.ID, j.StartedMs)
 	}
-	if f.Weight < 0 {
-		return Entry{}, fmt.Errorf("%q: weight: negative: %v", f.ID, f.Weight)
+	if j.Weight < 0 {
+		return Entry{}, fmt.Errorf("endpoint %q: weight: negative: %v", j.ID, j.Weight)
 	}
 	return Entry{
-		Addr: f.Addr,
+		Addr: j.Addr,
 		Entry: settings.Entry{
-			Name:      f.ID,
-			ZoneName:  f.Zone,
-			ModelName: f.Kind,
+			Name:      j.ID,
+			ZoneName:  j.Zone,
+			ModelName: j.Kind,
 			Endpoint: balance.Endpoint{
-				Pod:       f.Cell,
+				Pod:       j.Cell,
 				State:     state,
-				Cores:     f.Weight,
-				StartedAt: f.StartedMs / 1000,
+				Cores:     j.Weight,
+				StartedAt: j.StartedMs / 1000,
 			},
 		},
 	}, nil
--- a/internal/discovery/notification/notification_test.go
+++ b/internal/discovery/notification/notification_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// step is a call on a Clock, and when the next call for the list is due after it.
+// step is a call of a method of Clock, and the NextCall expected after it.
 type step struct {
 	at       float64
-	what     any // callStarted, eventReceived or a CallResult
-	open     int
+	action   any     // callStarted, eventReceived or a CallResult
+	open     int     // calls still open after a CallResult
 	nextCall float64 // with a jitter of 0.5
 }
 
@@ -26,16 +26,16 @@
 		fleetSize int
 		steps     []step
 	}{
-		"a watch is alive, lost and restored": {300, []step{
+		"watch established, lost and restored": {300, []step{
 			{0, started, 0, 2}, {0.1, firstEvent, 0, math.Inf(1)}, {9, event, 0, math.Inf(1)},
 			{12, Broken, 0, 12.05}, {12.05, started, 0, 14.05}, {12.1, event, 0, math.Inf(1)},
 		}},
-		"nobody there": {300, []step{
+		"discovery unavailable": {300, []step{
 			{0, started, 0, 2}, {0, Refused, 0, 0.1}, {0.1, started, 0, 2.1}, {0.1, Refused, 0, 0.3},
 			{0.3, started, 0, 2.3}, {0.3, Refused, 0, 0.7}, {0.7, started, 0, 2.7}, {0.7, Refused, 0, 1.2},
 			{1.2, started, 0, 3.2}, {2.2, Refused, 0, 2.25},
 		}},
-		"silence: hedged calls": {300, []step{
+		"no response: hedged calls": {300, []step{
 			{0, started, 0, 2}, {2, started, 0, 4}, {3, Refused, 1, 4}, {9.5, started, 0, 11.5}, {10, NoResponse, 1, 11.5},
 		}},
 		"rejected, large fleet": {300, []step{
@@ -53,20 +53,21 @@
 	} {
 		clock := NewClock(0, c.fleetSize, 2.5)
 		for i, s := range c.steps {
-			switch what := s.what.(type) {
+			switch action := s.action.(type) {
 			case callStarted:
 				clock.CallStarted(s.at)
 			case eventReceived:
-				clock.EventReceived(s.at, what.first)
+				clock.EventReceived(s.at, action.first)
 			case CallResult:
-				clock.CallEnded(s.at, what, s.open, 0.5)
+				clock.CallEnded(s.at, action, s.open, 0.5)
 			}
 			assert.InDelta(t, s.nextCall, clock.NextCall(), 1e-9, "%s: step %d", name, i)
 		}
 	}
 }
 
-// However calls end, the next is due in time, unless discovery itself rejects calls: then at the fleet's pace.
+// Guards against too long a delay to the next call after any sequence of results. It is at most MaxHedgeDelay, unless
+// discovery rejects calls, when it is limited by the delay for the whole fleet.
 func TestNextCallIsDueInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleetSize := rapid.IntRange(1, 1024).Draw(t, "fleet size")
@@ -95,10 +96,10 @@
 				}
 			}
 			if open == 0 && clock.NextCall()-now > maxDelay+1e-9 {
-				t.Fatalf("%v later, fleet of %d, result %v", clock.NextCall()-now, fleetSize, result)
+				t.Fatalf("next call due in %v s, fleet of %d, result %v", clock.NextCall()-now, fleetSize, result)
 			}
 			if result != Rejected && clock.rejectionDelay == 0 && clock.NextCall()-now > MaxHedgeDelay+1e-9 {
-				t.Fatalf("no call was rejected, and the next is %v later", clock.NextCall()-now)
+				t.Fatalf("no call was rejected, but the next is due in %v s", clock.NextCall()-now)
 			}
 		}
 	})
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -9,21 +9,21 @@
 	"lockloom/internal/discovery/notification"
 )
 
-// objectReader reads a stream for a bufio.Scanner, and splits it into the JSON objects in it, however they are laid
-// out: indented, several on a line, or cut anywhere. Space between them is a heartbeat. The stream has SilenceTimeout
-// for its next byte between objects, and the same from an object's first byte to its last.
+// objectReader reads a stream for a bufio.Scanner and splits it into JSON objects, which may be indented, several on
+// one line, or divided among any number of reads. White space between objects is a heartbeat. SilenceTimeout bounds the
+// wait for the next byte between objects, and the time from the first byte of an object to its last.
 type objectReader struct {
-	source io.Reader
-	conn   net.Conn // where the source's bytes come from
-	onGap  func()   // called for space between objects
+	source      io.Reader
+	conn        net.Conn // the connection that source reads, on which deadlines are set
+	onHeartbeat func()   // called for white space between objects
 
-	scanned  int // bytes of the present object that were looked at
-	depth    int // of braces
+	scanned  int // bytes of the current object scanned so far
+	depth    int // nesting depth of braces
 	inString bool
 	escaped  bool // the last byte was a backslash in a string
 }
 
-// Read reads from the stream, with a new deadline unless an object has begun.
+// Read reads from the stream, and extends the deadline unless part of an object was scanned.
 func (r *objectReader) Read(p []byte) (int, error) {
 	if r.scanned == 0 {
 		r.conn.SetDeadline(time.Now().Add(toDuration(notification.SilenceTimeout)))
@@ -31,16 +31,16 @@
 	return r.source.Read(p)
 }
 
-// split is a bufio.SplitFunc.
+// split is a bufio.SplitFunc whose tokens are JSON objects.
 func (r *objectReader) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	gap := 0
 	if r.scanned == 0 {
 		gap = leadingSpace(data)
 		if gap > 0 {
-			r.onGap()
+			r.onHeartbeat()
 		}
 		if gap < len(data) && data[gap] != '{' {
-			return 0, nil, fmt.Errorf("malformed list: %q where an object begins", data[gap])
+			return 0, nil, fmt.Errorf("malformed list: %q where an object should start", data[gap])
 		}
 	}
 	if length := r.scan(data[gap:]); length > 0 {
@@ -52,7 +52,7 @@
 	return gap, nil, nil
 }
 
-// scan goes on with the object that data begins with, and returns its length once it is complete, 0 before.
+// scan continues scanning the object at the start of data. It returns the length of the object, 0 if it is incomplete.
 func (r *objectReader) scan(data []byte) int {
 	for ; r.scanned < len(data); r.scanned++ {
 		if r.endsObject(data[r.scanned]) {
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// endsObject takes the next byte, and reports whether it is the object's last.
+// endsObject scans the next byte, and reports whether it is the last one of the object.
 func (r *objectReader) endsObject(c byte) bool {
 	switch {
 	case r.escaped:
@@ -83,7 +83,7 @@
 	return false
 }
 
-// leadingSpace returns how many bytes of JSON white space data begins with.
+// leadingSpace returns the number of bytes of JSON white space at the start of data.
 func leadingSpace(data []byte) int {
 	for i, c := range data {
 		if c != ' ' && c != '\t' && c != '\r' && c != '\n' {
--- a/internal/discovery/objects_test.go
+++ b/internal/discovery/objects_test.go
@@ -15,26 +15,27 @@
 		versions []int64
 		err      string
 	}{
-		"a line each": {
-			`{"version":1,"servers":[]}` + "\n\n" + `{"version":2,"servers":[]}` + "\n", []int64{1, 2}, "ended by discovery",
+		"one object per line": {
+			`{"version":1,"servers":[]}` + "\n\n" + `{"version":2,"servers":[]}` + "\n", []int64{1, 2},
+			"stream ended by discovery",
 		},
-		"indented": {indented + "\n\n" + indented, []int64{7, 7}, "ended by discovery"},
-		"several on a line": {
+		"indented": {indented + "\n\n" + indented, []int64{7, 7}, "stream ended by discovery"},
+		"several objects per line": {
 			`{"version":1,"servers":[]}{"version":2,"servers":[]} {"version":3,"servers":[]}`, []int64{1, 2, 3},
-			"ended by discovery",
+			"stream ended by discovery",
 		},
 		"braces in strings": {
-			`{"version":1,"x":"}\"{\\","servers":[]}` + `{"version":2,"servers":[]}`, []int64{1, 2}, "ended by discovery",
+			`{"version":1,"x":"}\"{\\","servers":[]}` + `{"version":2,"servers":[]}`, []int64{1, 2}, "stream ended by discovery",
 		},
-		"junk between":       {`{"version":1,"servers":[]}` + "\nx", []int64{1}, "'x' where an object begins"},
-		"an array":           {`[]`, nil, "'[' where an object begins"},
+		"garbage between":    {`{"version":1,"servers":[]}` + "\nx", []int64{1}, "'x' where an object should start"},
+		"an array":           {`[]`, nil, "'[' where an object should start"},
 		"an incomplete list": {`{"version":1,"servers":[`, nil, "unexpected EOF"},
 		"a malformed entry": {
 			`{"version":1,"servers":[]}` + `{"version":2,"servers":[{"id":"s-9","state":"odd"}]}`, []int64{1},
-			`"s-9": state: unknown: "odd"`,
+			`endpoint "s-9": state: unknown: "odd"`,
 		},
-		"without an end":     {`{"x":"` + string(make([]byte, maxListBytes)), nil, "token too long"},
-		"nothing but spaces": {" \r\n\t\n", nil, "ended by discovery"},
+		"endless string":     {`{"x":"` + string(make([]byte, maxListBytes)), nil, "token too long"},
+		"nothing but spaces": {" \r\n\t\n", nil, "stream ended by discovery"},
 	} {
 		for _, size := range []int{1, 7, 100, 1 << 20} {
 			if len(c.in) > 1<<20 && size < 1<<20 {
@@ -47,30 +48,31 @@
 	}
 }
 
-// followInPieces returns the versions of the lists that a call delivers of a stream in pieces, and why it ended.
-func followInPieces(in string, size int) (versions []int64, end error) {
+// followInPieces makes a call whose stream is sent in chunks of size bytes. It returns the versions of the lists that
+// the call delivers, and why the call ended.
+func followInPieces(in string, size int) (versions []int64, callErr error) {
 	w := &Watch{Addr: "agent:1", Dial: func(context.Context, string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
+		clientConn, serverConn := net.Pipe()
 		go func() {
-			defer theirs.Close()
-			receive(theirs)
-			send(theirs, streamHead)
+			defer serverConn.Close()
+			receive(serverConn)
+			send(serverConn, streamHead)
 			for left := in; left != ""; {
 				n := min(size, len(left))
-				send(theirs, chunk(left[:n]))
+				send(serverConn, chunk(left[:n]))
 				left = left[n:]
 			}
-			send(theirs, "0\r\n\r\n")
+			send(serverConn, "0\r\n\r\n")
 		}()
-		return ours, nil
+		return clientConn, nil
 	}}
 	c := &call{watch: w}
-	_, end = c.follow(context.Background(), func(e event) {
+	_, callErr = c.follow(context.Background(), func(e event) {
 		if e.list != nil {
 			versions = append(versions, e.list.Version)
 		}
 	})
-	return versions, end
+	return versions, callErr
 }
 
 func FuzzStreamIsSplitIntoObjects(f *testing.F) {
@@ -82,6 +84,6 @@
 		}
 		unsplit, _ := followInPieces(in, max(len(in), 1))
 		split, _ := followInPieces(in, max(1, size%64))
-		assert.Equal(t, unsplit, split, "however it is split")
+		assert.Equal(t, unsplit, split, "the size of chunks must not matter")
 	})
 }
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -15,12 +15,12 @@
 	"lockloom/internal/discovery/notification"
 )
 
-// localAgent is the agent on a proxy's own machine, which fails for a time.
+// localAgent is a discovery agent on the proxy's own machine that fails from failsAt to restoredAt.
 type localAgent struct {
-	failure        string // how it fails
+	failure        string // the kind of failure, see serve
 	failsAt        time.Time
 	restoredAt     time.Time
-	changedVersion int // the list's, from restoredAt on
+	changedVersion int // version of the list from restoredAt on
 }
 
 func (a *localAgent) failed() bool {
@@ -36,15 +36,15 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	ours, theirs := net.Pipe()
-	go a.serve(theirs)
-	return ours, nil
+	clientConn, serverConn := net.Pipe()
+	go a.serve(serverConn)
+	return clientConn, nil
 }
 
 // serve answers one call.
-func (a *localAgent) serve(end net.Conn) {
-	defer end.Close()
-	if receive(end) == "" {
+func (a *localAgent) serve(serverConn net.Conn) {
+	defer serverConn.Close()
+	if receive(serverConn) == "" {
 		return
 	}
 	unsent := streamHead + listChunk(1, true)
@@ -55,18 +55,18 @@
 		case "silent for good":
 			time.Sleep(time.Hour)
 		case "silent after its head":
-			send(end, streamHead)
+			send(serverConn, streamHead)
 			time.Sleep(time.Hour)
 		case "silent after half a list":
-			send(end, streamHead+chunk(`{"version":41,`))
+			send(serverConn, streamHead+chunk(`{"version":41,`))
 			time.Sleep(time.Hour)
-		case "says junk":
-			send(end, streamHead+chunk("junk\n"))
+		case "sends garbage":
+			send(serverConn, streamHead+chunk("junk\n"))
 			return
 		case "rejects":
-			reject(end)
+			reject(serverConn)
 			return
-		default: // the call is held, and answered once the agent is restored
+		default: // holds: the response is delayed until the agent is restored
 			time.Sleep(time.Until(a.restoredAt))
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	for sentAt := time.Now(); ; time.Sleep(100 * time.Millisecond) {
 		if unsent != "" {
-			if !send(end, unsent) {
+			if !send(serverConn, unsent) {
 				return
 			}
 			unsent = ""
@@ -88,20 +88,20 @@
 			if a.failure == "resets" || a.failure == "refuses" {
 				return
 			}
-			time.Sleep(time.Hour) // an open watch that has fallen silent stays so
+			time.Sleep(time.Hour) // an open watch does not recover
 		}
 	}
 }
 
-// What an agent has counts as received from the time at which the agent is restored, and the grace of a drain may be as
-// short as 2.5 s: the delay that a fleet keeps to before it calls a shared service would be too long for an agent that
-// only this proxy calls.
+// Guards against retrying a failed local agent too slowly. A change counts as received from the time at which the agent
+// is restored, and the grace of a drain may be as short as 2.5 s: the retry delay for a discovery service that the
+// whole fleet shares would be too long for an agent that serves only this proxy.
 func TestChangeIsReceivedWithinGraceAfterAnOutage(t *testing.T) {
 	for _, failure := range []string{
 		"holds", "refuses", "hangs", "resets", "silent for good", "silent after its head", "silent after half a list",
-		"says junk",
+		"sends garbage",
 	} {
-		worst := 0.0 // as a part of the grace
+		worst := 0.0 // fraction of the grace used
 		for _, fleetSize := range []int{1, 8, 80, 350, 1024} {
 			for _, duration := range []time.Duration{
 				100 * time.Millisecond, time.Second, 8 * time.Second, 30 * time.Second, 10 * time.Minute,
@@ -109,13 +109,13 @@
 				worst = max(worst, graceUsedAfterOutage(t, failure, fleetSize, duration))
 			}
 		}
-		t.Logf("%s: received %.2f of a grace after it counts, at worst", failure, worst)
+		t.Logf("%s: received at most %.2f of the grace after it counts as received", failure, worst)
 		assert.Less(t, worst, 1.0, failure)
 	}
 }
 
-// graceUsedAfterOutage returns how much later than it counts as received a change is received, as a part of a drain's
-// grace.
+// graceUsedAfterOutage returns the time from when a change counts as received to when it is received, as a fraction of
+// the grace of a drain.
 func graceUsedAfterOutage(t *testing.T, failure string, fleetSize int, duration time.Duration) (used float64) {
 	t.Helper()
 	grace := map[int]float64{1: 0.3, 8: 1, 80: 2.5, 350: 1, 1024: 0.5}[fleetSize]
@@ -135,7 +135,7 @@
 			OnList: func(l List) {
 				if l.Version == int64(agent.changedVersion) && receivedAt.IsZero() {
 					receivedAt = time.Now()
-					assert.False(t, l.NotifiedAt.After(agent.restoredAt), "it may have counted before it was received")
+					assert.False(t, l.NotifiedAt.After(agent.restoredAt), "a change may count as received from restoredAt on")
 				}
 			},
 			Rand: rand.New(rand.NewPCG(1, uint64(fleetSize))).Float64,
@@ -145,16 +145,16 @@
 		stop()
 		synctest.Wait()
 		assert.False(t, receivedAt.IsZero(), "%s, fleet of %d, %v", failure, fleetSize, duration)
-		// What the silent watch missed counts from its deadline on, if that is later.
+		// What the watch missed counts as received from the notification deadline on, if that is later.
 		untilDeadline := time.Until(agent.failsAt.Add(toDuration(notification.Delay))) + time.Since(agent.restoredAt)
 		used = (receivedAt.Sub(agent.restoredAt) - max(0, untilDeadline)).Seconds() / grace
-		time.Sleep(3 * time.Hour) // until the agent's calls end
+		time.Sleep(3 * time.Hour) // until the agent's goroutines end
 	})
 	return used
 }
 
-// Whatever delay follows a rejected call, a change counts as received within 6 s after discovery has it and can be
-// reached.
+// Guards against too long a delay after a rejected call: a change counts as received 6 s after discovery has it and no
+// longer rejects calls, and the proxy must receive it within the grace of a drain from then.
 func TestChangeIsReceivedAfterRejectionsEnd(t *testing.T) {
 	for _, fleetSize := range []int{1, 8, 80, 350, 1024} {
 		const grace = 0.5
@@ -187,6 +187,6 @@
 				time.Sleep(3 * time.Hour)
 			})
 		}
-		t.Logf("fleet of %d: received %.2f s after discovery could be reached, at worst", fleetSize, worst)
+		t.Logf("fleet of %d: received at most %.2f s after discovery stopped rejecting calls", fleetSize, worst)
 	}
 }
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -16,57 +16,57 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// overloaded is a discovery service that shares its capacity among all queued calls. It rejects calls for which it has
-// no place, and those that were queued for too long: the work done for them is lost.
-type overloaded struct {
-	capacity     float64 // calls a second
-	places       int
+// overloadedDiscovery is a discovery service that divides its capacity among all queued calls. It rejects calls if its
+// queue is full, and calls that were queued for longer than queueTimeout: the work done for these is wasted.
+type overloadedDiscovery struct {
+	capacity     float64 // calls per second
+	queueLimit   int
 	queueTimeout time.Duration
 
 	mu       sync.Mutex
 	queue    []*queuedCall
-	received int
+	received int // calls
 }
 
 type queuedCall struct {
-	end      net.Conn
-	queuedAt time.Time
-	done     float64 // the fraction of its work
+	serverConn net.Conn
+	queuedAt   time.Time
+	done       float64 // fraction of the work for the call
 }
 
-func (o *overloaded) dial(context.Context, string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+func (o *overloadedDiscovery) dial(context.Context, string) (net.Conn, error) {
+	clientConn, serverConn := net.Pipe()
 	go func() {
-		if receive(theirs) == "" {
+		if receive(serverConn) == "" {
 			return
 		}
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.received++
-		if len(o.queue) >= o.places {
-			go reject(theirs)
+		if len(o.queue) >= o.queueLimit {
+			go reject(serverConn)
 			return
 		}
-		o.queue = append(o.queue, &queuedCall{end: theirs, queuedAt: time.Now()})
+		o.queue = append(o.queue, &queuedCall{serverConn: serverConn, queuedAt: time.Now()})
 	}()
-	return ours, nil
+	return clientConn, nil
 }
 
-// serveWatch sends the beginning of a watch, and heartbeats until the proxy ends it.
-func serveWatch(end net.Conn, first string) {
-	for taken := send(end, first); taken; taken = send(end, chunk("\n")) {
+// serveWatch sends the first bytes of a watch, then heartbeats until the proxy closes the connection.
+func serveWatch(serverConn net.Conn, first string) {
+	for sent := send(serverConn, first); sent; sent = send(serverConn, chunk("\n")) {
 		time.Sleep(2 * time.Second)
 	}
 }
 
-// reject answers a call that there is no capacity.
-func reject(end net.Conn) {
-	send(end, "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
-	end.Close()
+// reject responds with a 503: no capacity.
+func reject(serverConn net.Conn) {
+	send(serverConn, "HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
+	serverConn.Close()
 }
 
-// run serves queued calls for a time.
-func (o *overloaded) run(duration, step time.Duration) {
+// run serves queued calls for a duration, in time steps.
+func (o *overloadedDiscovery) run(duration, step time.Duration) {
 	for began := time.Now(); time.Since(began) < duration; time.Sleep(step) {
 		o.mu.Lock()
 		work := o.capacity * step.Seconds() / float64(max(len(o.queue), 1))
@@ -74,9 +74,9 @@
 			c.done += work
 			switch {
 			case c.done >= 1:
-				go serveWatch(c.end, streamHead+listChunk(42, true))
+				go serveWatch(c.serverConn, streamHead+listChunk(42, true))
 			case time.Since(c.queuedAt) > o.queueTimeout:
-				go reject(c.end)
+				go reject(c.serverConn)
 			default:
 				return false
 			}
@@ -86,17 +86,18 @@
 	}
 }
 
-// A fleet whose proxies have all lost discovery at once gets the list again, though discovery serves few at a time.
+// Guards against retries that keep discovery overloaded after all proxies of a fleet lost it at the same time, so that
+// some proxy never gets the list.
 func TestFleetRecoversFromOverloadedDiscovery(t *testing.T) {
 	for _, fleetSize := range []int{1, 8, 80, 350, 1024} {
 		t.Run(fmt.Sprint(fleetSize), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const seed = 3 // fixed: with other seeds, in one run of five, one proxy of 200 was rejected too often
-				o := &overloaded{capacity: 16, places: 40, queueTimeout: 2 * time.Second}
+				const seed = 3 // fixed: with other seeds, one run in five failed: one of 200 proxies was rejected too often
+				o := &overloadedDiscovery{capacity: 16, queueLimit: 40, queueTimeout: 2 * time.Second}
 				log, _ := test.NewNullLogger()
 				ctx, stop := context.WithCancel(t.Context())
 				began := time.Now()
-				receivedAt := make([]atomic.Int64, fleetSize) // since began
+				receivedAt := make([]atomic.Int64, fleetSize) // nanoseconds since began
 				for i := range fleetSize {
 					w := &Watch{
 						Addr:        "agent:1",
@@ -119,12 +120,12 @@
 					worst = max(worst, at)
 				}
 				o.mu.Lock()
-				t.Logf("fleet of %d: all had the list within %v, %d calls",
+				t.Logf("fleet of %d: all proxies received the list within %v, with %d calls",
 					fleetSize, worst.Round(10*time.Millisecond), o.received)
 				o.mu.Unlock()
 				stop()
 				synctest.Wait()
-				time.Sleep(3 * time.Second) // until the heartbeats end
+				time.Sleep(3 * time.Second) // until the goroutines that send heartbeats end
 			})
 		})
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,26 +14,26 @@
 	"lockloom/internal/discovery/notification"
 )
 
-// maxOpenCalls bounds the calls that are open at once. Of more, the oldest keeps its place in discovery's queue and the
-// second oldest is given up.
+// maxOpenCalls bounds the calls that are open at once. If one more is made, the second oldest is canceled; the oldest
+// keeps its place in the queue of the discovery service.
 const maxOpenCalls = 5
 
-// Watch follows a list from a version on. While Run runs, Version is that of the last list and nobody else changes a
-// field.
+// Watch follows the endpoint list, starting from Version. While Run runs, Version is that of the last list received,
+// and no other goroutine may change a field.
 type Watch struct {
 	Addr        string
 	Version     int64
-	FleetSize   int     // proxies that may call at the same time, this one included
-	DrainGrace  float64 // s, the shortest grace of a drain; 0: unknown
+	FleetSize   int     // number of proxies that may call at the same time, including this one
+	DrainGrace  float64 // shortest grace of a drain, in seconds; 0: unknown
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	OnConnected func()     // called when a watch is established, before its first list
+	OnConnected func()     // called when a watch is established, before its first list is passed to OnList
 	OnList      func(List) // called for each list, in order
 	Log         logrus.FieldLogger
-	Rand        func() float64 // jitter of delays, from 0 to 1; nil: a random source of its own
+	Rand        func() float64 // returns the jitter of a delay, from 0 to 1; nil: rand.Float64
 }
 
-// Run watches until the context ends, and returns when all its goroutines have ended. OnConnected and OnList are called
-// on the caller's goroutine.
+// Run follows the list until the context ends, and returns once all its goroutines have ended. OnConnected and OnList
+// are called on the caller's goroutine.
 func (w *Watch) Run(ctx context.Context) {
 	jitter := w.Rand
 	if jitter == nil {
@@ -52,8 +52,8 @@
 	r.loop(ctx)
 }
 
-// run is the state of one Run, owned by its goroutine. Of the calls that are open, the first that delivers an event
-// becomes the established watch, and the others are given up.
+// run is the state of one Watch.Run, owned by its goroutine. The first of the open calls to deliver an event becomes
+// the established watch, and the others are canceled.
 type run struct {
 	*Watch
 	began  time.Time
@@ -62,13 +62,13 @@
 	events chan event
 	calls  sync.WaitGroup
 
-	open        []*call // the oldest first
-	established *call   // the one of them that delivers events; nil: none does
-	lost        bool    // a watch was lost since the last event
-	overdue     bool    // the notification deadline has passed since the last event, and that is logged
+	open        []*call // oldest first
+	established *call   // the open call that delivers events; nil: none
+	lost        bool    // the established watch ended, and no event was received since
+	overdue     bool    // the notification deadline passed without an event, and this was logged
 }
 
-// event is what a call delivers.
+// event is a list, a heartbeat or the end of a call.
 type event struct {
 	from       *call
 	receivedAt time.Time
@@ -77,7 +77,7 @@
 	result     notification.CallResult
 }
 
-// seconds returns a time on the clock's scale.
+// seconds converts a time to the time scale of the clock: seconds since Run was called.
 func (r *run) seconds(at time.Time) float64 { return at.Sub(r.began).Seconds() }
 
 // loop makes calls when they are due and handles events until the context ends.
@@ -89,7 +89,7 @@
 		if now >= r.clock.NextCall() {
 			r.startCall(ctx, now)
 		}
-		// Without the extra microsecond a timer that fires a rounding error too early would spin.
+		// The extra microsecond prevents a busy loop if rounding makes the timer fire too early.
 		due.Reset(toDuration(r.clock.NextCall()-now) + time.Microsecond)
 		select {
 		case <-ctx.Done():
@@ -101,7 +101,7 @@
 	}
 }
 
-// startCall opens one more call.
+// startCall starts another call, and logs a warning if the notification deadline has passed.
 func (r *run) startCall(ctx context.Context, now float64) {
 	if !r.overdue && now > r.clock.Deadline() {
 		r.overdue = true
@@ -118,7 +118,7 @@
 	r.calls.Go(func() { c.run(callCtx) })
 }
 
-// handle takes an event, unless it is of a call that was given up.
+// handle processes an event, and ignores those of canceled calls.
 func (r *run) handle(e event) {
 	now := r.seconds(time.Now())
 	switch {
@@ -130,7 +130,7 @@
 	}
 }
 
-// callEnded drops a call that has ended.
+// callEnded removes a call that has ended, and schedules the next one.
 func (r *run) callEnded(e event, now float64) {
 	r.open = slices.DeleteFunc(r.open, func(c *call) bool { return c == e.from })
 	e.from.stop()
@@ -147,7 +147,7 @@
 	r.clock.CallEnded(now, result, len(r.open), r.jitter())
 }
 
-// eventReceived applies what a call delivers, and makes it the watch.
+// eventReceived processes a list or heartbeat, and makes its call the established watch if that is another one.
 func (r *run) eventReceived(e event, now float64) {
 	first := e.from != r.established
 	if first {
@@ -162,7 +162,7 @@
 	r.OnList(*e.list)
 }
 
-// establish makes a call the watch and gives up all others.
+// establish makes a call the established watch and cancels all others.
 func (r *run) establish(c *call, now float64) {
 	for _, other := range r.open {
 		if other != c {
@@ -185,7 +185,7 @@
 	return r.Log.WithFields(logrus.Fields{"version": r.Version, "seconds": silence})
 }
 
-// toDuration converts seconds, which may be infinite, to a duration of some decades at most.
+// toDuration converts seconds, which may be infinite, to a duration of at most math.MaxInt32 seconds (68 years).
 func toDuration(seconds float64) time.Duration {
 	return time.Duration(min(seconds, math.MaxInt32) * float64(time.Second))
 }
