--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -9,24 +9,24 @@
 	"lockloom/balance"
 )
 
-// MaxBytes is the length of the longest message that a platform passes on.
+// MaxBytes is the maximum length of a message that the platform delivers.
 const MaxBytes = 256
 
-// MaxObservations is how many observations a message holds.
+// MaxObservations is the maximum number of observations in a message.
 const MaxObservations = (MaxBytes - headerBytes) / observationBytes
 
 const (
 	formatVersion    = 1
 	headerBytes      = 3
 	observationBytes = 7
-	loadReportClass  = 255 // in the place of a class
+	loadReportClass  = 255 // encoded instead of a class if the observation is a load report
 
-	rateUnitsPerRequest = 16  // of a request a second
-	ageUnitsPerSecond   = 50  // one is 20 ms
-	payoffUnits         = 100 // of a payoff of 1
+	rateUnitsPerRequest = 16  // rates are encoded in sixteenths of a request per second
+	ageUnitsPerSecond   = 50  // ages are encoded in units of 20 ms
+	payoffUnits         = 100 // payoffs, from 0 to 1, are encoded in hundredths
 )
 
-// Encode encodes a message. Observations beyond MaxObservations are left out.
+// Encode encodes a message. Observations beyond MaxObservations are omitted.
 func Encode(message balance.GossipMessage) []byte {
 	rate := uint16(clamp(message.Rate*rateUnitsPerRequest, math.MaxUint16))
 	data := binary.BigEndian.AppendUint16([]byte{formatVersion}, rate)
@@ -37,7 +37,7 @@
 	return data
 }
 
-// appendObservation rounds the age up, so that an observation never looks newer than it is.
+// appendObservation encodes an observation, with its age rounded up so that it never appears newer than it is.
 func appendObservation(data []byte, observation balance.Observation) []byte {
 	class, value := byte(loadReportClass), observation.Value
 	if observation.Class >= 0 {
@@ -49,11 +49,12 @@
 	return append(data, class, age, byte(clamp(value+0.5, math.MaxUint8)))
 }
 
-// Decode decodes a message.
+// Decode decodes a message. It returns an error if its length or version is not valid.
 func Decode(data []byte) (balance.GossipMessage, error) {
 	switch {
 	case len(data) < headerBytes || len(data) > MaxBytes || (len(data)-headerBytes)%observationBytes != 0:
-		return balance.GossipMessage{}, fmt.Errorf("gossip message of %d bytes", len(data))
+		return balance.GossipMessage{}, fmt.Errorf("gossip message of %d bytes, want %d plus a multiple of %d, at most %d",
+			len(data), headerBytes, observationBytes, MaxBytes)
 	case data[0] != formatVersion:
 		return balance.GossipMessage{}, fmt.Errorf("gossip message of version %d, not %d", data[0], formatVersion)
 	}
@@ -79,10 +80,10 @@
 	return observation
 }
 
-// ToHex encodes a message in hexadecimal digits.
+// ToHex encodes a message as Encode does and returns it in hexadecimal digits.
 func ToHex(message balance.GossipMessage) string { return hex.EncodeToString(Encode(message)) }
 
-// FromHex decodes a message in hexadecimal digits.
+// FromHex decodes a message in the format of ToHex.
 func FromHex(text string) (balance.GossipMessage, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return Decode(data)
 }
 
-// clamp returns x between 0 and limit; NaN becomes 0.
+// clamp limits x to the range from 0 to limit; NaN becomes 0.
 func clamp(x, limit float64) float64 {
 	if !(x > 0) {
 		return 0
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -26,13 +26,13 @@
 		message.Observations[0].Age = age
 		decoded, err = Decode(Encode(message))
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, decoded.Observations[0].Age, age, "it must not look newer than it is")
+		assert.GreaterOrEqual(t, decoded.Observations[0].Age, age, "a decoded observation must not appear newer than it is")
 	}
 	data := Encode(balance.GossipMessage{Observations: make([]balance.Observation, 100)})
 	assert.LessOrEqual(t, len(data), MaxBytes)
 	decoded, err = Decode(data)
 	require.NoError(t, err)
-	assert.Len(t, decoded.Observations, MaxObservations, "what does not fit is left out")
+	assert.Len(t, decoded.Observations, MaxObservations, "observations that do not fit are omitted")
 }
 
 func TestDecodeErrors(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Whatever bytes come, what is decoded from them is within bounds.
+// Guards against values out of range that are decoded from arbitrary bytes.
 func TestDecodedValuesAreWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bytes := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,11 +1,12 @@
-// Package gossip carries what the proxies of one fleet report to one another about servers: the message codec, which
-// the simulator's wire uses too, and the UDP transport. It decides nothing; a message that cannot be read is an error
-// and changes nothing.
+// Package gossip exchanges observations of servers among the proxies of one fleet. It contains the message codec, which
+// the protocol of the simulator uses too, and the UDP transport. It does not evaluate messages; one that cannot be
+// decoded is an error and has no other effect.
 //
-// A message is one byte of version, two of the sender's requests a second in sixteenths, and seven for each
-// observation: four of the server's name hash, one of the class (255: a load report), one of the age in units of 20 ms,
-// one of the value: a payoff in hundredths, or the load in requests, rounded. All numbers are big endian.
+// A message consists of one byte for the version, two for the sender's request rate in sixteenths of a request per
+// second, and seven for each observation: four for the hash of the server's name, one for the class (255: a load
+// report), one for the age in units of 20 ms, and one for the value, which is a payoff in hundredths or the load in
+// requests, rounded. All numbers are big endian.
 //
-// A datagram is two bytes of the sender's number in the fleet, big endian, and one message. One that comes from another
-// address than that number's, or that cannot be read, is counted and dropped.
+// A datagram consists of two bytes for the sender's number in the fleet, big endian, and one message. A datagram that
+// cannot be decoded, or whose source address is not that of its sender's number, is counted and dropped.
 package gossip
--- a/internal/gossip/link_test.go
+++ b/internal/gossip/link_test.go
@@ -12,7 +12,7 @@
 	"lockloom/balance"
 )
 
-// openPair opens the links of two proxies, and returns the messages that the receiver handles.
+// openPair opens the links of two proxies. The messages that the receiver handles are sent to the returned channel.
 func openPair(t *testing.T) (sender, receiver *Link, received chan balance.GossipMessage) {
 	t.Helper()
 	received = make(chan balance.GossipMessage, 10)
@@ -32,9 +32,9 @@
 
 func TestOnlyPeersMessagesAreHandled(t *testing.T) {
 	sender, receiver, received := openPair(t)
-	stranger, err := net.Dial("udp", receiver.Addr())
+	nonPeer, err := net.Dial("udp", receiver.Addr())
 	require.NoError(t, err)
-	defer stranger.Close()
+	defer nonPeer.Close()
 	sendAsPeer := func(data []byte) (int, error) {
 		return sender.conn.WriteToUDPAddrPort(data, sender.peers[1])
 	}
@@ -44,12 +44,12 @@
 		send func([]byte) (int, error)
 		data []byte
 	}{
-		{"nothing", stranger.Write, nil},
-		{"no number", stranger.Write, []byte{0}},
-		{"a stranger under a peer's number", stranger.Write, append([]byte{0, 0}, encoded...)},
+		{"empty", nonPeer.Write, nil},
+		{"incomplete number", nonPeer.Write, []byte{0}},
+		{"a peer's number from another address", nonPeer.Write, append([]byte{0, 0}, encoded...)},
 		{"garbage from a peer", sendAsPeer, []byte{0, 0, 9, 9, 9}},
 		{"too long from a peer", sendAsPeer, make([]byte, 2000)},
-		{"under the receiver's own number", sendAsPeer, append([]byte{0, 1}, encoded...)},
+		{"the receiver's own number", sendAsPeer, append([]byte{0, 1}, encoded...)},
 	} {
 		_, err := c.send(c.data)
 		require.NoError(t, err, c.name)
@@ -58,7 +58,7 @@
 	}
 	assert.Empty(t, received)
 	message := balance.GossipMessage{Rate: 2, Observations: []balance.Observation{{NameHash: 7, Class: 1, Age: 0.1}}}
-	sender.Send(5, message) // a number that is nobody's
+	sender.Send(5, message) // no peer has this number
 	sender.Send(1, message)
 	assert.Eventually(t, func() bool { return len(received) > 0 }, 5*time.Second, time.Millisecond)
 	assert.Equal(t, message, <-received)
@@ -70,19 +70,19 @@
 	receiver.Close()
 	sender.Send(1, balance.GossipMessage{})
 	peers := map[int]string{0: sender.Addr()}
-	again, err := Open(receiver.Addr(), 1, peers, func(int, balance.GossipMessage) {})
-	require.NoError(t, err, "its address is free again")
-	t.Cleanup(again.Close)
+	restarted, err := Open(receiver.Addr(), 1, peers, func(int, balance.GossipMessage) {})
+	require.NoError(t, err, "the address can be used again")
+	t.Cleanup(restarted.Close)
 	received := func() bool {
 		sender.Send(1, balance.GossipMessage{})
-		return again.Received.Load() > 0
+		return restarted.Received.Load() > 0
 	}
 	assert.Eventually(t, received, 5*time.Second, time.Millisecond)
 	sender.Close()
 	sent := sender.Sent.Load()
 	sender.Send(1, balance.GossipMessage{})
-	assert.Equal(t, sent, sender.Sent.Load(), "what could not be written")
-	assert.Zero(t, sender.Dropped.Load(), "nothing came that was not handled")
+	assert.Equal(t, sent, sender.Sent.Load(), "a failed write is not counted")
+	assert.Zero(t, sender.Dropped.Load(), "the sender received no datagram")
 }
 
 func TestOpenErrors(t *testing.T) {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,9 +8,9 @@
 	"strconv"
 )
 
-// Body reads and returns the body of the message whose head was read last. The error is an *Error with status 413 if
-// the body is larger than DefaultMaxBytes, or what SetMaxBytes allowed, and io.ErrUnexpectedEOF if the connection ended
-// before the body did.
+// Body reads the body of the message whose head was read last. length and chunked are those of the Head. The error is
+// an *Error with status 413 if the body is larger than DefaultMaxBytes or the limit set by SetMaxBytes, and
+// io.ErrUnexpectedEOF if the connection ended before the body did.
 func (r *Reader) Body(length int, chunked bool) ([]byte, error) {
 	if length > r.maxBodyBytes {
 		return nil, newError(413, "body too large")
@@ -22,7 +22,7 @@
 		body, err = r.readLimited(&chunkedBody{reader: r})
 	case length < 0:
 		body, err = r.readLimited(r.R)
-	case length > DefaultMaxBytes: // read as it comes: a head may announce what never follows
+	case length > DefaultMaxBytes: // grows as data is received: the announced length may never follow
 		body, err = io.ReadAll(io.LimitReader(r.R, int64(length)))
 		if err == nil && len(body) < length {
 			err = io.ErrUnexpectedEOF
@@ -38,72 +38,73 @@
 	return body, err
 }
 
-// readLimited reads a body of unknown length, up to a byte more than is allowed.
+// readLimited reads a body of unknown length, up to one byte more than the limit.
 func (r *Reader) readLimited(body io.Reader) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(body, int64(r.maxBodyBytes)+1))
 }
 
-// Rest returns a reader of a chunked body of any size, which may never end. Whoever reads it bounds what it stores.
+// Rest returns a reader of the chunked body of the message whose head was read last. The body may be of any size, even
+// endless, so the caller must bound what it stores.
 func (r *Reader) Rest() io.Reader { return &chunkedBody{reader: r, unbounded: true} }
 
-// StreamBody returns a reader of the body of the message whose head was read last, of any size, as it comes. If the
-// connection ends before the body does, it returns io.ErrUnexpectedEOF.
+// StreamBody returns a reader of the body of the message whose head was read last, without a limit on its size. A read
+// returns io.ErrUnexpectedEOF if the connection ended before the body did.
 func (r *Reader) StreamBody(length int, chunked bool) io.Reader {
 	if chunked {
 		return r.Rest()
 	}
-	return &lengthBody{reader: r, left: length}
+	return &lengthBody{reader: r, remaining: length}
 }
 
 // lengthBody reads a body of a known length, or one that ends with the connection.
 type lengthBody struct {
-	reader *Reader
-	left   int // -1: up to the connection's end
+	reader    *Reader
+	remaining int // bytes; -1: up to the end of the connection
 }
 
 func (b *lengthBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	b.reader.renewBudget() // each read may take as much as a whole message
-	if b.left < 0 {
+	b.reader.renewBudget() // each read may consume as much as a whole message
+	if b.remaining < 0 {
 		return b.reader.R.Read(p)
 	}
-	n, err := b.reader.R.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	if b.left > 0 {
+	n, err := b.reader.R.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	if b.remaining > 0 {
 		err = unexpectedEOF(err)
 	}
 	return n, err
 }
 
-// chunkedBody reads a chunked body.
+// chunkedBody reads a body with chunked transfer coding.
 type chunkedBody struct {
 	reader    *Reader
-	left      uint64 // bytes of the present chunk
-	inChunk   bool   // the present chunk's end was not read
-	unbounded bool   // it may be of any size
-	err       error  // sticky
+	remaining uint64 // bytes of the current chunk
+	inChunk   bool   // the line end of the current chunk was not read yet
+	unbounded bool   // the size of the body is not limited
+	err       error  // returned by all further reads
 }
 
 func (b *chunkedBody) Read(p []byte) (int, error) {
 	if b.unbounded {
 		b.reader.renewBudget()
 	}
-	for b.left == 0 && b.err == nil {
+	for b.remaining == 0 && b.err == nil {
 		b.err = b.nextChunk()
 	}
 	if b.err != nil {
 		return 0, b.err
 	}
-	n, err := b.reader.R.Read(p[:min(uint64(len(p)), b.left)])
-	b.left -= uint64(n)
+	n, err := b.reader.R.Read(p[:min(uint64(len(p)), b.remaining)])
+	b.remaining -= uint64(n)
 	b.err = b.reader.bodyError(err)
 	return n, b.err
 }
 
-// nextChunk reads the end of the present chunk and the size of the next one. It returns io.EOF after the last chunk and
-// the trailer.
+// nextChunk reads the end of the current chunk and the size of the next one. It returns io.EOF after the last chunk and
+// the trailer section.
 func (b *chunkedBody) nextChunk() error {
 	if b.inChunk {
 		if err := b.endChunk(); err != nil {
@@ -115,10 +116,10 @@
 		return b.reader.bodyError(err)
 	}
 	size, _, _ := bytes.Cut(line, []byte{';'}) // extensions are ignored
-	if b.left, err = strconv.ParseUint(string(textproto.TrimBytes(size)), 16, 32); err != nil {
+	if b.remaining, err = strconv.ParseUint(string(textproto.TrimBytes(size)), 16, 32); err != nil {
 		return newError(400, "malformed chunk")
 	}
-	b.inChunk = b.left > 0
+	b.inChunk = b.remaining > 0
 	if b.inChunk {
 		return nil
 	}
@@ -128,7 +129,7 @@
 	return io.EOF
 }
 
-// endChunk reads the line end after a chunk.
+// endChunk reads the line end after the data of a chunk.
 func (b *chunkedBody) endChunk() error {
 	line, err := b.reader.ReadLineBytes()
 	if err == nil && len(line) > 0 {
@@ -137,8 +138,8 @@
 	return err
 }
 
-// bodyError returns what an error within a body stands for: a message that has used up its budget is too large, and an
-// end of the connection is unexpected.
+// bodyError converts an error from reading a body: to status 413 if the message used up its budget, to status 400 if it
+// is malformed, and to io.ErrUnexpectedEOF if the connection ended.
 func (r *Reader) bodyError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -13,7 +13,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		for _, read := range []func(*Reader) (*Head, error){(*Reader).Request, (*Reader).Response} {
 			r := NewReader(strings.NewReader(string(in)))
-			for range len(in) + 1 { // each message takes a byte or is the last
+			for range len(in) + 1 { // each message consumes at least one byte, or reading it fails
 				h, err := read(r)
 				if err != nil {
 					break
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages on top of net/textproto. A head is parsed in place: its fields are
-// slices of the connection's buffer and valid until the next read. Chunk sizes and trailers are read by textproto.
-// Every message is bounded in size, so that no peer can make a reader store more.
+// Package http1 reads and writes HTTP/1.1 messages, based on net/textproto. The head of a message, its start line and
+// header fields, is parsed in place: the fields are slices of the read buffer and valid until the next read. Chunk
+// sizes and trailers are read by textproto. The size of every message is limited, so that no peer can make a reader
+// store more.
 package http1
 
 import (
@@ -9,38 +10,38 @@
 	"net/textproto"
 )
 
-// DefaultMaxBytes is the largest head, in bytes, and the largest body that Body reads unless SetMaxBytes allows more.
+// DefaultMaxBytes is the maximum size of a head, and of a body that Body reads unless SetMaxBytes sets another limit.
 const DefaultMaxBytes = 64 << 10
 
-// maxFields bounds the fields of a head, which take at least ten times the memory of their bytes.
+// maxFields is the maximum number of fields of a head: parsed fields use at least ten times the memory of their bytes.
 const maxFields = 200
 
-// Error is a message that cannot be accepted.
+// Error reports a message that is malformed, too large or not supported.
 type Error struct {
-	Status int // the status that tells a client so
-	Text   string
+	Status int    // of the response to a client that sent the message
+	Text   string // of the response's body
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
 
 func newError(status int, text string) error { return &Error{status, text} }
 
-// Field is a line of a head.
+// Field is a header field.
 type Field struct{ Name, Value []byte }
 
-// Head is a message's start line and fields, and what they say of its body and its connection.
+// Head is the start line and the header fields of a message, and what they determine about its body and connection.
 type Head struct {
 	Method, Target []byte // of a request
 	Status         int    // of a response
 	Fields         []Field
-	Length         int  // of the body, in bytes; -1: unknown
-	Chunked        bool // the body is
-	Close          bool // the connection ends with this message
-	HTTP10         bool // the message is of HTTP/1.0, so that its sender understands no chunks
-	Continue       bool // the client waits for a 100 before it sends its body
+	Length         int  // of the body in bytes; -1: unknown
+	Chunked        bool // the body has chunked transfer coding
+	Close          bool // the connection is closed after this message
+	HTTP10         bool // the sender uses HTTP/1.0 and does not understand chunked transfer coding
+	Continue       bool // the client expects a 100 (Continue) before it sends the body
 }
 
-// Get returns the value of the first field of that name, in whatever case, nil without one.
+// Get returns the value of the first field with this name, compared without case, or nil if there is none.
 func (h *Head) Get(name string) []byte {
 	for i := range h.Fields {
 		if hasName(h.Fields[i].Name, name) {
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// HasRepeated reports whether there are several fields of that name, in whatever case.
+// HasRepeated reports whether there are several fields with this name, compared without case.
 func (h *Head) HasRepeated(name string) bool {
 	n := 0
 	for i := range h.Fields {
@@ -61,12 +62,12 @@
 	return n > 1
 }
 
-// hasName reports whether a field's name is this one, in whatever case.
+// hasName reports whether a field name equals want, without regard to case.
 func hasName(name []byte, want string) bool {
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
 
-// listContains reports whether a comma-separated list contains an item, in whatever case.
+// listContains reports whether a comma-separated list contains an item, without regard to case.
 func listContains(list, item []byte) bool {
 	for element := range bytes.SplitSeq(list, []byte{','}) {
 		if bytes.EqualFold(textproto.TrimBytes(element), item) {
--- a/internal/http1/names.go
+++ b/internal/http1/names.go
@@ -1,7 +1,7 @@
 package http1
 
-// Methods and status codes, by the names that net/http gives them. The proxy's program does without net/http, which
-// would bring TLS and HTTP/2 into the memory of each proxy.
+// Methods and status codes, named as in net/http. The proxy does not import net/http, which would add the memory of TLS
+// and HTTP/2 to each proxy.
 const (
 	MethodConnect = "CONNECT"
 	MethodGet     = "GET"
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxInterimResponses bounds the interim responses (1xx) to one request.
+// maxInterimResponses is the maximum number of interim (1xx) responses to one request.
 const maxInterimResponses = 20
 
-// Request reads a request's head. It and its slices are valid until the next read. The error is an *Error if the head
-// is malformed or too large, and io.EOF if the connection ended before it.
+// Request reads the head of a request. The head and its slices are valid until the next read. The error is an *Error if
+// the head is malformed or too large, and io.EOF if the connection ended before its first byte.
 func (r *Reader) Request() (*Head, error) {
 	raw, err := r.peekHead()
 	if err != nil {
@@ -48,11 +48,12 @@
 	return version, isToken(h.Method) && len(h.Target) > 0 && isVisible(h.Target)
 }
 
-// Response reads a response's head, and ignores interim ones before it. It and its slices are valid until the next
-// read. The error is an *Error if the head is malformed or too large, and io.EOF if the connection ended before it.
+// Response reads the head of a final response, and ignores interim responses before it. The head and its slices are
+// valid until the next read. The error is an *Error if the head is malformed or too large, and io.EOF if the connection
+// ended before its first byte.
 func (r *Reader) Response() (*Head, error) {
 	for range maxInterimResponses {
-		h, err := r.anyResponse()
+		h, err := r.responseHead()
 		if err != nil {
 			return nil, err
 		}
@@ -73,8 +74,8 @@
 	return nil, newError(400, "too many interim answers")
 }
 
-// anyResponse reads the head of a response, interim or final.
-func (r *Reader) anyResponse() (*Head, error) {
+// responseHead reads the head of a response, interim or final.
+func (r *Reader) responseHead() (*Head, error) {
 	raw, err := r.peekHead()
 	if err != nil {
 		return nil, err
@@ -94,13 +95,13 @@
 	return h, nil
 }
 
-// cutLine returns a line without its end, and what follows it.
+// cutLine returns the first line without its line end, and what follows it.
 func cutLine(raw []byte) (line, rest []byte) {
 	line, rest, _ = bytes.Cut(raw, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'}), rest
 }
 
-// parseFields sets what the version and the lines after the first one say.
+// parseFields parses the version and the header fields, and sets what they determine.
 func (h *Head) parseFields(version, rest []byte) error {
 	switch string(version) {
 	case "HTTP/1.1":
@@ -127,14 +128,14 @@
 			return newError(400, "malformed value")
 		}
 		h.Fields = append(h.Fields, field)
-		if err := h.apply(field); err != nil {
+		if err := h.applyField(field); err != nil {
 			return err
 		}
 	}
 }
 
-// parseField splits a line. A line that continues the one before begins with a space, and is malformed like any other
-// without a name.
+// parseField parses a header field line. The continuation of a folded field, which starts with white space, is rejected
+// like any other line without a field name.
 func parseField(line []byte) (Field, error) {
 	name, value, ok := bytes.Cut(line, []byte{':'})
 	if !ok || !isToken(name) {
@@ -143,8 +144,8 @@
 	return Field{name, textproto.TrimBytes(value)}, nil
 }
 
-// apply sets what a field says of the body and the connection.
-func (h *Head) apply(field Field) error {
+// applyField updates the head with a field that concerns the body or the connection.
+func (h *Head) applyField(field Field) error {
 	switch {
 	case hasName(field.Name, "Content-Length"):
 		if err := h.setLength(field.Value); err != nil {
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// setLength sets the body's length from the value of Content-Length.
+// setLength sets the length of the body from the value of Content-Length.
 func (h *Head) setLength(value []byte) error {
 	if h.Length >= 0 {
 		return newError(400, "two lengths")
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// isToken reports whether b is a token of RFC 9110.
+// isToken reports whether b is a token as defined in RFC 9110.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
@@ -196,7 +197,7 @@
 	return len(b) > 0
 }
 
-// isVisible reports whether b has neither spaces nor control characters.
+// isVisible reports whether b contains no spaces and no control characters.
 func isVisible(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c == 0x7f {
@@ -206,7 +207,7 @@
 	return true
 }
 
-// isPrintable reports whether b has no control characters but tabs.
+// isPrintable reports whether b contains no control characters except tabs.
 func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	initialBufferBytes = 4 << 10 // most heads take a tenth of it
-	maxFramingBytes    = 4 << 10 // of chunk sizes and trailers, besides a message's head and body
+	initialBufferBytes = 4 << 10 // most heads use a tenth of it
+	maxFramingBytes    = 4 << 10 // for chunk sizes and trailers, in addition to the head and the body of a message
 )
 
 // Reader reads the messages of one connection. It is not safe for concurrent use.
 type Reader struct {
 	textproto.Reader
-	AnyBodySize  bool // requests may announce bodies of any size, which StreamBody reads
+	AnyBodySize  bool // accept requests with a Content-Length over DefaultMaxBytes, to be read with StreamBody
 	source       *budget
 	head         Head
-	maxBodyBytes int // of the present message
+	maxBodyBytes int // for the current message
 }
 
-// budget bounds what one message may take from the connection, so that no line can grow without end.
+// budget limits how many bytes of the connection one message may consume, so that no line can grow without limit.
 type budget struct {
 	io.LimitedReader
-	exhausted bool
+	exhausted bool // a read was attempted beyond the limit
 }
 
 func (b *budget) Read(p []byte) (int, error) {
@@ -35,14 +35,14 @@
 	return b.LimitedReader.Read(p)
 }
 
-// NewReader returns a reader of a connection's messages.
+// NewReader returns a reader of the messages of a connection.
 func NewReader(conn io.Reader) *Reader {
 	r := &Reader{source: &budget{LimitedReader: io.LimitedReader{R: conn}}}
 	r.R = bufio.NewReaderSize(r.source, initialBufferBytes)
 	return r
 }
 
-// Reset has a reader read another connection, as a new one would.
+// Reset discards all state and makes the reader read another connection.
 func (r *Reader) Reset(conn io.Reader) {
 	buffer := r.R
 	if buffer.Size() > initialBufferBytes {
@@ -54,28 +54,28 @@
 	r.R = buffer
 }
 
-// renewBudget lets the connection give as much as a message may have.
+// renewBudget resets the limits to those of a new message.
 func (r *Reader) renewBudget() {
 	r.source.N = 2*DefaultMaxBytes + maxFramingBytes
 	r.maxBodyBytes = DefaultMaxBytes
 }
 
-// SetMaxBytes lets Body read so many bytes for the message whose head was read last.
+// SetMaxBytes sets the maximum size of the body of the message whose head was read last.
 func (r *Reader) SetMaxBytes(bytes int) {
 	r.source.N += int64(bytes - r.maxBodyBytes)
 	r.maxBodyBytes = bytes
 }
 
-// Buffered reports whether bytes have come that were not read yet.
+// Buffered reports whether the buffer contains bytes that were not consumed yet.
 func (r *Reader) Buffered() bool { return r.R.Buffered() > 0 }
 
-// Ready reports whether the next head has come completely, so that reading it does not block.
+// Ready reports whether the buffer contains the complete next head, so that reading it does not block.
 func (r *Reader) Ready() bool {
 	return headEnd(bytes.TrimLeft(r.buffered(), "\r\n"), 0) > 0
 }
 
-// Wait blocks until a byte of the next message has come, and leaves it there. A buffer that grew with a large head is
-// replaced by a small one first.
+// Wait blocks until a byte of the next message has been received, without consuming it. If the buffer grew for a large
+// head, it is replaced by a small one first.
 func (r *Reader) Wait() error {
 	r.renewBudget()
 	if r.R.Size() > initialBufferBytes && r.R.Buffered() == 0 {
@@ -85,8 +85,8 @@
 	return err
 }
 
-// Watch blocks until the connection ends, and returns why, or until the buffer is full, and returns nil. What comes
-// stays for the next message.
+// Watch blocks until reading fails, and returns the error, or until the buffer is full, and returns nil. The bytes
+// received stay in the buffer for the next message.
 func (r *Reader) Watch() error {
 	r.renewBudget()
 	for r.R.Buffered() < r.R.Size() {
@@ -97,18 +97,18 @@
 	return nil
 }
 
-// buffered returns what is buffered, in place.
+// buffered returns the buffered bytes without copying them.
 func (r *Reader) buffered() []byte {
-	buffer, _ := r.R.Peek(r.R.Buffered()) // cannot fail: it is there
+	buffer, _ := r.R.Peek(r.R.Buffered()) // cannot fail: the bytes are buffered
 	return buffer
 }
 
-// discard drops bytes that are buffered.
+// discard consumes n buffered bytes.
 func (r *Reader) discard(n int) {
-	_, _ = r.R.Discard(n) // cannot fail: they are there
+	_, _ = r.R.Discard(n) // cannot fail: the bytes are buffered
 }
 
-// peekHead returns the next head, complete and in place. It stays in the buffer until it is discarded.
+// peekHead reads the complete next head into the buffer and returns it without consuming it.
 func (r *Reader) peekHead() ([]byte, error) {
 	r.renewBudget()
 	scanned := 0
@@ -142,13 +142,13 @@
 	}
 }
 
-// growBuffer moves what is buffered to a larger buffer.
+// growBuffer moves the buffered bytes to a buffer of four times the size.
 func (r *Reader) growBuffer(buffered []byte) {
 	moved := bytes.NewReader(bytes.Clone(buffered))
 	r.R = bufio.NewReaderSize(io.MultiReader(moved, r.source), 4*len(buffered))
 }
 
-// headEnd returns where the empty line after a head ends, searching from an offset, 0 if it has not come.
+// headEnd returns the offset after the empty line that ends a head, or 0 if there is none. It searches from an offset.
 func headEnd(buffer []byte, from int) int {
 	for i := from; ; {
 		n := bytes.IndexByte(buffer[i:], '\n')
@@ -165,7 +165,7 @@
 	}
 }
 
-// unexpectedEOF returns io.ErrUnexpectedEOF for an end of the connection within a message, any other error as it is.
+// unexpectedEOF converts io.EOF within a message to io.ErrUnexpectedEOF, and returns any other error unchanged.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Bytes that a client sends before it has its response are not lost, and its close behind them is seen.
+// Guards against losing bytes that a client sends before it has received its response, and against missing its close of
+// the connection after them.
 func TestWatchSeesCloseBehindNextRequest(t *testing.T) {
 	in, out := io.Pipe()
 	go func() {
@@ -29,7 +30,8 @@
 	assert.Equal(t, "/b", string(h.Target))
 }
 
-// A client that sends more than the buffer takes is not read on, and has not gone.
+// Guards against reading without limit from a client that sends more than the buffer holds, and against treating it as
+// gone.
 func TestWatchEndsWhenBufferIsFull(t *testing.T) {
 	r := NewReader(strings.NewReader("GET /a HTTP/1.1\r\n\r\n" + strings.Repeat("x", 2*initialBufferBytes)))
 	_, err := r.Request()
@@ -38,7 +40,7 @@
 	assert.Equal(t, initialBufferBytes, r.R.Buffered())
 }
 
-// Only a complete head is ready: reading it has no time limit.
+// Guards against reporting an incomplete head as ready: the caller then reads it without a timeout.
 func TestReady(t *testing.T) {
 	for text, want := range map[string]bool{
 		"":                               false,
@@ -57,7 +59,7 @@
 	}
 }
 
-// After Reset, nothing of the connection before is left.
+// Guards against state of the previous connection that is left after Reset.
 func TestReset(t *testing.T) {
 	r := NewReader(strings.NewReader("GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 60000) + "\r\n\r\nGET /rest"))
 	_, err := r.Request()
@@ -73,7 +75,7 @@
 	assert.Empty(t, h.Fields)
 }
 
-// The large buffer of one large head is not held for as long as the connection lasts.
+// Guards against keeping the buffer of a large head for the lifetime of the connection.
 func TestLargeBufferIsReplaced(t *testing.T) {
 	in, out := io.Pipe()
 	go func() {
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// statusOf returns the status of an *Error, 0 for any other error and none.
+// statusOf returns the status of an *Error, or 0 for any other error and nil.
 func statusOf(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
@@ -22,7 +22,7 @@
 func TestRequestsOfOneConnection(t *testing.T) {
 	for _, c := range []struct {
 		name, in   string
-		status     int // of the error
+		status     int // of the *Error; 0: none
 		body       string
 		nextTarget string // of the next request
 	}{
@@ -45,16 +45,16 @@
 		{"length and chunks", "POST /a HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400, "", ""},
 		{"chunks and length", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400, "", ""},
 		{"signed length", "POST /a HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400, "", ""},
-		{"other coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501, "", ""},
-		{"coding twice", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501, "", ""},
+		{"unknown transfer coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501, "", ""},
+		{"two codings", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501, "", ""},
 		{"bad chunk", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400, "", ""},
-		{"chunk not ended", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 400, "", ""},
+		{"chunk without line end", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 400, "", ""},
 		{"bad trailer", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nno colon\r\n\r\n", 400, "", ""},
 		{"folded field", "GET /a HTTP/1.1\r\nX: 1\r\n y\r\n\r\n", 400, "", ""},
 		{"space before colon", "GET /a HTTP/1.1\r\nX : 1\r\n\r\n", 400, "", ""},
 		{"no colon", "GET /a HTTP/1.1\r\nX\r\n\r\n", 400, "", ""},
 		{"control character", "GET /a HTTP/1.1\r\nX: a\x00b\r\n\r\n", 400, "", ""},
-		{"return within a value", "GET /a HTTP/1.1\r\nX: a\rb\r\n\r\n", 400, "", ""},
+		{"carriage return within a value", "GET /a HTTP/1.1\r\nX: a\rb\r\n\r\n", 400, "", ""},
 		{"no version", "GET /a\r\n\r\n", 400, "", ""},
 		{"other version", "GET /a HTTP/2.0\r\n\r\n", 400, "", ""},
 		{"nonsense", "\x16\x03\x01 hello\r\n\r\n", 400, "", ""},
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 200, "ab", false, false},
 		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", 200, "ab", false, false},
-		{"to the close", "HTTP/1.1 200 OK\r\n\r\nabc", 200, "abc", true, false},
+		{"until close", "HTTP/1.1 200 OK\r\n\r\nabc", 200, "abc", true, false},
 		{"interim first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", 503, "", false, false},
 		{"endless interim", strings.Repeat("HTTP/1.1 102 x\r\n\r\n", maxInterimResponses+1), 0, "", false, true},
 		{"no body by status", "HTTP/1.1 204 x\r\nContent-Length: 9\r\n\r\n", 204, "", false, false},
@@ -25,10 +25,10 @@
 		{"cut short", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", 200, "", false, true},
 		{"chunks cut short", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", 200, "", false, true},
 		{"too large", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", 200, "", false, true},
-		{"too large to the close", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", DefaultMaxBytes+1), 200, "", true, true},
+		{"too large until close", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", DefaultMaxBytes+1), 200, "", true, true},
 		{"no status", "HTTP/1.1 OK\r\n\r\n", 0, "", false, true},
 		{"other protocol", "SSH-2.0-x\r\n\r\n", 0, "", false, true},
-		{"switch", "HTTP/1.1 101 x\r\n\r\n", 0, "", false, true},
+		{"switching protocols", "HTTP/1.1 101 x\r\n\r\n", 0, "", false, true},
 	} {
 		r := NewReader(strings.NewReader(c.in))
 		h, err := r.Response()
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-// maxCopiedBytes is the size of the largest message whose parts are copied into one buffer, which costs less than a
-// gathered write by the system.
+// maxCopiedBytes is the size of the largest message whose parts are copied into one buffer, which is cheaper than a
+// vectored write (writev).
 const maxCopiedBytes = 4 << 10
 
-// copyBuffers are buffers of maxCopiedBytes.
+// copyBuffers pools buffers of maxCopiedBytes.
 var copyBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, 0, maxCopiedBytes)
 	return &buffer
 }}
 
-// reasonPhrases are those of the statuses that this project sends.
+// reasonPhrases holds the reason phrases of the statuses that are sent.
 var reasonPhrases = map[int]string{
 	100: "Continue",
 	200: "OK",
@@ -33,19 +33,19 @@
 	503: "Service Unavailable",
 }
 
-// hopByHopFields concern one connection only, or are set for each one by itself.
+// hopByHopFields lists the fields that concern only one connection, or are set anew for each message sent.
 var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// Write writes the parts of a message together. It returns nil only if the last byte is written.
+// Write writes the parts of a message in one system call if possible. It returns nil only if all bytes were written.
 func Write(conn net.Conn, parts ...[]byte) error {
 	_, err := WriteCounted(conn, parts...)
 	return err
 }
 
-// WriteCounted is like Write, and also returns how many bytes may have gone out.
+// WriteCounted is like Write, and also returns how many bytes may have been sent.
 func WriteCounted(conn net.Conn, parts ...[]byte) (int64, error) {
 	size := 0
 	for _, part := range parts {
@@ -63,17 +63,17 @@
 	}
 	buffers := make(net.Buffers, 0, len(parts))
 	for _, part := range parts {
-		if len(part) > 0 { // an empty one would be a write of its own on a connection without gathered writes
+		if len(part) > 0 { // an empty part would be a separate write on a connection without writev
 			buffers = append(buffers, part)
 		}
 	}
 	return buffers.WriteTo(conn)
 }
 
-// AppendForwardedFields appends the fields of a head that are forwarded: all but hop-by-hop ones and those that are
+// AppendForwardedFields appends the fields of a head that are to be forwarded: all except hop-by-hop fields and those
 // excluded by name.
 func AppendForwardedFields(out []byte, h *Head, excluded ...string) []byte {
-	connectionOptions := h.Get("Connection") // fields that it names are hop-by-hop too
+	connectionOptions := h.Get("Connection") // the fields listed here are hop-by-hop too
 	for _, f := range h.Fields {
 		if hasAnyName(f.Name, hopByHopFields) || hasAnyName(f.Name, excluded) {
 			continue
@@ -86,7 +86,7 @@
 	return out
 }
 
-// hasAnyName reports whether a field's name is one of these, in whatever case.
+// hasAnyName reports whether a field name is one of names, without regard to case.
 func hasAnyName(name []byte, names []string) bool {
 	for _, want := range names {
 		if hasName(name, want) {
@@ -96,7 +96,7 @@
 	return false
 }
 
-// AppendField appends a field's line.
+// AppendField appends a field line.
 func AppendField[N, V string | []byte](out []byte, name N, value V) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
@@ -104,7 +104,7 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendRequest appends a request's first line.
+// AppendRequest appends a request line of HTTP/1.1.
 func AppendRequest(out []byte, method, target []byte) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
@@ -112,7 +112,7 @@
 	return append(out, " HTTP/1.1\r\n"...)
 }
 
-// AppendStatus appends a response's first line.
+// AppendStatus appends a status line of HTTP/1.1.
 func AppendStatus(out []byte, status int) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
@@ -121,14 +121,15 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendLength appends the Content-Length of a body of n bytes.
+// AppendLength appends a Content-Length field of n bytes.
 func AppendLength(out []byte, n int) []byte {
 	out = append(out, "Content-Length: "...)
 	out = strconv.AppendInt(out, int64(n), 10)
 	return append(out, "\r\n"...)
 }
 
-// Chunked writes a body in chunks, a chunk for each write; Close writes its end and leaves the connection open.
+// Chunked writes a body with chunked transfer coding, one chunk for each Write. Close writes the last chunk and leaves
+// the connection open.
 type Chunked struct{ Conn net.Conn }
 
 func (c Chunked) Write(p []byte) (int, error) {
@@ -139,10 +140,10 @@
 	return len(p), Write(c.Conn, head, p, []byte("\r\n"))
 }
 
-// Close ends the body.
+// Close writes the last chunk, of size 0, without closing the connection.
 func (c Chunked) Close() error { return Write(c.Conn, []byte("0\r\n\r\n")) }
 
-// AppendSeconds appends a duration in seconds with three decimals.
+// AppendSeconds appends a number of seconds with three decimals.
 func AppendSeconds(out []byte, seconds float64) []byte {
 	return strconv.AppendFloat(out, seconds, 'f', 3, 64)
 }
--- a/internal/poller/round.go
+++ b/internal/poller/round.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-const maxRoundDuration = 2 * time.Millisecond
+const maxRoundDuration = 2 * time.Millisecond // of a call of Next
 
-// Round lets a goroutine continue only when the runtime has polled all connections again. An overloaded program polls
-// when no goroutine can run, or every 10 ms; work that always begets more work makes it poll seldom, and what has come
-// by then waits behind that work. A Round belongs to one goroutine.
+// Round lets a goroutine wait until the runtime has polled all connections again. The runtime of an overloaded program
+// polls when no goroutine is runnable, or every 10 ms; if goroutines keep making others runnable it polls seldom, and
+// bytes received by then wait behind that work. A Round belongs to one goroutine.
 type Round struct {
-	file    *os.File // an eventfd; nil: there is none, and Next only yields to those that can run now
+	file    *os.File // an eventfd; nil if that failed: Next then only yields to goroutines that are runnable
 	raw     syscall.RawConn
-	written bool // in this round
-	read    func(fd uintptr) bool
+	written bool                  // whether the eventfd was written in this round
+	read    func(fd uintptr) bool // passed to raw.Read; created once, to avoid an allocation per call
 }
 
-// NewRound returns a round; Close ends it.
+// NewRound returns a Round, to be closed with Close.
 func NewRound() *Round {
 	round := &Round{}
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
@@ -31,15 +31,15 @@
 	}
 	file := os.NewFile(uintptr(fd), "round")
 	if round.raw, err = file.SyscallConn(); err != nil {
-		closeUnused(file)
+		closeIgnoringError(file)
 		return round
 	}
 	round.file = file
 	one := binary.NativeEndian.AppendUint64(nil, 1)
 	counter := make([]byte, 8)
-	// The first call in a round writes, so that the runtime's next poll has it called again: written before, the
-	// runtime might have seen the event before this goroutine waits for it. Should either system call fail, the
-	// deadline in Next ends the round.
+	// The first call in a round writes to the eventfd and returns false, so that raw.Read waits and the runtime's next
+	// poll makes it call the function again. If the eventfd were written earlier, the runtime might poll it before this
+	// goroutine waits. If either system call fails, the deadline set in Next ends the round.
 	round.read = func(fd uintptr) bool {
 		if !round.written {
 			round.written = true
@@ -52,14 +52,14 @@
 	return round
 }
 
-// Next waits for the next round, 2 ms at the most.
+// Next waits until the runtime has polled all connections again, at most 2 ms.
 func (r *Round) Next() {
 	if r.file == nil {
 		runtime.Gosched()
 		return
 	}
 	r.written = false
-	// The deadline is for systems on which the event never comes; see Set.Works.
+	// The deadline is for systems on which the eventfd is never reported as readable; see Set.Works.
 	if err := r.file.SetReadDeadline(time.Now().Add(maxRoundDuration)); err != nil {
 		runtime.Gosched()
 		return
@@ -69,9 +69,9 @@
 	}
 }
 
-// Close ends the round. A call of Next under way returns.
+// Close releases the eventfd. A call of Next in progress returns.
 func (r *Round) Close() {
 	if r.file != nil {
-		closeUnused(r.file)
+		closeIgnoringError(r.file)
 	}
 }
--- a/internal/poller/set.go
+++ b/internal/poller/set.go
@@ -12,48 +12,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxWakes is how many connections are made ready before everything else that is ready has its turn.
-const maxWakes = 64
+// wakeBatchSize is the maximum number of connections that are woken before all other runnable goroutines have a turn.
+const wakeBatchSize = 64
 
-// Set is connections that wait. The zero value is an empty set. Its methods are safe for concurrent use.
+// Set is an epoll set of idle connections. The zero value is an empty set. Its methods are safe for concurrent use.
 type Set struct {
-	open  sync.Once
-	file  *os.File // the epoll set; nil: none can wait here
-	raw   syscall.RawConn
-	mu    sync.Mutex
-	waits map[int32]*Wait // by file descriptor
-	woken atomic.Bool
-
-	events [maxWakes]unix.EpollEvent // of the goroutine that waits
-	count  int                       // of events
+	startOnce sync.Once
+	file      *os.File // the epoll set; nil: no connection can be added
+	raw       syscall.RawConn
+	mu        sync.Mutex
+	waits     map[int32]*Wait // by file descriptor
+	woken     atomic.Bool     // see Works
+
+	events [wakeBatchSize]unix.EpollEvent // accessed only by the set's goroutine
+	count  int                            // number of valid events
 }
 
-// Works reports whether the set has ever woken a connection. Where the system is emulated, an epoll set within the
-// runtime's own may never become ready, and a connection that relied on it would wait for ever; until Works, whoever
-// waits is to wait elsewhere too.
+// Works reports whether the set has ever woken a connection. On an emulated system, an epoll set nested in that of the
+// runtime may never become ready, and a connection that relied on it would wait forever. As long as Works returns
+// false, the caller must wait for the connection in another way too.
 func (s *Set) Works() bool { return s.woken.Load() }
 
-// Wait is one connection of a set.
+// Wait is the registration of one connection in a Set.
 type Wait struct {
 	set     *Set
 	raw     syscall.RawConn
-	wake    func(ended bool)
-	control func(fd uintptr) // made once, so that Begin does not allocate
+	wake    func(ended bool) // see Add
+	control func(fd uintptr) // created once, so that Begin does not allocate
 	fd      int32
-	added   bool
-	err     error // of control
+	added   bool  // to the epoll set
+	err     error // result of control
 }
 
-// Add adds a connection, which does not wait yet. It returns nil where this connection cannot wait in a set.
+// Add registers a connection, which does not wait until Begin. It returns nil if the connection is not a TCP connection
+// or there is no epoll set.
 //
-// Once for each time that the connection waits, wake is called by the set's goroutine, with whether the peer sends
-// nothing more than has come. It must not block.
+// After each Begin, the set's goroutine calls wake once, when the connection has unread bytes or has ended. ended is
+// true if the peer has closed its sending side or the connection has failed. wake must not block.
 func (s *Set) Add(conn net.Conn, wake func(ended bool)) *Wait {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
 	}
-	s.open.Do(s.start)
+	s.startOnce.Do(s.start)
 	if s.file == nil {
 		return nil
 	}
@@ -66,34 +67,34 @@
 	return wait
 }
 
-// start makes the epoll set and starts its goroutine, which ends with Close. Without an epoll set, file stays nil.
+// start creates the epoll set and starts its goroutine, which ends with Close. If that fails, file stays nil.
 func (s *Set) start() {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return
 	}
-	if err := unix.SetNonblock(fd, true); err != nil { // non-blocking, the runtime waits for the set itself
-		_ = unix.Close(fd) // nothing uses it
+	if err := unix.SetNonblock(fd, true); err != nil { // so that the runtime's poller waits for the set
+		_ = unix.Close(fd) // not used, so an error does not matter
 		return
 	}
 	file := os.NewFile(uintptr(fd), "idle")
 	if s.raw, err = file.SyscallConn(); err != nil {
-		closeUnused(file)
+		closeIgnoringError(file)
 		return
 	}
 	s.file, s.waits = file, map[int32]*Wait{}
 	go s.run()
 }
 
-// Close ends the waiting: no connection is woken any more. It does not wait for a wake that is under way.
+// Close closes the epoll set: no connection is woken any more. It does not wait for a call of wake in progress.
 func (s *Set) Close() {
-	s.open.Do(func() {})
+	s.startOnce.Do(func() {})
 	if s.file != nil {
-		closeUnused(s.file)
+		closeIgnoringError(s.file)
 	}
 }
 
-// Begin makes the connection wait for bytes, or for its end. After an error it does not wait.
+// Begin starts waiting until the connection has bytes or ends. If it returns an error, wake is not called.
 func (w *Wait) Begin() error {
 	if err := w.raw.Control(w.control); err != nil {
 		return err
@@ -101,7 +102,7 @@
 	return w.err
 }
 
-// arm has the epoll set report the connection once.
+// arm makes the epoll set report the next event of the connection once.
 func (w *Wait) arm(fd int) error {
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(fd)}
 	operation := unix.EPOLL_CTL_MOD
@@ -115,13 +116,13 @@
 	var err error
 	closed := w.set.raw.Control(func(set uintptr) { err = unix.EpollCtl(int(set), operation, fd, &event) })
 	if closed != nil {
-		return nil // the set is closed, and wakes nobody any more
+		return nil // the set is closed and wakes no connection any more
 	}
 	return os.NewSyscallError("epoll_ctl", err)
 }
 
-// Forget takes a connection out of its set. It is to be called before the connection is closed, since its descriptor
-// may be another's soon. A nil Wait has nothing to forget.
+// Forget removes the connection from its set. It must be called before the connection is closed, since the file
+// descriptor may be reused for another connection at once. For a nil Wait it does nothing.
 func (w *Wait) Forget() {
 	if w == nil {
 		return
@@ -137,8 +138,8 @@
 func (s *Set) run() {
 	round := NewRound()
 	defer round.Close()
-	takeEvents := s.takeEvents // once, since a method value allocates
-	for s.raw.Read(takeEvents) == nil {
+	pollEvents := s.pollEvents // evaluated once, since each method value allocates
+	for s.raw.Read(pollEvents) == nil {
 		for _, event := range s.events[:s.count] {
 			s.wake(event)
 		}
@@ -148,8 +149,8 @@
 	}
 }
 
-// takeEvents takes what is ready, and reports whether there is anything.
-func (s *Set) takeEvents(fd uintptr) bool {
+// pollEvents reads the events of connections that are ready, and returns false if there are none yet.
+func (s *Set) pollEvents(fd uintptr) bool {
 	count, err := unix.EpollWait(int(fd), s.events[:], 0)
 	s.count = max(count, 0)
 	return count > 0 || err != nil && !errors.Is(err, unix.EINTR)
@@ -167,5 +168,5 @@
 	wait.wake(event.Events&ended != 0)
 }
 
-// closeUnused closes what nothing was written to: nobody can act on an error.
-func closeUnused(c io.Closer) { _ = c.Close() }
+// closeIgnoringError closes a file to which no data was written, so that an error does not matter.
+func closeIgnoringError(c io.Closer) { _ = c.Close() }
--- a/internal/poller/set_test.go
+++ b/internal/poller/set_test.go
@@ -44,7 +44,7 @@
 	require.NoError(tb, err)
 }
 
-// receive waits for a wake.
+// receive returns the next value of woken, and false after testTimeout.
 func receive(woken chan int) (int, bool) {
 	select {
 	case i := <-woken:
@@ -65,34 +65,34 @@
 			woken <- wokenByEnd
 		}
 	})
-	assert.False(t, set.Works(), "nobody was woken yet")
-	write(t, client, "early") // before it waits
+	assert.False(t, set.Works(), "no connection was woken yet")
+	write(t, client, "early") // before Begin
 	assert.NoError(t, wait.Begin())
 	_, ok := receive(woken)
 	require.True(t, ok)
 	assert.True(t, set.Works())
 	write(t, client, "more")
 	time.Sleep(20 * time.Millisecond)
-	assert.Empty(t, woken, "once for each time that it waits")
-	assert.NoError(t, wait.Begin()) // what it was woken for was not read
+	assert.Empty(t, woken, "wake is called only once per Begin")
+	assert.NoError(t, wait.Begin()) // the bytes were not read yet
 	_, ok = receive(woken)
 	require.True(t, ok)
 	_, err := server.Read(make([]byte, 100))
 	require.NoError(t, err)
 	assert.NoError(t, wait.Begin())
 	time.Sleep(20 * time.Millisecond)
-	assert.Empty(t, woken, "there is nothing to read")
+	assert.Empty(t, woken, "there are no unread bytes")
 	client.Close()
 	_, ok = receive(woken)
-	assert.True(t, ok, "the peer's end")
+	assert.True(t, ok, "woken by the close of the peer")
 	got, ok := receive(woken)
-	assert.True(t, ok && got == wokenByEnd, "and that it has ended")
+	assert.True(t, ok && got == wokenByEnd, "wake must report that the connection has ended")
 	wait.Forget()
 	server.Close()
 	assert.Error(t, wait.Begin())
 }
 
-// The descriptor of a connection that was closed is given to another, which must be woken for itself.
+// Guards against waking a closed connection instead of the one that has got its file descriptor.
 func TestDescriptorsAreUsedAgain(t *testing.T) {
 	set, listener := newSet(t)
 	woken := make(chan int, 10)
@@ -113,7 +113,7 @@
 }
 
 func TestManyConnections(t *testing.T) {
-	const rounds, connections = 10, 10 * maxWakes
+	const rounds, connections = 10, 10 * wakeBatchSize
 	set, listener := newSet(t)
 	var echoing sync.WaitGroup
 	var clients []net.Conn
@@ -158,11 +158,11 @@
 	assert.NoError(t, err)
 }
 
-// On one core, not all connections with bytes are made ready before any of them is served.
+// Guards against waking all connections with bytes on one core before any of them is served.
 func TestFewAreMadeReadyAtOnce(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	set, listener := newSet(t)
-	const connections = 8 * maxWakes
+	const connections = 8 * wakeBatchSize
 	var ready, maxReady atomic.Int64
 	var waits []*Wait
 	var served sync.WaitGroup
@@ -183,16 +183,16 @@
 		require.NoError(t, wait.Begin())
 	}
 	served.Wait()
-	assert.LessOrEqual(t, maxReady.Load(), int64(3*maxWakes))
+	assert.LessOrEqual(t, maxReady.Load(), int64(3*wakeBatchSize))
 }
 
-// Where the runtime never reports that a round has begun, Next returns all the same.
+// Guards against a call of Next that never returns where the runtime does not report the eventfd as readable.
 func TestRoundsEnd(t *testing.T) {
 	round := NewRound()
 	for range 3 {
 		round.Next()
 	}
-	round.read = func(uintptr) bool { return false } // nothing ever comes
+	round.read = func(uintptr) bool { return false } // the eventfd is never readable
 	began := time.Now()
 	round.Next()
 	assert.GreaterOrEqual(t, time.Since(began), maxRoundDuration)
--- a/internal/recvtime/recvtime.go
+++ b/internal/recvtime/recvtime.go
@@ -1,5 +1,5 @@
-// Package recvtime reads connections and reports when the system received what was read, which may be long before a
-// busy program comes to read it. It only reads; whoever owns the connection writes, sets deadlines and closes.
+// Package recvtime reads from connections and reports when the system received the bytes that were read, which may be
+// long before a busy program reads them. The owner of a connection writes to it, sets its deadlines and closes it.
 package recvtime
 
 import (
@@ -13,35 +13,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxWait is the longest wait between receiving and reading that is believed. Beyond it, or below zero, the system's
-// clock was set in between.
-const maxWait = 30 * time.Second
+// maxReadDelay is the longest plausible time from receiving bytes to reading them. If it is longer or negative, the
+// system clock was set in between.
+const maxReadDelay = 30 * time.Second
 
 // Reader reads one connection. It is not safe for concurrent use.
 type Reader struct {
 	conn     net.Conn
-	raw      syscall.RawConn // nil: this connection has no receive times
-	request  receiveRequest
-	received time.Time
+	raw      syscall.RawConn // nil: receive times are not available for the connection
+	call     recvmsgCall
+	received time.Time // see Received
 
-	receiveOrWait func(fd uintptr) bool // both are made once, so that Read does not allocate
+	receiveOrWait func(fd uintptr) bool // both functions are created once, so that Read does not allocate
 	receiveNow    func(fd uintptr)
 }
 
-// NewReader returns a reader of a connection that nobody else reads. One that is no TCP socket, or whose system has no
-// receive times, is read as it is.
+// NewReader returns a reader of a connection, which must be its only reader. If the connection is not a TCP socket, or
+// the system has no receive times, the reader passes reads on and Received returns the zero time.
 func NewReader(conn net.Conn) *Reader {
 	r := &Reader{}
 	r.receiveOrWait = func(fd uintptr) bool {
-		r.request.do(fd)
-		return r.request.errno != unix.EAGAIN
+		r.call.do(fd)
+		return r.call.errno != unix.EAGAIN
 	}
-	r.receiveNow = r.request.do
+	r.receiveNow = r.call.do
 	r.Reset(conn)
 	return r
 }
 
-// Reset makes the reader read another connection.
+// Reset makes the reader read from another connection.
 func (r *Reader) Reset(conn net.Conn) {
 	r.conn, r.raw, r.received = conn, nil, time.Time{}
 	tcp, ok := conn.(*net.TCPConn)
@@ -61,11 +61,12 @@
 	}
 }
 
-// Received returns when the system had received all that was read last; zero where it is unknown.
+// Received returns when the system had received all bytes returned by the last Read, or the zero time if that is
+// unknown.
 func (r *Reader) Received() time.Time { return r.received }
 
-// Read reads from the connection. If this program was held up past a read deadline, what had come by then is still
-// read: its sender was not late.
+// Read reads from the connection. If the read deadline has passed but the system has received bytes, these are still
+// returned: the program may have read them late although the sender was in time.
 func (r *Reader) Read(p []byte) (int, error) {
 	if r.raw == nil || len(p) == 0 {
 		return r.conn.Read(p)
@@ -73,50 +74,51 @@
 	if err := r.receive(p); err != nil {
 		return 0, err
 	}
-	request := &r.request
+	call := &r.call
 	switch {
-	case request.errno != 0:
+	case call.errno != 0:
 		return 0, &net.OpError{
 			Op:     "read",
 			Net:    "tcp",
 			Source: r.conn.LocalAddr(),
 			Addr:   r.conn.RemoteAddr(),
-			Err:    os.NewSyscallError("recvmsg", request.errno),
+			Err:    os.NewSyscallError("recvmsg", call.errno),
 		}
-	case request.n <= 0:
+	case call.n <= 0:
 		return 0, io.EOF
 	}
 	r.received = time.Time{}
-	if stamp, ok := request.timestamp(); ok {
+	if stamp, ok := call.timestamp(); ok {
 		r.received = receiveTime(stamp, time.Now())
 	}
-	return request.n, nil
+	return call.n, nil
 }
 
-// receive waits until something has come or the read deadline is over, and receives it.
+// receive receives bytes or the end of the connection into p, waiting until the read deadline.
 func (r *Reader) receive(p []byte) error {
-	r.request.buffer = p
+	r.call.buffer = p
 	err := r.raw.Read(r.receiveOrWait)
-	r.request.release()
+	r.call.release()
 	if errors.Is(err, os.ErrDeadlineExceeded) && r.receiveLate(p) {
 		return nil
 	}
 	return err
 }
 
-// receiveLate receives what has come by now, and reports whether there was anything.
+// receiveLate receives bytes into p without waiting, after the read deadline, and reports whether there were any.
 func (r *Reader) receiveLate(p []byte) bool {
-	r.request.buffer = p
+	r.call.buffer = p
 	err := r.raw.Control(r.receiveNow)
-	r.request.release()
-	return err == nil && r.request.errno == 0 && r.request.n > 0
+	r.call.release()
+	return err == nil && r.call.errno == 0 && r.call.n > 0
 }
 
-// receiveTime returns the time of a timestamp on the monotonic clock; zero where it cannot be right.
+// receiveTime converts a timestamp of the system to a time with a monotonic clock reading. It returns the zero time for
+// an implausible timestamp.
 func receiveTime(stamp unix.Timespec, now time.Time) time.Time {
-	wait := now.Sub(time.Unix(stamp.Unix()))
-	if wait < 0 || wait > maxWait {
+	delay := now.Sub(time.Unix(stamp.Unix()))
+	if delay < 0 || delay > maxReadDelay {
 		return time.Time{}
 	}
-	return now.Add(-wait)
+	return now.Add(-delay)
 }
--- a/internal/recvtime/recvtime_test.go
+++ b/internal/recvtime/recvtime_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// waitForTimestamps waits until the system stamps what comes: it begins soon after the first socket asks for it.
+// waitForTimestamps waits until the system timestamps received bytes, which it does only some time after the first
+// socket has enabled it.
 func waitForTimestamps(tb testing.TB, reader *Reader, client net.Conn) {
 	tb.Helper()
 	stamped := func() bool {
@@ -45,7 +46,7 @@
 	assert.NoError(tb, err)
 }
 
-// The time in which bytes wait for this program, while it is busy, is not counted as the peer's.
+// Guards against counting the time for which a busy program leaves bytes unread as latency of the peer.
 func TestReceivedIsBeforeTheRead(t *testing.T) {
 	server, client := connect(t)
 	reader := NewReader(server)
@@ -54,7 +55,7 @@
 	before := time.Now()
 	write(t, client, "hello")
 	after := time.Now()
-	time.Sleep(50 * time.Millisecond) // busy with other things
+	time.Sleep(50 * time.Millisecond) // simulates a busy program
 	buffer := make([]byte, 10)
 	n, err := reader.Read(buffer)
 	assert.NoError(t, err)
@@ -65,7 +66,7 @@
 		time.Sleep(10 * time.Millisecond)
 		write(t, client, "more")
 	}()
-	n, err = reader.Read(buffer) // waits for it
+	n, err = reader.Read(buffer) // blocks until the write
 	assert.NoError(t, err)
 	assert.Equal(t, "more", string(buffer[:n]))
 	client.Close()
@@ -75,7 +76,7 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// A response that came in time is read, although this program was held up until after its deadline.
+// Guards against a timeout for bytes that were received in time, but read after the deadline by a busy program.
 func TestReadPastDeadline(t *testing.T) {
 	server, client := connect(t)
 	reader := NewReader(server)
@@ -115,29 +116,30 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// A clock that was set between a timestamp and its reading would show waits of hours, or below zero.
+// Guards against delays of hours, or below zero, which are computed if the system clock is set between the receipt of
+// bytes and reading them.
 func TestReceiveTimeWhenTheClockIsSet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		name   string
-		before time.Duration // now
-		known  bool
+		name  string
+		age   time.Duration // of the timestamp
+		known bool
 	}{
 		{"just now", 0, true},
 		{"a while ago", time.Second, true},
 		{"set forward", time.Hour, false},
 		{"set back", -time.Millisecond, false},
 	} {
-		stamp := unix.NsecToTimespec(now.Add(-c.before).UnixNano())
+		stamp := unix.NsecToTimespec(now.Add(-c.age).UnixNano())
 		received := receiveTime(stamp, now)
 		assert.Equal(t, c.known, !received.IsZero(), c.name)
 		if c.known {
-			assert.Equal(t, c.before, now.Sub(received), c.name)
+			assert.Equal(t, c.age, now.Sub(received), c.name)
 		}
 	}
 }
 
-// BenchmarkRead measures a read with receive times and without.
+// BenchmarkRead compares reads with and without receive times.
 func BenchmarkRead(b *testing.B) {
 	for _, c := range []struct {
 		name   string
--- a/internal/recvtime/request.go
+++ b/internal/recvtime/request.go
@@ -6,11 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// receiveRequest is one call of recvmsg and its result. It is part of a Reader, so that the call allocates nothing.
-type receiveRequest struct {
-	buffer []byte // not empty
-	n      int
-	errno  unix.Errno // 0: none
+// recvmsgCall holds the arguments and the result of one call of recvmsg. It is a field of Reader, so that the call does
+// not allocate.
+type recvmsgCall struct {
+	buffer []byte     // must not be empty
+	n      int        // bytes received
+	errno  unix.Errno // 0: success
 
 	message unix.Msghdr
 	vector  unix.Iovec
@@ -20,18 +21,18 @@
 	}
 }
 
-// do receives what has come into the buffer, and does not wait.
-func (r *receiveRequest) do(fd uintptr) {
-	r.vector.Base = &r.buffer[0]
-	r.vector.SetLen(len(r.buffer))
-	r.message = unix.Msghdr{Iov: &r.vector, Control: (*byte)(unsafe.Pointer(&r.control))}
-	r.message.SetIovlen(1)
+// do receives bytes into the buffer without waiting: errno is EAGAIN if there are none.
+func (c *recvmsgCall) do(fd uintptr) {
+	c.vector.Base = &c.buffer[0]
+	c.vector.SetLen(len(c.buffer))
+	c.message = unix.Msghdr{Iov: &c.vector, Control: (*byte)(unsafe.Pointer(&c.control))}
+	c.message.SetIovlen(1)
 	for {
-		r.message.SetControllen(int(unsafe.Sizeof(r.control)))
-		// Without the scheduler's bookkeeping of a system call that may block: this one never does.
+		c.message.SetControllen(int(unsafe.Sizeof(c.control)))
+		// RawSyscall avoids the scheduler's bookkeeping for a blocking system call, since MSG_DONTWAIT never blocks.
 		n, _, errno := unix.RawSyscall(
-			unix.SYS_RECVMSG, fd, uintptr(unsafe.Pointer(&r.message)), unix.MSG_DONTWAIT)
-		r.n, r.errno = int(n), errno
+			unix.SYS_RECVMSG, fd, uintptr(unsafe.Pointer(&c.message)), unix.MSG_DONTWAIT)
+		c.n, c.errno = int(n), errno
 		if errno != unix.EINTR {
 			return
 		}
@@ -39,12 +40,12 @@
 }
 
 // release drops the references to the caller's buffer.
-func (r *receiveRequest) release() { r.buffer, r.vector.Base = nil, nil }
+func (c *recvmsgCall) release() { c.buffer, c.vector.Base = nil, nil }
 
-// timestamp returns when the system received what was read, if it said so.
-func (r *receiveRequest) timestamp() (stamp unix.Timespec, ok bool) {
-	header := &r.control.header
-	ok = r.message.Controllen == uint64(unsafe.Sizeof(r.control)) &&
+// timestamp returns when the system received the bytes, if it reported that.
+func (c *recvmsgCall) timestamp() (stamp unix.Timespec, ok bool) {
+	header := &c.control.header
+	ok = c.message.Controllen == uint64(unsafe.Sizeof(c.control)) &&
 		header.Level == unix.SOL_SOCKET && header.Type == unix.SCM_TIMESTAMPNS
-	return r.control.stamp, ok
+	return c.control.stamp, ok
 }
