--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,7 +10,7 @@
 )
 
 // maxRoundTrip caps the round-trip time that is subtracted from an exchange's SendBy: if a connection took longer to
-// open, a packet was lost, and that time says nothing about the next request.
+// open, a packet was lost, and the connect time is not the round-trip time.
 const maxRoundTrip = 50 * time.Millisecond
 
 // connection is one connection to a server. One goroutine opens it and writes requests (run), another reads responses
