--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -20,16 +20,16 @@
 	maxListBytes = 4 << 20     // size of a list in JSON, enough for about ten thousand endpoints
 )
 
-// call is one call for the endpoint list, on its own goroutine. It sends events to the watch; the last one reports its
-// end.
+// call is one request for the endpoint list and the stream of events that follows it, on its own goroutine. It sends
+// the events to the watch; the last one reports the end of the call.
 type call struct {
 	stop    context.CancelFunc
-	watch   *Watch // only its Addr and Dial may be accessed here
+	watch   *Watch // only its Addr and Dial may be used: the other fields belong to the goroutine of Watch.Run
 	version int64  // of the list to continue from
 	events  chan<- event
 }
 
-// run makes the call and sends its events until the call or the context ends.
+// run makes the call and sends its events to c.events, and last the reason why it ended. It stops if the context ends.
 func (c *call) run(ctx context.Context) {
 	deliver := func(e event) {
 		e.from = c
@@ -99,7 +99,7 @@
 }
 
 // receiveTime returns a function that returns when the system received the bytes that were read last, since an
-// overloaded process may read them much later. If that is unknown, the function returns the current time.
+// overloaded process may read them much later. If the system did not report it, the function returns the current time.
 func receiveTime(source *recvtime.Reader) func() time.Time {
 	return func() time.Time {
 		if at := source.Received(); !at.IsZero() {
--- a/internal/discovery/notification/notification.go
+++ b/internal/discovery/notification/notification.go
@@ -27,10 +27,10 @@
 	MaxRetryDelay = 0.5
 
 	minHedgeDelay         = 0.2
-	maxRejectionDelay     = 4.0  // mean, except after queued calls of a large fleet; with jitter not above Delay
-	rejectionDelayPerPeer = 0.05 // limits the whole fleet to 20 calls per second
-	minQueuedDuration     = 0.5  // a call rejected after so long was queued and took capacity of discovery
-	queuedDelayFactor     = 2.0  // multiple of fleetDelay to wait after such a call
+	maxRejectionDelay     = 4.0  // limit of the mean, except after queued calls of a large fleet; with jitter up to Delay
+	rejectionDelayPerPeer = 0.05 // per proxy of the fleet: limits the whole fleet to 20 calls per second
+	minQueuedDuration     = 0.5  // a call rejected after this time or later was queued and took capacity of discovery
+	queuedDelayFactor     = 2.0  // after such a call, the mean delay is fleetDelay times this factor
 )
 
 // Upper limits of delays, as fractions of the grace of a drain.
@@ -57,7 +57,7 @@
 // almost at once. A discovery service that rejects calls is shared: retries of a large fleet at that rate would keep it
 // overloaded, and no proxy would get the list.
 type Clock struct {
-	fleetDelay    float64 // mean, so that the whole fleet calls at a bounded rate
+	fleetDelay    float64 // mean delay at which the calls of the whole fleet stay within a fixed rate
 	hedgeDelay    float64 // from a call without an event to a hedged one
 	maxRetryDelay float64 // upper bound of retryDelay
 
@@ -112,7 +112,7 @@
 	if first {
 		notifiedAt = c.lastEvent
 	}
-	if now-c.callStarted > SilenceTimeout { // a watch that always fails after its first event is retried with backoff
+	if now-c.callStarted > SilenceTimeout { // not earlier: a watch that fails after each first event needs backoff
 		c.retryDelay = MinRetryDelay
 	}
 	c.lastEvent = now
@@ -141,7 +141,7 @@
 // delayAfterRejection returns the mean delay after a call that has just been rejected.
 func (c *Clock) delayAfterRejection(now float64) float64 {
 	queued := now-c.callStarted >= minQueuedDuration
-	// Queued calls of so large a fleet that end in a rejection would use all the capacity of discovery in vain.
+	// In a fleet of this size, calls that are queued and then rejected would waste all the capacity of discovery.
 	if queued && c.fleetDelay > maxRejectionDelay {
 		return queuedDelayFactor * c.fleetDelay
 	}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -17,7 +17,7 @@
 
 // localAgent is a discovery agent on the proxy's own machine that fails from failsAt to restoredAt.
 type localAgent struct {
-	failure        string // the kind of failure, see serve
+	failure        string // the kind of failure, see dial and serve
 	failsAt        time.Time
 	restoredAt     time.Time
 	changedVersion int // version of the list from restoredAt on
@@ -41,7 +41,8 @@
 	return clientConn, nil
 }
 
-// serve answers one call.
+// serve handles the agent's side of one connection: it reads the request for the list, then sends lists and heartbeats,
+// or fails in the way that failure names.
 func (a *localAgent) serve(serverConn net.Conn) {
 	defer serverConn.Close()
 	if receive(serverConn) == "" {
@@ -66,7 +67,7 @@
 		case "rejects":
 			reject(serverConn)
 			return
-		default: // holds: the response is delayed until the agent is restored
+		default: // "holds": the agent holds back its response until restoredAt
 			time.Sleep(time.Until(a.restoredAt))
 		}
 	}
@@ -145,7 +146,7 @@
 		stop()
 		synctest.Wait()
 		assert.False(t, receivedAt.IsZero(), "%s, fleet of %d, %v", failure, fleetSize, duration)
-		// What the watch missed counts as received from the notification deadline on, if that is later.
+		// Changes that the watch missed count as received from the notification deadline on, if it is after restoredAt.
 		untilDeadline := time.Until(agent.failsAt.Add(toDuration(notification.Delay))) + time.Since(agent.restoredAt)
 		used = (receivedAt.Sub(agent.restoredAt) - max(0, untilDeadline)).Seconds() / grace
 		time.Sleep(3 * time.Hour) // until the agent's goroutines end
@@ -154,7 +155,7 @@
 }
 
 // Guards against too long a delay after a rejected call: a change counts as received 6 s after discovery has it and no
-// longer rejects calls, and the proxy must receive it within the grace of a drain from then.
+// longer rejects calls, and the proxy must receive it within the grace of a drain after these 6 s.
 func TestChangeIsReceivedAfterRejectionsEnd(t *testing.T) {
 	for _, fleetSize := range []int{1, 8, 80, 350, 1024} {
 		const grace = 0.5
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -65,7 +65,8 @@
 	serverConn.Close()
 }
 
-// run serves queued calls for a duration, in time steps.
+// run serves the queued calls for a duration of the test's simulated time. In each step, it divides the capacity for
+// that step among all queued calls, and removes those that are done or were queued for too long.
 func (o *overloadedDiscovery) run(duration, step time.Duration) {
 	for began := time.Now(); time.Since(began) < duration; time.Sleep(step) {
 		o.mu.Lock()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -18,15 +18,15 @@
 // keeps its place in the queue of the discovery service.
 const maxOpenCalls = 5
 
-// Watch follows the endpoint list, starting from Version. While Run runs, Version is that of the last list received,
-// and no other goroutine may change a field.
+// Watch follows the endpoint list, starting from Version. Run sets Version to that of each list received. While Run is
+// running, no other goroutine may change a field.
 type Watch struct {
 	Addr        string
 	Version     int64
 	FleetSize   int     // number of proxies that may call at the same time, including this one
 	DrainGrace  float64 // shortest grace of a drain, in seconds; 0: unknown
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	OnConnected func()     // called when a watch is established, before its first list is passed to OnList
+	OnConnected func()     // called when a call becomes the established watch, before its first list goes to OnList
 	OnList      func(List) // called for each list, in order
 	Log         logrus.FieldLogger
 	Rand        func() float64 // returns the jitter of a delay, from 0 to 1; nil: rand.Float64
@@ -147,7 +147,7 @@
 	r.clock.CallEnded(now, result, len(r.open), r.jitter())
 }
 
-// eventReceived processes a list or heartbeat, and makes its call the established watch if that is another one.
+// eventReceived processes a list or heartbeat, and makes its call the established watch if it is not yet.
 func (r *run) eventReceived(e event, now float64) {
 	first := e.from != r.established
 	if first {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -22,7 +22,7 @@
 		body, err = r.readLimited(&chunkedBody{reader: r})
 	case length < 0:
 		body, err = r.readLimited(r.R)
-	case length > DefaultMaxBytes: // grows as data is received: the announced length may never follow
+	case length > DefaultMaxBytes: // the buffer grows with the data: the sender may never send all it announced
 		body, err = io.ReadAll(io.LimitReader(r.R, int64(length)))
 		if err == nil && len(body) < length {
 			err = io.ErrUnexpectedEOF
@@ -66,7 +66,7 @@
 	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	b.reader.renewBudget() // each read may consume as much as a whole message
+	b.reader.renewBudget() // the byte limit applies to each read, not to the whole body
 	if b.remaining < 0 {
 		return b.reader.R.Read(p)
 	}
@@ -82,9 +82,9 @@
 type chunkedBody struct {
 	reader    *Reader
 	remaining uint64 // bytes of the current chunk
-	inChunk   bool   // the line end of the current chunk was not read yet
+	inChunk   bool   // the line end after the data of the current chunk was not read yet
 	unbounded bool   // the size of the body is not limited
-	err       error  // returned by all further reads
+	err       error  // why reading the body ended; returned by all further reads
 }
 
 func (b *chunkedBody) Read(p []byte) (int, error) {
@@ -138,8 +138,8 @@
 	return err
 }
 
-// bodyError converts an error from reading a body: to status 413 if the message used up its budget, to status 400 if it
-// is malformed, and to io.ErrUnexpectedEOF if the connection ended.
+// bodyError converts an error from reading a body: to status 413 if the message is over its byte limit (see budget), to
+// status 400 if the body is malformed, and to io.ErrUnexpectedEOF if the connection ended.
 func (r *Reader) bodyError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -19,7 +19,7 @@
 // Error reports a message that is malformed, too large or not supported.
 type Error struct {
 	Status int    // of the response to a client that sent the message
-	Text   string // of the response's body
+	Text   string // the body of that response
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
@@ -31,8 +31,8 @@
 
 // Head is the start line and the header fields of a message, and what they determine about its body and connection.
 type Head struct {
-	Method, Target []byte // of a request
-	Status         int    // of a response
+	Method, Target []byte // of a request; nil for a response
+	Status         int    // of a response; 0 for a request
 	Fields         []Field
 	Length         int  // of the body in bytes; -1: unknown
 	Chunked        bool // the body has chunked transfer coding
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -64,7 +64,7 @@
 			h.Length = 0
 			h.Chunked = false
 		case h.Status == 101:
-			return nil, newError(400, "switch of protocols")
+			return nil, newError(400, "switch of protocols") // no other protocol is supported
 		}
 		if h.Length < 0 && !h.Chunked {
 			h.Close = true
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -54,7 +54,7 @@
 	r.R = buffer
 }
 
-// renewBudget resets the limits to those of a new message.
+// renewBudget resets the byte limits to those of a new message.
 func (r *Reader) renewBudget() {
 	r.source.N = 2*DefaultMaxBytes + maxFramingBytes
 	r.maxBodyBytes = DefaultMaxBytes
@@ -148,7 +148,7 @@
 	r.R = bufio.NewReaderSize(io.MultiReader(moved, r.source), 4*len(buffered))
 }
 
-// headEnd returns the offset after the empty line that ends a head, or 0 if there is none. It searches from an offset.
+// headEnd returns the offset after the empty line that ends a head, or 0 if there is none. The search starts at from.
 func headEnd(buffer []byte, from int) int {
 	for i := from; ; {
 		n := bytes.IndexByte(buffer[i:], '\n')
--- a/internal/poller/round.go
+++ b/internal/poller/round.go
@@ -14,9 +14,9 @@
 
 // Round lets a goroutine wait until the runtime has polled all connections again. The runtime of an overloaded program
 // polls when no goroutine is runnable, or every 10 ms; if goroutines keep making others runnable it polls seldom, and
-// bytes received by then wait behind that work. A Round belongs to one goroutine.
+// bytes received in the meantime wait behind that work. A Round belongs to one goroutine.
 type Round struct {
-	file    *os.File // an eventfd; nil if that failed: Next then only yields to goroutines that are runnable
+	file    *os.File // an eventfd; nil if creating it failed: Next then only calls runtime.Gosched
 	raw     syscall.RawConn
 	written bool                  // whether the eventfd was written in this round
 	read    func(fd uintptr) bool // passed to raw.Read; created once, to avoid an allocation per call
--- a/internal/poller/set.go
+++ b/internal/poller/set.go
@@ -40,7 +40,7 @@
 	wake    func(ended bool) // see Add
 	control func(fd uintptr) // created once, so that Begin does not allocate
 	fd      int32
-	added   bool  // to the epoll set
+	added   bool  // whether the connection was added to the epoll set
 	err     error // result of control
 }
 
--- a/internal/poller/set_test.go
+++ b/internal/poller/set_test.go
@@ -92,7 +92,7 @@
 	assert.Error(t, wait.Begin())
 }
 
-// Guards against waking a closed connection instead of the one that has got its file descriptor.
+// Guards against waking a closed connection instead of the new one that reuses its file descriptor.
 func TestDescriptorsAreUsedAgain(t *testing.T) {
 	set, listener := newSet(t)
 	woken := make(chan int, 10)
@@ -158,7 +158,8 @@
 	assert.NoError(t, err)
 }
 
-// Guards against waking all connections with bytes on one core before any of them is served.
+// Guards against waking all connections that have unread bytes before any of them is served, in a program that runs on
+// one core.
 func TestFewAreMadeReadyAtOnce(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	set, listener := newSet(t)
--- a/internal/recvtime/recvtime.go
+++ b/internal/recvtime/recvtime.go
@@ -22,14 +22,14 @@
 	conn     net.Conn
 	raw      syscall.RawConn // nil: receive times are not available for the connection
 	call     recvmsgCall
-	received time.Time // see Received
+	received time.Time // what Received returns
 
 	receiveOrWait func(fd uintptr) bool // both functions are created once, so that Read does not allocate
 	receiveNow    func(fd uintptr)
 }
 
-// NewReader returns a reader of a connection, which must be its only reader. If the connection is not a TCP socket, or
-// the system has no receive times, the reader passes reads on and Received returns the zero time.
+// NewReader returns a reader of a connection, from which nothing else may read. If the connection is not a TCP socket,
+// or the system has no receive times, Read only calls conn.Read and Received returns the zero time.
 func NewReader(conn net.Conn) *Reader {
 	r := &Reader{}
 	r.receiveOrWait = func(fd uintptr) bool {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Received returns when the system had received all bytes returned by the last Read, or the zero time if that is
-// unknown.
+// Received returns when the system had received all bytes returned by the last Read, or the zero time if the receive
+// time is unknown.
 func (r *Reader) Received() time.Time { return r.received }
 
 // Read reads from the connection. If the read deadline has passed but the system has received bytes, these are still
--- a/internal/recvtime/recvtime_test.go
+++ b/internal/recvtime/recvtime_test.go
@@ -46,7 +46,7 @@
 	assert.NoError(tb, err)
 }
 
-// Guards against counting the time for which a busy program leaves bytes unread as latency of the peer.
+// Guards against adding to the latency of the peer the time for which a busy program leaves received bytes unread.
 func TestReceivedIsBeforeTheRead(t *testing.T) {
 	server, client := connect(t)
 	reader := NewReader(server)
@@ -116,8 +116,8 @@
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
 
-// Guards against delays of hours, or below zero, which are computed if the system clock is set between the receipt of
-// bytes and reading them.
+// Guards against a wrong receive time, hours before the read or after it, if the system clock is set after bytes are
+// received and before they are read.
 func TestReceiveTimeWhenTheClockIsSet(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -18,8 +18,8 @@
 type connection struct {
 	pool       *Pool
 	server     *server
-	generation int       // of the server when the connection was opened
-	idleSince  time.Time // accessed by the owner only
+	generation int       // the generation of server when the connection was opened
+	idleSince  time.Time // when the connection became idle; accessed only by the pool's owner
 	requests   chan *Exchange
 
 	hasUnread func() bool   // see HasUnreadBytes; called by the writing goroutine with mu held
@@ -48,7 +48,7 @@
 	ex.conn = c
 	c.current = ex
 	c.setReadDeadline(ex.Deadline)
-	c.requests <- ex // never blocks: the writer received the previous exchange before that ended
+	c.requests <- ex // never blocks: the writer received the previous exchange before that exchange ended
 	return true
 }
 
@@ -80,7 +80,8 @@
 	return ex.canceled
 }
 
-// run opens the connection for its first exchange, starts the reading goroutine and writes requests until that ends.
+// run opens the connection for its first exchange, starts the reading goroutine and writes requests until the reading
+// goroutine ends and closes c.requests.
 func (c *connection) run(ex *Exchange, addr string) {
 	if err := c.open(ex, addr); err != nil {
 		c.connectFailed(ex, err)
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// connectFailed reports an exchange whose connection could not be opened.
+// connectFailed ends an exchange whose connection could not be opened: on the owner's goroutine, it removes the
+// connection from the pool and calls OnDone.
 func (c *connection) connectFailed(ex *Exchange, err error) {
 	result := Result{Outcome: balance.ConnectFailed, EndedAt: time.Now(), Err: err}
 	c.mu.Lock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -8,15 +8,15 @@
 	"lockloom/balance"
 )
 
-// ErrClientGone is the error with which the Stream of a response is closed when its client has gone, and the error of
-// an exchange that was not sent for that reason.
+// ErrClientGone means that the client of an exchange has gone. It is the Err of the Result if the request was not sent
+// because of that, and the error with which the reader of Result.Stream closes it if the client goes later.
 var ErrClientGone = errors.New("the client has gone")
 
 // Reasons why an exchange was not sent, or why the bytes received are not its response.
 var (
 	errUnsolicited   = errors.New("connection closed by the server, or bytes received, before the request was written")
 	errCanceled      = errors.New("canceled")
-	errTooLate       = errors.New("request would reach the server after its send-by time")
+	errTooLate       = errors.New("send-by time of the request would pass before it reaches the server")
 	errDraining      = errors.New("the server is draining")
 	errEarlyResponse = errors.New("response received before the request was written")
 )
@@ -24,14 +24,14 @@
 // Exchange is one attempt: a request to one server. Its exported fields must not be changed after Send.
 type Exchange struct {
 	Head, Tail, Body []byte      // written in this order
-	Deadline         time.Time   // the exchange times out without a response by then
+	Deadline         time.Time   // the exchange times out if its response is neither complete nor streaming by this time
 	SendBy           time.Time   // the request is not sent if it would reach the server later; zero: no limit
 	ClientGone       func() bool // if true the request is not sent; called from any goroutine; nil: it has no client
 	Passthrough      bool        // responses are forwarded unchanged; only a status of 500 or above is a server error
 	HeadOnly         bool        // the request is a HEAD request: its response has no body
 
 	Upload          *Upload       // streams the rest of a body that is not stored; nil: Body is complete
-	ResponseTimeout time.Duration // for the response, from the Upload's last byte on; 0: Deadline applies
+	ResponseTimeout time.Duration // limit for the response, from the end of the Upload; 0: Deadline applies
 
 	// Both callbacks run on the owner's goroutine.
 	OnResponseStarted func(Result) // streaming has started; called at most once, before OnDone; nil: no streaming
@@ -43,15 +43,15 @@
 // progress is the state of an exchange between Send and OnDone.
 type progress struct {
 	conn        *connection
-	connectTime time.Duration // of a connection opened for the exchange, else 0; the writer's until writeDone is closed
+	connectTime time.Duration // to open the connection; 0 if reused. Only the writer uses it until writeDone is closed
 
 	// Guarded by the connection's lock.
 	writeStartedAt time.Time
-	canceled       bool // it must not be sent any more, or its connection is closed
-	writeStarted   bool // its bytes may be sent from now on
+	canceled       bool // the request must not be sent any more; if it was being sent, its connection is closed
+	writeStarted   bool // from now on, bytes of the request may be sent
 	isStreaming    bool // streaming its response has started
 
-	// Set by the writer before it closes writeDone, and read after that.
+	// Set by the writer before it closes writeDone. Other goroutines read them only once writeDone is closed.
 	writeDone     chan struct{}
 	sentAt        time.Time // writeStartedAt minus connectTime
 	fullyWritten  bool
@@ -64,8 +64,8 @@
 	SentAt        time.Time      // when writing started, less the time to open the connection for it; zero: not sent
 	EndedAt       time.Time      // when the response was completely received, or the exchange failed
 	Err           error          // why there is no complete response
-	Status        int            // of the response; 0: none was received
-	Length        int            // of the body, or what a response to HEAD announces, in bytes; -1: unknown
+	Status        int            // status code of the response; 0: no response was received
+	Length        int            // of the body in bytes; for HEAD: the announced Content-Length; -1: unknown
 	Fields        []byte         // header field lines to forward, if the status is 200 or with Passthrough
 	Body          []byte         // the complete body, or in OnResponseStarted its first bytes
 	ReservedBytes int64          // memory reserved for Body, which the receiver of the Result must release
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// Guards against delaying a response that is received while its request is still being written, which the server may
-// never read. A 200 is not accepted then: a server runs a request only after its last byte.
+// Guards against delaying a response that is received while its request is still being written: the server may never
+// read the rest of the request. A 200 is not accepted then, since a server runs a request only after its last byte.
 func TestResponseBeforeRequestIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		response string
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,5 @@
 // Package upstream keeps the connections to servers and sends requests over them. A Pool belongs to one goroutine, its
-// owner: only the owner calls its methods, and the results of exchanges are reported on that goroutine.
+// owner: only the owner calls its methods, and the callbacks of exchanges run on the same goroutine.
 //
 // The package never retries: each exchange is written at most once, and the Outcome of its Result states whether the
 // server may have run the request; see outcome.go.
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Pool reuses the connections to each server, the longest idle one first: by then, anything that the server sent after
-// its last response, or its close of the connection, has most likely arrived.
+// Pool reuses the connections to each server, the longest idle one first: if the server has closed that connection, or
+// sent more bytes after its last response, the pool has most likely received this already and does not use it.
 type Pool struct {
 	ConnectTimeout time.Duration          // limit for establishing a connection
 	IdleTimeout    time.Duration          // connections that have been idle for this long are closed
@@ -27,7 +27,7 @@
 	closed  atomic.Bool  // set by Close: no connection is kept idle any more
 	onBytes func()       // test hook, else nil: called when bytes were received, before they are assigned to an exchange
 	servers []*server    // by the index that the caller passes to each method
-	total   int          // connections to all servers, including those being opened
+	total   int          // number of connections to all servers, including those being opened
 }
 
 // Counters holds totals since the pool was created.
@@ -44,7 +44,7 @@
 	startedAt     float64       // start time of the server's process
 	generation    int           // incremented by CloseIdle; connections of an earlier generation are not reused
 	idle          []*connection // the most recently used last
-	open          int           // connections, idle and in use
+	open          int           // number of connections: idle, in use and being opened
 	stopSendingAt atomic.Int64  // Unix nanoseconds from which nothing is written to the server; 0: never
 }
 
@@ -101,7 +101,7 @@
 }
 
 // Send starts an exchange on an idle connection or a new one. It returns false if MaxConnections is reached and no
-// connection is idle: nothing was sent then, and no result will be reported.
+// connection is idle: nothing was sent then, and OnDone will not be called.
 func (p *Pool) Send(index int, ex *Exchange) bool {
 	s := p.servers[index]
 	ex.writeDone = make(chan struct{})
@@ -122,7 +122,7 @@
 }
 
 // sendOnIdle starts an exchange on an idle connection, and returns false if there is none. A connection that was idle
-// for IdleTimeout is not used: if its server is closing it, the request would end in a connection reset.
+// for IdleTimeout is not used: its server may be closing it, and the request would end in a connection reset.
 func (p *Pool) sendOnIdle(s *server, ex *Exchange) bool {
 	now := time.Now()
 	for len(s.idle) > 0 {
@@ -137,10 +137,11 @@
 	return false
 }
 
-// Cancel cancels an exchange and closes its connection. The exchange is still reported.
+// Cancel cancels an exchange and closes its connection. OnDone is still called.
 func (p *Pool) Cancel(ex *Exchange) { ex.conn.cancel(ex) }
 
-// DiscardResponse ends an exchange as not sent if writing it has not started; any other exchange continues.
+// DiscardResponse makes an exchange end with the outcome NotSent if writing its request has not started. Otherwise the
+// exchange continues.
 func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.cancelUnwritten(ex) }
 
 // CloseExpired closes the connections that have been idle for IdleTimeout.
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -21,13 +21,13 @@
 	ex.fullyWritten = err == nil
 	close(ex.writeDone)
 	if err != nil {
-		c.netConn.Close() // the reading goroutine then reports the exchange
+		c.netConn.Close() // the reading goroutine then ends the exchange and calls OnDone
 	}
 }
 
 // startWriting decides whether a request is written: if the connection is usable and notSent is nil. A connection with
 // unread bytes is unusable, since these, such as a second copy of the last response, would be read as the response to
-// the request. So is one that the server has closed, since a request written to it would appear to have run.
+// the request. So is one that the server has closed: after writing to it, the request would count as possibly run.
 func (c *connection) startWriting(ex *Exchange) (usable bool, notSent error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,8 +42,8 @@
 }
 
 // notSentReason returns why an exchange must not be sent any more, or nil. It is called just before the first byte is
-// written, for first attempts and retries alike: since Send, the writer may have waited for its connection or for a
-// processor. The caller holds the lock.
+// written, for first attempts and retries alike: since Send, the writer may have waited for its connection to open,
+// or to be scheduled. The caller holds the lock.
 func (c *connection) notSentReason(ex *Exchange) error {
 	switch {
 	case ex.canceled:
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// reportNotSent reports an exchange that was not written, and makes the connection idle.
+// reportNotSent ends an exchange that was not written: on the owner's goroutine, it makes the connection idle and calls
+// OnDone with the reason.
 func (c *connection) reportNotSent(ex *Exchange, reason error) {
 	close(ex.writeDone)
 	result := Result{Outcome: balance.NotSent, EndedAt: ex.writeStartedAt, Err: reason}
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// expectResponse sets the deadline of an exchange's response, unless the exchange has ended or the response streams.
+// expectResponse sets the deadline of an exchange's response, unless the exchange has ended or its response is being
+// streamed.
 func (c *connection) expectResponse(ex *Exchange, by time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// Guards against reading bytes that were received before a request was written as its response, and against writing a
-// request to a connection that the server has closed.
+// Guards against parsing bytes as the response to a request that was written only after they were received, and against
+// writing a request to a connection that the server has closed.
 func TestUnsolicitedBytes(t *testing.T) {
 	for _, unsolicited := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold", ""} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -170,8 +170,8 @@
 	assert.False(t, ex.canceled, "an exchange that is being written is not canceled")
 }
 
-// Guards against reading bytes that a server sent before a request was written as its response, if the reader took them
-// from the system just before the writer checked for unread bytes.
+// Guards against parsing bytes as the response to a request that was written only after the server had sent them, if
+// the reader took them from the system just before the writer checked for unread bytes.
 func TestBytesReceivedBeforeRequestIsWritten(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
@@ -210,7 +210,7 @@
 	respond(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold") // a second response to the first request
 	<-readerHasBytes
 	send(second)
-	readRequest(t, serverConn) // it was written: the system held no unread bytes
+	readRequest(t, serverConn) // the request was written, since the system held no unread bytes
 	close(resumeReader)
 	for len(second) == 0 {
 		(<-posted)()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -29,7 +29,8 @@
 	c.pool.post(func() { c.pool.forget(c) })
 }
 
-// readNext waits for bytes, reports the exchange that they belong to, and returns whether the connection stays open.
+// readNext waits for bytes or the end of the connection, and ends the current exchange with the result. It returns
+// whether the connection stays open.
 func (c *connection) readNext(reader *http1.Reader, source *recvtime.Reader) bool {
 	err := c.wait(reader)
 	if c.pool.onBytes != nil {
@@ -49,7 +50,7 @@
 			result.EndedAt = at
 		}
 	} else {
-		<-ex.writeDone // nothing was written
+		<-ex.writeDone // the writer writes nothing, since the connection is marked as closed
 		result = Result{Outcome: balance.NotSent, Err: errUnsolicited, EndedAt: time.Now()}
 	}
 	reusable = reusable && !c.pool.closed.Load()
@@ -69,7 +70,8 @@
 	}
 }
 
-// isTimedOut reports whether the read deadline that has passed belongs to the current exchange.
+// isTimedOut reports whether the read deadline that has passed belongs to the current exchange. If there is no
+// current exchange, it removes the deadline.
 func (c *connection) isTimedOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,10 +82,10 @@
 	return !time.Now().Before(c.readDeadline)
 }
 
-// currentExchange returns the exchange that received bytes, or the end of the connection with waitErr, belong to, or
-// nil, and whether writing it had started; if not, no other exchange may start on the connection. Bytes received before
-// writing started are no response to the request, even if the reader took them from the system before the writer
-// checked for unread bytes: err is errEarlyResponse then.
+// currentExchange is called after wait has returned waitErr. It returns the current exchange, nil if there is none, and
+// whether writing its request has started; if not, it marks the connection as closed to further exchanges. Bytes that
+// the system received before writing started are not the response to the request, even if the reader took them before
+// the writer checked for unread bytes: err is errEarlyResponse then, else waitErr.
 func (c *connection) currentExchange(source *recvtime.Reader, waitErr error) (ex *Exchange, started bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +99,7 @@
 	return ex, started, waitErr
 }
 
-// report reports the current exchange, and makes the connection idle or, if it is not reusable, closes it.
+// report makes the connection idle, or closes it if it is not reusable, and passes the result to the exchange's OnDone.
 func (c *connection) report(ex *Exchange, result Result, reusable bool) {
 	if !reusable {
 		c.netConn.Close()
--- a/internal/upstream/socket.go
+++ b/internal/upstream/socket.go
@@ -10,11 +10,11 @@
 )
 
 // HasUnreadBytes reports whether the system holds unread bytes of a connection, or the peer has closed its sending
-// side. There may be some even while a goroutine is blocked in a read, since it may not have been scheduled yet. The
-// result is false for a connection that is not a socket, and true for one that is closed.
+// side. There may be unread bytes even while a goroutine is blocked in a read, since the goroutine may not have been
+// scheduled yet. The result is false for a connection that is not a socket, and true for one that is closed.
 func HasUnreadBytes(conn net.Conn) bool { return unreadProbe(conn)() }
 
-// unreadProbe returns HasUnreadBytes for one connection as a function that does not allocate. It is not safe for
+// unreadProbe returns a function that does what HasUnreadBytes does for conn, but does not allocate. It is not safe for
 // concurrent use.
 func unreadProbe(conn net.Conn) func() bool {
 	socket, ok := conn.(syscall.Conn)
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -13,8 +13,8 @@
 const (
 	// streamIdleTimeout bounds the wait for the next bytes of a response that streams, and each write of an upload.
 	streamIdleTimeout = 30 * time.Second
-	// streamStartDelay is the delay from the head of a large response to the start of its streaming, if a byte of the
-	// body has been received by then.
+	// streamStartDelay is the delay from the head of a large response to the start of its streaming, if at least one
+	// byte of the body is received within this delay.
 	streamStartDelay = 8 * time.Millisecond
 	// streamStartBytes is how many bytes of a response are stored before it streams, if its announced length is over
 	// http1.DefaultMaxBytes.
@@ -38,13 +38,13 @@
 }
 
 // responseStream forwards a large response while it is received, at the pace at which the client reads it. Until
-// streaming starts, the body is stored: a response that ends before that is returned whole, and one that fails before
-// that can still be replaced by another attempt.
+// streaming starts, the body is stored: a response that ends earlier is returned whole, and one that fails earlier can
+// still be replaced by the response to another attempt.
 type responseStream struct {
 	conn       *connection
 	ex         *Exchange
-	result     Result    // all but its outcome is set
-	startBytes int       // streaming starts once so many bytes are stored
+	result     Result    // at first only what the head determines; completed by finish
+	startBytes int       // streaming starts once this many bytes are stored
 	startBy    time.Time // streaming starts at this time if any bytes are stored
 
 	mu     sync.Mutex
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -10,7 +10,7 @@
 	"lockloom/internal/http1"
 )
 
-// ErrUploadStopped is the error of a write to Upload.In after Stop, as when the response has been received.
+// ErrUploadStopped is the error of a write to Upload.In after Stop, for example because the response has been received.
 var ErrUploadStopped = errors.New("upload stopped: the rest of the request body is not needed")
 
 // Upload is a request body that is streamed to one server and not stored, so that it can be sent only once. The
@@ -22,7 +22,7 @@
 	started atomic.Bool
 }
 
-// NewUpload returns an upload that is sent with chunked transfer coding, or as it is.
+// NewUpload returns an upload, which is sent with chunked transfer coding if chunked is true, and unchanged otherwise.
 func NewUpload(chunked bool) *Upload {
 	u := &Upload{Chunked: chunked}
 	u.out, u.In = io.Pipe()
