--- a/controlplane/access.go
+++ b/controlplane/access.go
@@ -9,7 +9,7 @@
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 )
 
-// poolFilter is the set of pools that a subscriber may see, in a form that can be compared: their names in order, each
+// poolFilter is the set of pools that a subscriber may see, as a comparable string: the sorted names of the pools, each
 // followed by a newline.
 type poolFilter string
 
@@ -18,7 +18,8 @@
 	noPools  poolFilter = "\n"
 )
 
-// newPoolFilter returns the filter for these pools; for none it returns allPools, as the operator file has it.
+// newPoolFilter returns the filter for these pools. For an empty list it returns allPools, since an empty list in
+// the operator file means all pools.
 func newPoolFilter(pools []string) poolFilter {
 	if len(pools) == 0 {
 		return allPools
@@ -31,13 +32,13 @@
 	return f == allPools || strings.Contains("\n"+string(f), "\n"+pool+"\n")
 }
 
-// names returns the names of the pools; it must not be called for allPools.
+// names returns the names of the pools. It must not be called on allPools.
 func (f poolFilter) names() []string {
 	return strings.Split(strings.TrimSuffix(string(f), "\n"), "\n")
 }
 
-// allowedPools returns the pools that the subscriber of a stream may see by its certificate, or an error if it may not
-// subscribe at all.
+// allowedPools returns the pools that the certificate of a stream's subscriber allows it to see, or an error if it may
+// not subscribe at all.
 func (s *Service) allowedPools(ctx context.Context) (poolFilter, error) {
 	s.mu.Lock()
 	allowed := s.config.ControlPlane.Allow
@@ -54,7 +55,8 @@
 	return noPools, fmt.Errorf("no subscriber by the name of %q is allowed", names)
 }
 
-// subsetPools returns the pools that a node receives, of those that it may see, by what it states of itself.
+// subsetPools returns the pools that a node receives: those of the first configured subset that fits the id, cluster
+// and zone that the node states, as far as it may see them, or all that it may see if no subset fits.
 func (s *Service) subsetPools(allowed poolFilter, node *core.Node) poolFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 				pools = append(pools, pool)
 			}
 		}
-		if len(pools) == 0 { // an empty filter would stand for all
+		if len(pools) == 0 { // an empty filter would mean all pools
 			return noPools
 		}
 		return newPoolFilter(pools)
--- a/controlplane/bench_test.go
+++ b/controlplane/bench_test.go
@@ -18,13 +18,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchmarkTimeout is for all subscribers to receive a change.
+// benchmarkTimeout limits the time until all subscribers have received a change.
 const benchmarkTimeout = 30 * time.Second
 
-// BenchmarkDrain measures the cost of a drain by the number of subscribers and of the pool's servers, and how long it
-// takes to reach the last subscriber. The subscribers run in the same process, and use most of the processor time.
+// BenchmarkDrain measures, for several numbers of subscribers and servers of the pool, what a drain costs and how long
+// it takes to reach the last subscriber. The subscribers run in the same process and use most of the processor time.
 func BenchmarkDrain(b *testing.B) {
-	const maxEndpoints = 1_000_000 // of all subscribers together; more do not fit into memory
+	const maxEndpoints = 1_000_000 // of all subscribers together; more do not fit in memory
 	for _, servers := range []int{10, 1000, 5000} {
 		for _, subscribers := range []int{10, 100, 1000} {
 			if servers*subscribers > maxEndpoints {
@@ -48,7 +48,7 @@
 	}
 	waitForResponses(subscribers, make([]int, len(subscribers)))
 	var delays []time.Duration
-	receivedBytes, used := 0, processorTime()
+	receivedBytes, cpuTime := 0, processorTime()
 	for n := range b.N {
 		responses, before := received(subscribers)
 		start := time.Now()
@@ -57,14 +57,14 @@
 		delays = append(delays, time.Since(start))
 		_, after := received(subscribers)
 		receivedBytes += after - before
-		time.Sleep(50 * time.Millisecond) // acknowledgements are on their way
+		time.Sleep(50 * time.Millisecond) // let the acknowledgements arrive
 	}
-	used = processorTime() - used
+	cpuTime = processorTime() - cpuTime
 	slices.Sort(delays)
 	b.ReportMetric(delays[len(delays)/2].Seconds()*1000, "median-ms")
 	b.ReportMetric(delays[len(delays)-1].Seconds()*1000, "worst-ms")
 	b.ReportMetric(float64(receivedBytes)/float64(b.N*count), "bytes/answer")
-	b.ReportMetric(used.Seconds()*1000/float64(b.N), "cpu-ms/drain")
+	b.ReportMetric(cpuTime.Seconds()*1000/float64(b.N), "cpu-ms/drain")
 	for _, subscriber := range subscribers {
 		subscriber.stop()
 	}
@@ -87,7 +87,7 @@
 	waiters.Wait()
 }
 
-// received returns how many responses each subscriber received, and how many bytes all together.
+// received returns how many responses each subscriber has received, and how many bytes all of them together.
 func received(subscribers []*testSubscriber) (responses []int, bytes int) {
 	for _, subscriber := range subscribers {
 		subscriber.mu.Lock()
@@ -98,7 +98,7 @@
 	return responses, bytes
 }
 
-// BenchmarkSubscriber measures the service's memory by subscriber. The subscribers are another process.
+// BenchmarkSubscriber measures the service's memory per subscriber. The subscribers run in another process.
 func BenchmarkSubscriber(b *testing.B) {
 	const subscribers, servers = 1000, 1000
 	for range b.N {
@@ -123,10 +123,11 @@
 	}
 }
 
-// subscribersVar has TestSubscriberProcess open subscribers: it holds the service's address and their number.
+// subscribersVar is an environment variable. With it TestSubscriberProcess opens subscribers: it holds the service's
+// address and the number of subscribers.
 const subscribersVar = "LOCKLOOM_TEST_SUBSCRIBERS"
 
-// TestSubscriberProcess is the other process of BenchmarkSubscriber; alone it does nothing.
+// TestSubscriberProcess is the other process of BenchmarkSubscriber. Without subscribersVar it is skipped.
 func TestSubscriberProcess(t *testing.T) {
 	addr, count, ok := strings.Cut(os.Getenv(subscribersVar), " ")
 	if !ok {
@@ -145,7 +146,7 @@
 
 // memoryInUse returns the bytes of heap and stacks in use.
 func memoryInUse() uint64 {
-	for range 3 { // a sync.Pool keeps what is unused for two collections
+	for range 3 { // a sync.Pool keeps unused objects for up to two collections
 		runtime.GC()
 	}
 	var stats runtime.MemStats
@@ -162,7 +163,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Subscribers that reconnect all at once, each with what it has, receive what differs, and none is disconnected.
+// Subscribers that reconnect at the same time, each with the resources that it has, receive the changes, and none is
+// disconnected.
 func TestManySubscribersReconnectAtOnce(t *testing.T) {
 	const count, timeout = 500, 20 * time.Second
 	service := startService(t, configText(""), 50)
--- a/controlplane/clusters.go
+++ b/controlplane/clusters.go
@@ -12,8 +12,8 @@
 // connectTimeout is how long a subscriber waits for a connection to a server.
 const connectTimeout = time.Second
 
-// poolCluster returns the cluster of a pool. Its endpoints are a resource of their own, and subscribers report the load
-// of the cluster to this service.
+// poolCluster returns the cluster of a pool. Its endpoints are a separate resource, and subscribers report the load of
+// the cluster to this service.
 func poolCluster(pool string) *cluster.Cluster {
 	loadReports := &core.ConfigSource{
 		ResourceApiVersion:    core.ApiVersion_V3,
--- a/controlplane/endpoints.go
+++ b/controlplane/endpoints.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// dropCategory is that of requests that are dropped because all servers are in slow start.
+	// dropCategory is the category of requests that subscribers drop because all servers are in slow start.
 	dropCategory = "cold"
-	// overprovisioningFactor is Envoy's default, in percent: a priority of whose servers less than 100/140 are healthy
-	// spills over to the next one.
+	// overprovisioningFactor is Envoy's default, in percent: if less than 100/140 of the servers of a priority are
+	// healthy, some of its requests go to the next priority.
 	overprovisioningFactor = 140
 )
 
@@ -43,16 +43,16 @@
 	return message
 }
 
-// localitiesOf returns the servers of an assignment, each as a locality whose sub-zone is the server's name: every
-// subscriber respects the weights of localities, and it reports load by locality, so by server. It also returns how
-// many priorities there are, which must follow one another without a gap.
+// localitiesOf returns the servers of an assignment, each as a locality whose sub-zone is the server's name. Every
+// subscriber supports weights of localities, and it reports load by locality, hence by server. It also returns the
+// number of priorities, because those of the next assignment must follow without a gap.
 func localitiesOf(a *assignment.Assignment, firstPriority uint32) ([]*endpoint.LocalityLbEndpoints, uint32) {
 	var localities []*endpoint.LocalityLbEndpoints
 	lastPriority := -1
 	for i := range a.Servers {
 		server := &a.Servers[i]
 		address, err := parseAddress(server.Addr)
-		if err != nil { // package discovery has rejected it
+		if err != nil { // not expected: package discovery rejects such addresses
 			continue
 		}
 		lastPriority = max(lastPriority, server.Priority)
@@ -72,18 +72,18 @@
 			},
 		}},
 	}
-	if server.Health == assignment.Healthy { // without a weight it receives nothing
+	if server.Health == assignment.Healthy { // without a weight a locality receives no requests
 		message.LoadBalancingWeight = wrapperspb.UInt32(uint32(server.Weight))
 	}
 	return message
 }
 
-// dropPolicy has subscribers drop a fraction of their requests.
+// dropPolicy has subscribers drop a fraction, from 0 to 1, of their requests.
 func dropPolicy(fraction float64) []*endpoint.ClusterLoadAssignment_Policy_DropOverload {
 	return []*endpoint.ClusterLoadAssignment_Policy_DropOverload{{
 		Category: dropCategory,
 		DropPercentage: &percent.FractionalPercent{
-			Numerator:   uint32(fraction * millionth),
+			Numerator:   uint32(fraction * partsPerMillion),
 			Denominator: percent.FractionalPercent_MILLION,
 		},
 	}}
--- a/controlplane/listeners.go
+++ b/controlplane/listeners.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// listenerPrefix is that of listeners that accept connections; their address follows.
+// listenerPrefix begins the names of listeners that accept connections; the address follows it.
 const listenerPrefix = "listener/"
 
-// addListener adds the listener of a proxy at an address.
+// addListener adds the listener on which a subscribing proxy accepts connections at an address.
 func (s *resourceSet) addListener(addr string) error {
 	address, err := parseAddress(addr)
 	if err != nil {
@@ -41,7 +41,7 @@
 	})
 }
 
-// addHostListeners adds a listener for each host without a wildcard, for clients that are no proxies.
+// addHostListeners adds a listener for each host without a wildcard, for clients that are not proxies.
 func (s *resourceSet) addHostListeners(hosts []*route.VirtualHost) error {
 	var errs []error
 	for _, host := range hosts {
@@ -54,8 +54,8 @@
 	return errors.Join(errs...)
 }
 
-// apiListener returns the listener of a client that is no proxy: a gRPC client of xds:///NAME asks for the listener
-// NAME, and takes the routes from the route table.
+// apiListener returns the listener of a client that is not a proxy: a gRPC client that dials xds:///NAME requests the
+// listener NAME, and uses the route table that the listener refers to.
 func apiListener(routeTable string) *listener.Listener {
 	httpManager, _ := anypb.New(connectionManager(routeTable)) // a message made of constants can be encoded
 	return &listener.Listener{Name: routeTable, ApiListener: &listener.ApiListener{ApiListener: httpManager}}
@@ -80,7 +80,7 @@
 	}
 }
 
-// parseAddress returns the address HOST:PORT as a message.
+// parseAddress parses an address HOST:PORT.
 func parseAddress(addr string) (*core.Address, error) {
 	host, portText, splitErr := net.SplitHostPort(addr)
 	port, portErr := strconv.ParseUint(portText, 10, 16)
--- a/controlplane/loadreports.go
+++ b/controlplane/loadreports.go
@@ -12,11 +12,11 @@
 
 const (
 	loadReportInterval = time.Second
-	loadReportTimeout  = 3 * loadReportInterval // after which a silent subscriber's load no longer counts
-	maxReportedCount   = 1 << 30                // attempts in one report: more are impossible
+	loadReportTimeout  = 3 * loadReportInterval // after which the load of a subscriber without reports is dropped
+	maxReportedCount   = 1 << 30                // attempts per report; higher counts are implausible and reduced to this
 )
 
-// loadReportServer is the published gRPC service for load reports.
+// loadReportServer implements the load reporting service (LRS) of xDS.
 type loadReportServer struct {
 	loadstats.UnimplementedLoadReportingServiceServer
 	service *Service
@@ -27,10 +27,10 @@
 	loads map[string]poolLoad // by pool, as of the last report
 }
 
-// poolLoad is what subscribers send to a pool.
+// poolLoad is the load that subscribers put on a pool.
 type poolLoad struct {
 	inFlight float64 // requests
-	rate     float64 // requests begun per second
+	rate     float64 // requests started per second
 }
 
 func (l *poolLoad) add(other poolLoad) {
@@ -38,9 +38,9 @@
 	l.rate += other.rate
 }
 
-// StreamLoadStats takes in the load reports of a subscriber. A server is sent as a locality of its own, so the load of
-// a locality is that of a server. Reports of pools that the subscriber may not see are ignored: by them it could have
-// the servers of others paused.
+// StreamLoadStats receives the load reports of a subscriber. Each server is sent as a locality of its own, so the load
+// of a locality is that of a server. Reports on pools that the subscriber may not see are ignored: with them it could
+// have the servers of other subscribers paused.
 func (l loadReportServer) StreamLoadStats(stream loadstats.LoadReportingService_StreamLoadStatsServer) error {
 	allowed, err := l.service.allowedPools(stream.Context())
 	if err != nil {
@@ -57,21 +57,21 @@
 		return err
 	}
 	reporter := &loadReporter{}
-	forget := func() { l.service.setReportedLoads(reporter, nil) }
-	defer forget()
-	silence := time.AfterFunc(loadReportTimeout, forget)
-	defer silence.Stop()
+	clearLoads := func() { l.service.setReportedLoads(reporter, nil) }
+	defer clearLoads()
+	expiry := time.AfterFunc(loadReportTimeout, clearLoads)
+	defer expiry.Stop()
 	for {
 		report, err := stream.Recv()
 		if err != nil {
 			return nil // the subscriber has ended the stream
 		}
-		silence.Reset(loadReportTimeout)
+		expiry.Reset(loadReportTimeout)
 		l.service.setReportedLoads(reporter, l.service.handleReport(report, allowed))
 	}
 }
 
-// handleReport passes on the outcomes of a report and returns its loads by pool.
+// handleReport passes the outcomes of a report to OutcomesReported and returns the loads by pool.
 func (s *Service) handleReport(report *loadstats.LoadStatsRequest, allowed poolFilter) map[string]poolLoad {
 	loads := map[string]poolLoad{}
 	for _, stats := range report.ClusterStats {
@@ -87,18 +87,18 @@
 }
 
 func clusterLoad(stats *endpoint.ClusterStats) (load poolLoad) {
-	begun := uint64(0)
+	started := uint64(0)
 	for _, locality := range stats.UpstreamLocalityStats {
 		load.inFlight += float64(min(locality.TotalRequestsInProgress, maxReportedCount))
-		begun += min(locality.TotalIssuedRequests, maxReportedCount)
+		started += min(locality.TotalIssuedRequests, maxReportedCount)
 	}
 	if elapsed := stats.LoadReportInterval.AsDuration(); elapsed > 0 {
-		load.rate = float64(begun) / elapsed.Seconds()
+		load.rate = float64(started) / elapsed.Seconds()
 	}
 	return load
 }
 
-// clusterOutcomes returns by server how many attempts succeeded and failed.
+// clusterOutcomes returns, by server name, the numbers of attempts that succeeded and that failed.
 func clusterOutcomes(stats *endpoint.ClusterStats) map[string][2]int {
 	outcomes := map[string][2]int{}
 	for _, locality := range stats.UpstreamLocalityStats {
@@ -111,7 +111,7 @@
 	return outcomes
 }
 
-// setReportedLoads notes what a subscriber sends; nil: it is unknown.
+// setReportedLoads records the loads of a subscriber by pool; nil: they are unknown.
 func (s *Service) setReportedLoads(reporter *loadReporter, loads map[string]poolLoad) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// reportedLoad returns what all subscribers together send to a pool. The caller holds the lock.
+// reportedLoad returns the load that all subscribers together put on a pool. The caller must hold s.mu.
 func (s *Service) reportedLoad(pool string) (load poolLoad) {
 	for reporter := range s.reporters {
 		load.add(reporter.loads[pool])
--- a/controlplane/observations.go
+++ b/controlplane/observations.go
@@ -8,10 +8,10 @@
 	"lockloom/assignment"
 )
 
-// inbox holds what Update leaves for the service's goroutine: the newest observations, together with the servers
-// removed in those that they replace.
+// inbox passes observations from Update to the service's goroutine. It holds only the newest ones, to which it adds the
+// removed servers of those that they replace.
 type inbox struct {
-	wake chan struct{} // has room for one: an observation is waiting
+	wake chan struct{} // has capacity 1; receives a value when there are observations to process
 
 	mu           sync.Mutex // guards the fields below
 	now          float64
@@ -21,9 +21,9 @@
 // poolStates holds the assignments of all pools. Service.mu guards it.
 type poolStates struct {
 	settings assignment.Settings
-	assigned map[string]*assignment.Pool
-	restored map[string]assignment.Snapshot // of pools that were not observed yet since the start
-	observed chan struct{}                  // closed by the first observation; may be read without the lock
+	assigned map[string]*assignment.Pool    // by pool
+	restored map[string]assignment.Snapshot // of pools that were not observed since the start
+	observed chan struct{}                  // closed by the first observation; may be received from without the lock
 }
 
 func newPoolStates(settings assignment.Settings) poolStates {
@@ -34,17 +34,17 @@
 	}
 }
 
-// Update takes in what the proxy knows of its pools at a time in seconds since 1970. It does not wait, and takes over
-// the map.
+// Update passes the proxy's observations of its pools, by name, to the service. The time now is in seconds since 1970.
+// Update does not block. The service keeps the map, which the caller must not use afterwards.
 func (s *Service) Update(now float64, observations map[string]assignment.Observation) {
-	s.inbox.put(now, observations)
+	s.inbox.store(now, observations)
 }
 
-func (in *inbox) put(now float64, observations map[string]assignment.Observation) {
+func (in *inbox) store(now float64, observations map[string]assignment.Observation) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for pool, replaced := range in.observations {
-		// What was removed in an observation that nobody processed would be missed otherwise.
+		// Otherwise the servers removed in an observation that was replaced unprocessed would be missed.
 		if observation, ok := observations[pool]; ok && len(replaced.Removed) > 0 {
 			observation.Removed = slices.Concat(replaced.Removed, observation.Removed)
 			observations[pool] = observation
@@ -93,7 +93,8 @@
 	}
 }
 
-// get returns the assignment of a pool. One that is observed for the first time is restored from the snapshot.
+// get returns the assignment of a pool. That of a pool observed for the first time is created, and restored from the
+// snapshot if the snapshot contains the pool.
 func (p *poolStates) get(now float64, name string) *assignment.Pool {
 	if pool := p.assigned[name]; pool != nil {
 		return pool
@@ -107,7 +108,7 @@
 	return pool
 }
 
-// notifySubscribers has all subscribers look for changes. The caller holds the lock.
+// notifySubscribers wakes the goroutines of all subscribers to send changes. The caller must hold s.mu.
 func (s *Service) notifySubscribers(urgent bool) {
 	for sub := range s.subscribers {
 		sub.wakeup.notify(urgent)
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -19,7 +19,8 @@
 // resourceType is one of the xDS resource types that the service sends.
 type resourceType int
 
-// The resource types, in the order in which new resources are sent: none refers to one of a later type.
+// The resource types, in the order in which new resources are sent: clusters and endpoints before the listeners and
+// routes that lead to them.
 const (
 	typeCluster resourceType = iota
 	typeEndpoint
@@ -28,7 +29,7 @@
 	typeCount
 )
 
-// typeURLs are the types as the protocol names them.
+// typeURLs are the names of the types in the protocol.
 var typeURLs = [typeCount]string{
 	"type.googleapis.com/envoy.config.cluster.v3.Cluster",
 	"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
@@ -36,14 +37,14 @@
 	"type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 }
 
-// typeNames are the types as the status page names them.
+// typeNames are the names of the types on the status page.
 var typeNames = [typeCount]string{"clusters", "endpoints", "listeners", "routes"}
 
 func (t resourceType) url() string { return typeURLs[t] }
 
 func (t resourceType) String() string { return typeNames[t] }
 
-// parseTypeURL returns the type of that URL, and false for one that the service does not send.
+// parseTypeURL returns the type with that URL, or false if the service does not send such a type.
 func parseTypeURL(url string) (resourceType, bool) {
 	i := slices.Index(typeURLs[:], url)
 	return resourceType(i), i >= 0
@@ -53,12 +54,12 @@
 func (t resourceType) hasFullState() bool { return t == typeCluster || t == typeListener }
 
 const (
-	allRoutesName = "routes" // the route table with every host
-	poolPrefix    = "pool/"  // of the listener and the route table of one pool alone
-	millionth     = 1_000_000
+	allRoutesName   = "routes" // name of the route table with all hosts
+	poolPrefix      = "pool/"  // prefix of the names of the listener and the route table that lead to one pool only
+	partsPerMillion = 1_000_000
 )
 
-// adsSource has a subscriber fetch the resources that another one refers to from the stream that it has.
+// adsSource has a subscriber fetch the resources that another one refers to over its existing ADS stream.
 func adsSource() *core.ConfigSource {
 	return &core.ConfigSource{
 		ResourceApiVersion:    core.ApiVersion_V3,
@@ -66,8 +67,8 @@
 	}
 }
 
-// resource is one resource that subscribers receive. It is immutable. Its version follows from its content alone, so
-// that any two runs of the service give the same content the same version.
+// resource is one resource that subscribers receive. It is immutable. Its version depends on its content only, so every
+// run of the service gives the same content the same version.
 type resource struct {
 	name, version string
 	onDemand      bool // sent only to subscribers that name it; the wildcard does not include it
@@ -77,16 +78,16 @@
 // resourceSet holds resources of all types by name. It is immutable once it is published.
 type resourceSet [typeCount]map[string]*resource
 
-// add encodes a message and adds it.
+// add encodes a message and adds it to the set as a resource.
 func (s *resourceSet) add(kind resourceType, name string, onDemand bool, message proto.Message) error {
 	body, err := anypb.New(message)
 	if err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("resource %q: %w", name, err)
 	}
 	// The version is a hash of the bytes, so the same message must always give the same bytes.
 	body.Value, err = proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("resource %q: %w", name, err)
 	}
 	hash := fnv.New64a()
 	hash.Write(body.Value)
@@ -102,8 +103,9 @@
 	return nil
 }
 
-// staticResources returns the resources that follow from the configuration alone: clusters, listeners and routes. It
-// also returns a warning for each setting that subscribers do not receive, and an error for what cannot be expressed.
+// staticResources returns the resources that are derived from the configuration alone: clusters, listeners and routes.
+// It also returns a warning for each setting that is not sent to subscribers, and an error for settings that cannot be
+// expressed in xDS.
 func staticResources(c *config.Config) (resources resourceSet, warnings []string, err error) {
 	var errs []error
 	for i := range c.Pools {
@@ -111,7 +113,7 @@
 		errs = append(errs, resources.addPool(pool.Name))
 		if pool.Capacity > 0 {
 			warnings = append(warnings,
-				fmt.Sprintf("pool %q: room is not sent: each subscriber would use all of it", pool.Name))
+				fmt.Sprintf("pool %q: room is not sent to subscribers: each of them would use the whole of it", pool.Name))
 		}
 	}
 	translator := &routeTranslator{config: c}
@@ -124,7 +126,7 @@
 	return resources, append(warnings, translator.warnings...), errors.Join(errs...)
 }
 
-// addPool adds the cluster of a pool, and a listener and a route table that lead to it alone.
+// addPool adds the cluster of a pool, and a listener and a route table that lead to this pool only.
 func (s *resourceSet) addPool(pool string) error {
 	name := poolPrefix + pool
 	return errors.Join(
@@ -134,7 +136,7 @@
 	)
 }
 
-// restrictToPools returns the static resources that a subscriber receives that may see only these pools.
+// restrictToPools returns the static resources for a subscriber that may see only these pools.
 func restrictToPools(all resourceSet, pools []string) resourceSet {
 	var restricted resourceSet
 	for kind := range all {
--- a/controlplane/resources_test.go
+++ b/controlplane/resources_test.go
@@ -18,7 +18,7 @@
 	"lockloom/routes"
 )
 
-// overlappingRoutes has routes of every kind that overlap.
+// overlappingRoutes is a configuration with overlapping routes of every kind.
 const overlappingRoutes = `
 [[listener]]
 address = "127.0.0.1:8080"
@@ -105,14 +105,14 @@
 // headerFields are the header fields of a request, by name in lower case.
 type headerFields map[string]string
 
-// Get implements the fields of routes.Request.
+// Get implements routes.Fields.
 func (f headerFields) Get(name string) (string, bool) {
 	value, ok := f[strings.ToLower(name)]
 	return value, ok
 }
 
 // selectRoute returns the name of the route that a subscriber selects: the first that matches, in the virtual host that
-// matches best. It is written from the published protocol alone.
+// matches best. It is written from the xDS specification, not from the code under test.
 func selectRoute(table *route.RouteConfiguration, request *routes.Request) string {
 	host := selectHost(table, request.Host)
 	if host == nil {
@@ -127,7 +127,7 @@
 	return ""
 }
 
-// selectHost prefers a domain without a wildcard, then the longest with one, then that for all.
+// selectHost prefers a domain without a wildcard, then the longest one with a wildcard, then "*".
 func selectHost(table *route.RouteConfiguration, host string) (best *route.VirtualHost) {
 	bestRank := 0
 	for _, candidate := range table.VirtualHosts {
@@ -215,7 +215,7 @@
 	return table
 }
 
-// requestsTo returns requests that differ in all that overlappingRoutes match.
+// requestsTo returns requests with all combinations of the properties that overlappingRoutes match.
 func requestsTo(host string) (requests []*routes.Request) {
 	paths := []string{"/", "/shop", "/shop/", "/shop/a", "/shop/ab", "/shopping", "/shop/keep", "/shop/keep/x.png",
 		"/shop/x.png", "/shop/x.gif", "/x.png", "/x.png/y", "/v1/x", "/av1/x", "/v2/x.gif", "/v2/.png",
@@ -233,7 +233,8 @@
 	return requests
 }
 
-// Subscribers select the route that lockloom itself would, though their rule is another: the first match.
+// Guards against a route order in which subscribers, which use the first match, select another route than lockloom does
+// by its own precedence.
 func TestSubscribersSelectTheSameRoute(t *testing.T) {
 	configured := parseConfig(t, overlappingRoutes)
 	all, warnings, err := staticResources(configured)
@@ -268,9 +269,9 @@
 		return names
 	}
 	assert.Equal(t, []string{"p", "q"}, names(typeCluster, false))
-	assert.Equal(t, []string{"listener/127.0.0.1:8080"}, names(typeListener, false), "those of proxies")
+	assert.Equal(t, []string{"listener/127.0.0.1:8080"}, names(typeListener, false), "listeners of proxies")
 	assert.Equal(t, []string{"pool/p", "pool/q", "www.example.org"}, names(typeListener, true),
-		"and those of clients that are no proxies")
+		"listeners of clients that are not proxies")
 	poolListener := &listener.Listener{}
 	require.NoError(t, all[typeListener]["pool/q"].body.UnmarshalTo(poolListener))
 	assert.NotNil(t, poolListener.ApiListener)
@@ -299,7 +300,7 @@
 		}
 	}
 	assert.Equal(t, "connect-failure,refused-stream", byName["all"].GetRoute().RetryPolicy.RetryOn,
-		"any method: only what never ran")
+		"without a list of methods only requests that never ran are retried")
 	kept := byName["kept"].GetRoute().RetryPolicy
 	assert.Equal(t, "connect-failure,refused-stream,5xx,reset", kept.RetryOn)
 	assert.EqualValues(t, 2, kept.NumRetries.Value)
@@ -319,7 +320,7 @@
 name = "r"
 `
 
-// A route that cannot be expressed for subscribers is an error that names it; no part of it is sent.
+// A route that cannot be expressed for subscribers is rejected with an error that names the route.
 func TestInexpressibleRoutesAreRejected(t *testing.T) {
 	for settings, want := range map[string]string{
 		`regex = "a(b)"` + "\n" + `redirect = { status = 301, to = "/$1" }`: `route "r": redirect to "/$1": captures`,
--- a/controlplane/rewrite.go
+++ b/controlplane/rewrite.go
@@ -14,7 +14,7 @@
 	"lockloom/internal/config"
 )
 
-// maxCapture is the highest capture that a subscriber's substitution can refer to.
+// maxCapture is the highest number of a capture group that a subscriber's substitution can refer to.
 const maxCapture = 9
 
 var redirectCodes = map[int]route.RedirectAction_RedirectResponseCode{
@@ -25,7 +25,7 @@
 	http.StatusPermanentRedirect: route.RedirectAction_PERMANENT_REDIRECT,
 }
 
-// redirectAction returns a redirect as the parts of an address, which subscribers put together.
+// redirectAction returns a redirect as URL parts, from which subscribers build the location.
 func redirectAction(redirect *config.Redirect) (*route.RedirectAction, error) {
 	if strings.Contains(redirect.To, "$") {
 		return nil, fmt.Errorf("redirect to %q: captures cannot be expressed for subscribers", redirect.To)
@@ -36,7 +36,7 @@
 	}
 	code, ok := redirectCodes[redirect.Status]
 	if !ok {
-		return nil, fmt.Errorf("redirect with %d cannot be expressed for subscribers", redirect.Status)
+		return nil, fmt.Errorf("redirect with status %d cannot be expressed for subscribers", redirect.Status)
 	}
 	action := &route.RedirectAction{
 		ResponseCode: code,
@@ -51,13 +51,13 @@
 		return action, nil
 	}
 	if strings.Trim(target.Path, "/") != "" {
-		return nil, fmt.Errorf("redirect to %q with the path kept behind it cannot be expressed for subscribers",
+		return nil, fmt.Errorf("redirect to %q with the path of the request appended cannot be expressed for subscribers",
 			redirect.To)
 	}
 	return action, nil
 }
 
-// setRewrite sets how the path is rewritten.
+// setRewrite sets the rewrite of the path, if one is configured.
 func setRewrite(action *route.RouteAction, configured *config.Route) error {
 	if configured.Rewrite == "" {
 		return nil
@@ -80,7 +80,7 @@
 // captureReference matches $$, ${NAME} and $NAME in the replacement of a rewrite.
 var captureReference = regexp.MustCompile(`\$\$|\$\{(\w+)\}|\$(\w+)`)
 
-// substitution translates a replacement from the form with $1 and ${name} to that with \1.
+// substitution translates a replacement that refers to captures by $1 and ${name} to one that refers to them by \1.
 func substitution(expr, replacement string) (string, error) {
 	re, err := regexp.Compile(expr)
 	if err != nil {
@@ -97,7 +97,7 @@
 			capture = re.SubexpIndex(name)
 		}
 		if capture < 0 || capture > re.NumSubexp() || capture > maxCapture {
-			err = fmt.Errorf("rewrite %q: no capture %q that can be expressed for subscribers", replacement, name)
+			err = fmt.Errorf("rewrite %q: capture %q does not exist or cannot be expressed for subscribers", replacement, name)
 			return ""
 		}
 		return `\` + strconv.Itoa(capture)
--- a/controlplane/routematch.go
+++ b/controlplane/routematch.go
@@ -12,20 +12,20 @@
 	"lockloom/internal/config"
 )
 
-// The pseudo-headers by which routes match the method and, in addition to their own path, the path.
+// Pseudo-headers of a request. Routes match the method by one, and put further conditions on the path by the other.
 const (
 	methodHeader = ":method"
 	pathHeader   = ":path"
 )
 
-// routesByMatch holds the routes of one host by how they match the path.
+// routesByMatch holds the routes of one host, grouped by how they match the path.
 type routesByMatch struct {
 	exact    []*config.Route
 	prefixes []*prefixRoute
 	regexes  []*config.Route // not nested in a prefix
 }
 
-// prefixRoute is a route by prefix, with the regexes that are tried before it.
+// prefixRoute is a route that matches a path prefix, with the regexes that are tried before it.
 type prefixRoute struct {
 	*config.Route
 	path          string
@@ -33,19 +33,19 @@
 	parent        *prefixRoute
 }
 
-// add adds routes that are nested in a parent; nil: in none.
+// add adds routes that are nested in a parent, or top-level routes if parent is nil.
 func (r *routesByMatch) add(configured []*config.Route, parent *prefixRoute) {
-	for _, one := range configured {
+	for _, entry := range configured {
 		switch {
-		case one.Exact != "":
-			r.exact = append(r.exact, one)
-		case one.Regex != "" && parent != nil:
-			parent.nestedRegexes = append(parent.nestedRegexes, one)
-		case one.Regex != "":
-			r.regexes = append(r.regexes, one)
+		case entry.Exact != "":
+			r.exact = append(r.exact, entry)
+		case entry.Regex != "" && parent != nil:
+			parent.nestedRegexes = append(parent.nestedRegexes, entry)
+		case entry.Regex != "":
+			r.regexes = append(r.regexes, entry)
 		default:
-			prefix := newPrefixRoute(one, parent)
-			r.add(nestedRoutes(one), prefix)
+			prefix := newPrefixRoute(entry, parent)
+			r.add(nestedRoutes(entry), prefix)
 			r.prefixes = append(r.prefixes, prefix)
 		}
 	}
@@ -67,8 +67,8 @@
 	return &prefixRoute{Route: configured, path: path, parent: parent}
 }
 
-// matches returns the matches of a prefix. One that ends with a segment of the path has two, which every subscriber
-// understands.
+// matches returns the matches of a prefix. A prefix of whole path segments needs two, of kinds that every subscriber
+// supports: the exact path, and the prefix with a slash.
 func (p *prefixRoute) matches() []*route.RouteMatch {
 	if p.Under == "" || p.path == "/" {
 		return []*route.RouteMatch{prefixMatch(p.path)}
@@ -90,7 +90,7 @@
 	}}
 }
 
-// pathCondition returns the condition that the path matches an exact path or a prefix, as a match by header.
+// pathCondition returns the condition that the path matches an exact path or a prefix, as a header match.
 func pathCondition(match *route.RouteMatch) *route.HeaderMatcher {
 	if exact := match.GetPath(); exact != "" {
 		return headerMatch(pathHeader, wholePath(regexp.QuoteMeta(exact)))
@@ -100,18 +100,18 @@
 	})
 }
 
-// pathContains returns the condition that a regex matches somewhere in the path, as a match by header.
+// pathContains returns the condition that a regex matches somewhere in the path, as a header match.
 func pathContains(expr string) *route.HeaderMatcher {
 	return headerMatch(pathHeader, wholePath("[^?]*?(?:"+expr+")[^?]*"))
 }
 
-// wholePath matches a whole path by a regex, whatever its query is.
+// wholePath returns a matcher for targets whose whole path matches a regex, with or without a query.
 func wholePath(expr string) *matcher.StringMatcher {
 	return regexString("(?:" + expr + `)(\?.*)?`)
 }
 
-// unanchored returns a regex that matches the whole of a string where expr matches some part of it: here an expression
-// matches anywhere, and at subscribers it has to match the whole.
+// unanchored returns a regex that matches the whole of a string if expr matches some part of it. A configured regex may
+// match anywhere in a string; subscribers require that a regex matches the whole string.
 func unanchored(expr string) string { return ".*?(?:" + expr + ").*" }
 
 func headerMatch(name string, value *matcher.StringMatcher) *route.HeaderMatcher {
--- a/controlplane/routes.go
+++ b/controlplane/routes.go
@@ -17,17 +17,17 @@
 	"lockloom/limits"
 )
 
-// maxHostRoutes bounds the routes sent for one host: a regex is sent once for each prefix that it goes before.
+// maxHostRoutes limits the routes sent for one host: a regex is sent once for each prefix that it is tried before.
 const maxHostRoutes = 10_000
 
-// The conditions of a retry policy: those under which a request never ran at the server, and those under which it may
-// have run.
+// The conditions of a retry policy: those in which a request never ran at the server, and the additional ones in which
+// it may have run.
 const (
-	retryNeverRan = "connect-failure,refused-stream"
-	retryMayRun   = ",5xx,reset"
+	retryNeverRan   = "connect-failure,refused-stream"
+	retryMayHaveRun = ",5xx,reset"
 )
 
-// poolRouteTable returns the route table that leads all requests to one pool.
+// poolRouteTable returns a route table that routes all requests to one pool.
 func poolRouteTable(name, pool string) *route.RouteConfiguration {
 	return &route.RouteConfiguration{
 		Name: name,
@@ -44,7 +44,7 @@
 	}
 }
 
-// restrictRoutes returns a route table without the routes to other pools than these; nil where it cannot be decoded.
+// restrictRoutes returns a route table without the routes to pools other than these, or nil if it cannot be decoded.
 func restrictRoutes(table *anypb.Any, pools []string) *route.RouteConfiguration {
 	restricted := &route.RouteConfiguration{}
 	if table.UnmarshalTo(restricted) != nil {
@@ -64,10 +64,10 @@
 	return restricted
 }
 
-// routeTranslator translates the configured routes to those of subscribers, of which the first that matches wins.
+// routeTranslator translates the configured routes to those of subscribers, which use the first that matches.
 type routeTranslator struct {
 	config   *config.Config
-	warnings []string // of settings that subscribers do not receive
+	warnings []string // one for each setting that is not sent to subscribers
 	errs     []error
 }
 
@@ -96,7 +96,7 @@
 			Routes:  t.hostRoutes(routesOf[name]),
 		}
 		if len(host.Routes) > maxHostRoutes {
-			t.errs = append(t.errs, fmt.Errorf("host %q: %d routes to send, %d at most: a regex is sent once for each prefix",
+			t.errs = append(t.errs, fmt.Errorf("host %q: %d routes exceed the limit of %d: a regex is sent once for each prefix",
 				name, len(host.Routes), maxHostRoutes))
 		}
 		hosts = append(hosts, host)
@@ -125,8 +125,8 @@
 	return append(translated, t.regexRoutes(sorted.regexes, &route.RouteMatch{})...)
 }
 
-// regexesBefore returns the regex routes that are tried before a prefix, limited to it: those nested in it and in its
-// parents, and those at the top.
+// regexesBefore returns the regex routes that are tried before a prefix, limited to that prefix: those nested in it and
+// in its parents, and the top-level ones.
 func (t *routeTranslator) regexesBefore(
 	prefix *prefixRoute, match *route.RouteMatch, regexes []*config.Route,
 ) (translated []*route.Route) {
@@ -139,7 +139,7 @@
 	return append(translated, t.regexRoutes(regexes, conditions)...)
 }
 
-// regexRoutes returns regex routes under further conditions. Those nested in a route precede it, limited to its match.
+// regexRoutes returns regex routes with added conditions. Those nested in a route precede it, limited to its match.
 func (t *routeTranslator) regexRoutes(
 	configured []*config.Route, conditions *route.RouteMatch,
 ) (translated []*route.Route) {
@@ -158,7 +158,8 @@
 	return translated
 }
 
-// translate returns a route with its conditions added to a match; none where it cannot be expressed.
+// translate returns a route with its conditions added to a match. If the route cannot be expressed, it records an error
+// and returns none.
 func (t *routeTranslator) translate(configured *config.Route, match *route.RouteMatch) []*route.Route {
 	t.addConditions(configured, match)
 	translated := &route.Route{Name: configured.Name, Match: match}
@@ -167,7 +168,7 @@
 		return nil
 	}
 	if len(configured.Limits) > 0 {
-		warning := fmt.Sprintf("route %q: limits are not sent: subscribers enforce none", configured.Name)
+		warning := fmt.Sprintf("route %q: limits are not sent to subscribers, which enforce none", configured.Name)
 		if !slices.Contains(t.warnings, warning) {
 			t.warnings = append(t.warnings, warning)
 		}
@@ -175,7 +176,7 @@
 	return []*route.Route{translated}
 }
 
-// reportOnce reports an error once for all hosts and prefixes.
+// reportOnce records an error that occurs for several hosts or prefixes only once.
 func (t *routeTranslator) reportOnce(err error) {
 	if !slices.ContainsFunc(t.errs, func(reported error) bool { return reported.Error() == err.Error() }) {
 		t.errs = append(t.errs, err)
@@ -217,7 +218,7 @@
 	}}
 }
 
-// routeAction returns where a route's requests go, and how.
+// routeAction returns the action of a route that sends requests to pools.
 func (t *routeTranslator) routeAction(configured *config.Route) (*route.RouteAction, error) {
 	action := &route.RouteAction{}
 	if configured.Pool != "" {
@@ -242,7 +243,7 @@
 	for _, pool := range split {
 		clusters.Clusters = append(clusters.Clusters, &route.WeightedCluster_ClusterWeight{
 			Name:   pool.Pool,
-			Weight: wrapperspb.UInt32(uint32(pool.Weight/sum*millionth + .5)),
+			Weight: wrapperspb.UInt32(uint32(pool.Weight/sum*partsPerMillion + .5)),
 		})
 	}
 	return clusters
@@ -260,8 +261,8 @@
 	}
 }
 
-// retryPolicy returns when a subscriber sends a request again; nil: never. A request that may have run is only sent
-// again where all methods of the route may run twice.
+// retryPolicy returns the conditions under which a subscriber retries a request, or nil if it never does. A request
+// that may have run is retried only if all methods of the route may run twice.
 func (t *routeTranslator) retryPolicy(configured *config.Route) *route.RetryPolicy {
 	rule := t.config.RetryRule(configured)
 	retries := uint32(1)
@@ -274,7 +275,7 @@
 	policy := &route.RetryPolicy{RetryOn: retryNeverRan, NumRetries: wrapperspb.UInt32(retries)}
 	mayNotRunTwice := func(method string) bool { return rule.SafetyOf(method, false) != limits.RetryAlways }
 	if len(configured.Methods) > 0 && !slices.ContainsFunc(configured.Methods, mayNotRunTwice) {
-		policy.RetryOn += retryMayRun
+		policy.RetryOn += retryMayHaveRun
 	}
 	return policy
 }
--- a/controlplane/service.go
+++ b/controlplane/service.go
@@ -1,11 +1,12 @@
-// Package controlplane is a control plane over xDS: proxies and clients that lockloom does not run subscribe to what
-// one proxy decides about its servers (see package assignment), by the published protocol over gRPC. It learns from
-// that proxy, which calls Update, and from the load reports of its subscribers, which it passes on to OutcomesReported.
-// It decides no weight and selects no server itself.
+// Package controlplane implements an xDS control plane over gRPC. Its subscribers are proxies and clients that are not
+// part of lockloom, such as Envoy and gRPC clients. They receive the configured routes, and the health, weight and
+// priority of each server as package assignment computes them from the observations of one lockloom proxy. The proxy
+// passes its observations to Update. The loads that subscribers report are added to these observations, and the
+// outcomes that they report go to OutcomesReported. The package computes no weights and selects no servers itself.
 //
-// Of a Service, one goroutine takes in observations and writes snapshots, and each stream has two, one that receives
-// and one that does all the rest. What they share is guarded by Service.mu; it is held for computations only, never for
-// input or output, except when Reload reads certificates.
+// A Service has one goroutine that processes observations and writes snapshots. Each discovery stream has two: one
+// receives requests, the other does the rest of the work. The state that they share is guarded by Service.mu, which is
+// held for computations only and never during I/O, except when Reload reads certificates.
 package controlplane
 
 import (
@@ -31,25 +32,27 @@
 
 const (
 	maxRequestSize    = 1 << 20 // bytes
-	connectionBuffer  = 4 << 10 // bytes; there may be a thousand connections, most of them idle
-	maxStreams        = 16      // of one connection
+	connectionBuffer  = 4 << 10 // bytes; small, for a thousand connections that are mostly idle
+	maxStreams        = 16      // per connection
 	pingInterval      = time.Second
-	pingTimeout       = time.Second // a connection that is half open ends after pingInterval and this
-	gracefulStopDelay = time.Second // for streams to end by themselves
+	pingTimeout       = time.Second // a half-open connection is closed after pingInterval + pingTimeout
+	gracefulStopDelay = time.Second // after which Stop closes the connections of streams that have not ended
 )
 
 // errNoControlPlane is returned for an operator file that does not configure the service.
 var errNoControlPlane = errors.New("the operator file has no control table")
 
-// Service is a control plane. Its exported methods may be called concurrently.
+// Service serves resources to subscribers and receives their load reports. Its exported methods may be called
+// concurrently.
 type Service struct {
-	// OutcomesReported is called with the outcomes of the attempts that a subscriber sent to a pool: by server how many
-	// succeeded and failed. Set it before Serve. It may be called concurrently.
+	// OutcomesReported is called with the outcomes of a subscriber's attempts at the servers of a pool, for each pool in
+	// a load report. The map holds, by server name, the numbers of attempts that succeeded and that failed. Set the
+	// function before Serve. It may be called concurrently.
 	OutcomesReported func(pool string, attempts map[string][2]int)
 
 	log          logrus.FieldLogger
 	run          runID
-	certificates *certificates // nil: connections are not encrypted
+	certificates *certificates // nil if connections are not encrypted
 	server       *grpc.Server
 	inbox        inbox
 
@@ -63,13 +66,13 @@
 	lifecycle lifecycle
 }
 
-// lifecycle ends what runs in the background.
+// lifecycle signals the goroutines of the service to stop and waits for those in the background.
 type lifecycle struct {
 	quit       chan struct{} // closed by Stop
 	background sync.WaitGroup
 }
 
-// New returns a service for an operator file with a control table. It runs until Stop.
+// New returns a service configured by the control table of an operator file. Its background goroutine runs until Stop.
 func New(c *config.Config, settings assignment.Settings, log logrus.FieldLogger) (*Service, error) {
 	if c.ControlPlane == nil {
 		return nil, errNoControlPlane
@@ -97,12 +100,12 @@
 	s.server = grpc.NewServer(options...)
 	discovery.RegisterAggregatedDiscoveryServiceServer(s.server, discoveryServer{service: s})
 	loadstats.RegisterLoadReportingServiceServer(s.server, loadReportServer{service: s})
-	// Started by Serve it could start after Stop, and write a snapshot then.
+	// Not started by Serve: if Serve ran after Stop, the goroutine would write a snapshot after Stop.
 	s.lifecycle.background.Go(s.processObservations)
 	return s, nil
 }
 
-// serverOptions returns the options of the gRPC server. It loads the certificates if there are any.
+// serverOptions returns the options of the gRPC server. It loads the certificates if any are configured.
 func (s *Service) serverOptions(c *config.ControlPlane) ([]grpc.ServerOption, error) {
 	options := []grpc.ServerOption{
 		grpc.ReadBufferSize(connectionBuffer),
@@ -122,8 +125,9 @@
 	return append(options, grpc.Creds(credentials.NewTLS(s.certificates.tlsConfig()))), nil
 }
 
-// Reload uses another operator file from now on, and reads the certificates again. Addresses, the certificates' paths
-// and the limits of connections change with the next start. After an error the previous file stays in force.
+// Reload applies another operator file and reads the certificates again. Changes of the addresses, of the certificates'
+// paths, of the preference for the local zone and of the connection limits take effect only at the next start. After an
+// error the previous file stays in effect.
 func (s *Service) Reload(c *config.Config) error {
 	if c.ControlPlane == nil {
 		return errNoControlPlane
@@ -151,7 +155,7 @@
 	return nil
 }
 
-// Serve serves subscribers on a listener until Stop, which closes it.
+// Serve accepts subscribers on a listener until Stop, which closes the listener.
 func (s *Service) Serve(ln net.Listener) error {
 	if err := s.server.Serve(ln); !errors.Is(err, grpc.ErrServerStopped) {
 		return err
@@ -159,7 +163,7 @@
 	return nil
 }
 
-// Stop ends all streams, writes a last snapshot and waits for everything that runs in the background. Call it once.
+// Stop ends all streams, writes a last snapshot and waits for the background goroutine. Call it only once.
 func (s *Service) Stop() {
 	defer time.AfterFunc(gracefulStopDelay, s.server.Stop).Stop()
 	close(s.lifecycle.quit)
@@ -167,7 +171,8 @@
 	s.lifecycle.background.Wait()
 }
 
-// processObservations takes in observations as they arrive and writes snapshots, until Stop.
+// processObservations applies observations as they arrive and writes a snapshot every snapshotInterval, until Stop. It
+// writes a last snapshot then.
 func (s *Service) processObservations() {
 	snapshots := time.NewTicker(snapshotInterval)
 	defer snapshots.Stop()
@@ -185,7 +190,8 @@
 	}
 }
 
-// runID is random, and tells the versions and nonces of one run of the service from those of another.
+// runID is a random identifier of one run of the service. It is part of each version and nonce that is sent, so that
+// those of different runs can be told apart.
 type runID string
 
 func newRunID() runID {
--- a/controlplane/service_test.go
+++ b/controlplane/service_test.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// maxDrainDelay is how long a drain may take to reach a subscriber.
+	// maxDrainDelay limits the time that a drain takes to reach a subscriber.
 	maxDrainDelay = 2500 * time.Millisecond
-	// startTimeout is for a new subscriber to receive everything.
+	// startTimeout limits the time until a new subscriber has received all resources.
 	startTimeout = 3 * time.Second
-	// settleDelay is for acknowledgements that are on their way.
+	// settleDelay lets acknowledgements in flight arrive.
 	settleDelay = 200 * time.Millisecond
 )
 
-// Requests would go on to a server that staff are about to stop. A drain reaches every subscriber in time: one that is
-// slow, one that nacks everything, one that never acknowledges, and one whose connection was half open.
+// Guards against a drain that a subscriber receives late or never, so that it sends requests to a server that is about
+// to be stopped. Some subscribers are slow, nack everything, never acknowledge, or have a half-open connection.
 func TestDrainReachesEverySubscriber(t *testing.T) {
 	service := startService(t, configText(""), 5)
 	silentProxy, err := faultproxy.Open(service.addr)
@@ -60,7 +60,7 @@
 	receivedEndpoints := func() bool { return strings.Contains(strings.Join(nacksAll.received, ";"), "endpoints p") }
 	nacksAll.waitUntil(startTimeout, "received endpoints", receivedEndpoints)
 	silentProxy.Set(faultproxy.Fault{Silent: true})
-	time.Sleep(300 * time.Millisecond) // what is checked below must not have been on its way before
+	time.Sleep(300 * time.Millisecond) // what is checked below must not be a response sent before the drain
 	nacksAll.clearReceived()
 	start := time.Now()
 	service.drain(0)
@@ -70,12 +70,12 @@
 	}
 	nacksAll.waitUntil(maxDrainDelay, "receives the drain", receivedEndpoints)
 	isGone := func() bool { return !strings.Contains(fmt.Sprint(service.Subscribers()), "half open") }
-	assert.Eventually(t, isGone, 4*time.Second, 20*time.Millisecond, "a half-open stream is ended")
+	assert.Eventually(t, isGone, 4*time.Second, 20*time.Millisecond, "a half-open stream must end")
 	reconnected := service.subscribe(subscriberOptions{id: "reconnected", resumeFrom: halfOpen})
 	reconnected.waitUntil(maxDrainDelay, "receives the drain", reconnected.hasHealth("s0", core.HealthStatus_DRAINING))
 }
 
-// A subscriber that does not read any more would keep its stream, and newer changes from itself, for ever.
+// Guards against a subscriber that stops reading, and so blocks its stream forever and never receives newer changes.
 func TestSubscriberThatDoesNotReadIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -87,8 +87,8 @@
 	})
 }
 
-// A subscriber that reconnects with what it has receives what differs and no more, also from another run that has the
-// same resources.
+// A subscriber that reconnects with the resources that it has receives only those that differ, also from another run of
+// the service with the same resources.
 func TestReconnectedSubscriberReceivesOnlyChanges(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		service := startService(t, configText(""), 5)
@@ -111,13 +111,13 @@
 		again.waitUntil(maxDrainDelay, "receives the drain", again.hasHealth("s1", core.HealthStatus_DRAINING))
 		time.Sleep(settleDelay)
 		for _, line := range again.receivedSoFar() {
-			assert.NotContains(t, line, allRoutesName, "routes are as they were")
+			assert.NotContains(t, line, allRoutesName, "routes did not change")
 		}
 		again.close()
 	}
 }
 
-// Requests on a route fail if it leads to a pool that the subscriber does not have yet, or not any more.
+// Guards against a route to a pool that the subscriber does not have yet, or no longer: requests on it would fail.
 func TestDependenciesArriveFirstAndLeaveLast(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		service := startService(t, configText(""), 2)
@@ -151,8 +151,8 @@
 	}
 }
 
-// One bad resource keeps no other from a subscriber. Its last good version stays in force there, and the status shows
-// that.
+// Guards against a bad resource that keeps others from a subscriber. The subscriber keeps the last good version of the
+// bad resource, and the status shows the nack.
 func TestNackedResourceKeepsItsLastGoodVersion(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		service := startService(t, configText("")+secondPool, 2)
@@ -173,13 +173,13 @@
 		draining.Servers[0].Draining = true
 		service.setSecondPool(draining)
 		service.drain(1)
-		subscriber.waitUntil(maxDrainDelay, "receives the good one", func() bool {
+		subscriber.waitUntil(maxDrainDelay, "receives the good resource", func() bool {
 			body := subscriber.resources[typeURLs[typeEndpoint]]["p"]
 			return body != nil && strings.Contains(body.String(), "DRAINING")
 		})
 		subscriber.mu.Lock()
 		assert.NotContains(t, subscriber.resources[typeURLs[typeEndpoint]]["q"].String(), "DRAINING",
-			"the last good version stays in force")
+			"the last good version stays in effect")
 		subscriber.mu.Unlock()
 		require.Eventually(t, func() bool {
 			status := fmt.Sprintf("%+v", service.Subscribers())
@@ -189,7 +189,8 @@
 	}
 }
 
-// A service that starts anew has learned nothing bad of any server, and its endpoint list may be empty.
+// Guards against a restarted service that sends requests to paused servers again, or removes all servers because its
+// endpoint list is still empty.
 func TestSnapshotIsRestoredAtStart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "memory.json")
 	text := configText(fmt.Sprintf("memory = %q", file))
@@ -204,14 +205,14 @@
 		subscriber.hasHealth("s2", core.HealthStatus_UNHEALTHY))
 	time.Sleep(settleDelay)
 	subscriber.mu.Lock()
-	_, ok := subscriber.server("s0")
-	assert.True(t, ok, "an empty list is doubted")
+	_, ok := subscriber.serverHealth("s0")
+	assert.True(t, ok, "an empty endpoint list must not remove the servers")
 	subscriber.mu.Unlock()
 	next.stop()
 
 	snapshot, err := os.ReadFile(file)
 	require.NoError(t, err)
-	for what, content := range map[string]string{
+	for kind, content := range map[string]string{
 		"incomplete":        string(snapshot[:len(snapshot)/2]),
 		"foreign":           "hello",
 		"empty":             "",
@@ -221,14 +222,14 @@
 		require.NoError(t, os.WriteFile(file, []byte(content), 0o600))
 		service := startService(t, text, 4)
 		entry := service.log.AllEntries()[0]
-		assert.Contains(t, fmt.Sprint(entry.Message), "ignored", what)
-		assert.Contains(t, fmt.Sprint(entry.Data["error"]), file, what)
+		assert.Contains(t, fmt.Sprint(entry.Message), "ignored", kind)
+		assert.Contains(t, fmt.Sprint(entry.Data["error"]), file, kind)
 		service.stop()
 	}
 }
 
-// A service that has not observed its pools yet knows no endpoints: who reconnects to it would receive that all are
-// gone.
+// Guards against a service that, before its first observation, sends a reconnected subscriber that all endpoints were
+// removed.
 func TestNothingIsSentBeforeTheFirstObservation(t *testing.T) {
 	service := startService(t, configText(""), 3)
 	for _, delta := range []bool{true, false} {
@@ -246,7 +247,7 @@
 		subscriber.waitUntil(maxDrainDelay, "receives the drain once it is observed",
 			subscriber.hasHealth("s0", core.HealthStatus_DRAINING))
 		subscriber.mu.Lock()
-		assert.NotContains(t, fmt.Sprint(subscriber.received), "-p", "and never that endpoints are gone")
+		assert.NotContains(t, fmt.Sprint(subscriber.received), "-p", "endpoints must not be sent as removed")
 		subscriber.mu.Unlock()
 	}
 }
@@ -255,7 +256,7 @@
 	silent := &subscriber{}
 	silent.unackedSince[typeEndpoint] = time.Now().Add(-ackTimeout - time.Second)
 	kind, overdue := silent.overdueAck()
-	assert.True(t, overdue && kind == typeEndpoint, "one that acknowledges nothing is disconnected")
+	assert.True(t, overdue && kind == typeEndpoint, "a subscriber that acknowledges nothing is disconnected")
 	service := startService(t, configText("subscribers = 1"), 1)
 	subscriber := service.subscribe(subscriberOptions{id: "x"})
 	subscriber.waitUntil(startTimeout, "has everything", subscriber.isComplete)
@@ -274,7 +275,7 @@
 	assert.ErrorContains(t, manyNames.err, "more than 10000 names")
 }
 
-// What a node states of itself narrows what it receives, and no further than to what it may see.
+// The pools that a node receives depend on its id and zone, and are always among those that it may see.
 func TestSubsetNarrowsPoolsByNode(t *testing.T) {
 	subset := "[[control.subset]]\nnode = \"shop-*\"\nzone = \"a\"\npools = [\"q\"]\n"
 	service := startService(t, configText(subset)+secondPool, 2)
@@ -295,7 +296,7 @@
 	assert.Equal(t, poolFilter("q\n"), service.subsetPools("q\nr\n", node))
 }
 
-// A pool's assignment reaches each kind of subscriber: here one that prefers its own zone.
+// A subscriber receives priorities that prefer its own zone.
 func TestZoneSetsPriority(t *testing.T) {
 	service := startService(t, configText("local = true"), 4)
 	subscriber := service.subscribe(subscriberOptions{zone: "a", endpointsOnly: true, delta: true})
--- a/controlplane/snapshot.go
+++ b/controlplane/snapshot.go
@@ -21,20 +21,20 @@
 	maxSnapshotSize  = 64 << 20 // bytes
 )
 
-// snapshotFile is the form of a snapshot: the state of each pool, for a service that starts after this one.
+// snapshotFile is the content of a snapshot file: the state of each pool, from which a later run of the service starts.
 type snapshotFile struct {
 	Format int             `json:"format"`
 	Sum    uint32          `json:"sum"` // CRC-32 (IEEE) of Pools as written
 	Pools  json.RawMessage `json:"pools"`
 }
 
-// writeSnapshot writes a snapshot if the operator file names a file for it. A disk that is full or fails stops
-// snapshots, not the service.
+// writeSnapshot writes a snapshot if the operator file names a file for it. It only logs errors: a full or failing disk
+// does not stop the service.
 func (s *Service) writeSnapshot() {
 	s.mu.Lock()
 	file := s.config.ControlPlane.SnapshotFile
 	pools := map[string]assignment.Snapshot{}
-	maps.Copy(pools, s.pools.restored) // what was not observed yet stays as it was
+	maps.Copy(pools, s.pools.restored) // pools not observed yet keep their restored state
 	for name, pool := range s.pools.assigned {
 		pools[name] = pool.Snapshot()
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-// writeSnapshotFile writes a temporary file, syncs and renames it, so that the file is never found incomplete.
+// writeSnapshotFile writes a temporary file, syncs and renames it, so that a reader never finds an incomplete file.
 func writeSnapshotFile(file string, pools map[string]assignment.Snapshot) error {
 	encoded, err := json.Marshal(pools)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return err
 }
 
-// readSnapshot reads the snapshot; nil: there is none, or it is not valid.
+// readSnapshot returns the pools of the snapshot file, or nil if there is none or it cannot be used.
 func (s *Service) readSnapshot() map[string]assignment.Snapshot {
 	file := s.config.ControlPlane.SnapshotFile
 	if file == "" {
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	if info.Size() > maxSnapshotSize {
-		return nil, fmt.Errorf("%s: %d bytes: %d at most", file, info.Size(), maxSnapshotSize)
+		return nil, fmt.Errorf("%s: snapshot of %d bytes exceeds the limit of %d bytes", file, info.Size(), maxSnapshotSize)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	if content.Format != snapshotFormat {
-		return nil, fmt.Errorf("format %d, not %d", content.Format, snapshotFormat)
+		return nil, fmt.Errorf("unsupported snapshot format %d, expected %d", content.Format, snapshotFormat)
 	}
 	if crc32.ChecksumIEEE(bytes.TrimSpace(content.Pools)) != content.Sum {
 		return nil, errors.New("checksum mismatch: the file was changed or is incomplete")
--- a/controlplane/snapshot_test.go
+++ b/controlplane/snapshot_test.go
@@ -10,8 +10,8 @@
 	"lockloom/assignment"
 )
 
-// The snapshot in testdata was written by build f83df88 from the same values. This build reads it and writes the same,
-// so that the older build reads what this one writes.
+// Guards against an incompatible change of the snapshot format. Build f83df88 wrote the snapshot in testdata from the
+// same values. This build must read it, and write the same bytes, so that the older build can read its snapshots.
 func TestSnapshotOfF83df88IsReadAndWritten(t *testing.T) {
 	const file = "testdata/f83df88-snapshot.json"
 	want := map[string]assignment.Snapshot{
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// statusTimeout bounds the time to read a status request's header, and that an idle connection stays open.
+// statusTimeout limits the time to read a status request's header, and the time that an idle connection stays open.
 const statusTimeout = time.Second
 
 // The variants of the protocol as the status page names them.
@@ -20,27 +20,27 @@
 	protocolStateOfTheWorld = "world"
 )
 
-// SubscriberStatus is what one subscriber has, as the status page shows it.
+// SubscriberStatus describes one subscriber on the status page: its identity and the resources that it has.
 type SubscriberStatus struct {
 	ID          string           `json:"id"`
 	Cluster     string           `json:"cluster,omitempty"`
 	Zone        string           `json:"zone,omitempty"`
-	Peer        string           `json:"peer"` // its address
+	Peer        string           `json:"peer"` // network address
 	Protocol    string           `json:"way"`  // delta, or world for state of the world
 	ConnectedAt time.Time        `json:"since"`
 	Resources   []ResourceStatus `json:"holds"`
-	NackDetail  string           `json:"detail,omitempty"` // of the last nack
+	NackDetail  string           `json:"detail,omitempty"` // error message of the last nack
 }
 
-// ResourceStatus is what a subscriber has of one resource type.
+// ResourceStatus is the state of a subscriber's resources of one type.
 type ResourceStatus struct {
 	Type           string   `json:"type"`
-	NameCount      int      `json:"names"` // names subscribed to; -1: all
-	Version        string   `json:"version"`
-	UpToDate       bool     `json:"newest"`
-	UnackedSeconds float64  `json:"waits"` // since when a response is unacknowledged; 0: none is
-	Nacked         []string `json:"refused,omitempty"`
-	NackCount      int      `json:"refusals"`
+	NameCount      int      `json:"names"`             // number of names subscribed to; -1: all
+	Version        string   `json:"version"`           // of the resources last sent
+	UpToDate       bool     `json:"newest"`            // Version is current and no response is outstanding
+	UnackedSeconds float64  `json:"waits"`             // how long responses have been outstanding; 0: none is
+	Nacked         []string `json:"refused,omitempty"` // names whose current version the subscriber nacked
+	NackCount      int      `json:"refusals"`          // on this stream
 }
 
 // ServeStatus answers GET /subscribers with a list of SubscriberStatus in JSON, until Stop. It has no access control:
@@ -49,7 +49,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /subscribers", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s.Subscribers()) // it fails only when the client has gone
+		_ = json.NewEncoder(w).Encode(s.Subscribers()) // fails only if the client has disconnected
 	})
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: statusTimeout, IdleTimeout: statusTimeout}
 	served, closed := make(chan struct{}), make(chan error, 1)
@@ -112,7 +112,7 @@
 	return result
 }
 
-// status returns what the subscriber has of the type, without the type's name and the time of the last response.
+// status returns the status of the subscription, without Type and UnackedSeconds, which it does not know.
 func (s *subscription) status(current map[string]*resource) ResourceStatus {
 	version := s.sentVersion(current)
 	return ResourceStatus{
--- a/controlplane/stream.go
+++ b/controlplane/stream.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	sendTimeout      = 5 * time.Second  // for a subscriber that does not read
-	ackTimeout       = 30 * time.Second // for a response to be acknowledged or nacked
+	sendTimeout      = 5 * time.Second  // per message, for a subscriber that does not read
+	ackTimeout       = 30 * time.Second // for the acknowledgement or nack of a response
 	ackCheckInterval = time.Second
 )
 
 var errStopping = status.Error(codes.Unavailable, "stopping")
 
-// discoveryServer is the published gRPC service for resources.
+// discoveryServer implements the aggregated discovery service (ADS) of xDS.
 type discoveryServer struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	service *Service
@@ -46,18 +46,18 @@
 	send(kind resourceType, version string, response *response) error
 }
 
-// request is a request in either variant of the protocol.
+// request is a discovery request in either variant of the protocol.
 type request struct {
 	node        *core.Node
 	typeURL     string
 	nonce       string
 	nack        bool
 	nackDetail  string
-	version     string            // state of the world: what the subscriber has
-	names       []string          // state of the world: all that it subscribes to
-	subscribe   []string          // delta
-	unsubscribe []string          // delta
-	initial     map[string]string // delta: versions by name that it has from an earlier stream
+	version     string            // state of the world: version of the resources that the subscriber has
+	names       []string          // state of the world: all names that it subscribes to
+	subscribe   []string          // delta: names to add
+	unsubscribe []string          // delta: names to remove
+	initial     map[string]string // delta: versions, by name, of the resources that it has from an earlier stream
 }
 
 type stateOfTheWorldStream struct {
@@ -132,10 +132,10 @@
 	return s.grpc.Send(message)
 }
 
-// version returns a version as it is sent: that of the content, and the run.
+// version returns a version as it is sent: the content's version followed by the run's identifier.
 func (id runID) version(content string) string { return content + "-" + string(id) }
 
-// contentVersion returns the part of a sent version that follows from the content, whichever run sent it.
+// contentVersion returns the part of a sent version that depends on the content only, not on the run that sent it.
 func contentVersion(version string) string {
 	content, _, _ := strings.Cut(version, "-")
 	return content
@@ -149,11 +149,11 @@
 	if !ok || run != string(id) {
 		return 0, false
 	}
-	number, _ = strconv.ParseUint(text, 10, 64) // what is not a number is the nonce of no response
+	number, _ = strconv.ParseUint(text, 10, 64) // an invalid number is the nonce of no response
 	return number, true
 }
 
-// serveStream serves one stream until the subscriber ends it, misses a timeout, or the service stops.
+// serveStream serves one discovery stream until the subscriber ends it or exceeds a timeout, or the service stops.
 func (s *Service) serveStream(ctx context.Context, delta bool, st stream) error {
 	allowed, err := s.allowedPools(ctx)
 	if err != nil {
@@ -168,7 +168,8 @@
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	defer s.removeSubscriber(sub)
-	// Until a pool is observed it has no endpoints, and a subscriber that has some would be sent that they are gone.
+	// Before the first observation no pool has endpoints. A subscriber that has some from an earlier stream would be sent
+	// that they were removed.
 	select {
 	case <-s.pools.observed:
 	case <-ctx.Done():
@@ -181,7 +182,7 @@
 	return sub.run(ctx, st, receiveRequests(ctx, first, st))
 }
 
-// receiveRequests returns the requests of a stream, beginning with one already received. The channel is closed when the
+// receiveRequests returns the requests of a stream, starting with one already received. The channel is closed when the
 // subscriber ends the stream or ctx is done. Its goroutine ends then too, at the latest when gRPC fails the pending
 // receive because the stream's handler has returned.
 func receiveRequests(ctx context.Context, first *request, st stream) <-chan *request {
@@ -203,7 +204,7 @@
 	return requests
 }
 
-// run answers requests and sends changes until the stream ends.
+// run processes requests and sends changes until the stream ends.
 func (sub *subscriber) run(ctx context.Context, st stream, requests <-chan *request) error {
 	ackCheck := time.NewTicker(ackCheckInterval)
 	defer ackCheck.Stop()
@@ -232,9 +233,9 @@
 	}
 }
 
-// sendWithTimeout sends a message, or ends with an error after sendTimeout: a subscriber that does not read would keep
-// newer changes from itself, and its stream for ever. The goroutine of a send that timed out ends when gRPC fails the
-// send, because the stream's handler has returned.
+// sendWithTimeout calls send and returns an error if it takes longer than sendTimeout: otherwise a subscriber that does
+// not read would block its stream forever and never receive newer changes. The goroutine of a send that timed out ends
+// when gRPC fails the send, because the stream's handler has returned.
 func sendWithTimeout(ctx context.Context, send func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- send() }()
--- a/controlplane/subscriber.go
+++ b/controlplane/subscriber.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxNames              = 10_000 // of one type, subscribed to by one stream
-	defaultMaxSubscribers = 2_000  // where the operator file does not say
+	maxNames              = 10_000 // per resource type and stream
+	defaultMaxSubscribers = 2_000  // if the operator file sets no limit
 )
 
-// subscriber is one stream. Only the stream's goroutine changes it.
+// subscriber is the state of one discovery stream. Only the stream's goroutine changes it.
 type subscriber struct {
 	service     *Service
 	delta       bool
@@ -30,20 +30,20 @@
 	viewer      viewer
 	wakeup      wakeup
 
-	mu            sync.Mutex // guards the fields below for those who read the status
+	mu            sync.Mutex // guards the fields below, which the status page reads
 	subscriptions [typeCount]*subscription
-	unackedSince  [typeCount]time.Time // when the oldest unacknowledged response was sent; zero: none is outstanding
-	nackDetail    string               // of the last nack
+	unackedSince  [typeCount]time.Time // since when responses are outstanding; zero: none is
+	nackDetail    string               // error message of the last nack
 }
 
-// wakeup tells a subscriber's goroutine that there may be something to send.
+// wakeup notifies a subscriber's goroutine that there may be changes to send.
 type wakeup struct {
-	signal chan struct{} // has room for one
+	signal chan struct{} // has capacity 1
 	mu     sync.Mutex
 	urgent bool
 }
 
-// notify does not wait.
+// notify signals that there may be changes to send. It does not block.
 func (w *wakeup) notify(urgent bool) {
 	w.mu.Lock()
 	w.urgent = w.urgent || urgent
@@ -63,7 +63,7 @@
 	return urgent
 }
 
-// newSubscriber returns the subscriber of a stream by the node of its first request.
+// newSubscriber returns the subscriber of a stream whose first request came from node.
 func (s *Service) newSubscriber(ctx context.Context, delta bool, allowed poolFilter, node *core.Node) *subscriber {
 	sub := &subscriber{
 		service:     s,
@@ -79,7 +79,7 @@
 	return sub
 }
 
-// addSubscriber adds a subscriber, unless there are too many.
+// addSubscriber adds a subscriber, or returns an error if there are too many.
 func (s *Service) addSubscriber(sub *subscriber) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,14 +97,14 @@
 	delete(s.subscribers, sub)
 }
 
-// currentResources returns what this subscriber is to have.
+// currentResources returns the resources that the subscriber should have now.
 func (sub *subscriber) currentResources() *resourceSet {
 	sub.service.mu.Lock()
 	defer sub.service.mu.Unlock()
 	return sub.service.view(sub.viewer)
 }
 
-// handleRequest takes in a request: an acknowledgement or a nack, names, or both.
+// handleRequest processes a request: an acknowledgement or a nack, a change of the subscribed names, or both.
 func (sub *subscriber) handleRequest(r *request) error {
 	kind, ok := parseTypeURL(r.typeURL)
 	if !ok { // the service has no resources of that type
@@ -126,7 +126,7 @@
 	switch {
 	case sub.delta:
 		state.applyDeltaRequest(r, isFirst)
-	case latest: // names that were sent before the last response arrived will be sent again
+	case latest: // otherwise the names are outdated: the reply to the last response will contain them
 		state.applyStateRequest(r, isFirst, current)
 	}
 	if state.nameCount() > maxNames {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// handleReply takes in an acknowledgement or a nack. It reports whether that was for the last response sent.
+// handleReply processes an acknowledgement or a nack. It reports whether that was for the last response sent.
 func (sub *subscriber) handleReply(kind resourceType, nonce uint64, r *request) (latest bool) {
 	state := sub.subscriptions[kind]
 	if r.nack {
@@ -147,7 +147,7 @@
 			"type":       kind.url(),
 			"changed":    changed,
 			"detail":     r.nackDetail,
-		}).Warn("configuration refused: the last good version stays in force")
+		}).Warn("response nacked by a subscriber: it keeps the last acknowledged versions")
 	} else {
 		latest = state.ack(nonce)
 	}
@@ -157,8 +157,8 @@
 	return latest
 }
 
-// applyDeltaRequest takes in the names of a request of the delta protocol, and with the first request of a stream the
-// versions that the subscriber has.
+// applyDeltaRequest applies the names in a request of the delta protocol. From the first request of a stream it also
+// takes the versions that the subscriber has.
 func (s *subscription) applyDeltaRequest(r *request, isFirst bool) {
 	subscribe := r.subscribe
 	if isFirst {
@@ -167,15 +167,15 @@
 			versions[name] = contentVersion(version)
 		}
 		s.setInitialVersions(versions)
-		if len(subscribe) == 0 && s.fullState { // how older subscribers ask for all
+		if len(subscribe) == 0 && s.fullState { // older subscribers request all resources this way
 			subscribe = []string{wildcard}
 		}
 	}
 	s.updateNames(subscribe, r.unsubscribe)
 }
 
-// applyStateRequest takes in the names of a request of the state of the world protocol, and with the first request of a
-// stream the version that the subscriber has.
+// applyStateRequest applies the names in a request of the state of the world protocol. From the first request of a
+// stream it also takes the version that the subscriber has.
 func (s *subscription) applyStateRequest(r *request, isFirst bool, current map[string]*resource) {
 	all := len(r.names) == 0 && s.fullState || slices.Contains(r.names, wildcard)
 	names := slices.DeleteFunc(slices.Clone(r.names), func(name string) bool { return name == wildcard })
@@ -185,12 +185,12 @@
 	}
 }
 
-// sendOrder is the order in which changes are sent. New resources come before those that refer to them. A resource is
-// removed only once none refers to it any more, so clusters and endpoints come again last: requests on a route to a
-// cluster that is already gone would fail.
+// sendOrder is the order in which changes are sent. New clusters and endpoints are sent before the listeners and routes
+// that lead to them. They are removed only once no listener or route leads to them, so they come again at the end:
+// requests on a route to a removed cluster would fail.
 var sendOrder = []resourceType{typeCluster, typeEndpoint, typeListener, typeRoute, typeCluster, typeEndpoint}
 
-// sendChanges sends what there is to send.
+// sendChanges sends the responses of all types that are to be sent now.
 func (sub *subscriber) sendChanges(ctx context.Context, st stream) error {
 	urgent := sub.wakeup.takeUrgent()
 	current := sub.currentResources()
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// nextResponse returns what to send of a type now, if anything, and its version.
+// nextResponse returns the response of a type to send now, or nil, and its version.
 func (sub *subscriber) nextResponse(
 	kind resourceType, current *resourceSet, urgent bool,
 ) (next *response, version string) {
@@ -227,8 +227,8 @@
 	return next, sub.service.run.version(state.sentVersion(current[kind]))
 }
 
-// mustKeepRemoved reports whether listeners or routes that the subscriber has may still refer to removed resources of a
-// type: their changes are not sent or not acknowledged yet.
+// mustKeepRemoved reports whether the subscriber's listeners or routes may still refer to removed resources of a type,
+// because changes of these listeners or routes are not sent or not acknowledged yet.
 func (sub *subscriber) mustKeepRemoved(kind resourceType, current *resourceSet) bool {
 	if kind != typeCluster && kind != typeEndpoint {
 		return false
@@ -250,7 +250,7 @@
 	return len(s.nackedNames(current)) == 0 && s.sentVersion(current) != s.currentVersion(current)
 }
 
-// overdueAck reports whether the subscriber has left a response unacknowledged for too long, and of which type.
+// overdueAck reports whether responses of a type have been outstanding for longer than ackTimeout, and of which type.
 func (sub *subscriber) overdueAck() (kind resourceType, overdue bool) {
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
--- a/controlplane/subscription.go
+++ b/controlplane/subscription.go
@@ -8,18 +8,18 @@
 	"strconv"
 )
 
-// maxOutstanding bounds the responses of one subscription whose content is remembered until they are acknowledged.
+// maxOutstanding limits the responses of one subscription that are remembered until they are acknowledged or nacked.
 const maxOutstanding = 8
 
-// wildcard is the name that stands for all resources of a type but those sent on demand only.
+// wildcard is the name that subscribes to all resources of a type except those sent on demand only.
 const wildcard = "*"
 
-// response is one message to a subscriber.
+// response is a discovery response for one resource type.
 type response struct {
 	nonce     uint64
 	resources []*resource
-	removed   []string    // names that are gone; sent in the delta protocol only
-	changed   []*resource // those of resources that the subscriber was not sent in this version before
+	removed   []string    // names that do not exist, or no longer; sent in the delta protocol only
+	changed   []*resource // those of resources whose version was not sent to the subscriber before
 }
 
 // mentions reports whether a response changes or removes a resource.
@@ -28,10 +28,10 @@
 		slices.ContainsFunc(r.changed, func(changed *resource) bool { return changed.name == name })
 }
 
-// subscription is the state of one subscriber for one type of resource: the names it subscribed to, the versions sent
-// and acknowledged, and the responses outstanding. It covers both variants of the protocol, delta and state of the
-// world. It does no input or output and never waits: nextResponse returns what to send now, if anything. It looks up
-// the current resources then, so there is no queue. The caller serializes all calls.
+// subscription is the state of one subscriber for one resource type: the names it subscribed to, the versions sent and
+// acknowledged, and the outstanding responses. It covers both variants of the protocol, delta and state of the world.
+// It does no I/O and never blocks. No responses are queued: nextResponse derives the response to send from the
+// resources that are current when it is called. It is not safe for concurrent use.
 type subscription struct {
 	delta bool // the delta protocol, in which responses contain differences
 	// fullState is set for listeners and clusters. In the state of the world protocol their responses contain all
@@ -40,16 +40,16 @@
 
 	wildcard   bool
 	subscribed map[string]bool      // by name
-	sent       map[string]*resource // as of the last response, acknowledged or not; nil: sent as not existing
-	acked      map[string]*resource // as acknowledged last
-	nacked     map[string]string    // by name the version that is not sent again
-	// suspects were changed by a response that was nacked and that changed others too. They are sent one at a time, to
-	// learn which one the subscriber does not accept.
+	sent       map[string]*resource // by name, as last sent, acknowledged or not; nil: sent as nonexistent
+	acked      map[string]*resource // by name, as last acknowledged
+	nacked     map[string]string    // by name, the nacked version, which is not sent again
+	// suspects are the names of resources changed by a nacked response that changed several. They are sent one at a time,
+	// to find out which of them the subscriber does not accept.
 	suspects    map[string]bool
 	outstanding []*response // neither acknowledged nor nacked, oldest first
 	lastNonce   uint64
 	// confirmed is set once the subscriber has acknowledged a response of this stream, or stated that it has the
-	// current state: only then is it known what it has.
+	// current version. Until then it is not known which resources it has.
 	confirmed bool
 	nackCount int
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// setNames sets what is subscribed to, as the state of the world protocol does: names, or all by the wildcard.
+// setNames replaces the subscribed names and the wildcard, as requests of the state of the world protocol do.
 func (s *subscription) setNames(all bool, names []string) {
 	s.wildcard = all
 	s.subscribed = make(map[string]bool, len(names))
@@ -77,7 +77,7 @@
 	s.dropUnsubscribed()
 }
 
-// updateNames adds and removes names, as the delta protocol does.
+// updateNames adds and removes subscribed names, as requests of the delta protocol do.
 func (s *subscription) updateNames(subscribe, unsubscribe []string) {
 	for _, name := range subscribe {
 		if name == wildcard {
@@ -85,7 +85,7 @@
 			continue
 		}
 		s.subscribed[name] = true
-		if s.sent[name] == nil { // subscribed to again, it is answered again even if it still does not exist
+		if s.sent[name] == nil { // a repeated subscription is answered again, even if the name still does not exist
 			delete(s.sent, name)
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// nameCount returns how many names are subscribed to; -1 stands for all.
+// nameCount returns how many names are subscribed to; -1 stands for the wildcard.
 func (s *subscription) nameCount() int {
 	if s.wildcard {
 		return -1
@@ -119,7 +119,7 @@
 	return len(s.subscribed)
 }
 
-// setInitialVersions takes in the versions by name that a subscriber has from an earlier stream.
+// setInitialVersions records the versions, by name, that a subscriber has from an earlier stream.
 func (s *subscription) setInitialVersions(versions map[string]string) {
 	for name, version := range versions {
 		s.sent[name] = &resource{name: name, version: version}
@@ -127,7 +127,7 @@
 	}
 }
 
-// setInitialState takes in that the subscriber has all current resources that it subscribed to.
+// setInitialState records that the subscriber has all current resources that it subscribed to.
 func (s *subscription) setInitialState(current map[string]*resource) {
 	s.confirmed = true
 	for _, name := range s.relevantNames(current) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// relevantNames returns the names subscribed to and those sent that may have to be removed, in order.
+// relevantNames returns the subscribed names and, with the wildcard, those sent that may have to be removed, in order.
 func (s *subscription) relevantNames(current map[string]*resource) []string {
 	relevant := maps.Clone(s.subscribed)
 	if s.wildcard {
@@ -152,19 +152,19 @@
 	return slices.Sorted(maps.Keys(relevant))
 }
 
-// currentVersion returns the version of all that is subscribed to as it is now.
+// currentVersion returns the version of the current resources that are subscribed to.
 func (s *subscription) currentVersion(current map[string]*resource) string {
 	return s.versionOf(current, current)
 }
 
-// sentVersion returns the version of what the subscriber was sent so far. In the state of the world protocol a
-// subscriber that reconnects states it.
+// sentVersion returns the version of the resources that the subscriber was last sent. In the state of the world
+// protocol, a subscriber that reconnects states it in its first request.
 func (s *subscription) sentVersion(current map[string]*resource) string {
 	return s.versionOf(current, s.sent)
 }
 
-// versionOf returns a hash of the names and versions of the relevant resources in a set. It follows from them alone, so
-// that every run of the control plane gives the same content the same version.
+// versionOf returns a hash of the names and versions of the relevant resources in a set. It depends on nothing else, so
+// every run of the control plane gives the same content the same version.
 func (s *subscription) versionOf(current, resources map[string]*resource) string {
 	hash := fnv.New64a()
 	for _, name := range s.relevantNames(current) {
@@ -175,10 +175,10 @@
 	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// nextResponse returns what to send now; nil: nothing. A response waits until the one before is acknowledged or nacked.
-// An urgent one does not, except for listeners and clusters: none of them is urgent, and their responses contain all
-// resources, so that it could not be known which part of two responses was nacked. With keepRemoved no resource is
-// removed yet, because others still refer to it.
+// nextResponse returns the response to send now, or nil. It returns nil until the previous response is acknowledged or
+// nacked. Urgent changes are sent without waiting for that, except those of listeners and clusters: they are never
+// urgent, and since their responses contain all resources, it could not be known which of two outstanding responses
+// made a subscriber nack. With keepRemoved no resource is removed yet, because others still refer to it.
 func (s *subscription) nextResponse(current map[string]*resource, urgent, keepRemoved bool) *response {
 	if len(s.outstanding) > 0 && (!urgent || s.fullState) {
 		return nil
@@ -201,7 +201,7 @@
 	s.lastNonce++
 	next.nonce = s.lastNonce
 	s.outstanding = append(s.outstanding, next)
-	if len(s.outstanding) > maxOutstanding { // one that never acknowledges must receive urgent changes all the same
+	if len(s.outstanding) > maxOutstanding { // a subscriber that never acknowledges still receives urgent changes
 		s.outstanding = s.outstanding[1:]
 	}
 	return next
@@ -210,7 +210,7 @@
 // changes returns a response with what changed since the last one, without its nonce and resources.
 func (s *subscription) changes(current map[string]*resource, urgent, keepRemoved bool) *response {
 	next := &response{}
-	var suspect *resource // the first that may be sent alone
+	var suspect *resource // the first suspect that may be sent again
 	for _, name := range s.relevantNames(current) {
 		now, before := current[name], s.sent[name]
 		_, wasSent := s.sent[name]
@@ -233,7 +233,7 @@
 	return next
 }
 
-// allSent returns all resources that the subscriber is to have, ordered by name.
+// allSent returns all resources as last sent, ordered by name. A response with the full state contains them all.
 func (s *subscription) allSent() (resources []*resource) {
 	for _, name := range slices.Sorted(maps.Keys(s.sent)) {
 		if r := s.sent[name]; r != nil {
@@ -243,13 +243,13 @@
 	return resources
 }
 
-// ack takes in that a response was acknowledged. It reports whether that was the last one sent.
+// ack records that a response was acknowledged. It reports whether that response was the last one sent.
 func (s *subscription) ack(nonce uint64) (latest bool) {
 	acked := s.takeOutstanding(nonce)
 	if acked == nil {
 		return nonce == s.lastNonce
 	}
-	if !s.confirmed { // until now a resource could be nacked for what had to be sent beside it
+	if !s.confirmed { // until now a good resource could be nacked because of a bad one in the same response
 		clear(s.nacked)
 	}
 	s.confirmed = true
@@ -269,9 +269,10 @@
 	return nonce == s.lastNonce
 }
 
-// nack takes in that a response was nacked and returns the names that it changed. The last acknowledged versions stay
-// in force. A resource that was changed alone is not sent again in this version; those changed together are sent one at
-// a time, since one bad resource would otherwise keep all others from the subscriber.
+// nack records that a response was nacked and returns the names that it changed. It reports whether that response was
+// the last one sent. The last acknowledged versions stay in effect. A resource that was changed alone is not sent again
+// in this version. Resources that were changed together are sent again one at a time, since one bad resource would
+// otherwise keep all others from the subscriber.
 func (s *subscription) nack(nonce uint64) (changed []string, latest bool) {
 	nacked := s.takeOutstanding(nonce)
 	if nacked == nil {
@@ -281,7 +282,7 @@
 	for _, r := range nacked.changed {
 		changed = append(changed, r.name)
 		if len(nacked.changed) == 1 {
-			// A suspect stays one: which version the subscriber accepted before is not known.
+			// A suspect stays a suspect: it is not known which version the subscriber accepted before.
 			s.nacked[r.name] = r.version
 		} else {
 			s.suspects[r.name] = true
@@ -290,26 +291,26 @@
 			s.revertSent(r.name)
 		}
 	}
-	if len(nacked.changed) > 0 { // the removals may have been nacked for what changed beside them
+	if len(nacked.changed) > 0 { // the removals may have been nacked only because of the changes
 		s.resendRemovals(nacked.removed)
 	}
 	return changed, nonce == s.lastNonce
 }
 
-// revertSent notes that the subscriber has the version of a resource that it acknowledged last.
+// revertSent records that the subscriber has the version of a resource that it last acknowledged.
 func (s *subscription) revertSent(name string) {
 	if acked := s.acked[name]; acked != nil {
 		s.sent[name] = acked
 		return
 	}
-	// Where a response contains all resources, a subscriber removes what it has from an earlier stream if the resource is
-	// left out; so it stays in until it is known what the subscriber has.
+	// If responses contain all resources, a subscriber removes those that are left out, even if it has them from an
+	// earlier stream. So the resource stays in until it is known what the subscriber has.
 	if s.delta || !s.fullState || s.confirmed {
 		delete(s.sent, name)
 	}
 }
 
-// resendRemovals forgets that names were sent as removed.
+// resendRemovals marks names that were sent as removed as not sent, so that they are sent as removed again.
 func (s *subscription) resendRemovals(names []string) {
 	for _, name := range names {
 		if r, wasSent := s.sent[name]; wasSent && r == nil {
--- a/controlplane/subscription_test.go
+++ b/controlplane/subscription_test.go
@@ -11,26 +11,26 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a subscription, its subscriber and the messages on their way between them, for every interleaving. Two
-// resources, a and b, have versions that count up; those that end in 2 are nacked.
+// simulation models a subscription, its subscriber and the messages in flight between them, so that every interleaving
+// can be tested. There are two resources, a and b, whose versions count up; versions that end in 2 are nacked.
 type simulation struct {
 	subscriberKind
 	current        map[string]*resource
 	versionCount   int
 	subscription   *subscription
 	responses      []*response
-	removals       int               // of b, so far
-	removalsBefore map[*response]int // as of when a response was sent
-	removalsSeen   int               // as of when the response was sent from which b was accepted last
+	removals       int               // number of removals of b so far
+	removalsBefore map[*response]int // number of removals of b before a response was sent
+	removalsSeen   int               // removalsBefore of the response from which b was accepted last
 	replies        []reply
 	held           map[string]string // versions that the subscriber has
-	lastAcked      map[string]string // versions that it acknowledged last, since the name was removed
+	lastAcked      map[string]string // versions that it last acknowledged, since the last removal of the name
 }
 
-// subscriberKind is the protocol variant of a subscriber and its habits.
+// subscriberKind is the protocol variant and the behavior of a subscriber.
 type subscriberKind struct {
 	delta, fullState bool
-	partial          bool // of a nacked response it accepts what is good
+	partial          bool // it accepts the good resources of a nacked response
 }
 
 type reply struct {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// connect opens a stream: what was on its way on the last one is lost.
+// connect opens a new stream. Messages in flight on the previous one are lost.
 func (s *simulation) connect() {
 	s.subscription, s.responses, s.replies = newSubscription(s.delta, s.fullState), nil, nil
 	if s.delta {
@@ -63,7 +63,7 @@
 	s.send(false)
 }
 
-// stateVersion has the subscriber state its version, as in the state of the world protocol.
+// stateVersion has the subscriber state its version, as in the first request of the state of the world protocol.
 func (s *simulation) stateVersion() {
 	if len(s.held) == 0 {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// send sends what there is to send, and reports whether there was anything.
+// send sends the next response, and reports whether there was one.
 func (s *simulation) send(urgent bool) bool {
 	next := s.subscription.nextResponse(s.current, urgent, false)
 	if next != nil {
@@ -87,7 +87,7 @@
 	return next != nil
 }
 
-// actions are all that can happen.
+// actions are the steps that a simulation can take.
 var actions = []func(s *simulation){
 	func(s *simulation) { s.update("a"); s.send(false) },
 	func(s *simulation) { s.update("a"); s.update("b"); s.send(true) },
@@ -99,7 +99,7 @@
 
 func (s *simulation) update(name string) {
 	s.versionCount++
-	version := fmt.Sprint("v", s.versionCount%4) // versions come back
+	version := fmt.Sprint("v", s.versionCount%4) // versions repeat
 	s.current[name] = &resource{name: name, version: version}
 }
 
@@ -118,7 +118,7 @@
 		return true
 	}
 	held := s.accept(next, nack)
-	if held["b"] == "" && s.removalsBefore[next] > s.removalsSeen { // rightly removed
+	if held["b"] == "" && s.removalsBefore[next] > s.removalsSeen { // the response was sent after the removal
 		delete(s.lastAcked, "b")
 	}
 	s.held = held
@@ -169,12 +169,12 @@
 	return true
 }
 
-// settle delivers all messages, and returns what is wrong then.
+// settle delivers all messages, and returns a description of the fault that it finds then, or "".
 func (s *simulation) settle() string {
 	const maxMessages = 200
 	for n := 0; s.deliverResponse() || s.deliverReply() || s.send(false); n++ {
 		if n > maxMessages {
-			return "it never settles"
+			return "messages are still exchanged after maxMessages deliveries"
 		}
 	}
 	if fault := s.check("a", "b"); fault != "" {
@@ -183,7 +183,7 @@
 	return s.check("b", "a")
 }
 
-// check returns what is wrong with what the subscriber has of a resource.
+// check returns a description of the fault in the version that the subscriber has of a resource, or "".
 func (s *simulation) check(name, other string) string {
 	if s.isUnknown(other) {
 		return ""
@@ -214,8 +214,8 @@
 	return r != nil && isBad(r.version)
 }
 
-// In every interleaving of updates, responses, acknowledgements, nacks and new streams up to a depth, each kind of
-// subscriber comes to have the newest state that it accepts.
+// In every interleaving of updates, responses, acknowledgements, nacks and new streams, up to a depth, each kind of
+// subscriber ends up with the newest state that it accepts.
 func TestEverySubscriberConverges(t *testing.T) {
 	const depth = 5
 	for _, kind := range []subscriberKind{
@@ -250,7 +250,7 @@
 	return result
 }
 
-// The same for long random histories.
+// Like TestEverySubscriberConverges, for long random sequences of actions.
 func TestLongHistoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(subscriberKind{
@@ -265,7 +265,7 @@
 	})
 }
 
-// An urgent response waits for nothing; another waits until the one before is acknowledged.
+// An urgent response is sent at once. Any other is sent only after the previous one is acknowledged.
 func TestUrgentResponseDoesNotWaitForAcknowledgement(t *testing.T) {
 	s := newSimulation(subscriberKind{delta: true})
 	assert.Empty(t, s.settle())
@@ -273,7 +273,7 @@
 	assert.True(t, s.send(false))
 	for range 3 * maxOutstanding {
 		s.update("a")
-		assert.False(t, s.send(false), "the one before is not acknowledged")
+		assert.False(t, s.send(false), "the previous response is not acknowledged")
 		assert.True(t, s.send(true))
 	}
 	assert.Equal(t, maxOutstanding, s.subscription.outstandingCount())
@@ -299,11 +299,11 @@
 	subscription.updateNames([]string{"y", "z"}, nil)
 	next = subscription.nextResponse(current, false, false)
 	assert.Equal(t, []string{"y"}, names(next))
-	assert.Equal(t, []string{"z"}, next.removed, "subscribed to, and there is none")
+	assert.Equal(t, []string{"z"}, next.removed, "a subscribed name that does not exist is sent as removed")
 	subscription.ack(next.nonce)
 	assert.Nil(t, subscription.nextResponse(current, false, false))
 	delete(current, "x")
-	assert.Nil(t, subscription.nextResponse(current, false, true), "it is kept for now")
+	assert.Nil(t, subscription.nextResponse(current, false, true), "with keepRemoved, the removal is not sent yet")
 	assert.Equal(t, []string{"x"}, subscription.nextResponse(current, false, false).removed)
 	subscription.updateNames(nil, []string{"*", "y"})
 	assert.Equal(t, 1, subscription.nameCount())
--- a/controlplane/testservice_test.go
+++ b/controlplane/testservice_test.go
@@ -32,7 +32,7 @@
 pool = "p"
 `
 
-// secondPool is a second pool with a route to it, to be added to plainConfig.
+// secondPool is a pool with a route to it, to be appended to plainConfig.
 const secondPool = `[[pool]]
 name = "q"
 [[route]]
@@ -64,7 +64,7 @@
 	observations map[string]assignment.Observation
 }
 
-// startService starts a service that has observed that pool p has so many servers.
+// startService starts a service that has observed pool p with the given number of servers.
 func startService(tb testing.TB, text string, servers int) *testService {
 	tb.Helper()
 	service := startWithoutObservation(tb, text, servers)
@@ -72,7 +72,8 @@
 	return service
 }
 
-// startWithoutObservation starts a service that has observed nothing yet.
+// startWithoutObservation starts a service without observations. The first call of observe passes pool p with the given
+// number of servers.
 func startWithoutObservation(tb testing.TB, text string, servers int) *testService {
 	tb.Helper()
 	log, hook := test.NewNullLogger()
@@ -94,7 +95,7 @@
 	return started
 }
 
-// stop stops the service; again, it does nothing.
+// stop stops the service. Further calls do nothing.
 func (s *testService) stop() {
 	s.stopOnce.Do(func() {
 		s.Stop()
@@ -131,12 +132,12 @@
 	s.observe()
 }
 
-// drain has a server of pool p drain.
+// drain observes that a server of pool p, given by its index, drains.
 func (s *testService) drain(server int) {
 	s.changePool(func(o *assignment.Observation) { o.Servers[server].Draining = true })
 }
 
-// observationOf has so many servers, all alike and healthy, in zones a and b in turn.
+// observationOf returns an observation of the given number of identical, healthy servers, in zones a and b in turn.
 func observationOf(servers int) (observation assignment.Observation) {
 	for i := range servers {
 		observation.Servers = append(observation.Servers, assignment.ServerEstimate{
--- a/controlplane/testsubscriber_test.go
+++ b/controlplane/testsubscriber_test.go
@@ -23,23 +23,23 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// subscriberOptions say how a testSubscriber behaves.
+// subscriberOptions configures the behavior of a testSubscriber.
 type subscriberOptions struct {
 	delta         bool
 	id            string
 	zone          string
-	addr          string          // the service's, if empty
-	resumeFrom    *testSubscriber // whose resources it has already
+	addr          string          // to connect to; empty: the service's
+	resumeFrom    *testSubscriber // subscriber whose resources it has at the start; nil: it has none
 	nacks         func(name string, body *anypb.Any) bool
 	neverAcks     bool
 	ackDelay      time.Duration
 	pools         []string // whose endpoints it subscribes to; nil: p
 	endpointsOnly bool
-	discard       bool // it keeps no resources, and counts responses and bytes alone
+	discard       bool // keep no resources, only count responses and bytes
 	credentials   credentials.TransportCredentials
 }
 
-// testSubscriber is a subscriber written from the published protocol.
+// testSubscriber is a subscriber written from the xDS specification, not from the code under test.
 type testSubscriber struct {
 	subscriberOptions
 	tb   testing.TB
@@ -50,14 +50,14 @@
 	resources     map[string]map[string]*anypb.Any // by type and name
 	versions      map[string]map[string]string     // delta: by type and name
 	stateVersions map[string]string                // state of the world: by type
-	received      []string                         // in order: type and names, with "-" before removed ones
+	received      []string                         // responses in order: type and names, with "-" before removed ones
 	responseCount int
 	receivedBytes int
 	changed       chan struct{} // closed and replaced with every response
-	err           error         // with which the stream ended
+	err           error         // error with which the stream ended
 }
 
-// subscribe opens a stream.
+// subscribe connects a new subscriber, which opens a stream.
 func (s *testService) subscribe(options subscriberOptions) *testSubscriber {
 	if options.addr == "" {
 		options.addr = s.addr
@@ -114,7 +114,7 @@
 	return &core.Node{Id: s.id, Locality: &core.Locality{Zone: s.zone}}
 }
 
-// names are what it subscribes to of a type; none: all.
+// names returns the names that it subscribes to of a type; none: all.
 func (s *testSubscriber) names(url string) []string {
 	switch url {
 	case typeURLs[typeEndpoint]:
@@ -186,7 +186,7 @@
 	}
 }
 
-// acceptState takes in a response of the state of the world protocol and returns the acknowledgement or nack.
+// acceptState processes a response of the state of the world protocol and returns the acknowledgement or nack.
 func (s *testSubscriber) acceptState(message *discovery.DiscoveryResponse) *discovery.DiscoveryRequest {
 	url := message.TypeUrl
 	resources := map[string]*anypb.Any{}
@@ -243,7 +243,7 @@
 	}
 }
 
-// acceptDelta takes in a response of the delta protocol and returns the acknowledgement or nack.
+// acceptDelta processes a response of the delta protocol and returns the acknowledgement or nack.
 func (s *testSubscriber) acceptDelta(message *discovery.DeltaDiscoveryResponse) *discovery.DeltaDiscoveryRequest {
 	resources, versions := map[string]*anypb.Any{}, map[string]string{}
 	for _, r := range message.Resources {
@@ -263,7 +263,8 @@
 	return ack
 }
 
-// accept takes over a response, or returns why not. With replaceAll it contains all resources of the type.
+// accept stores the resources of a response, or returns the detail of a nack. With replaceAll, the response contains
+// all resources of the type.
 func (s *testSubscriber) accept(
 	url string, resources map[string]*anypb.Any, removed []string, message proto.Message, replaceAll bool,
 ) (nack string) {
@@ -292,7 +293,7 @@
 	return ""
 }
 
-// summary is a response's entry in received.
+// summary returns the entry of a response in received.
 func summary(url string, resources map[string]*anypb.Any, removed []string) string {
 	line := typeNames[slices.Index(typeURLs[:], url)]
 	for _, name := range slices.Sorted(maps.Keys(resources)) {
@@ -315,10 +316,10 @@
 	return message.(*endpoint.ClusterLoadAssignment).ClusterName
 }
 
-// waitUntil waits until a condition holds, which is checked with the lock held.
-func (s *testSubscriber) waitUntil(timeout time.Duration, what string, condition func() bool) {
+// waitUntil waits until a condition holds, which it checks with s.mu held.
+func (s *testSubscriber) waitUntil(timeout time.Duration, description string, condition func() bool) {
 	s.tb.Helper()
-	late := time.After(timeout)
+	timedOut := time.After(timeout)
 	for {
 		s.mu.Lock()
 		ok, changed := condition(), s.changed
@@ -329,16 +330,17 @@
 		select {
 		case <-changed:
 		case <-time.After(50 * time.Millisecond): // the stream may have ended
-		case <-late:
+		case <-timedOut:
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			require.Fail(s.tb, s.id+" "+what, "%v %v", s.received, s.err)
+			require.Fail(s.tb, s.id+" "+description, "%v %v", s.received, s.err)
 		}
 	}
 }
 
-// server returns the health of a server, and false if the subscriber does not have it. The caller holds the lock.
-func (s *testSubscriber) server(name string) (core.HealthStatus, bool) {
+// serverHealth returns the health of a server, and false if the subscriber does not have the server. The caller must
+// hold s.mu.
+func (s *testSubscriber) serverHealth(name string) (core.HealthStatus, bool) {
 	message := &endpoint.ClusterLoadAssignment{}
 	for _, pool := range s.pools {
 		body := s.resources[typeURLs[typeEndpoint]][pool]
@@ -357,7 +359,7 @@
 // hasHealth returns the condition that the subscriber has a server with that health.
 func (s *testSubscriber) hasHealth(server string, expected core.HealthStatus) func() bool {
 	return func() bool {
-		health, ok := s.server(server)
+		health, ok := s.serverHealth(server)
 		return ok && health == expected
 	}
 }
--- a/controlplane/tls.go
+++ b/controlplane/tls.go
@@ -13,15 +13,15 @@
 	"google.golang.org/grpc/peer"
 )
 
-// certificates are the service's own certificate and key, and the authority of the subscribers' certificates. Once
-// loaded again they apply to new connections; existing streams go on.
+// certificates holds the service's certificate and key, and the certificate authority of the subscribers. Certificates
+// that are loaded again apply to new connections; existing streams continue.
 type certificates struct {
 	certificateFile, keyFile, authorityFile string // PEM
 
 	current atomic.Pointer[tls.Config]
 }
 
-// load reads the files. After an error the previous certificates stay in force.
+// load reads the files. After an error the previous certificates stay in effect.
 func (c *certificates) load() error {
 	pair, err := tls.LoadX509KeyPair(c.certificateFile, c.keyFile)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
-		return errors.New("control: authority: " + c.authorityFile + ": no certificate in it")
+		return errors.New("control: authority: " + c.authorityFile + ": no valid PEM certificate in this file")
 	}
 	c.current.Store(&tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// tlsConfig returns settings by which each new connection uses the certificates loaded last.
+// tlsConfig returns a configuration with which each new connection uses the certificates loaded last.
 func (c *certificates) tlsConfig() *tls.Config {
 	current := func(*tls.ClientHelloInfo) (*tls.Config, error) { return c.current.Load(), nil }
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: current}
--- a/controlplane/tls_test.go
+++ b/controlplane/tls_test.go
@@ -40,7 +40,7 @@
 // file returns the path of a file in the folder.
 func (a *authority) file(name string) string { return filepath.Join(a.dir, name) }
 
-// issue writes a certificate for a name and its key. Without an issuer it is that of an authority.
+// issue writes a certificate for a name, and its key. Without an issuer it is the self-signed one of an authority.
 func (a *authority) issue(name string, issuer *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -74,7 +74,7 @@
 	require.NoError(a.t, os.WriteFile(a.file(name), text, 0o600))
 }
 
-// credentials returns those of a subscriber with a name in its certificate.
+// credentials returns the credentials of a subscriber whose certificate contains a name.
 func (a *authority) credentials(name string) credentials.TransportCredentials {
 	a.issue(name, a)
 	pair, err := tls.LoadX509KeyPair(a.file(name+".pem"), a.file(name+".key"))
@@ -94,7 +94,8 @@
 name = "all"
 `
 
-// A subscriber is known by its certificate and receives what it may see. Certificates may change while streams go on.
+// A subscriber is identified by its certificate and receives only the pools that it may see. Reloading the service's
+// certificates does not end streams.
 func TestCertificatesDecideVisiblePoolsAndReload(t *testing.T) {
 	a := newAuthority(t)
 	a.issue("control", a)
@@ -108,37 +109,37 @@
 		return len(all.resources[typeURLs[typeEndpoint]]) == 2
 	})
 	edge := service.subscribe(subscriberOptions{delta: true, pools: both, credentials: a.credentials("edge-7")})
-	edge.waitUntil(startTimeout, "has what it may see", edge.isComplete)
+	edge.waitUntil(startTimeout, "has the pool that it may see", edge.isComplete)
 	time.Sleep(100 * time.Millisecond)
 	edge.mu.Lock()
 	assert.Len(t, edge.resources[typeURLs[typeEndpoint]], 1)
 	assert.Contains(t, edge.resources[typeURLs[typeCluster]], "q")
 	assert.NotContains(t, fmt.Sprint(edge.resources[typeURLs[typeRoute]]), `cluster:"p"`)
 	edge.mu.Unlock()
-	for what, credentials := range map[string]credentials.TransportCredentials{
+	for kind, credentials := range map[string]credentials.TransportCredentials{
 		"not allowed":          a.credentials("else"),
 		"of another authority": newAuthority(t).credentials("all"),
 		"without":              nil,
 	} {
 		subscriber := service.subscribe(subscriberOptions{credentials: credentials})
 		<-subscriber.done
-		assert.Error(t, subscriber.err, what)
+		assert.Error(t, subscriber.err, kind)
 	}
 	before := servedSerial(t, service.addr)
 	a.issue("control", a)
 	require.NoError(t, service.Reload(service.config))
 	assert.NotEqual(t, before, servedSerial(t, service.addr))
 	service.drain(0)
-	all.waitUntil(maxDrainDelay, "goes on", all.hasHealth("s0", core.HealthStatus_DRAINING))
+	all.waitUntil(maxDrainDelay, "still receives changes", all.hasHealth("s0", core.HealthStatus_DRAINING))
 	require.NoError(t, os.WriteFile(a.file("control.key"), []byte("no key"), 0o600))
 	assert.ErrorContains(t, service.Reload(service.config), "certificate and key")
-	assert.NotEqual(t, before, servedSerial(t, service.addr), "the last valid certificate stays in force")
+	assert.NotEqual(t, before, servedSerial(t, service.addr), "the last valid certificate stays in effect")
 }
 
 // servedSerial returns the serial number of the certificate that a server presents.
 func servedSerial(t *testing.T, addr string) string {
 	t.Helper()
-	// Verification is not what is tested here: the certificate is only read.
+	// No verification: the certificate is only read.
 	conn, err := tls.Dial("tcp", addr, &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"h2"}})
 	require.NoError(t, err)
 	serial := conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
--- a/controlplane/views.go
+++ b/controlplane/views.go
@@ -8,7 +8,7 @@
 	"lockloom/internal/config"
 )
 
-// viewer is a kind of subscriber: all of one kind receive the same resources.
+// viewer identifies a kind of subscriber: all subscribers with the same viewer receive the same resources.
 type viewer struct {
 	zone  string
 	pools poolFilter
@@ -16,11 +16,11 @@
 
 // views holds the resources of each kind of subscriber. Service.mu guards it; the sets themselves are immutable.
 type views struct {
-	static   resourceSet // what follows from the operator file alone
+	static   resourceSet // resources derived from the operator file alone
 	byViewer map[viewer]*resourceSet
 }
 
-// view returns the resources that a kind of subscriber receives now. The caller holds the lock.
+// view returns the resources that a kind of subscriber receives now. The caller must hold s.mu.
 func (s *Service) view(v viewer) *resourceSet {
 	if s.views.byViewer[v] == nil {
 		s.views.byViewer[v] = s.buildView(v)
@@ -28,7 +28,7 @@
 	return s.views.byViewer[v]
 }
 
-// rebuildViews builds all views anew. The caller holds the lock.
+// rebuildViews builds all views again. The caller must hold s.mu.
 func (s *Service) rebuildViews() {
 	s.dropUnusedViews()
 	for v := range s.views.byViewer {
@@ -36,7 +36,7 @@
 	}
 }
 
-// updateViews replaces the endpoints of the changed pools in all views. The caller holds the lock.
+// updateViews replaces the endpoints of the changed pools in all views. The caller must hold s.mu.
 func (s *Service) updateViews(changed []string) {
 	s.dropUnusedViews()
 	for v, previous := range s.views.byViewer {
@@ -49,8 +49,8 @@
 	}
 }
 
-// dropUnusedViews drops the views that no subscriber uses any more: subscribers may name any zone, so there is no bound
-// on how many there could be.
+// dropUnusedViews drops the views that no subscriber uses any more. Subscribers may state any zone, so without this the
+// number of views would be unbounded.
 func (s *Service) dropUnusedViews() {
 	used := map[viewer]bool{}
 	for sub := range s.subscribers {
@@ -69,8 +69,8 @@
 	return &resources
 }
 
-// addEndpoints adds the endpoints of every pool that a set has the cluster of, that was observed, and whose chain of
-// itself and its backups is selected.
+// addEndpoints adds the endpoints of each observed pool whose cluster is in resources, if isSelected returns true for
+// the names of the pool and its backups.
 func (s *Service) addEndpoints(resources *resourceSet, zone string, isSelected func(chain []string) bool) {
 	for i := range s.config.Pools {
 		pool := &s.config.Pools[i]
@@ -94,7 +94,7 @@
 	}
 }
 
-// backupChain returns the names of a pool and its backups in order. A cycle ends it.
+// backupChain returns the names of a pool and its backups in order. In a cycle of backups it names each pool once.
 func (s *Service) backupChain(pool *config.Pool) (chain []string) {
 	for pool != nil && !slices.Contains(chain, pool.Name) {
 		chain = append(chain, pool.Name)
@@ -103,7 +103,7 @@
 	return chain
 }
 
-// pool returns the configuration of a pool; nil if there is none of that name.
+// pool returns the configuration of a pool, or nil if there is no pool of that name.
 func (s *Service) pool(name string) *config.Pool {
 	for i := range s.config.Pools {
 		if pool := &s.config.Pools[i]; pool.Name == name {
