--- a/controlplane/access.go
+++ b/controlplane/access.go
@@ -9,8 +9,8 @@
 	core "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 )
 
-// poolFilter is the set of pools that a subscriber may see, as a comparable string: the sorted names of the pools, each
-// followed by a newline.
+// poolFilter is the set of pools that a subscriber is allowed to receive, as a comparable string: the sorted names of
+// the pools, each followed by a newline.
 type poolFilter string
 
 const (
@@ -18,7 +18,7 @@
 	noPools  poolFilter = "\n"
 )
 
-// newPoolFilter returns the filter for these pools. For an empty list it returns allPools, since an empty list in
+// newPoolFilter returns the filter for a list of pools. For an empty list it returns allPools, since an empty list in
 // the operator file means all pools.
 func newPoolFilter(pools []string) poolFilter {
 	if len(pools) == 0 {
@@ -27,7 +27,7 @@
 	return poolFilter(strings.Join(slices.Sorted(slices.Values(pools)), "\n") + "\n")
 }
 
-// includes reports whether the subscriber may see a pool.
+// includes reports whether the subscriber is allowed to receive a pool.
 func (f poolFilter) includes(pool string) bool {
 	return f == allPools || strings.Contains("\n"+string(f), "\n"+pool+"\n")
 }
@@ -37,8 +37,8 @@
 	return strings.Split(strings.TrimSuffix(string(f), "\n"), "\n")
 }
 
-// allowedPools returns the pools that the certificate of a stream's subscriber allows it to see, or an error if it may
-// not subscribe at all.
+// allowedPools returns the pools that the certificate of a stream's subscriber allows it to receive, or an error if it
+// is not allowed to subscribe at all.
 func (s *Service) allowedPools(ctx context.Context) (poolFilter, error) {
 	s.mu.Lock()
 	allowed := s.config.ControlPlane.Allow
@@ -55,8 +55,8 @@
 	return noPools, fmt.Errorf("no subscriber by the name of %q is allowed", names)
 }
 
-// subsetPools returns the pools that a node receives: those of the first configured subset that fits the id, cluster
-// and zone that the node states, as far as it may see them, or all that it may see if no subset fits.
+// subsetPools returns the pools that a node receives. These are the allowed pools of the first configured subset that
+// matches the id, cluster and zone that the node states, or all allowed pools if no subset matches.
 func (s *Service) subsetPools(allowed poolFilter, node *core.Node) poolFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/controlplane/bench_test.go
+++ b/controlplane/bench_test.go
@@ -98,7 +98,8 @@
 	return responses, bytes
 }
 
-// BenchmarkSubscriber measures the service's memory per subscriber. The subscribers run in another process.
+// BenchmarkSubscriber measures the service's memory per subscriber. The subscribers run in a child process, so that
+// their own memory is not counted.
 func BenchmarkSubscriber(b *testing.B) {
 	const subscribers, servers = 1000, 1000
 	for range b.N {
@@ -123,11 +124,12 @@
 	}
 }
 
-// subscribersVar is an environment variable. With it TestSubscriberProcess opens subscribers: it holds the service's
-// address and the number of subscribers.
+// subscribersVar is an environment variable for TestSubscriberProcess. It holds the service's address and the number of
+// subscribers to open, separated by a space.
 const subscribersVar = "LOCKLOOM_TEST_SUBSCRIBERS"
 
-// TestSubscriberProcess is the other process of BenchmarkSubscriber. Without subscribersVar it is skipped.
+// TestSubscriberProcess runs the subscribers of BenchmarkSubscriber, which starts it in a child process. It is skipped
+// if the environment variable subscribersVar is not set.
 func TestSubscriberProcess(t *testing.T) {
 	addr, count, ok := strings.Cut(os.Getenv(subscribersVar), " ")
 	if !ok {
--- a/controlplane/loadreports.go
+++ b/controlplane/loadreports.go
@@ -27,9 +27,9 @@
 	loads map[string]poolLoad // by pool, as of the last report
 }
 
-// poolLoad is the load that subscribers put on a pool.
+// poolLoad is the load that one subscriber reports for a pool, or the sum of several reports.
 type poolLoad struct {
-	inFlight float64 // requests
+	inFlight float64 // number of requests in progress
 	rate     float64 // requests started per second
 }
 
@@ -39,8 +39,8 @@
 }
 
 // StreamLoadStats receives the load reports of a subscriber. Each server is sent as a locality of its own, so the load
-// of a locality is that of a server. Reports on pools that the subscriber may not see are ignored: with them it could
-// have the servers of other subscribers paused.
+// of a locality is that of a server. Reports on pools that the subscriber is not allowed to receive are ignored:
+// otherwise the failures that it reports could pause servers that other subscribers use.
 func (l loadReportServer) StreamLoadStats(stream loadstats.LoadReportingService_StreamLoadStatsServer) error {
 	allowed, err := l.service.allowedPools(stream.Context())
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// reportedLoad returns the load that all subscribers together put on a pool. The caller must hold s.mu.
+// reportedLoad returns the sum of the loads that all subscribers report for a pool. The caller must hold s.mu.
 func (s *Service) reportedLoad(pool string) (load poolLoad) {
 	for reporter := range s.reporters {
 		load.add(reporter.loads[pool])
--- a/controlplane/observations.go
+++ b/controlplane/observations.go
@@ -8,8 +8,8 @@
 	"lockloom/assignment"
 )
 
-// inbox passes observations from Update to the service's goroutine. It holds only the newest ones, to which it adds the
-// removed servers of those that they replace.
+// inbox passes observations from Update to the service's goroutine. It holds only the newest observations. To them it
+// adds the removed servers of the unprocessed observations that they replace.
 type inbox struct {
 	wake chan struct{} // has capacity 1; receives a value when there are observations to process
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// get returns the assignment of a pool. That of a pool observed for the first time is created, and restored from the
-// snapshot if the snapshot contains the pool.
+// get returns the assignment of a pool. For a pool that is observed for the first time, it creates the assignment, and
+// restores it from the snapshot if the snapshot contains the pool.
 func (p *poolStates) get(now float64, name string) *assignment.Pool {
 	if pool := p.assigned[name]; pool != nil {
 		return pool
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -20,7 +20,7 @@
 type resourceType int
 
 // The resource types, in the order in which new resources are sent: clusters and endpoints before the listeners and
-// routes that lead to them.
+// routes that refer to them.
 const (
 	typeCluster resourceType = iota
 	typeEndpoint
@@ -50,12 +50,12 @@
 	return resourceType(i), i >= 0
 }
 
-// hasFullState reports whether, in the state of the world protocol, responses contain all resources of the type.
+// hasFullState reports whether, in the state-of-the-world protocol, responses contain all resources of the type.
 func (t resourceType) hasFullState() bool { return t == typeCluster || t == typeListener }
 
 const (
 	allRoutesName   = "routes" // name of the route table with all hosts
-	poolPrefix      = "pool/"  // prefix of the names of the listener and the route table that lead to one pool only
+	poolPrefix      = "pool/"  // prefix of the names of the listener and the route table that are for one pool only
 	partsPerMillion = 1_000_000
 )
 
@@ -126,7 +126,7 @@
 	return resources, append(warnings, translator.warnings...), errors.Join(errs...)
 }
 
-// addPool adds the cluster of a pool, and a listener and a route table that lead to this pool only.
+// addPool adds the cluster of a pool, and a listener and a route table that are for this pool only.
 func (s *resourceSet) addPool(pool string) error {
 	name := poolPrefix + pool
 	return errors.Join(
@@ -136,7 +136,8 @@
 	)
 }
 
-// restrictToPools returns the static resources for a subscriber that may see only these pools.
+// restrictToPools returns a copy of the static resources (see staticResources) without the clusters, listeners and
+// routes of the pools that are not listed, for a subscriber that receives only the listed pools.
 func restrictToPools(all resourceSet, pools []string) resourceSet {
 	var restricted resourceSet
 	for kind := range all {
@@ -154,7 +155,7 @@
 		return restricted
 	}
 	if table := restrictRoutes(routes.body, pools); table != nil {
-		// The message was decoded from bytes that the same function encoded, so it can be encoded again.
+		// The error is ignored: the table was decoded from bytes that add encoded before, so it can be encoded again.
 		_ = restricted.add(typeRoute, allRoutesName, routes.onDemand, table)
 	}
 	return restricted
--- a/controlplane/resources_test.go
+++ b/controlplane/resources_test.go
@@ -320,7 +320,7 @@
 name = "r"
 `
 
-// A route that cannot be expressed for subscribers is rejected with an error that names the route.
+// A route that cannot be expressed in xDS is rejected with an error that names the route.
 func TestInexpressibleRoutesAreRejected(t *testing.T) {
 	for settings, want := range map[string]string{
 		`regex = "a(b)"` + "\n" + `redirect = { status = 301, to = "/$1" }`: `route "r": redirect to "/$1": captures`,
--- a/controlplane/rewrite.go
+++ b/controlplane/rewrite.go
@@ -28,7 +28,7 @@
 // redirectAction returns a redirect as URL parts, from which subscribers build the location.
 func redirectAction(redirect *config.Redirect) (*route.RedirectAction, error) {
 	if strings.Contains(redirect.To, "$") {
-		return nil, fmt.Errorf("redirect to %q: captures cannot be expressed for subscribers", redirect.To)
+		return nil, fmt.Errorf("redirect to %q: captures cannot be expressed in xDS", redirect.To)
 	}
 	target, err := url.Parse(redirect.To)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	code, ok := redirectCodes[redirect.Status]
 	if !ok {
-		return nil, fmt.Errorf("redirect with status %d cannot be expressed for subscribers", redirect.Status)
+		return nil, fmt.Errorf("redirect with status %d cannot be expressed in xDS", redirect.Status)
 	}
 	action := &route.RedirectAction{
 		ResponseCode: code,
@@ -51,7 +51,8 @@
 		return action, nil
 	}
 	if strings.Trim(target.Path, "/") != "" {
-		return nil, fmt.Errorf("redirect to %q with the path of the request appended cannot be expressed for subscribers",
+		return nil, fmt.Errorf(
+			"redirect to %q with the path of the request appended cannot be expressed in xDS: the target has a path",
 			redirect.To)
 	}
 	return action, nil
@@ -97,7 +98,7 @@
 			capture = re.SubexpIndex(name)
 		}
 		if capture < 0 || capture > re.NumSubexp() || capture > maxCapture {
-			err = fmt.Errorf("rewrite %q: capture %q does not exist or cannot be expressed for subscribers", replacement, name)
+			err = fmt.Errorf("rewrite %q: capture %q does not exist or cannot be expressed in xDS", replacement, name)
 			return ""
 		}
 		return `\` + strconv.Itoa(capture)
--- a/controlplane/routematch.go
+++ b/controlplane/routematch.go
@@ -12,7 +12,8 @@
 	"lockloom/internal/config"
 )
 
-// Pseudo-headers of a request. Routes match the method by one, and put further conditions on the path by the other.
+// Pseudo-headers of a request. A match has no other way to match the method, and only one path specifier, so that a
+// second condition on the path has to match pathHeader.
 const (
 	methodHeader = ":method"
 	pathHeader   = ":path"
@@ -22,10 +23,10 @@
 type routesByMatch struct {
 	exact    []*config.Route
 	prefixes []*prefixRoute
-	regexes  []*config.Route // not nested in a prefix
+	regexes  []*config.Route // top-level ones, which are not nested in a prefix route
 }
 
-// prefixRoute is a route that matches a path prefix, with the regexes that are tried before it.
+// prefixRoute is a route that matches a path prefix, with the regex routes that are nested in it and tried before it.
 type prefixRoute struct {
 	*config.Route
 	path          string
@@ -90,7 +91,7 @@
 	}}
 }
 
-// pathCondition returns the condition that the path matches an exact path or a prefix, as a header match.
+// pathCondition returns a match of an exact path or a prefix as a header match, to be added to another path match.
 func pathCondition(match *route.RouteMatch) *route.HeaderMatcher {
 	if exact := match.GetPath(); exact != "" {
 		return headerMatch(pathHeader, wholePath(regexp.QuoteMeta(exact)))
@@ -105,7 +106,8 @@
 	return headerMatch(pathHeader, wholePath("[^?]*?(?:"+expr+")[^?]*"))
 }
 
-// wholePath returns a matcher for targets whose whole path matches a regex, with or without a query.
+// wholePath returns a matcher for values of pathHeader, which consist of a path and an optional query. The regex must
+// match the whole path; the query may be anything.
 func wholePath(expr string) *matcher.StringMatcher {
 	return regexString("(?:" + expr + `)(\?.*)?`)
 }
@@ -137,7 +139,7 @@
 	}
 	for _, parameter := range configured.Query {
 		if parameter.Negate {
-			t.errs = append(t.errs, fmt.Errorf("route %q: query %q: a negated condition cannot be expressed for subscribers",
+			t.errs = append(t.errs, fmt.Errorf("route %q: query %q: a negated condition cannot be expressed in xDS",
 				configured.Name, parameter.Name))
 			continue
 		}
--- a/controlplane/routes.go
+++ b/controlplane/routes.go
@@ -20,11 +20,11 @@
 // maxHostRoutes limits the routes sent for one host: a regex is sent once for each prefix that it is tried before.
 const maxHostRoutes = 10_000
 
-// The conditions of a retry policy: those in which a request never ran at the server, and the additional ones in which
-// it may have run.
+// The conditions of a retry policy: failures after which the server cannot have processed the request, and the
+// additional ones after which it might have.
 const (
-	retryNeverRan   = "connect-failure,refused-stream"
-	retryMayHaveRun = ",5xx,reset"
+	retryNotProcessed   = "connect-failure,refused-stream"
+	retryMaybeProcessed = ",5xx,reset"
 )
 
 // poolRouteTable returns a route table that routes all requests to one pool.
@@ -44,7 +44,8 @@
 	}
 }
 
-// restrictRoutes returns a route table without the routes to pools other than these, or nil if it cannot be decoded.
+// restrictRoutes returns a copy of an encoded route table without the routes that use any pool that is not listed, or
+// nil if the table cannot be decoded.
 func restrictRoutes(table *anypb.Any, pools []string) *route.RouteConfiguration {
 	restricted := &route.RouteConfiguration{}
 	if table.UnmarshalTo(restricted) != nil {
@@ -64,7 +65,7 @@
 	return restricted
 }
 
-// routeTranslator translates the configured routes to those of subscribers, which use the first that matches.
+// routeTranslator translates the configured routes to xDS routes. Subscribers use the first route that matches.
 type routeTranslator struct {
 	config   *config.Config
 	warnings []string // one for each setting that is not sent to subscribers
@@ -105,8 +106,8 @@
 }
 
 // hostRoutes orders one host's routes so that the first match is the route that package routes selects: exact paths;
-// then prefixes, the longest first, each preceded by the regexes that are tried before it, limited to the same prefix;
-// then the regexes alone.
+// then prefixes, the longest first, each preceded by copies of the regex routes that are tried before it, which match
+// only paths with that prefix; then the regex routes themselves.
 func (t *routeTranslator) hostRoutes(configured []*config.Route) (translated []*route.Route) {
 	var sorted routesByMatch
 	sorted.add(configured, nil)
@@ -125,8 +126,9 @@
 	return append(translated, t.regexRoutes(sorted.regexes, &route.RouteMatch{})...)
 }
 
-// regexesBefore returns the regex routes that are tried before a prefix, limited to that prefix: those nested in it and
-// in its parents, and the top-level ones.
+// regexesBefore returns copies of the regex routes that are tried before a prefix route: those nested in it and in its
+// ancestors, and the top-level ones (regexes). Each copy also requires the prefix route's conditions and the given one
+// of its matches.
 func (t *routeTranslator) regexesBefore(
 	prefix *prefixRoute, match *route.RouteMatch, regexes []*config.Route,
 ) (translated []*route.Route) {
@@ -139,7 +141,8 @@
 	return append(translated, t.regexRoutes(regexes, conditions)...)
 }
 
-// regexRoutes returns regex routes with added conditions. Those nested in a route precede it, limited to its match.
+// regexRoutes translates regex routes and adds conditions to their matches. The routes nested in a regex route precede
+// it, and their matches also require its conditions and that its regex matches the path.
 func (t *routeTranslator) regexRoutes(
 	configured []*config.Route, conditions *route.RouteMatch,
 ) (translated []*route.Route) {
@@ -158,8 +161,8 @@
 	return translated
 }
 
-// translate returns a route with its conditions added to a match. If the route cannot be expressed, it records an error
-// and returns none.
+// translate returns a route with its conditions added to a match. If the route cannot be expressed in xDS, it records
+// an error and returns no route.
 func (t *routeTranslator) translate(configured *config.Route, match *route.RouteMatch) []*route.Route {
 	t.addConditions(configured, match)
 	translated := &route.Route{Name: configured.Name, Match: match}
@@ -176,7 +179,7 @@
 	return []*route.Route{translated}
 }
 
-// reportOnce records an error that occurs for several hosts or prefixes only once.
+// reportOnce records an error, unless the same error is already recorded for another host or prefix.
 func (t *routeTranslator) reportOnce(err error) {
 	if !slices.ContainsFunc(t.errs, func(reported error) bool { return reported.Error() == err.Error() }) {
 		t.errs = append(t.errs, err)
@@ -249,7 +252,7 @@
 	return clusters
 }
 
-// setDeadline sets the deadline of a request class, for requests and for streams.
+// setDeadline sets the deadline of a request class as both the timeout of requests and the maximum duration of streams.
 func (t *routeTranslator) setDeadline(action *route.RouteAction, className string) {
 	for i := range t.config.Classes {
 		class := &t.config.Classes[i]
@@ -262,7 +265,7 @@
 }
 
 // retryPolicy returns the conditions under which a subscriber retries a request, or nil if it never does. A request
-// that may have run is retried only if all methods of the route may run twice.
+// that the server might have processed is retried only if all methods of the route are idempotent.
 func (t *routeTranslator) retryPolicy(configured *config.Route) *route.RetryPolicy {
 	rule := t.config.RetryRule(configured)
 	retries := uint32(1)
@@ -272,10 +275,10 @@
 	if retries == 0 {
 		return nil
 	}
-	policy := &route.RetryPolicy{RetryOn: retryNeverRan, NumRetries: wrapperspb.UInt32(retries)}
-	mayNotRunTwice := func(method string) bool { return rule.SafetyOf(method, false) != limits.RetryAlways }
-	if len(configured.Methods) > 0 && !slices.ContainsFunc(configured.Methods, mayNotRunTwice) {
-		policy.RetryOn += retryMayHaveRun
+	policy := &route.RetryPolicy{RetryOn: retryNotProcessed, NumRetries: wrapperspb.UInt32(retries)}
+	isNotIdempotent := func(method string) bool { return rule.SafetyOf(method, false) != limits.RetryAlways }
+	if len(configured.Methods) > 0 && !slices.ContainsFunc(configured.Methods, isNotIdempotent) {
+		policy.RetryOn += retryMaybeProcessed
 	}
 	return policy
 }
--- a/controlplane/service_test.go
+++ b/controlplane/service_test.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// A subscriber that reconnects with the resources that it has receives only those that differ, also from another run of
-// the service with the same resources.
+// A subscriber that reconnects and states the versions that it has receives only the resources whose version differs,
+// also from another run of the service with the same resources.
 func TestReconnectedSubscriberReceivesOnlyChanges(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		service := startService(t, configText(""), 5)
@@ -117,7 +117,8 @@
 	}
 }
 
-// Guards against a route to a pool that the subscriber does not have yet, or no longer: requests on it would fail.
+// Guards against a subscriber that receives a route before its pool, or the removal of a pool before that of its route:
+// requests on a route without a pool would fail.
 func TestDependenciesArriveFirstAndLeaveLast(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		service := startService(t, configText(""), 2)
@@ -228,8 +229,8 @@
 	}
 }
 
-// Guards against a service that, before its first observation, sends a reconnected subscriber that all endpoints were
-// removed.
+// Guards against a service that, before its first observation, sends the removal of all endpoints to a reconnected
+// subscriber.
 func TestNothingIsSentBeforeTheFirstObservation(t *testing.T) {
 	service := startService(t, configText(""), 3)
 	for _, delta := range []bool{true, false} {
@@ -275,7 +276,7 @@
 	assert.ErrorContains(t, manyNames.err, "more than 10000 names")
 }
 
-// The pools that a node receives depend on its id and zone, and are always among those that it may see.
+// The pools that a node receives depend on its id and zone, and are always among the allowed ones.
 func TestSubsetNarrowsPoolsByNode(t *testing.T) {
 	subset := "[[control.subset]]\nnode = \"shop-*\"\nzone = \"a\"\npools = [\"q\"]\n"
 	service := startService(t, configText(subset)+secondPool, 2)
@@ -296,7 +297,7 @@
 	assert.Equal(t, poolFilter("q\n"), service.subsetPools("q\nr\n", node))
 }
 
-// A subscriber receives priorities that prefer its own zone.
+// A subscriber receives endpoints whose priorities prefer the servers in its own zone.
 func TestZoneSetsPriority(t *testing.T) {
 	service := startService(t, configText("local = true"), 4)
 	subscriber := service.subscribe(subscriberOptions{zone: "a", endpointsOnly: true, delta: true})
--- a/controlplane/status.go
+++ b/controlplane/status.go
@@ -26,7 +26,7 @@
 	Cluster     string           `json:"cluster,omitempty"`
 	Zone        string           `json:"zone,omitempty"`
 	Peer        string           `json:"peer"` // network address
-	Protocol    string           `json:"way"`  // delta, or world for state of the world
+	Protocol    string           `json:"way"`  // delta, or world for state-of-the-world
 	ConnectedAt time.Time        `json:"since"`
 	Resources   []ResourceStatus `json:"holds"`
 	NackDetail  string           `json:"detail,omitempty"` // error message of the last nack
--- a/controlplane/stream.go
+++ b/controlplane/stream.go
@@ -26,7 +26,7 @@
 	service *Service
 }
 
-// StreamAggregatedResources serves a stream of the state of the world protocol.
+// StreamAggregatedResources serves a stream of the state-of-the-world protocol.
 func (d discoveryServer) StreamAggregatedResources(
 	grpcStream discovery.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
 ) error {
@@ -53,11 +53,11 @@
 	nonce       string
 	nack        bool
 	nackDetail  string
-	version     string            // state of the world: version of the resources that the subscriber has
-	names       []string          // state of the world: all names that it subscribes to
+	version     string            // state-of-the-world: version of the resources that the subscriber has
+	names       []string          // state-of-the-world: all names that the subscriber subscribes to
 	subscribe   []string          // delta: names to add
 	unsubscribe []string          // delta: names to remove
-	initial     map[string]string // delta: versions, by name, of the resources that it has from an earlier stream
+	initial     map[string]string // delta: versions, by name, of the resources from an earlier stream
 }
 
 type stateOfTheWorldStream struct {
@@ -143,7 +143,7 @@
 
 func (id runID) nonce(number uint64) string { return strconv.FormatUint(number, 10) + "-" + string(id) }
 
-// parseNonce returns the number of a nonce, and false for one of another run.
+// parseNonce returns the number of a nonce, or false if the nonce was not sent by this run of the service.
 func (id runID) parseNonce(nonce string) (number uint64, ok bool) {
 	text, run, ok := strings.Cut(nonce, "-")
 	if !ok || run != string(id) {
@@ -168,8 +168,8 @@
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	defer s.removeSubscriber(sub)
-	// Before the first observation no pool has endpoints. A subscriber that has some from an earlier stream would be sent
-	// that they were removed.
+	// Before the first observation no pool has endpoints. A subscriber that still has some from an earlier stream would
+	// be sent their removal.
 	select {
 	case <-s.pools.observed:
 	case <-ctx.Done():
--- a/controlplane/subscriber.go
+++ b/controlplane/subscriber.go
@@ -43,7 +43,8 @@
 	urgent bool
 }
 
-// notify signals that there may be changes to send. It does not block.
+// notify signals that there may be changes to send, and whether any of them is urgent, that is, does not wait for the
+// acknowledgement of earlier responses. It does not block.
 func (w *wakeup) notify(urgent bool) {
 	w.mu.Lock()
 	w.urgent = w.urgent || urgent
@@ -126,7 +127,7 @@
 	switch {
 	case sub.delta:
 		state.applyDeltaRequest(r, isFirst)
-	case latest: // otherwise the names are outdated: the reply to the last response will contain them
+	case latest: // otherwise the names are outdated: the reply to the last response will contain the newest
 		state.applyStateRequest(r, isFirst, current)
 	}
 	if state.nameCount() > maxNames {
@@ -174,7 +175,7 @@
 	s.updateNames(subscribe, r.unsubscribe)
 }
 
-// applyStateRequest applies the names in a request of the state of the world protocol. From the first request of a
+// applyStateRequest applies the names in a request of the state-of-the-world protocol. From the first request of a
 // stream it also takes the version that the subscriber has.
 func (s *subscription) applyStateRequest(r *request, isFirst bool, current map[string]*resource) {
 	all := len(r.names) == 0 && s.fullState || slices.Contains(r.names, wildcard)
@@ -186,8 +187,8 @@
 }
 
 // sendOrder is the order in which changes are sent. New clusters and endpoints are sent before the listeners and routes
-// that lead to them. They are removed only once no listener or route leads to them, so they come again at the end:
-// requests on a route to a removed cluster would fail.
+// that refer to them. They are removed only once no listener or route refers to them, since requests on a route to a
+// removed cluster would fail. So both types come a second time, at the end.
 var sendOrder = []resourceType{typeCluster, typeEndpoint, typeListener, typeRoute, typeCluster, typeEndpoint}
 
 // sendChanges sends the responses of all types that are to be sent now.
--- a/controlplane/subscription.go
+++ b/controlplane/subscription.go
@@ -18,7 +18,7 @@
 type response struct {
 	nonce     uint64
 	resources []*resource
-	removed   []string    // names that do not exist, or no longer; sent in the delta protocol only
+	removed   []string    // names of resources that were removed or never existed; only delta responses carry them
 	changed   []*resource // those of resources whose version was not sent to the subscriber before
 }
 
@@ -29,18 +29,18 @@
 }
 
 // subscription is the state of one subscriber for one resource type: the names it subscribed to, the versions sent and
-// acknowledged, and the outstanding responses. It covers both variants of the protocol, delta and state of the world.
+// acknowledged, and the outstanding responses. It covers both variants of the protocol, delta and state-of-the-world.
 // It does no I/O and never blocks. No responses are queued: nextResponse derives the response to send from the
 // resources that are current when it is called. It is not safe for concurrent use.
 type subscription struct {
 	delta bool // the delta protocol, in which responses contain differences
-	// fullState is set for listeners and clusters. In the state of the world protocol their responses contain all
+	// fullState is set for listeners and clusters. In the state-of-the-world protocol their responses contain all
 	// resources, and the subscriber removes those that are missing.
 	fullState bool
 
 	wildcard   bool
 	subscribed map[string]bool      // by name
-	sent       map[string]*resource // by name, as last sent, acknowledged or not; nil: sent as nonexistent
+	sent       map[string]*resource // by name, as last sent, acknowledged or not; nil: last sent as removed
 	acked      map[string]*resource // by name, as last acknowledged
 	nacked     map[string]string    // by name, the nacked version, which is not sent again
 	// suspects are the names of resources changed by a nacked response that changed several. They are sent one at a time,
@@ -54,7 +54,8 @@
 	nackCount int
 }
 
-// newSubscription returns the state of a subscriber that has no resources.
+// newSubscription returns the state of a subscriber that has no resources. The fields of subscription explain delta and
+// fullState.
 func newSubscription(delta, fullState bool) *subscription {
 	return &subscription{
 		delta:      delta,
@@ -67,7 +68,7 @@
 	}
 }
 
-// setNames replaces the subscribed names and the wildcard, as requests of the state of the world protocol do.
+// setNames replaces the subscribed names and the wildcard, as requests of the state-of-the-world protocol do.
 func (s *subscription) setNames(all bool, names []string) {
 	s.wildcard = all
 	s.subscribed = make(map[string]bool, len(names))
@@ -137,7 +138,9 @@
 	}
 }
 
-// relevantNames returns the subscribed names and, with the wildcard, those sent that may have to be removed, in order.
+// relevantNames returns the sorted names of the resources that a response can change or remove: the subscribed ones
+// and, with the wildcard, all current ones that are not on demand, and all that were sent, as they may have to be
+// removed.
 func (s *subscription) relevantNames(current map[string]*resource) []string {
 	relevant := maps.Clone(s.subscribed)
 	if s.wildcard {
@@ -157,14 +160,15 @@
 	return s.versionOf(current, current)
 }
 
-// sentVersion returns the version of the resources that the subscriber was last sent. In the state of the world
+// sentVersion returns the version of the resources that the subscriber was last sent. In the state-of-the-world
 // protocol, a subscriber that reconnects states it in its first request.
 func (s *subscription) sentVersion(current map[string]*resource) string {
 	return s.versionOf(current, s.sent)
 }
 
-// versionOf returns a hash of the names and versions of the relevant resources in a set. It depends on nothing else, so
-// every run of the control plane gives the same content the same version.
+// versionOf returns a hash of the names and versions of those resources whose names are relevant to the subscription
+// (see relevantNames, for which current is needed). The hash depends on nothing else, so every run of the control plane
+// gives the same content the same version.
 func (s *subscription) versionOf(current, resources map[string]*resource) string {
 	hash := fnv.New64a()
 	for _, name := range s.relevantNames(current) {
@@ -175,10 +179,11 @@
 	return strconv.FormatUint(hash.Sum64(), 16)
 }
 
-// nextResponse returns the response to send now, or nil. It returns nil until the previous response is acknowledged or
-// nacked. Urgent changes are sent without waiting for that, except those of listeners and clusters: they are never
-// urgent, and since their responses contain all resources, it could not be known which of two outstanding responses
-// made a subscriber nack. With keepRemoved no resource is removed yet, because others still refer to it.
+// nextResponse returns the response to send now, or nil if there is none to send. It returns nil while an earlier
+// response is outstanding, that is, neither acknowledged nor nacked. Urgent changes do not wait for that. Changes of
+// listeners and clusters always wait: they are never urgent, and since each of their responses contains all resources,
+// a nack could not be attributed to one of two outstanding responses. With keepRemoved no removals of resources that
+// the subscriber has are sent yet, because its listeners or routes may still refer to them.
 func (s *subscription) nextResponse(current map[string]*resource, urgent, keepRemoved bool) *response {
 	if len(s.outstanding) > 0 && (!urgent || s.fullState) {
 		return nil
@@ -282,7 +287,8 @@
 	for _, r := range nacked.changed {
 		changed = append(changed, r.name)
 		if len(nacked.changed) == 1 {
-			// A suspect stays a suspect: it is not known which version the subscriber accepted before.
+			// The name also stays in suspects if it is there: the subscriber may have accepted a version of this resource
+			// from the earlier response that it nacked because of another, so which version it has is not known.
 			s.nacked[r.name] = r.version
 		} else {
 			s.suspects[r.name] = true
--- a/controlplane/subscription_test.go
+++ b/controlplane/subscription_test.go
@@ -12,25 +12,25 @@
 )
 
 // simulation models a subscription, its subscriber and the messages in flight between them, so that every interleaving
-// can be tested. There are two resources, a and b, whose versions count up; versions that end in 2 are nacked.
+// can be tested. There are two resources, a and b. Their versions are v0 to v3 in turn; the subscriber nacks v2.
 type simulation struct {
 	subscriberKind
 	current        map[string]*resource
 	versionCount   int
 	subscription   *subscription
 	responses      []*response
-	removals       int               // number of removals of b so far
-	removalsBefore map[*response]int // number of removals of b before a response was sent
-	removalsSeen   int               // removalsBefore of the response from which b was accepted last
+	removals       int               // number of removals of resource b so far
+	removalsBefore map[*response]int // number of removals of resource b before a response was sent
+	removalsSeen   int               // removalsBefore of the response from which resource b was accepted last
 	replies        []reply
 	held           map[string]string // versions that the subscriber has
-	lastAcked      map[string]string // versions that it last acknowledged, since the last removal of the name
+	lastAcked      map[string]string // versions that the subscriber acknowledged last, if after the last removal
 }
 
 // subscriberKind is the protocol variant and the behavior of a subscriber.
 type subscriberKind struct {
 	delta, fullState bool
-	partial          bool // it accepts the good resources of a nacked response
+	partial          bool // the subscriber accepts the good resources of a nacked response
 }
 
 type reply struct {
@@ -63,7 +63,7 @@
 	s.send(false)
 }
 
-// stateVersion has the subscriber state its version, as in the first request of the state of the world protocol.
+// stateVersion has the subscriber state its version, as in the first request of the state-of-the-world protocol.
 func (s *simulation) stateVersion() {
 	if len(s.held) == 0 {
 		return
@@ -125,7 +125,8 @@
 	return true
 }
 
-// accept returns what the subscriber has after a response: of a nacked one it accepts the good resources.
+// accept returns the versions that the subscriber has after a response. From a nacked response it accepts the good
+// resources.
 func (s *simulation) accept(next *response, nack bool) map[string]string {
 	held := maps.Clone(s.held)
 	if !s.delta && s.fullState {
@@ -265,7 +266,7 @@
 	})
 }
 
-// An urgent response is sent at once. Any other is sent only after the previous one is acknowledged.
+// An urgent response is sent at once. Any other response is sent only after the previous response is acknowledged.
 func TestUrgentResponseDoesNotWaitForAcknowledgement(t *testing.T) {
 	s := newSimulation(subscriberKind{delta: true})
 	assert.Empty(t, s.settle())
--- a/controlplane/testservice_test.go
+++ b/controlplane/testservice_test.go
@@ -132,7 +132,7 @@
 	s.observe()
 }
 
-// drain observes that a server of pool p, given by its index, drains.
+// drain passes an observation to the service in which a server of pool p, given by its index, is draining.
 func (s *testService) drain(server int) {
 	s.changePool(func(o *assignment.Observation) { o.Servers[server].Draining = true })
 }
--- a/controlplane/testsubscriber_test.go
+++ b/controlplane/testsubscriber_test.go
@@ -28,12 +28,12 @@
 	delta         bool
 	id            string
 	zone          string
-	addr          string          // to connect to; empty: the service's
-	resumeFrom    *testSubscriber // subscriber whose resources it has at the start; nil: it has none
+	addr          string          // address to connect to; empty: the service's
+	resumeFrom    *testSubscriber // subscriber whose resources this one has at the start; nil: none
 	nacks         func(name string, body *anypb.Any) bool
 	neverAcks     bool
 	ackDelay      time.Duration
-	pools         []string // whose endpoints it subscribes to; nil: p
+	pools         []string // pools whose endpoints it subscribes to; nil: pool p only
 	endpointsOnly bool
 	discard       bool // keep no resources, only count responses and bytes
 	credentials   credentials.TransportCredentials
@@ -47,9 +47,9 @@
 	done chan struct{}
 
 	mu            sync.Mutex                       // guards the fields below
-	resources     map[string]map[string]*anypb.Any // by type and name
-	versions      map[string]map[string]string     // delta: by type and name
-	stateVersions map[string]string                // state of the world: by type
+	resources     map[string]map[string]*anypb.Any // by type URL and name
+	versions      map[string]map[string]string     // delta: versions of the resources, by type URL and name
+	stateVersions map[string]string                // state-of-the-world: version accepted last, by type URL
 	received      []string                         // responses in order: type and names, with "-" before removed ones
 	responseCount int
 	receivedBytes int
@@ -114,7 +114,7 @@
 	return &core.Node{Id: s.id, Locality: &core.Locality{Zone: s.zone}}
 }
 
-// names returns the names that it subscribes to of a type; none: all.
+// names returns the names of resources of a type that the subscriber subscribes to. An empty list means all names.
 func (s *testSubscriber) names(url string) []string {
 	switch url {
 	case typeURLs[typeEndpoint]:
@@ -186,7 +186,7 @@
 	}
 }
 
-// acceptState processes a response of the state of the world protocol and returns the acknowledgement or nack.
+// acceptState processes a response of the state-of-the-world protocol and returns the acknowledgement or nack.
 func (s *testSubscriber) acceptState(message *discovery.DiscoveryResponse) *discovery.DiscoveryRequest {
 	url := message.TypeUrl
 	resources := map[string]*anypb.Any{}
@@ -316,7 +316,7 @@
 	return message.(*endpoint.ClusterLoadAssignment).ClusterName
 }
 
-// waitUntil waits until a condition holds, which it checks with s.mu held.
+// waitUntil waits until condition, which is called with s.mu held, returns true. The test fails after the timeout.
 func (s *testSubscriber) waitUntil(timeout time.Duration, description string, condition func() bool) {
 	s.tb.Helper()
 	timedOut := time.After(timeout)
--- a/controlplane/tls.go
+++ b/controlplane/tls.go
@@ -29,7 +29,7 @@
 	}
 	pem, err := os.ReadFile(c.authorityFile)
 	if err != nil {
-		return fmt.Errorf("control: authority: %w", err)
+		return fmt.Errorf("control: authority: cannot read the certificates of the authority: %w", err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
--- a/controlplane/tls_test.go
+++ b/controlplane/tls_test.go
@@ -40,7 +40,8 @@
 // file returns the path of a file in the folder.
 func (a *authority) file(name string) string { return filepath.Join(a.dir, name) }
 
-// issue writes a certificate for a name, and its key. Without an issuer it is the self-signed one of an authority.
+// issue writes a certificate for a name, and its key. If issuer is nil, the certificate is self-signed and that of an
+// authority.
 func (a *authority) issue(name string, issuer *authority) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -94,7 +95,7 @@
 name = "all"
 `
 
-// A subscriber is identified by its certificate and receives only the pools that it may see. Reloading the service's
+// A subscriber is identified by its certificate, which decides which pools it receives. Reloading the service's
 // certificates does not end streams.
 func TestCertificatesDecideVisiblePoolsAndReload(t *testing.T) {
 	a := newAuthority(t)
@@ -109,7 +110,7 @@
 		return len(all.resources[typeURLs[typeEndpoint]]) == 2
 	})
 	edge := service.subscribe(subscriberOptions{delta: true, pools: both, credentials: a.credentials("edge-7")})
-	edge.waitUntil(startTimeout, "has the pool that it may see", edge.isComplete)
+	edge.waitUntil(startTimeout, "has the pool that it is allowed to receive", edge.isComplete)
 	time.Sleep(100 * time.Millisecond)
 	edge.mu.Lock()
 	assert.Len(t, edge.resources[typeURLs[typeEndpoint]], 1)
--- a/controlplane/views.go
+++ b/controlplane/views.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// updateViews replaces the endpoints of the changed pools in all views. The caller must hold s.mu.
+// updateViews replaces, in all views, the endpoints of the changed pools and of the pools that have one of them as a
+// backup. The caller must hold s.mu.
 func (s *Service) updateViews(changed []string) {
 	s.dropUnusedViews()
 	for v, previous := range s.views.byViewer {
