--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -12,9 +12,9 @@
 	"lockloom/lifecycle"
 )
 
-// Administer carries out an admin call and returns its status and answer. The call is in force when this returns: what
-// the owner still has to do, it does within the grace that a drain has. Any goroutine may call it; it does not wait for
-// the owner.
+// Administer carries out an admin call and returns the status and body of its response. The call is in force when it
+// returns, although the owner applies it a little later, within the grace of a drain. Any goroutine may call it; it
+// does not wait for the owner.
 func (p *Proxy) Administer(call admin.Call) (status int, text string) {
 	s, now := p.process, p.now()
 	s.mu.Lock()
@@ -41,13 +41,14 @@
 	return http1.StatusOK, "done"
 }
 
-// cloneAdminState is a copy of a lifecycle's admin state.
+// cloneAdminState returns a copy of a lifecycle's admin state.
 func cloneAdminState(l *lifecycle.Process) lifecycle.AdminState {
 	state := &l.AdminState
 	return state.Clone()
 }
 
-// applyAdminState tells the decisions which servers were disabled or enabled. The owner calls it.
+// applyAdminState passes servers that were disabled or enabled since its last call to the decisions. The owner calls
+// it.
 func (p *Proxy) applyAdminState() {
 	state := readLifecycle(p.process, cloneAdminState)
 	previous := p.endpoints.adminState
@@ -77,19 +78,19 @@
 	}
 }
 
-// updateStaticPools updates the pools that have a server in their configuration.
+// updateStaticPools updates the pools that have a server of the operator file, given by its index.
 func (p *Proxy) updateStaticPools(index int) {
-	isServer := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
+	hasIndex := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
 	for _, pool := range p.pools.all {
-		if pool.static && slices.ContainsFunc(pool.staticEndpoints, isServer) {
+		if pool.static && slices.ContainsFunc(pool.staticEndpoints, hasIndex) {
 			p.updateStaticPool(pool)
 		}
 	}
 }
 
-// underAdminState is an entry of the list as the admin state leaves it, and since when its server is disabled, in
-// seconds since 1970; 0: it is not.
-func (p *Proxy) underAdminState(entry discovery.Entry) (discovery.Entry, float64) {
+// withAdminState returns an entry of the list with the admin state applied, and since when its server is disabled, in
+// seconds since 1970 (0: it is enabled).
+func (p *Proxy) withAdminState(entry discovery.Entry) (discovery.Entry, float64) {
 	state := &p.endpoints.adminState
 	disabled, startedAt := state.Disabled(entry.Name, entry.StartedAt)
 	entry.StartedAt = startedAt
@@ -102,19 +103,20 @@
 	return entry, state.Servers[entry.Name].Since
 }
 
-// staticUnderAdminState are the configured servers of a pool as the admin state leaves them.
-func (p *Proxy) staticUnderAdminState(endpoints []balance.Endpoint) []balance.Endpoint {
+// staticWithAdminState returns configured servers of a pool with the admin state applied, and calls applyEndpointState
+// for each.
+func (p *Proxy) staticWithAdminState(endpoints []balance.Endpoint) []balance.Endpoint {
 	out := slices.Clone(endpoints)
 	for i := range out {
 		endpoint := &out[i]
-		entry, disabledSince := p.underAdminState(p.staticEntry(endpoint))
+		entry, disabledSince := p.withAdminState(p.staticEntry(endpoint))
 		endpoint.State, endpoint.StartedAt = entry.State, entry.StartedAt
 		p.applyEndpointState(endpoint.Index, endpoint.State, p.now(), disabledSince)
 	}
 	return out
 }
 
-// staticEntry is a configured server in the form of an entry of the list.
+// staticEntry returns a configured server in the form of a list entry.
 func (p *Proxy) staticEntry(endpoint *balance.Endpoint) discovery.Entry {
 	var entry discovery.Entry
 	entry.Name = p.registry.Name(endpoint.Index)
--- a/proxy/admin_test.go
+++ b/proxy/admin_test.go
@@ -11,13 +11,14 @@
 	"lockloom/internal/admin"
 )
 
-// A disabled server is not sent to, whatever the list says, until it is enabled.
+// Guards against requests to a disabled server: it must receive none until it is enabled, whatever state the list
+// reports.
 func TestDisabledServerGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "any": {okResponse}}, nil)
 		env.sendRequests(20)
 		assert.Greater(t, env.requestsByServer()["b1"], 0)
-		assert.Equal(t, 404, env.adminCall(admin.Disable, "b3"), "never listed")
+		assert.Equal(t, 404, env.adminCall(admin.Disable, "b3"), "the server was never listed")
 		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
 		assert.Equal(t, 200, env.adminCall(admin.Disable, "b1"))
 		for _, update := range []string{
@@ -33,36 +34,37 @@
 			assert.Equal(t, map[string]int{"b2": 20}, env.requestsByServer(), update)
 		}
 		assert.Equal(t, 200, env.adminCall(admin.Enable, "b1"))
-		assert.InDelta(t, env.now(), env.startedAtOf("b1"), 0.001, "the list tells no start: it counts as started just now")
-		time.Sleep(2 * time.Second) // it is warm
+		assert.InDelta(t, env.now(), env.startedAtOf("b1"), 0.001,
+			"the list reports no start time: the server counts as started now")
+		time.Sleep(2 * time.Second) // until slow start is over
 		env.sendRequests(40)
 		assert.Greater(t, env.requestsByServer()["b1"], 5)
 		env.stopAndWait()
 	})
 }
 
-// startedAtOf is when a server counts as started, in seconds since 1970.
+// startedAtOf returns when a server counts as started, in seconds since 1970.
 func (env *testEnv) startedAtOf(id string) float64 {
 	index, _ := env.registry.Find(id)
-	entry, _ := env.underAdminState(env.endpoints.known[index])
+	entry, _ := env.withAdminState(env.endpoints.known[index])
 	return entry.StartedAt
 }
 
-// A drained proxy is not ready at once, serves until the load balancer in front has noticed, then closes all
-// connections within 4 s.
+// A drained proxy fails its readiness check at once, serves until the load balancer in front has noticed, then closes
+// all connections within 4 s.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		time.Sleep(firstListTimeout)
 		synctest.Wait()
-		up := func() int { status, _, _, _ := env.roundTrip("GET /up HTTP/1.1\r\n\r\n"); return status }
-		assert.Equal(t, 200, up())
+		readyStatus := func() int { status, _, _, _ := env.roundTrip("GET /up HTTP/1.1\r\n\r\n"); return status }
+		assert.Equal(t, 200, readyStatus())
 		kept := env.connect()
 		go write(kept, lookRequest)
 		env.readOK(kept)
 		assert.Equal(t, 200, env.adminCall(admin.Drain, ""))
-		drained := time.Now()
-		assert.Equal(t, 503, up())
+		drainedAt := time.Now()
+		assert.Equal(t, 503, readyStatus())
 		assert.Equal(t, 200, env.adminCall(admin.Ready, ""))
 		for _, c := range []struct {
 			after  time.Duration
@@ -70,11 +72,11 @@
 			closes bool
 		}{{200 * time.Millisecond, 200, false}, {700 * time.Millisecond, 200, true}, {1700 * time.Millisecond, 200, true},
 			{1900 * time.Millisecond, 503, true}, {3900 * time.Millisecond, 503, true}} {
-			time.Sleep(c.after - time.Since(drained))
+			time.Sleep(c.after - time.Since(drainedAt))
 			if c.after > 2*time.Second {
 				kept.SetReadDeadline(time.Now().Add(time.Millisecond))
 				_, err := kept.Read(make([]byte, 1))
-				assert.Equal(t, io.EOF, err, "idle ones are closed")
+				assert.Equal(t, io.EOF, err, "idle connections are closed")
 			}
 			status, h, _, err := env.roundTrip(lookRequest)
 			assert.NoError(t, err)
@@ -84,11 +86,11 @@
 		silent := env.connect()
 		time.Sleep(time.Second)
 		_, err := silent.Write([]byte("x"))
-		assert.Error(t, err, "one that comes and says nothing goes too")
+		assert.Error(t, err, "a new connection that sends nothing is closed too")
 		count, _ := env.conns.counts()
 		assert.Zero(t, count)
 		assert.Equal(t, 200, env.adminCall(admin.Resume, ""))
-		assert.Equal(t, 200, up())
+		assert.Equal(t, 200, readyStatus())
 		conn := env.connect()
 		go write(conn, lookRequest)
 		status, h, _, _ := readResponse(conn)
@@ -98,11 +100,11 @@
 		time.Sleep(5 * time.Second)
 		go write(conn, lookRequest)
 		status, _, _, err = readResponse(conn)
-		assert.NoError(t, err, "drained and resumed quickly: nothing was closed")
+		assert.NoError(t, err, "resumed right after a drain: no connection is closed")
 		assert.Equal(t, 200, status)
 		conn.Close()
 		env.adminCall(admin.Drain, "")
-		env.stopAndWait() // SIGTERM in a drain
+		env.stopAndWait() // a shutdown during a drain
 	})
 }
 
@@ -119,7 +121,8 @@
 			answered <- status
 		}
 	}()
-	assert.Eventually(t, func() bool { return len(answered) == 4 }, time.Second, time.Millisecond, "it waits")
+	assert.Eventually(t, func() bool { return len(answered) == 4 }, time.Second, time.Millisecond,
+		"admin calls do not wait for the owner")
 	for range len(answered) {
 		assert.Equal(t, 200, <-answered)
 	}
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -12,24 +12,24 @@
 // uploadResponseMargin is how long before its deadline the attempt of a streamed request is given up.
 const uploadResponseMargin = 15 * time.Millisecond
 
-// minForwardedWaitSeconds is the least client wait that is forwarded to a server.
+// minForwardedWaitSeconds is the least time to a deadline that is forwarded to a server.
 const minForwardedWaitSeconds = 0.001
 
-// attempt is one attempt of a request. It belongs to the owner, its exchange to the upstream pool.
+// attempt is the sending of a request to one server. It belongs to the owner, its exchange to the upstream pool.
 type attempt struct {
 	number   int
 	server   string // its name
 	exchange upstream.Exchange
 	sentAt   float64 // seconds since 1970, when it was handed over to be sent
-	started  bool    // on a connection, or on one that is being opened
+	started  bool    // it has a connection, or one is being opened for it
 	ended    bool
 	outcome  balance.Outcome // once it has ended
 	err      error
-	neverRan bool // once it has ended: proven by the outcome
+	neverRan bool // once it has ended: its outcome proves that the server did not run the request
 }
 
-// startAttempt sends a request to a server until a deadline, in seconds since 1970. An attempt that can't be sent, for
-// want of a connection or because that would break a rule, ends as not sent.
+// startAttempt sends a request to a server with a deadline, in seconds since 1970. An attempt that can't be sent,
+// because there is no connection or sending would break a rule, ends with the outcome NotSent.
 func (p *Proxy) startAttempt(req *request, server int, deadline float64) {
 	now := p.now()
 	allowed := p.mayStartAttempt(req, server, now)
@@ -45,7 +45,7 @@
 	}
 }
 
-// mayStartAttempt checks the rules that hold whatever the decisions order.
+// mayStartAttempt checks the rules that hold regardless of the decisions.
 func (p *Proxy) mayStartAttempt(req *request, server int, now float64) bool {
 	sendEnd := p.endpoints.stopSendAt[server] + p.bootstrap.DrainGrace
 	return invariant.Holds(!req.answered, "nothing is sent for an answered request") &&
@@ -56,8 +56,9 @@
 		!p.retryDenied(req)
 }
 
-// sendBy is when a retry must be sent so that its server still knows the first attempt by its key; zero: there is no
-// such bound. Opening a connection may take longer than what is left.
+// sendBy returns the time by which a retry must be sent so that its server still knows the idempotency key of the first
+// attempt, or zero if there is no such time. It is checked when the retry is sent, since opening a connection may take
+// longer than what is left.
 func (p *Proxy) sendBy(req *request) time.Time {
 	var sendBy time.Time
 	if req.class.Idempotency != balance.Keyed {
@@ -67,14 +68,15 @@
 		if att.neverRan {
 			continue
 		}
-		if windowEnd := p.at(att.sentAt + req.class.DedupWindow); sendBy.IsZero() || windowEnd.Before(sendBy) {
-			sendBy = windowEnd
+		if dedupWindowEnd := p.at(att.sentAt + req.class.DedupWindow); sendBy.IsZero() || dedupWindowEnd.Before(sendBy) {
+			sendBy = dedupWindowEnd
 		}
 	}
 	return sendBy
 }
 
-// prepareExchange sets what the upstream pool is to send, and what it calls.
+// prepareExchange sets up an attempt's exchange: what the upstream pool sends, until when, and which functions it
+// calls.
 func (p *Proxy) prepareExchange(req *request, att *attempt, deadline float64, sendBy time.Time) {
 	admittedAt := p.at(req.arrivedAt)
 	att.exchange = upstream.Exchange{
@@ -90,7 +92,7 @@
 		OnResponseStarted: func(result upstream.Result) { p.responseStarted(req, att, result) },
 		OnDone:            func(result upstream.Result) { p.recordOutcome(req, att, result) },
 	}
-	if req.stream.upload != nil { // the upload has its first bytes too
+	if req.stream.upload != nil { // the upload includes the first bytes of the body
 		att.exchange.Body, deadline = nil, att.sentAt+req.stream.clientWait
 	}
 	wait := http1.AppendSeconds(nil, max(deadline-att.sentAt, minForwardedWaitSeconds))
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -12,18 +12,18 @@
 	"lockloom/internal/http1"
 )
 
-// Servers know a keyed request for 0.3 s: a retry that is ordered in time must not be sent later because its connection
-// is slow to open.
+// Guards against a keyed retry that is sent past the deduplication window of 0.3 s, after which servers no longer know
+// its key, because its connection was slow to open.
 func TestKeyedRetryWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
-		slow   time.Duration
+		dial   time.Duration
 		status int
 		sent   int
 	}{{0, 200, 2}, {50 * time.Millisecond, 502, 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "any": {cutAfterDelay, okResponse}},
 				nil)
-			env.dialDelay = c.slow
+			env.dialDelay = c.dial
 			status, _, _, err := env.roundTrip(signRequest)
 			assert.NoError(t, err)
 			assert.Equal(t, c.status, status)
@@ -54,29 +54,29 @@
 		assert.Equal(t, 200, status)
 		assert.Equal(t, largest, body)
 		assert.Equal(t, "b1 POST /sms t3  0.500 "+largest, env.received[3])
-		assert.Equal(t, []string{"b1"}, env.dialed, "one connection serves one after the other")
+		assert.Equal(t, []string{"b1"}, env.dialed, "all requests use one connection in turn")
 		large := strings.Repeat("x", 5*http1.DefaultMaxBytes)
 		env.behaviors["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large)}
 		status, _, body, err = env.roundTrip(lookRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, large, body)
-		leaves := env.connect()
-		go write(leaves, lookRequest)
+		canceled := env.connect()
+		go write(canceled, lookRequest)
 		synctest.Wait()
-		leaves.Close()
+		canceled.Close()
 		synctest.Wait()
-		assert.Zero(t, env.memory.reserved.Load(), "room is given back")
+		assert.Zero(t, env.memory.reserved.Load(), "all reserved memory is released")
 		env.stopAndWait()
 	})
 }
 
 func TestServerIdleTimeoutLeavesAMargin(t *testing.T) {
 	for _, c := range []struct {
-		closed  float64 // s
-		timeout time.Duration
+		serverTimeout float64 // seconds
+		timeout       time.Duration
 	}{{5, 4750 * time.Millisecond}, {0.4, 200 * time.Millisecond}, {0, defaultServerIdleTimeout}} {
-		env := newEnv(t, nil, func(l *BootstrapConfig) { l.ServerIdleTimeout = c.closed })
-		assert.Equal(t, c.timeout, env.upstream.IdleTimeout, "closed by the backend after %v s", c.closed)
+		env := newEnv(t, nil, func(cfg *BootstrapConfig) { cfg.ServerIdleTimeout = c.serverTimeout })
+		assert.Equal(t, c.timeout, env.upstream.IdleTimeout, "the server closes idle connections after %v s", c.serverTimeout)
 	}
 }
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// clock converts between times of this process and the decisions' time: seconds since 1970, in which servers report
-// when they started. It never steps back. It may be used by any goroutine.
+// clock converts between times of this process and the time of the decisions, which is in seconds since 1970, as are
+// the start times that servers report. It is monotonic. Any goroutine may use it.
 type clock struct {
 	startedAt time.Time
 }
 
-// now is the present time in seconds since 1970.
+// now returns the current time in seconds since 1970.
 func (c clock) now() float64 { return c.stamp(time.Now()) }
 
-// stamp is a time in seconds since 1970.
+// stamp converts a time to seconds since 1970.
 func (c clock) stamp(t time.Time) float64 {
 	return float64(c.startedAt.UnixMicro())/1e6 + t.Sub(c.startedAt).Seconds()
 }
 
-// at is the time of a stamp.
+// at converts seconds since 1970 to a time.
 func (c clock) at(stamp float64) time.Time {
 	return c.startedAt.Add(seconds(stamp - float64(c.startedAt.UnixMicro())/1e6))
 }
 
-// seconds is a duration given in seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -7,24 +7,24 @@
 	"lockloom/internal/invariant"
 )
 
-// counters are what the owner has counted since the start.
+// counters are the owner's counts since the process started.
 type counters struct {
 	Requests     int // admitted or rejected
 	Succeeded    int
 	Rejected     int
 	Failed       int
-	ClientGone   int // without a response
+	ClientGone   int // the client disconnected before its response
 	BadRequests  int
-	ShedBounds   int // rejected over a bound of connections or memory
-	RejectedLate int // without having run, in the second half of their time
+	ShedBounds   int // rejected because a limit of connections or memory was reached
+	RejectedLate int // not run by any server, and answered after more than half of the time to their deadline
 	Attempts     int
-	Outcomes     [balance.InvalidRequest + 1]int // of attempts
+	Outcomes     [balance.InvalidRequest + 1]int // of attempts, by balance.Outcome
 	LateEvents   int
 	HealthChecks int
 }
 
-// countsLogger returns what logs the counters as they are now; it may be called by any goroutine. The owner calls
-// countsLogger itself.
+// countsLogger returns a function that logs the current counters. Only the owner may call countsLogger; any goroutine
+// may call the function.
 func (p *Proxy) countsLogger() func() {
 	fields := p.counters.fields()
 	fields["connections"], fields["opened"] = p.upstream.Total(), p.upstream.Opened
--- a/proxy/debuglog.go
+++ b/proxy/debuglog.go
@@ -7,15 +7,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// What is logged at level debug, for whoever asks why a request was not served or a server gets nothing.
+// Log lines at level debug, which show why a request was not served or why a server receives no requests.
 
-// debugEnabled reports whether it is logged.
+// debugEnabled reports whether lines at level debug are logged.
 func (p *Proxy) debugEnabled() bool {
 	entry, ok := p.log.(*logrus.Entry)
 	return ok && entry.Logger.IsLevelEnabled(logrus.DebugLevel)
 }
 
-// logServerStatuses logs the decisions' status of each server, beside the connections that are in use there.
+// logServerStatuses logs the decisions' status of each server and the number of connections in use to it.
 func (p *Proxy) logServerStatuses() {
 	for _, status := range p.pools.platform.decisions.ServerStatuses(p.now()) {
 		p.log.WithFields(logrus.Fields{
@@ -33,7 +33,7 @@
 	}
 }
 
-// requestFields are what became of a request and its attempts.
+// requestFields returns log fields about a request and the outcomes of its attempts.
 func (p *Proxy) requestFields(req *request) logrus.Fields {
 	var attempts strings.Builder
 	for _, att := range req.attempts {
--- a/proxy/decide.go
+++ b/proxy/decide.go
@@ -5,11 +5,11 @@
 	"lockloom/internal/invariant"
 )
 
-// decide makes one call on a pool's decisions and carries out the actions that it returns. These are valid until the
-// next call, so whatever would lead to one is deferred. The owner calls it.
+// decide makes one call on a pool's decisions and carries out the actions that it returns. The actions are valid only
+// until the next call, so whatever would lead to another call is deferred. The owner calls it.
 func (p *Proxy) decide(pool *serverPool, call func(now float64) *balance.Actions) {
 	actions := call(p.now())
-	for _, server := range actions.CloseIdle { // before an attempt is sent there, which then opens a new connection
+	for _, server := range actions.CloseIdle { // before attempts are sent there, so that these open new connections
 		p.upstream.CloseIdle(server)
 	}
 	for _, server := range actions.HealthChecks {
@@ -21,8 +21,8 @@
 	for i := range actions.Requests {
 		p.applyRequestAction(&actions.Requests[i])
 	}
-	// This goroutine may be held up anywhere: an attempt that is canceled after its request's response has been let go
-	// might be sent in between.
+	// Responses follow the cancellations: this goroutine may be delayed anywhere, and an attempt that is canceled after
+	// its request's response might be sent in between.
 	for i := range actions.Requests {
 		if action := &actions.Requests[i]; action.Reply != balance.NoReply {
 			p.respond(p.requests.byRef[action.Ref], action.Reply, action.RetryAfter)
@@ -31,13 +31,13 @@
 	if actions.WakeAt > 0 {
 		p.scheduleWake(pool, actions.WakeAt)
 	}
-	// Actions to subscribe need no act: the proxy's subscription is always held.
+	// actions.Subscribe needs no handling: the proxy is always subscribed.
 	for i := range actions.Requests {
 		p.releaseRequest(p.requests.byRef[actions.Requests[i].Ref])
 	}
 }
 
-// scheduleWake calls a pool's decisions at a time, in seconds since 1970.
+// scheduleWake schedules a call to TimerFired of a pool's decisions at a time, in seconds since 1970.
 func (p *Proxy) scheduleWake(pool *serverPool, at float64) {
 	if pool.timer.call == nil {
 		pool.timer.call = func() { p.decide(pool, pool.decisions.TimerFired) }
@@ -45,7 +45,7 @@
 	p.loop.timers.add(&pool.timer, at)
 }
 
-// applyRequestAction carries out what the decisions ask for a request, all but its response.
+// applyRequestAction carries out one action for a request, except for its response, which decide sends later.
 func (p *Proxy) applyRequestAction(action *balance.RequestAction) {
 	req := p.requests.byRef[action.Ref]
 	if action.Send {
@@ -61,7 +61,7 @@
 	}
 }
 
-// decideRequest makes a call on the decisions about one request, which may be its last.
+// decideRequest makes a call on the decisions about one request, and releases the request if that call was its last.
 func (p *Proxy) decideRequest(req *request, call func(now float64) *balance.Actions) {
 	p.decide(req.pool, call)
 	p.releaseRequest(req)
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -12,19 +12,19 @@
 	"lockloom/lifecycle"
 )
 
-// endpointList is what the owner knows of servers.
+// endpointList is the endpoint list as the owner has received it, and what the owner tracks about its servers.
 type endpointList struct {
 	version       int64                   // of the list
 	received      bool                    // a list was applied
-	known         map[int]discovery.Entry // what is listed, by index, as discovery sent it
+	known         map[int]discovery.Entry // the listed servers, by index, as discovery sent them
 	static        map[int]bool            // indexes of servers from the operator file: no list removes them
-	stopSendAt    []float64               // by index: nothing is sent from the grace after this time on; +Inf: no bound
-	adminState    lifecycle.AdminState    // as it was applied to the list last
+	stopSendAt    []float64               // by index: a drain's start, after whose grace nothing is sent; +Inf: none
+	adminState    lifecycle.AdminState    // as last applied to the list
 	firstReceived chan struct{}           // closed, by markReceived, when discovery has sent a list
 	markReceived  func()
 
 	subscription *subscription // nil: none
-	pending      *subscription // begun, and without an answer yet; nil: none
+	pending      *subscription // started, but not yet answered; nil: none
 }
 
 func newEndpointList() endpointList {
@@ -37,8 +37,8 @@
 	}
 }
 
-// record keeps what is listed as discovery sent it: for pools that are added later, for servers that are enabled again
-// and for a successor.
+// record stores listed servers as discovery sent them: for pools that are added later, for servers that are enabled
+// again and for a successor.
 func (l *endpointList) record(full bool, entries []discovery.Entry, indexOf func(name string) (int, bool)) {
 	if full {
 		clear(l.known)
@@ -53,10 +53,10 @@
 	}
 }
 
-// sortedIndexes are the indexes of the servers that are listed.
+// sortedIndexes returns the indexes of the listed servers in ascending order.
 func (l *endpointList) sortedIndexes() []int { return slices.Sorted(maps.Keys(l.known)) }
 
-// list is the whole list, as discovery sent it.
+// list returns the full list, as discovery sent it.
 func (l *endpointList) list() List {
 	list := List{Version: l.version, Full: true}
 	for _, index := range l.sortedIndexes() {
@@ -65,11 +65,12 @@
 	return list
 }
 
-// applyEndpointList applies a list of servers, or changes of it.
+// applyEndpointList applies a full list of servers or changes to it. first is set for the list that the proxy starts
+// with.
 func (p *Proxy) applyEndpointList(list List, first bool) {
 	p.endpoints.version, p.endpoints.received = list.Version, true
 	since := p.now()
-	if !list.NotifiedAt.IsZero() { // it may have counted as received long before the owner, or this process, got it
+	if !list.NotifiedAt.IsZero() { // it may count as received long before this process or its owner got it
 		since = min(since, p.stamp(list.NotifiedAt))
 	}
 	entries := list.Entries
@@ -87,16 +88,16 @@
 	p.reportEstimates()
 }
 
-// applyEntries applies the states of listed servers. It changes the entries to what the admin state leaves of them, and
-// returns them as the decisions take them.
+// applyEntries applies the states of listed servers, which count as received at since, in seconds since 1970. It
+// applies the admin state to the entries in place and returns them converted for the decisions.
 func (p *Proxy) applyEntries(entries []discovery.Entry, since float64) []balance.Endpoint {
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i := range entries {
 		p.process.addKnownID(entries[i].Name)
-		entry, disabledSince := p.underAdminState(entries[i])
+		entry, disabledSince := p.withAdminState(entries[i])
 		endpoint := p.registry.Endpoint(entry.Entry)
 		entries[i], endpoints[i] = entry, endpoint
-		if endpoint.State != balance.Removed || !p.pools.use(endpoint.Index) {
+		if endpoint.State != balance.Removed || !p.pools.inUse(endpoint.Index) {
 			p.upstream.SetEndpoint(endpoint.Index, entry.Addr, endpoint.StartedAt)
 		}
 		p.applyEndpointState(endpoint.Index, endpoint.State, since, disabledSince)
@@ -104,8 +105,8 @@
 	return endpoints
 }
 
-// removeUnlisted stops sending to whatever a full list leaves out. Attempts to it may be on connections that are still
-// being opened.
+// removeUnlisted stops sending to the servers that a full list leaves out, also for attempts whose connections are
+// still being opened.
 func (p *Proxy) removeUnlisted(listed []balance.Endpoint, since float64) {
 	isListed := map[int]bool{}
 	for i := range listed {
@@ -118,38 +119,39 @@
 	}
 }
 
-// forgetUnused frees the indexes of servers that are gone.
+// forgetUnused frees the indexes of servers that are in no operator file and that no decisions use any more.
 func (p *Proxy) forgetUnused() {
 	for index := range p.registry.Size() {
-		if p.registry.Name(index) != "" && !p.endpoints.static[index] && !p.pools.use(index) {
+		if p.registry.Name(index) != "" && !p.endpoints.static[index] && !p.pools.inUse(index) {
 			p.forgetEndpoint(index)
 		}
 	}
 }
 
-// forgetEndpoint frees the index of a server that is gone: no action names it any more, and what is in flight there
-// holds its own connection and server.
+// forgetEndpoint frees the index of a server that is gone. No action names the index any more, and exchanges in flight
+// hold references to their connection and server.
 func (p *Proxy) forgetEndpoint(index int) {
 	p.endpoints.stopSendAt[index] = math.Inf(1)
 	p.upstream.Remove(index)
 	p.registry.Forget(index)
 }
 
-// applyEndpointState sets from when on nothing may be sent to a server, and closes what is idle to it then. Its state
-// counts as received since a time; a server that is disabled, since a time (0: it is not), drains whatever its state.
+// applyEndpointState sets when sending to a server stops, and closes its idle connections if it stops. Its state counts
+// as received at since; disabledSince is when it was disabled (0: it is enabled). A disabled server drains whatever its
+// state. Times are in seconds since 1970.
 func (p *Proxy) applyEndpointState(index int, state balance.EndpointState, since, disabledSince float64) {
 	list := &p.endpoints
 	for len(list.stopSendAt) <= index {
 		list.stopSendAt = append(list.stopSendAt, math.Inf(1))
 	}
 	switch {
-	case disabledSince > 0: // the admin call may be older than the owner's hearing of it
+	case disabledSince > 0: // the owner may apply an admin call some time after it was made
 		since = disabledSince
 	case state == balance.Ready:
 		list.stopSendAt[index] = math.Inf(1)
 		p.upstream.StopSendingAt(index, time.Time{})
 		return
-	case state == balance.Removed && p.bootstrap.RemovalIsAdvisory: // a drain before it still binds
+	case state == balance.Removed && p.bootstrap.RemovalIsAdvisory: // an earlier drain stays in force
 		return
 	}
 	list.stopSendAt[index] = min(list.stopSendAt[index], since)
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -23,7 +23,7 @@
 	"lockloom/internal/settings"
 )
 
-// What a server does with a request: the response it writes, or one of the words.
+// What a fake server does with a request: it writes the response, or does what a value that is not a response says.
 const (
 	okResponse             = "HTTP/1.1 200 OK\r\nX-From: b\r\nContent-Length: 4\r\n\r\nbody"
 	neverRanResponse       = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -38,45 +38,45 @@
 	noResponse             = ""
 )
 
-// testEnv is a proxy on connections in memory, between clients, servers and discovery that the test plays. As a
-// net.Listener it is the platform's.
+// testEnv is a proxy on connections in memory. The test acts as its clients, servers and discovery. As a net.Listener
+// it is the platform's.
 type testEnv struct {
 	*Proxy
 	t             *testing.T
-	platformConns chan net.Conn // client connections on their way in
-	operatorConns chan net.Conn // the same of the operator's listener
-	closed        chan struct{} // the listeners
+	platformConns chan net.Conn // client connections to be accepted
+	operatorConns chan net.Conn // the same, of the operator's listener
+	closed        chan struct{} // closed when the listeners are
 	cancel        context.CancelFunc
 	serveResult   chan error
-	brokenBefore  int // invariants, when it was made
+	brokenBefore  int // broken invariants when the environment was made
 
-	mu sync.Mutex // of what follows
+	mu sync.Mutex // guards the fields below
 	fakeServers
 	fakeDiscovery
 }
 
-// fakeServers are what servers do and have received.
+// fakeServers configures the behavior of the fake servers and records what they receive.
 type fakeServers struct {
-	behaviors    map[string][]string // by address, or for any: what servers do in turn; the last stays
-	respondWith  func(end net.Conn)  // what each server does instead; nil: its behavior
+	behaviors    map[string][]string // by address, or under "any": what servers do in turn; the last is repeated
+	respondWith  func(end net.Conn)  // replaces the behavior of all servers; nil: it does not
 	streamBodies bool                // bodies are read as they come, whatever their size
-	recordHeads  bool                // received has complete heads
-	dialDelay    time.Duration       // that opening a connection takes
+	recordHeads  bool                // received includes all header fields
+	dialDelay    time.Duration       // how long opening a connection takes
 	dialed       []string            // addresses
-	received     []string            // requests: address and head
-	bodyBytes    int64               // read of streamed bodies
-	closedConns  int                 // connections that have ended at a server's end
+	received     []string            // requests: address, head and body
+	bodyBytes    int64               // bytes of streamed bodies that were read
+	closedConns  int                 // connections that a server has closed
 }
 
-// fakeDiscovery is discovery at one or more addresses.
+// fakeDiscovery is the discovery service, at one or more addresses.
 type fakeDiscovery struct {
-	listUpdates map[string]chan string // by address: changes to send
-	watchLog    []string               // address and question of each watch, and its end
+	listUpdates map[string]chan string // by address: changes of the list to send
+	watchLog    []string               // address and requested version of each watch, and its end
 }
 
 func (env *testEnv) Accept() (net.Conn, error) {
 	select {
-	case <-env.closed: // whoever waits then
+	case <-env.closed: // also for a caller that was waiting
 		return nil, net.ErrClosed
 	default:
 	}
@@ -96,7 +96,7 @@
 	return discovery.Entry{Entry: settings.Entry{Name: id, Endpoint: balance.Endpoint{State: state}}, Addr: id}
 }
 
-// startEnv serves with a proxy whose servers are named by, and listen at, their ids.
+// startEnv starts a proxy whose servers have their ids as names and addresses.
 func startEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
 	t.Helper()
 	env := newEnv(t, behaviors, set)
@@ -104,7 +104,7 @@
 	return env
 }
 
-// newEnv makes such a proxy, which does not serve yet.
+// newEnv makes such a proxy without starting it.
 func newEnv(t *testing.T, behaviors map[string][]string, set func(*BootstrapConfig)) *testEnv {
 	t.Helper()
 	cfg := BootstrapConfig{
@@ -156,16 +156,16 @@
 	synctest.Wait()
 }
 
-// stopAndWait stops the proxy, waits until all of it has ended, and checks that no invariant was broken.
+// stopAndWait stops the proxy, waits until all its goroutines have ended, and checks that no invariant was broken.
 func (env *testEnv) stopAndWait() {
 	env.cancel()
 	assert.NoError(env.t, <-env.serveResult)
 	time.Sleep(time.Minute)
 	synctest.Wait()
-	assert.Equal(env.t, env.brokenBefore, brokenInvariants(), "invariants")
+	assert.Equal(env.t, env.brokenBefore, brokenInvariants(), "number of broken invariants")
 }
 
-// brokenInvariants is how many invariants were broken so far.
+// brokenInvariants returns how often invariants were broken so far.
 func brokenInvariants() int {
 	n := 0
 	for _, times := range invariant.Broken() {
@@ -174,7 +174,7 @@
 	return n
 }
 
-// dialServer is how the proxy reaches discovery and servers.
+// dialServer is the proxy's Dial: it connects to a fake server or to the fake discovery.
 func (env *testEnv) dialServer(ctx context.Context, addr string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	if changes := env.listUpdates[addr]; changes != nil {
@@ -186,13 +186,13 @@
 	defer env.mu.Unlock()
 	env.dialed = append(env.dialed, addr)
 	if env.nextBehavior(addr, refuseConnection) == refuseConnection {
-		return nil, errors.New("refused")
+		return nil, errors.New("connection refused")
 	}
 	go env.runServer(addr, theirs)
 	return ours, nil
 }
 
-// runDiscovery answers one watch with the changes of the list.
+// runDiscovery answers one watch with changes of the list.
 func (env *testEnv) runDiscovery(addr string, end net.Conn, changes chan string) {
 	r := http1.NewReader(end)
 	h, _ := r.Request()
@@ -200,13 +200,13 @@
 	env.mu.Lock()
 	env.watchLog = append(env.watchLog, addr+" from "+from)
 	env.mu.Unlock()
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		waitForEnd(r)
 		env.mu.Lock()
 		env.watchLog = append(env.watchLog, addr+" ended")
 		env.mu.Unlock()
-		close(over)
+		close(ended)
 	}()
 	write(end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for line := "\n"; ; {
@@ -216,7 +216,7 @@
 		select {
 		case line = <-changes:
 			line += "\n"
-		case <-over:
+		case <-ended:
 			return
 		case <-time.After(2 * time.Second):
 			line = "\n"
@@ -224,7 +224,8 @@
 	}
 }
 
-// nextBehavior is what a server does now. Refusing a connection is used up when one is opened, all else later.
+// nextBehavior returns what a server is to do now, and advances to its next behavior. If only is set, it advances only
+// from that behavior: refuseConnection is used up by opening a connection, all others by a request.
 func (env *testEnv) nextBehavior(addr string, only string) string {
 	if env.behaviors["any"] != nil {
 		addr = "any"
@@ -236,7 +237,7 @@
 	return behaviors[0]
 }
 
-// runServer serves one connection to a server.
+// runServer serves one connection to a fake server.
 func (env *testEnv) runServer(addr string, end net.Conn) {
 	defer func() {
 		end.Close()
@@ -317,7 +318,7 @@
 	assert.Equal(env.t, 200, status)
 }
 
-// readResponse reads a response: its status, copied head and body.
+// readResponse reads a response and returns its status, a copy of its head, and its body.
 func readResponse(c net.Conn) (int, *http1.Head, string, error) {
 	r := http1.NewReader(c)
 	h, err := r.Response()
@@ -334,7 +335,7 @@
 	return status, &copied, string(body), err
 }
 
-// roundTrip sends a request on a connection of its own and reads the response.
+// roundTrip sends a request on a new connection and reads the response.
 func (env *testEnv) roundTrip(request string) (int, *http1.Head, string, error) {
 	c := env.connect()
 	go write(c, request)
@@ -344,7 +345,7 @@
 	return status, h, body, err
 }
 
-// Requests of the three classes: idempotent, keyed and not idempotent.
+// Requests of three classes: idempotent, keyed and non-idempotent.
 const (
 	lookRequest = "GET /look?user=7 HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Qos: look\r\nX-Expires-In: 0.5\r\n\r\n"
 	signRequest = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\n" +
@@ -352,7 +353,7 @@
 	smsRequest = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
 )
 
-// updateList has discovery send a change, and waits until it is applied.
+// updateList makes discovery send a change of the list, and waits until it is applied.
 func (env *testEnv) updateList(line string) {
 	env.listUpdates["agent"] <- line
 	synctest.Wait()
@@ -395,5 +396,6 @@
 	return status
 }
 
-// write writes to a connection. Where the other side has closed it, that shows in what the test reads next.
+// write writes to a connection. It ignores errors: if the other side has closed the connection, the next read of the
+// test fails.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
--- a/proxy/estimates.go
+++ b/proxy/estimates.go
@@ -11,20 +11,22 @@
 	"lockloom/internal/discovery"
 )
 
-// estimateInterval is between reports of estimates. Changes of the list or of the admin state are reported at once.
+// estimateInterval is the time between reports of estimates. Changes of the list or of the admin state are reported at
+// once.
 const estimateInterval = 100 * time.Millisecond
 
-// EstimatesFunc receives what the proxy holds of each operator's pool, by name, at a time in seconds since 1970.
+// EstimatesFunc receives the proxy's estimates of each operator's pool, by pool name, at a time in seconds since 1970.
 type EstimatesFunc = func(now float64, pools map[string]assignment.Observation)
 
-// estimateReporter reports what the proxy holds of its pools to a control plane beside it. It belongs to the owner.
+// estimateReporter reports the estimates of the operator's pools to a control plane in this process. It belongs to the
+// owner.
 type estimateReporter struct {
-	observe EstimatesFunc // nil: nobody
+	observe EstimatesFunc // nil: there is no control plane
 	removed []string      // names of servers that were removed since the last report
 }
 
-// addRemoved keeps the names of servers that a list removes, for the next report. Without an observer they would
-// gather without end.
+// addRemoved keeps the names of servers that a list removes, for the next report. Without an observer it keeps none,
+// since no report would ever clear them.
 func (e *estimateReporter) addRemoved(entries []discovery.Entry) {
 	if e.observe == nil {
 		return
@@ -36,13 +38,14 @@
 	}
 }
 
-// OnEstimates reports what the proxy holds of each operator's pool to a control plane beside it: at an interval,
-// and at once when the list or the admin state changes. The owner makes the call, which must not wait. Set it before
+// OnEstimates reports the estimates of each operator's pool to a control plane in this process: at an interval, and at
+// once when the list or the admin state changes. The owner calls observe, which must not block. Call OnEstimates before
 // Serve.
 func (p *Proxy) OnEstimates(observe EstimatesFunc) { p.estimates.observe = observe }
 
-// OutcomesReported takes in how attempts ended that the control plane's subscribers sent to a pool: numbers of
-// successful and of failed ones, by the server's name. Unknown names are ignored. Any goroutine may call it.
+// OutcomesReported applies the outcomes of attempts that the control plane's subscribers have sent to a pool: the
+// numbers of successful and of failed attempts, in this order, by server name. Unknown names are ignored. Any goroutine
+// may call it.
 func (p *Proxy) OutcomesReported(poolName string, attempts map[string][2]int) {
 	p.post(func() {
 		routing := p.routing.Load()
@@ -52,15 +55,15 @@
 		var outcomes []balance.ReportedOutcomes
 		for _, name := range slices.Sorted(maps.Keys(attempts)) {
 			if index, ok := p.registry.Find(name); ok {
-				ended := attempts[name]
-				outcomes = append(outcomes, balance.ReportedOutcomes{Endpoint: index, Succeeded: ended[0], Failed: ended[1]})
+				counts := attempts[name]
+				outcomes = append(outcomes, balance.ReportedOutcomes{Endpoint: index, Succeeded: counts[0], Failed: counts[1]})
 			}
 		}
 		routing.pools[poolName].decisions.OutcomesReported(p.now(), outcomes)
 	})
 }
 
-// reportEstimates reports what is held now.
+// reportEstimates reports the current estimates, if there is an observer and a list was received.
 func (p *Proxy) reportEstimates() {
 	routing := p.routing.Load()
 	if p.estimates.observe == nil || routing == nil || !p.endpoints.received {
@@ -74,10 +77,10 @@
 	p.estimates.observe(p.now(), observations)
 }
 
-// observePool is what is held of one pool. The estimates of a server are its Balancer's; whether it may be sent to is
-// the list's and the admin state's.
+// observePool returns the observation of one pool. A server's estimates come from the pool's Balancer; whether requests
+// may be sent to it comes from the list and the admin state.
 func (p *Proxy) observePool(pool *serverPool) assignment.Observation {
-	proxies := float64(max(p.bootstrap.Proxies, 1)) // the others are assumed to be alike
+	proxies := float64(max(p.bootstrap.Proxies, 1)) // assuming that the others have as many requests as this one
 	pool.updateRate(p.now())
 	observation := assignment.Observation{Removed: p.estimates.removed, Rate: pool.requestRate * proxies}
 	statuses := map[int]balance.ServerStatus{}
@@ -90,20 +93,21 @@
 			endpoint := &pool.staticEndpoints[i]
 			entry := p.staticEntry(endpoint)
 			entry.Addr = strings.TrimPrefix(entry.Name, pool.name+"/")
-			entry, _ = p.underAdminState(entry)
+			entry, _ = p.withAdminState(entry)
 			observation.Servers = append(observation.Servers, serverEstimate(&entry, statuses[endpoint.Index]))
 		}
 		return observation
 	}
 	for _, index := range p.endpoints.sortedIndexes() {
-		if entry, _ := p.underAdminState(p.endpoints.known[index]); pool.accepts == nil || pool.accepts(&entry) {
+		if entry, _ := p.withAdminState(p.endpoints.known[index]); pool.accepts == nil || pool.accepts(&entry) {
 			observation.Servers = append(observation.Servers, serverEstimate(&entry, statuses[index]))
 		}
 	}
 	return observation
 }
 
-// updateRate measures the requests a second since the last report, unless that was just now.
+// updateRate measures the requests per second since the last measurement, unless that was less than half an interval
+// ago.
 func (r *poolRate) updateRate(now float64) {
 	elapsed := now - r.reportedAt
 	if elapsed < estimateInterval.Seconds()/2 {
--- a/proxy/estimates_test.go
+++ b/proxy/estimates_test.go
@@ -16,8 +16,8 @@
 	"lockloom/internal/config"
 )
 
-// Estimates are reported as they change: draining, disabled and removed servers at once, pauses by own requests and by
-// reported outcomes; and nothing gathers where nobody observes.
+// Estimates are reported when they change: draining, disabled and removed servers at once, and servers that are paused
+// after failures of own requests or after reported outcomes. Without an observer no names of removed servers are kept.
 func TestEstimatesAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "w1:80": {okResponse}}, nil)
@@ -37,51 +37,51 @@
 			lastPools, removedSoFar = pools, append(removedSoFar, pools["all"].Removed...)
 		})
 		env.start()
-		now := func(pool string) (assignment.Observation, []string) {
+		latest := func(pool string) (assignment.Observation, []string) {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
 			return lastPools[pool], removedSoFar
 		}
-		of := func(pool, id string) *assignment.ServerEstimate {
-			cfg, _ := now(pool)
-			i := slices.IndexFunc(cfg.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
-			require.GreaterOrEqual(t, i, 0, "%s in %+v", id, cfg)
-			return &cfg.Servers[i]
+		estimate := func(pool, id string) *assignment.ServerEstimate {
+			observation, _ := latest(pool)
+			i := slices.IndexFunc(observation.Servers, func(o assignment.ServerEstimate) bool { return o.Name == id })
+			require.GreaterOrEqual(t, i, 0, "server %s is not in %+v", id, observation)
+			return &observation.Servers[i]
 		}
-		assert.Equal(t, "b1", of("all", "b1").Addr)
-		assert.Equal(t, "w1:80", of("own", "own/w1:80").Addr)
+		assert.Equal(t, "b1", estimate("all", "b1").Addr)
+		assert.Equal(t, "w1:80", estimate("own", "own/w1:80").Addr)
 		env.OutcomesReported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
 		env.OutcomesReported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
 		env.OutcomesReported("none", map[string][2]int{"b1": {0, 90}})
 		time.Sleep(2 * estimateInterval)
-		assert.True(t, of("all", "b2").Paused && !of("all", "b1").Paused && of("own", "own/w1:80").Paused)
-		assert.Less(t, of("all", "b2").Payoff, of("all", "b1").Payoff)
+		assert.True(t, estimate("all", "b2").Paused && !estimate("all", "b1").Paused && estimate("own", "own/w1:80").Paused)
+		assert.Less(t, estimate("all", "b2").Payoff, estimate("all", "b1").Payoff)
 		time.Sleep(10 * time.Second)
-		assert.True(t, of("all", "b2").Trial, "cooled down")
+		assert.True(t, estimate("all", "b2").Trial, "the cooldown is over")
 		for range 20 {
 			env.operatorRoundTrip(plainRequest("GET", "/", ""))
 		}
 		time.Sleep(estimateInterval)
-		observation, _ := now("all")
+		observation, _ := latest("all")
 		assert.Greater(t, observation.Rate, 0.0)
 		env.updateList(listChange(2, "b1", "leaving", 0))
-		assert.True(t, of("all", "b1").Draining, "at once")
+		assert.True(t, estimate("all", "b1").Draining, "reported at once")
 		env.updateList(listChange(3, "b1", "left", 0))
-		observation, removed := now("all")
+		observation, removed := latest("all")
 		assert.Equal(t, []string{"b1"}, removed)
 		assert.Len(t, observation.Servers, 1)
 		assert.Equal(t, 200, env.adminCall(admin.Disable, "own/w1:80"))
-		assert.True(t, of("own", "own/w1:80").Draining, "at once")
+		assert.True(t, estimate("own", "own/w1:80").Draining, "reported at once")
 		time.Sleep(estimateInterval)
-		_, removed = now("all")
-		assert.Equal(t, []string{"b1"}, removed, "reported once")
+		_, removed = latest("all")
+		assert.Equal(t, []string{"b1"}, removed, "a removed server is reported once")
 		env.stopAndWait()
 	})
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
 		env.updateList(listChange(2, "b1", "left", 0))
 		env.stopAndWait()
-		assert.Empty(t, env.closedConns, "nothing gathers")
+		assert.Empty(t, env.closedConns, "connections that servers have closed")
 	})
 }
--- a/proxy/failover.go
+++ b/proxy/failover.go
@@ -2,9 +2,9 @@
 
 import "github.com/sirupsen/logrus"
 
-// activePool is the pool that serves for this one: itself, or the first backup on the way that has not failed over
-// either. A pool that gets nothing while its backup serves would never be known to have recovered, so a request goes to
-// it whenever one of its servers is due for a trial; the decisions let one at a time go there.
+// activePool returns the pool that serves for this one: itself, or the first pool in its chain of backups that has not
+// failed over. A pool that receives no requests while its backup serves would never be seen to have recovered, so a
+// request goes to it whenever one of its servers is due for a trial; the decisions allow one trial at a time.
 func (pool *serverPool) activePool(now float64) *serverPool {
 	for pool.failedOver && pool.backup != nil {
 		if _, trial := pool.decisions.Availability(now); trial {
@@ -15,7 +15,7 @@
 	return pool
 }
 
-// updateFailover decides which pools' backups serve.
+// updateFailover switches pools to their backups and back.
 func (p *Proxy) updateFailover() {
 	for _, pool := range p.pools.all {
 		if pool.backup == nil {
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -18,18 +18,18 @@
 	"lockloom/internal/config"
 )
 
-// newFleetMember makes a proxy of a fleet of two, as sidecars of their clients; gossip goes by loopback sockets.
+// newFleetMember makes one of two proxies of a fleet, as sidecars of their clients. They gossip over loopback sockets.
 func newFleetMember(t *testing.T, number int, listenAddr, peerAddr string, behaviors map[string][]string) *testEnv {
 	t.Helper()
-	return newEnv(t, behaviors, func(l *BootstrapConfig) {
-		l.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
-		l.Proxies, l.Self, l.Sidecar, l.Gossip, l.HealthChecks = 2, number, true, true, true
-		l.GossipCost, l.HealthCheckCost, l.MaxAttempts = 0.001, 0.001, 1
+	return newEnv(t, behaviors, func(cfg *BootstrapConfig) {
+		cfg.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
+		cfg.Proxies, cfg.Self, cfg.Sidecar, cfg.Gossip, cfg.HealthChecks = 2, number, true, true, true
+		cfg.GossipCost, cfg.HealthCheckCost, cfg.MaxAttempts = 0.001, 0.001, 1
 	})
 }
 
-// What one proxy learns of a failing server reaches the other, which has sent nothing there; loads come by health
-// checks, and a report of unknown fields says nothing and harms nothing.
+// A proxy learns of a failing server from a peer, without sending anything there. Load reports come by health checks; a
+// report with unknown fields only is ignored.
 func TestGossipSharesServerFailures(t *testing.T) {
 	behaviors := map[string][]string{
 		"b1": {strings.Replace(okResponse, "X-From", "x-load: outstanding:1,utilization:0.5\r\nX-From", 1)},
@@ -49,7 +49,7 @@
 		go func() { env.serveResult <- env.Serve(ctx, env) }()
 	}
 	before := quiet.serverStatuses()
-	assert.Equal(t, before[0].Payoff, before[1].Payoff, "nothing is known yet")
+	assert.Equal(t, before[0].Payoff, before[1].Payoff, "no results yet")
 	for i := range 60 {
 		c := busy.connect()
 		go write(c, strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
@@ -62,28 +62,28 @@
 		return b[1].Payoff < b[0].Payoff-0.05
 	}, 5*time.Second, time.Millisecond)
 	hook := test.NewLocal(quiet.log.(*logrus.Entry).Logger)
-	other := quiet.bootstrap
-	other.Fleet.Listen = "127.0.0.1:1"
-	quiet.ReloadBootstrap(other)
+	changed := quiet.bootstrap
+	changed.Fleet.Listen = "127.0.0.1:1"
+	quiet.ReloadBootstrap(changed)
 	quiet.serverStatuses()
 	require.NotEmpty(t, hook.AllEntries())
-	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "changes of them take effect at the next start")
+	assert.Contains(t, hook.AllEntries()[0].Message, "peers", "changed peers take effect at the next start")
 	stop()
 	for i, env := range []*testEnv{busy, quiet} {
 		assert.NoError(t, <-env.serveResult)
 		c, err := net.ListenPacket("udp", addrs[i])
-		require.NoError(t, err, "its address is free again")
+		require.NoError(t, err, "the gossip address is free again")
 		require.NoError(t, c.Close())
 	}
 	got := strings.Join(busy.received, "\n")
-	for _, asked := range []string{"b1 GET /load", "b2 GET /load", "b2 GET /look"} {
-		assert.Contains(t, got, asked)
+	for _, request := range []string{"b1 GET /load", "b2 GET /load", "b2 GET /look"} {
+		assert.Contains(t, got, request)
 	}
 	assert.NotContains(t, strings.Join(quiet.received, "\n"), "/look")
-	assert.Equal(t, busy.brokenBefore, brokenInvariants(), "invariants")
+	assert.Equal(t, busy.brokenBefore, brokenInvariants(), "number of broken invariants")
 }
 
-// A message numbers the platform's classes; one of an operator's pool would be taken for those.
+// Gossip messages number the platform's classes: those of an operator's pool would be taken for the platform's.
 func TestOperatorPoolsSendNoGossip(t *testing.T) {
 	env := newFleetMember(t, 0, "", "", nil)
 	cfg, faults := config.Read("f.toml", []byte(operatorFile))
--- a/proxy/healthcheck.go
+++ b/proxy/healthcheck.go
@@ -12,11 +12,11 @@
 const (
 	healthCheckTimeout = 200 * time.Millisecond
 	healthCheckHead    = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
-	loadReportField    = "X-Load" // of the response: name:value, separated by commas
+	loadReportField    = "X-Load" // of the response: name:value pairs, separated by commas
 )
 
-// healthCheck asks a server for its load and tells the decisions what came. A server that drains or is gone is not
-// asked.
+// healthCheck requests the load report of a server and passes the result to the decisions. A server that drains or is
+// gone is not checked.
 func (p *Proxy) healthCheck(pool *serverPool, server int) {
 	if p.now() > p.endpoints.stopSendAt[server] {
 		return
@@ -29,7 +29,7 @@
 	}
 	exchange.OnDone = func(result upstream.Result) {
 		p.memory.release(result.ReservedBytes)
-		if p.registry.Name(server) != name { // the index may be another server's by now
+		if p.registry.Name(server) != name { // the index may belong to another server by now
 			return
 		}
 		healthy, report := result.Outcome == balance.Succeeded, parseLoadReport(result.Fields)
@@ -42,9 +42,9 @@
 	}
 }
 
-// parseLoadReport is the load report among the fields of a response; without one it reports nothing.
-func parseLoadReport(head []byte) balance.LoadReport {
-	for line := range strings.Lines(string(head)) {
+// parseLoadReport parses the load report in the header fields of a response. Without one it returns an empty report.
+func parseLoadReport(fields []byte) balance.LoadReport {
+	for line := range strings.Lines(string(fields)) {
 		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, loadReportField) {
 			return settings.ParseLoadReport(value)
 		}
--- a/proxy/hotrestart.go
+++ b/proxy/hotrestart.go
@@ -13,10 +13,11 @@
 	"lockloom/internal/hotrestart"
 )
 
-// addressInUseTimeout is how long a process that does not hand over may still use an address: an overlap and its end.
+// addressInUseTimeout is how long Listen retries an address that another process uses and does not hand over. It covers
+// the overlap of two processes and the shutdown of the first.
 const addressInUseTimeout = 15 * time.Second
 
-// Listen listens at an address: on the socket that a predecessor hands over, if one serves, or on a new one. Call it
+// Listen listens at an address: on the socket that a predecessor hands over, if there is one, or on a new one. Call it
 // before Serve.
 func (p *Proxy) Listen(addr string) (net.Listener, error) {
 	p.takeOver()
@@ -33,7 +34,7 @@
 	return ln, nil
 }
 
-// takeInheritedListener returns the listener that a predecessor handed over for an address; nil: none.
+// takeInheritedListener returns the listener that a predecessor handed over for an address, or nil.
 func (s *processState) takeInheritedListener(addr string) net.Listener {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +43,7 @@
 	return ln
 }
 
-// addListener notes a listener to be handed over to a successor.
+// addListener records a listener to be handed over to a successor.
 func (s *processState) addListener(ln *net.TCPListener, addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	return hotrestart.Path(p.bootstrap.HotRestartDir, p.hotRestartIdentity())
 }
 
-// takeOver takes listeners and state over from a predecessor, if there is one that offers them.
+// takeOver takes over listeners and state from a predecessor, if there is one that offers them.
 func (p *Proxy) takeOver() {
 	s := p.process
 	if p.bootstrap.HotRestartDir == "" || s.takeOverTried {
@@ -83,7 +84,7 @@
 	go p.followPredecessor(link)
 }
 
-// inherit takes in what a predecessor has handed over.
+// inherit stores what a predecessor has handed over.
 func (s *processState) inherit(state *hotrestart.State, listeners []net.Listener, link *hotrestart.Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,14 +112,14 @@
 	p.applyResourceShare()
 }
 
-// startedServing tells the predecessor that this process serves, and offers a hot restart in its place. The owner
-// calls it.
+// startedServing reports to the predecessor that this process serves, and offers a hot restart to successors in its
+// place. The owner calls it.
 func (p *Proxy) startedServing() {
 	s := p.process
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lifecycle.Serving = true
-	for addr, ln := range s.inheritedListeners { // of an operator file that has changed
+	for addr, ln := range s.inheritedListeners { // the operator file no longer has their addresses
 		p.log.WithField("listen", addr).Warn("hot restart: listener taken over, but not in the operator file: closed")
 		ln.Close()
 	}
@@ -129,49 +130,51 @@
 	p.offerHotRestart()
 }
 
-// offerHotRestart lets a successor find this process. The caller holds the lock of the process state.
+// offerHotRestart starts to offer a hot restart to successors. The caller holds the lock of the process state.
 func (p *Proxy) offerHotRestart() {
 	s := p.process
 	if p.bootstrap.HotRestartDir == "" || len(s.listeners) == 0 {
 		return
 	}
-	s.offer.Close()
+	s.handover.Close()
 	var err error
-	s.offer, err = hotrestart.Serve(p.hotRestartPath(), p.hotRestartIdentity(), p.handOver, p.serveSuccessor)
+	s.handover, err = hotrestart.Serve(p.hotRestartPath(), p.hotRestartIdentity(), p.handOver, p.serveSuccessor)
 	if err != nil {
 		p.log.WithError(err).Warn("hot restart: cannot offer to a successor")
 	}
 }
 
-// ownerSnapshot is what the owner hands over.
+// ownerSnapshot is the state of the owner that is handed over.
 type ownerSnapshot struct {
-	list    List
-	learned balance.Snapshot
+	list      List
+	decisions balance.Snapshot
 }
 
-// handOver returns what a successor gets: the state and the listeners. An owner that takes too long is done without.
+// handOver returns the state and the listeners for a successor. If the owner does not return its part within
+// snapshotTimeout, the state goes without it.
 func (p *Proxy) handOver() (hotrestart.State, []*net.TCPListener) {
 	snapshots := make(chan ownerSnapshot, 1)
 	go p.post(func() {
-		snapshots <- ownerSnapshot{list: p.endpoints.list(), learned: p.pools.platform.decisions.Snapshot(p.now())}
+		snapshots <- ownerSnapshot{list: p.endpoints.list(), decisions: p.pools.platform.decisions.Snapshot(p.now())}
 	})
 	state := hotrestart.State{}
 	select {
 	case snapshot := <-snapshots:
-		state.List, state.Snapshot, state.Listed = snapshot.list, snapshot.learned, true
+		state.List, state.Snapshot, state.Listed = snapshot.list, snapshot.decisions, true
 	case <-time.After(snapshotTimeout):
 	}
 	s := p.process
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state.AdminState, state.IDs = cloneAdminState(&s.lifecycle), s.ids.All()
-	// As configured: ":8080" is "[::]:8080" once it listens, and the successor would not find its accept queue.
+	// As configured: ":8080" is "[::]:8080" once it listens, by which the successor would not find the listener and
+	// lose its accept queue.
 	state.Listeners = slices.Clone(s.addrs)
 	return state, slices.Clone(s.listeners)
 }
 
-// serveSuccessor keeps in touch with a process that has taken over, until that ends. err is set where handing over to
-// it has failed.
+// serveSuccessor exchanges updates with a process that has taken over, until that process ends. err is set if handing
+// over to it has failed.
 func (p *Proxy) serveSuccessor(link *hotrestart.Link, err error) {
 	if err != nil {
 		p.log.WithError(err).Warn("hot restart: handing over failed")
@@ -179,15 +182,15 @@
 	}
 	s := p.process
 	p.log.Info("hot restart: handed over to the successor")
-	missed := s.addSuccessor(link)
+	adminUpdate := s.addSuccessor(link)
 	p.applyResourceShare()
-	go send(link, missed)
+	go send(link, adminUpdate)
 	err = link.Receive(func(update hotrestart.Update) { s.updateReceived(link, update) })
 	link.Close()
 	p.successorEnded(link, err)
 }
 
-// addSuccessor notes a successor and returns the admin state, which may have changed while the state was on its way.
+// addSuccessor records a successor and returns the admin state, which may have changed since handOver returned it.
 func (s *processState) addSuccessor(link *hotrestart.Link) hotrestart.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,14 +198,14 @@
 	return s.adminUpdate()
 }
 
-// successorEnded has this process serve again if a successor has ended before it.
+// successorEnded makes this process serve again if a successor ends before it.
 func (p *Proxy) successorEnded(link *hotrestart.Link, err error) {
 	s := p.process
 	s.mu.Lock()
 	wasServing := s.successors[link]
 	delete(s.successors, link)
 	s.updateSuccessorServing()
-	if wasServing && s.lifecycle.StoppedAt == 0 { // else nobody would accept, and the next process would find nobody
+	if wasServing && s.lifecycle.StoppedAt == 0 { // otherwise no process would accept connections or hand over
 		p.log.WithError(err).Warn("hot restart: the successor has ended, serving again")
 		p.offerHotRestart()
 	}
@@ -210,7 +213,7 @@
 	p.applyResourceShare()
 }
 
-// updateReceived takes in what another process of this proxy sends.
+// updateReceived applies an update from another process of this proxy.
 func (s *processState) updateReceived(from *hotrestart.Link, update hotrestart.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,8 +226,7 @@
 	}
 }
 
-// updateSuccessorServing decides anew whether a successor serves, and wakes the accept loops. The caller holds the
-// lock.
+// updateSuccessorServing recomputes whether a successor serves, and wakes the accept loops. The caller holds the lock.
 func (s *processState) updateSuccessorServing() {
 	s.lifecycle.SuccessorServing = slices.Contains(slices.Collect(maps.Values(s.successors)), true)
 	deadline := pastDeadline
@@ -236,13 +238,13 @@
 	}
 }
 
-// setAcceptDeadline sets a listener's deadline. It fails on a closed listener only, where accepting has ended anyhow.
+// setAcceptDeadline sets a listener's deadline. It fails only on a closed listener, where accepting has ended anyway.
 func setAcceptDeadline(ln *net.TCPListener, deadline time.Time) {
 	_ = ln.SetDeadline(deadline)
 }
 
-// notifyAdminChange has the owner apply the admin state, and sends it to the other processes of this proxy but one.
-// The caller holds the lock.
+// notifyAdminChange makes the owner apply the admin state, and sends it to all other processes of this proxy except
+// one. The caller holds the lock.
 func (s *processState) notifyAdminChange(except *hotrestart.Link) {
 	select {
 	case s.adminChanged <- struct{}{}:
@@ -254,25 +256,25 @@
 	}
 	for link := range s.successors {
 		if link != except {
-			go send(link, update) // it may not read, and whoever made the change waits
+			go send(link, update) // the process may not be reading, and the admin call waits
 		}
 	}
 }
 
-// adminUpdate is the whole admin state, to be sent. The caller holds the lock.
+// adminUpdate returns an update with the whole admin state. The caller holds the lock.
 func (s *processState) adminUpdate() hotrestart.Update {
 	state := cloneAdminState(&s.lifecycle)
 	return hotrestart.Update{AdminState: &state}
 }
 
-// send sends an update. Where that fails the link is broken, which whoever receives from it sees too.
+// send sends an update. It ignores errors: on a broken link the goroutine that receives from it gets an error too.
 func send(link *hotrestart.Link, update hotrestart.Update) { _ = link.Send(update) }
 
 // closeLinks ends all links to other processes.
 func (s *processState) closeLinks() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.offer.Close()
+	s.handover.Close()
 	if s.predecessor != nil {
 		s.predecessor.Close()
 	}
--- a/proxy/hotrestart_test.go
+++ b/proxy/hotrestart_test.go
@@ -6,13 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A successor asks for an address as its operator file has it; an accept queue that it does not find would be lost.
+// Guards against a successor that does not find a handed over listener, and so loses its accept queue, because it looks
+// it up by the address in its operator file.
 func TestListenersAreHandedOverByConfiguredAddress(t *testing.T) {
 	env := newEnv(t, nil, nil)
 	ln, err := env.Listen(":0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	s, lns := env.handOver()
-	assert.Equal(t, []string{":0"}, s.Listeners)
-	assert.Len(t, lns, 1)
+	state, listeners := env.handOver()
+	assert.Equal(t, []string{":0"}, state.Listeners)
+	assert.Len(t, listeners, 1)
 }
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	maxKnownIDs        = 16 << 10               // ids of servers that were ever listed, 0.6 MB of them
-	acceptPollInterval = 10 * time.Millisecond  // between checks whether this process accepts again
-	overlapShare       = 0.5                    // of all bounds, while another process of this proxy runs
-	snapshotTimeout    = 300 * time.Millisecond // for the owner to return the list to be handed over
+	maxKnownIDs        = 16 << 10               // ids of servers that were ever listed; they take 0.6 MB
+	acceptPollInterval = 10 * time.Millisecond  // between checks of whether this process accepts connections again
+	overlapShare       = 0.5                    // of every limit, while another process of this proxy runs
+	snapshotTimeout    = 300 * time.Millisecond // for the owner to return the state to be handed over
 )
 
-// processState is the lifecycle and admin state of this process and its links to other processes of the same proxy.
-// Any goroutine may change it under the lock, for a moment only; the owner then applies the admin state, see
+// processState is the lifecycle and admin state of this process and its links to other processes of the same proxy. Any
+// goroutine may change it under the lock, which must be held only briefly; the owner then applies the admin state, see
 // applyAdminState.
 type processState struct {
 	mu           sync.Mutex
@@ -28,16 +28,16 @@
 	hotRestart
 }
 
-// hotRestart is a process's part in hot restarts: taking over from a predecessor, offering to a successor.
+// hotRestart is a process's state in hot restarts: what it takes over from a predecessor and hands over to successors.
 type hotRestart struct {
 	predecessor   *hotrestart.Link          // nil: none
-	successors    map[*hotrestart.Link]bool // those that took over, and whether they serve
+	successors    map[*hotrestart.Link]bool // processes that took over, and whether they serve
 	listeners     []*net.TCPListener        // to be handed over
 	addrs         []string                  // of listeners, as configured: a successor looks them up by these
-	offer         *hotrestart.Server
+	handover      *hotrestart.Server        // serves successors; nil: none
 	takeOverTried bool
 
-	inheritedListeners map[string]net.Listener // by address, until they are asked for
+	inheritedListeners map[string]net.Listener // by configured address, until Listen returns them
 	inheritedState     *hotrestart.State       // nil: none
 }
 
@@ -49,21 +49,21 @@
 	}
 }
 
-// readLifecycle reads something of a process's lifecycle.
+// readLifecycle returns what read returns for the process's lifecycle, under the lock.
 func readLifecycle[T any](s *processState, read func(*lifecycle.Process) T) T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return read(&s.lifecycle)
 }
 
-// addKnownID notes that a server was listed.
+// addKnownID records the id of a server that was listed.
 func (s *processState) addKnownID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ids.Add(settings.NameHash(id))
 }
 
-// shuttingDown reports whether this process was told to end.
+// shuttingDown reports whether this process was ordered to stop.
 func (p *Proxy) shuttingDown() bool {
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.StoppedAt > 0 })
 }
@@ -74,13 +74,13 @@
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.ClosesAfterResponse(now) })
 }
 
-// admitsRequests reports whether a complete request is admitted.
+// admitsRequests reports whether a request that is completely received is admitted.
 func (p *Proxy) admitsRequests() bool {
 	now := p.now()
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.AdmitsRequests(now) })
 }
 
-// readinessResponse answers whether the proxy wants clients.
+// readinessResponse is the response to a readiness check: 200 if the proxy wants clients, else 503.
 func (p *Proxy) readinessResponse() response {
 	if readLifecycle(p.process, (*lifecycle.Process).WantsClients) {
 		return response{status: 200, body: []byte("up\n")}
@@ -88,8 +88,8 @@
 	return response{status: 503, body: []byte("not up\n")}
 }
 
-// beginShutdown notes the order to end and reports whether a successor serves already. Idle connections are closed by
-// idleCloseAt.
+// beginShutdown records the order to stop and the time by which all idle connections are closed, and reports whether a
+// successor serves already.
 func (p *Proxy) beginShutdown(idleCloseAt time.Time) (successorServing bool) {
 	s, now := p.process, p.now()
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	return s.lifecycle.SuccessorServing
 }
 
-// beginTermination notes that connections close with their responses from now on.
+// beginTermination makes connections close with their next response from now on.
 func (p *Proxy) beginTermination() {
 	p.beginShutdown(time.Now())
 	p.process.mu.Lock()
@@ -108,7 +108,7 @@
 	p.process.lifecycle.Terminating = true
 }
 
-// closeIdleForDrain closes idle connections while the process is drained or shut down.
+// closeIdleForDrain closes a share of the idle connections at each sweep while the process is drained or shut down.
 func (p *Proxy) closeIdleForDrain() {
 	p.process.mu.Lock()
 	fraction, includeNew := p.process.lifecycle.IdleCloseFraction(p.now(), sweepInterval.Seconds())
@@ -118,7 +118,7 @@
 	}
 }
 
-// resourceShare is this process's share of the proxy's resources.
+// resourceShare returns this process's share of the proxy's resources.
 func (p *Proxy) resourceShare() float64 {
 	s := p.process
 	s.mu.Lock()
@@ -129,7 +129,8 @@
 	return 1
 }
 
-// applyResourceShare gives this process its share of all that is bounded for the proxy.
+// applyResourceShare applies this process's share to every limit that the processes of the proxy divide among
+// themselves.
 func (p *Proxy) applyResourceShare() {
 	share := p.resourceShare()
 	p.conns.setShare(share)
@@ -138,7 +139,7 @@
 		p.OnShareChanged(share)
 	}
 	go p.post(func() {
-		share := p.resourceShare() // two such calls may come in either order
+		share := p.resourceShare() // read again: two posted calls may run in either order
 		p.upstream.SetMaxConnections(int(share * float64(p.maxServerConns)))
 		for _, pool := range p.pools.all {
 			pool.decisions.SetBudgetShare(share)
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxQueuedEvents       = 1024 // events that the owner has not taken yet; whoever posts more waits
-	maxEventsBeforeTimers = 256  // events run before the timers that are due
+	maxQueuedEvents       = 1024 // events that the owner has not taken yet; post blocks beyond that
+	maxEventsBeforeTimers = 256  // events run before due timers
 
-	sweepInterval           = 100 * time.Millisecond // between checks of idle connections, overload and failover
+	sweepInterval           = 100 * time.Millisecond // between checks of idle connections, local delay and failover
 	countsLogInterval       = 10 * time.Second
 	serverStatusLogInterval = time.Second // at log level debug
 )
@@ -25,7 +25,7 @@
 	clock
 	log      logrus.FieldLogger
 	events   chan func()
-	deferred []func() // to be run right after the present call
+	deferred []func() // run right after the current call
 	timers   timerHeap
 	quit     chan struct{} // closed when the loop is to end
 	ended    chan struct{} // closed when it has ended
@@ -37,8 +37,8 @@
 	l.quit, l.ended = make(chan struct{}), make(chan struct{})
 }
 
-// post has the owner run a function soon; once the loop is to end it may be dropped. It waits while too many are
-// queued, so the owner itself must not call it.
+// post queues a function for the owner. Once quit is closed the function may be dropped. post blocks while the queue is
+// full, so the owner itself must not call it.
 func (l *eventLoop) post(f func()) {
 	select { // a select with one case and a default costs half of one with two cases
 	case l.events <- f:
@@ -51,10 +51,11 @@
 	}
 }
 
-// afterCall has a function run once the present call of the owner is over.
+// afterCall makes a function run once the current call of the owner is over.
 func (l *eventLoop) afterCall(f func()) { l.deferred = append(l.deferred, f) }
 
-// runEvery has a call made at an interval. The next time is set before the call, so that a panic does not end it.
+// runEvery makes a function run at an interval. The next run is scheduled before the function is called, so that a
+// panic does not end the series.
 func (l *eventLoop) runEvery(interval time.Duration, call func()) {
 	t := &timer{}
 	t.call = func() {
@@ -64,8 +65,8 @@
 	l.timers.add(t, l.now()+interval.Seconds())
 }
 
-// run runs the loop until quit is closed. It runs onSignal when signal has a value. There must be a call that is made
-// at an interval, so that there always is a next timer.
+// run runs the loop until quit is closed. It calls onSignal whenever signal has a value. runEvery must have been called
+// before, so that there is always a next timer.
 func (l *eventLoop) run(signal <-chan struct{}, onSignal func()) {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -89,8 +90,8 @@
 	}
 }
 
-// runQueued runs what is queued before the timers: where this core is behind, timeouts would otherwise be taken for
-// servers' lateness although their responses wait here.
+// runQueued runs queued events before the timers: when this core is behind, responses are queued here, and timers run
+// first would count their servers as timed out.
 func (l *eventLoop) runQueued() {
 	for range maxEventsBeforeTimers {
 		select {
@@ -108,8 +109,8 @@
 	}
 }
 
-// runGuarded makes one call, then what it deferred. A panic costs the request of that call only: its backstop timer
-// still answers it.
+// runGuarded runs one function, then the functions that it deferred. A panic affects only the request of that call,
+// which its backstop timer still answers.
 func (l *eventLoop) runGuarded(f func()) {
 	defer recoverPanic(l.log)
 	f()
@@ -120,8 +121,8 @@
 	}
 }
 
-// recoverPanic, deferred, ends a panic where only this call or connection need suffer from it. In builds with
-// assertions it panics on.
+// recoverPanic, when deferred, recovers from a panic and logs it, so that only the current call or connection is
+// affected. In builds with assertions it panics again.
 func recoverPanic(log logrus.FieldLogger) {
 	r := recover()
 	if r == nil {
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -6,10 +6,10 @@
 	"lockloom/internal/upstream"
 )
 
-// lateEventSeconds is the time from an event to the owner's call from which on it is counted as late.
+// lateEventSeconds is the least delay, from the end of an attempt to its recording by the owner, that counts as late.
 const lateEventSeconds = 0.02
 
-// recordOutcome tells the decisions how an attempt ended. The first successful one answers its request.
+// recordOutcome passes the outcome of an attempt to the decisions. The first successful attempt answers its request.
 func (p *Proxy) recordOutcome(req *request, att *attempt, result upstream.Result) {
 	invariant.Holds(!att.ended, "an attempt ends once")
 	att.ended = true
@@ -35,7 +35,7 @@
 		p.memory.release(result.ReservedBytes)
 	}
 	answered, sentAt := req.answered, att.sentAt
-	if !result.SentAt.IsZero() { // what waited here to be written or read is not its server's time
+	if !result.SentAt.IsZero() { // time queued here, to be written or read, is not the server's
 		sentAt = p.stamp(result.SentAt)
 		p.overload.attemptMeasured(p.now()-att.sentAt, endedAt-sentAt)
 	}
@@ -44,7 +44,7 @@
 	})
 }
 
-// serverResponse is a server's response, to be relayed.
+// serverResponse returns a server's response, to be relayed.
 func (req *request) serverResponse(result *upstream.Result) response {
 	return response{
 		status:        result.Status,
@@ -55,8 +55,8 @@
 	}
 }
 
-// keepServerFailure keeps a server's report of its own failure, which goes on to an operator's client if nothing better
-// comes.
+// keepServerFailure keeps a server's response that reports its own failure. It is relayed to a client of an operator's
+// listener if no later attempt gets a better response.
 func (p *Proxy) keepServerFailure(req *request, result *upstream.Result) {
 	if result.Outcome == balance.ServerError && req.passthrough && result.ReservedBytes == 0 {
 		resp := req.serverResponse(result)
@@ -64,8 +64,8 @@
 	}
 }
 
-// responseStarted tells the decisions that a large response has begun to stream: its request is that attempt's from now
-// on, and the client gets the response as it comes.
+// responseStarted reports to the decisions that a large response has begun to stream. Its attempt is the one that
+// answers the request from now on, and the client receives the response as it arrives.
 func (p *Proxy) responseStarted(req *request, att *attempt, result upstream.Result) {
 	if req.answered || att.ended {
 		closeStream(result.Stream)
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -14,12 +14,12 @@
 	"lockloom/internal/upstream"
 )
 
-// What a client is answered, and how often its request is sent, by what the first server reached does; the other one
-// succeeds.
+// The outcome at the first server decides the response to the client and how often the request is sent. The second
+// server succeeds.
 func TestFirstOutcomeDecidesRetryAndResponse(t *testing.T) {
 	for _, c := range []struct {
-		name, request, play string
-		status, sent        int
+		name, request, behavior string
+		status, sent            int
 	}{
 		{"succeeds", lookRequest, okResponse, 200, 1},
 		{"idempotent, cut", lookRequest, cutConnection, 200, 2},
@@ -32,20 +32,21 @@
 		{"not idempotent, no connection", smsRequest, refuseConnection, 200, 1},
 		{"not idempotent, cut", smsRequest, cutConnection, 502, 1},
 		{"not idempotent, error", smsRequest, faultResponse, 502, 1},
-		{"not idempotent, a server's own 503", smsRequest, own503Response, 502, 1}, // passed on, it would look safe to retry
+		// Relayed as 503, it would look safe to retry.
+		{"not idempotent, a server's own 503", smsRequest, own503Response, 502, 1},
 		{"not idempotent, no response", smsRequest, noResponse, 502, 1},
 		{"keyed, cut", signRequest, cutConnection, 200, 2},
 		{"keyed, no response", signRequest, noResponse, 502, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
-			env.behaviors["any"] = []string{c.play, okResponse}
-			began := time.Now()
+			env.behaviors["any"] = []string{c.behavior, okResponse}
+			startedAt := time.Now()
 			status, h, body, err := env.roundTrip(c.request)
 			assert.NoError(t, err, c.name)
 			assert.Equal(t, c.status, status, c.name)
 			assert.Len(t, env.received, c.sent, c.name)
-			assert.Less(t, time.Since(began), 500*time.Millisecond, c.name)
+			assert.Less(t, time.Since(startedAt), 500*time.Millisecond, c.name)
 			if status == 200 {
 				assert.Equal(t, "body", body, c.name)
 				assert.Equal(t, "b", string(h.Get("X-From")), c.name)
@@ -58,19 +59,19 @@
 
 func TestRejectedWithoutAvailableServer(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		plays map[string][]string
-		set   func(*BootstrapConfig)
+		name      string
+		behaviors map[string][]string
+		set       func(*BootstrapConfig)
 	}{
 		{"none listed", nil, nil},
 		{"all refuse", map[string][]string{"b1": {refuseConnection}, "b2": {refuseConnection}}, nil},
-		{"none cold may be sent to", map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) {
-			l.SlowStartDuration, l.SlowStartFraction = 1e9, 0
-			l.Known.Entries[0].StartedAt = float64(time.Now().Unix())
+		{"the only server is cold", map[string][]string{"b1": {okResponse}}, func(cfg *BootstrapConfig) {
+			cfg.SlowStartDuration, cfg.SlowStartFraction = 1e9, 0
+			cfg.Known.Entries[0].StartedAt = float64(time.Now().Unix())
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			env := startEnv(t, c.plays, c.set)
+			env := startEnv(t, c.behaviors, c.set)
 			status, _, _, err := env.roundTrip(smsRequest)
 			assert.NoError(t, err, c.name)
 			assert.Equal(t, 503, status, c.name)
@@ -80,7 +81,7 @@
 	}
 }
 
-// recordingHandle keeps the latency of an attempt that ends.
+// recordingHandle records the latency of an attempt that ends.
 type recordingHandle struct {
 	RequestHandle
 	latency float64
@@ -93,19 +94,20 @@
 
 func (h *recordingHandle) Done() bool { return false }
 
-// Where this core is behind, its servers must not look slow: their limits and payoffs would fall.
-func TestServersAreNotBlamedForThisCore(t *testing.T) {
+// Guards against delays of this core that count as server latency, which would lower the limits and payoffs of servers.
+func TestLocalDelayIsNotServerLatency(t *testing.T) {
 	for _, c := range []struct {
-		name                string
-		ordered, sent, came time.Duration // ago
-		want                float64       // s
-		slack               bool
+		name                 string
+		started, sent, ended time.Duration // ago
+		want                 float64       // seconds
+		delayed              bool          // by this core
 	}{
 		{"prompt", 5 * time.Millisecond, 5 * time.Millisecond, 0, 0.005, false},
 		{"the server is slow", 200 * time.Millisecond, 200 * time.Millisecond, 0, 0.2, false},
-		{"the order waited to be written", 200 * time.Millisecond, 10 * time.Millisecond, 0, 0.01, true},
-		{"the answer waited to be read", 200 * time.Millisecond, 200 * time.Millisecond, 190 * time.Millisecond, 0.01, true},
-		{"the owner was held up", 250 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond, 0.05, true},
+		{"the request was queued before it was written", 200 * time.Millisecond, 10 * time.Millisecond, 0, 0.01, true},
+		{"the response was queued before it was read", 200 * time.Millisecond, 200 * time.Millisecond,
+			190 * time.Millisecond, 0.01, true},
+		{"the owner was delayed", 250 * time.Millisecond, 200 * time.Millisecond, 150 * time.Millisecond, 0.05, true},
 	} {
 		env := newEnv(t, nil, nil)
 		now := time.Now()
@@ -113,17 +115,18 @@
 		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0],
 			requestState: requestState{handle: handle},
 			response:     make(chan response, 1)}
-		att := &attempt{sentAt: env.stamp(now.Add(-c.ordered))}
+		att := &attempt{sentAt: env.stamp(now.Add(-c.started))}
 		req.attempts = []*attempt{att}
 		env.recordOutcome(req, att, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent),
-			EndedAt: now.Add(-c.came)})
+			EndedAt: now.Add(-c.ended)})
 		assert.InDelta(t, c.want, handle.latency, 1e-6, c.name)
-		assert.Equal(t, c.slack, env.overload.DelayFactor() > 1.5, c.name)
+		assert.Equal(t, c.delayed, env.overload.DelayFactor() > 1.5, c.name)
 		assert.Equal(t, 200, (<-req.response).status)
 	}
 }
 
-// An attempt canceled after its request's response might be sent in between, if the owner is held up there.
+// Guards against an attempt that is sent after the response to its request, because the owner was delayed between the
+// response and the cancellation.
 func TestAttemptsAreCanceledBeforeTheResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, nil, nil)
@@ -140,24 +143,24 @@
 		env.requests.byRef = append(env.requests.byRef, req)
 		env.startAttempt(req, endpoint.Index, env.now()+1)
 		synctest.Wait()
-		_, err := end.Read(make([]byte, 1)) // it is being written: only canceling stops it
+		_, err := end.Read(make([]byte, 1)) // the request is being written: only canceling stops it
 		require.NoError(t, err)
 		go env.decide(env.pools.platform, func(float64) *balance.Actions {
 			return &balance.Actions{Requests: []balance.RequestAction{{Reply: balance.Rejected}, {CancelAttempt: 1}}}
 		})
-		synctest.Wait() // held up at the answer, which nobody takes
+		synctest.Wait() // the owner blocks on the response, which nobody receives yet
 		_, err = end.Read(make([]byte, 1000))
-		assert.Error(t, err, "canceled before anybody gets the response")
+		assert.Error(t, err, "the attempt is canceled before the response")
 		<-req.response
 	})
 }
 
-// The time in which a client sends is none of its server's, whenever the response comes.
+// The time that a client takes to send a body does not count as latency of the server, whenever the response arrives.
 func TestLatencyCountsFromLastByte(t *testing.T) {
 	upload := &upstream.Upload{}
 	streamed := func(s bodyStream) request { return request{forwardedRequest: forwardedRequest{stream: s}} }
 	for _, c := range []struct {
-		l    request
+		req  request
 		want float64
 	}{
 		{request{}, 9},
@@ -165,6 +168,6 @@
 		{streamed(bodyStream{upload: upload, completedAt: 11}), 0},
 		{streamed(bodyStream{upload: upload}), 0},
 	} {
-		assert.Equal(t, c.want, c.l.latency(1, 10))
+		assert.Equal(t, c.want, c.req.latency(1, 10))
 	}
 }
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -9,8 +9,8 @@
 	"lockloom/routes"
 )
 
-// Decisions are what the owner calls: a Balancer, or one whose calls are captured. The owner makes all calls, one at a
-// time.
+// Decisions makes the balancing decisions of one pool: a Balancer, or one whose calls are captured. The owner makes all
+// calls, one at a time. Times (now) are in seconds since 1970.
 type Decisions interface {
 	RequestArrived(now float64, info balance.RequestInfo, id string) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
@@ -27,7 +27,8 @@
 	HasEndpoint(index int) bool
 }
 
-// RequestHandle is what the owner calls about one request.
+// RequestHandle reports the events of one request to the decisions. The owner makes all calls. Times are in seconds
+// since 1970.
 type RequestHandle interface {
 	AttemptEnded(now float64, attempt int, outcome balance.Outcome, latency float64, answered bool) *balance.Actions
 	ClientDisconnected(now float64) *balance.Actions
@@ -37,7 +38,7 @@
 	Done() bool
 }
 
-// uncaptured is a Balancer whose calls nobody captures.
+// uncaptured is a Balancer whose calls are not captured.
 type uncaptured struct{ *balance.Balancer }
 
 // RequestArrived implements Decisions.
@@ -47,59 +48,60 @@
 	return b.Balancer.RequestArrived(now, info)
 }
 
-// CaptureFunc makes the decisions of a pool, by its name, of its Balancer; the platform's pool has no name.
+// CaptureFunc wraps the Balancer of a pool in decisions that capture its calls. The name of the platform's pool is
+// empty.
 type CaptureFunc = func(poolName string, balancer *balance.Balancer) Decisions
 
-// Capture has the decisions of every pool made through what wrap makes of its Balancer. Call it before Configure. If
-// such decisions have a method Dropped, that is called when a reload has removed their pool.
+// Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the decisions that wrap returns have
+// a method Dropped, it is called once a reload has removed their pool.
 func (p *Proxy) Capture(wrap CaptureFunc) {
 	p.pools.wrap = wrap
 	platform := p.pools.platform
 	platform.decisions = wrap("", platform.decisions.(uncaptured).Balancer)
 }
 
-// serverPool is a pool of servers with decisions of its own. The platform's has all servers that are listed, an
-// operator's some of them, or servers of its own. It belongs to the owner.
+// serverPool is a pool of servers with decisions of its own. The platform's pool has all listed servers; an operator's
+// pool has some of them, or servers that the operator file configures. It belongs to the owner.
 type serverPool struct {
-	name      string // empty: the platform's
+	name      string // empty for the platform's pool
 	decisions Decisions
 	classes   []balance.Class
 	timer     timer                       // for the decisions' wakeups
-	accepts   func(*discovery.Entry) bool // whether a listed server is one of the pool's; nil: all are
+	accepts   func(*discovery.Entry) bool // whether a listed server belongs to the pool; nil: all do
 
-	static          bool // its servers are those of the operator file; no list reaches it
+	static          bool // its servers are configured in the operator file; endpoint lists do not apply to it
 	staticEndpoints []balance.Endpoint
 
 	poolCapacity
 	poolFailover
 	poolRate
-	inFlight int  // requests
-	retired  bool // a reload has removed it: it ends with its last request
+	inFlight int  // requests that have not ended
+	retired  bool // removed by a reload: dropped when its last request has ended
 }
 
-// poolCapacity bounds what the routes of a pool send to it.
+// poolCapacity limits the requests that routes send to a pool, and their retries.
 type poolCapacity struct {
-	fairLimiter  *limits.FairLimiter            // nil: no bound
-	routeNumbers map[string]int                 // in fairLimiter, by route
+	fairLimiter  *limits.FairLimiter            // nil: no limit
+	routeNumbers map[string]int                 // by route: its number in fairLimiter
 	budgets      map[string]*limits.RetryBudget // by retry rule
 }
 
-// poolFailover says which other pool serves for a pool without an admitted server.
+// poolFailover is the backup of a pool, which serves in its place while the pool has no admitted server.
 type poolFailover struct {
 	backup     *serverPool // nil: none
 	failover   routes.Failover
-	failedOver bool // the backup serves now
+	failedOver bool // the backup serves at present
 }
 
-// poolRate measures a pool's requests.
+// poolRate measures the rate of requests that a pool admits.
 type poolRate struct {
-	admitted         int     // so far
-	reportedAdmitted int     // at reportedAt
-	reportedAt       float64 // seconds since 1970, of the last estimate
-	requestRate      float64 // requests a second, as of then
+	admitted         int     // requests so far
+	reportedAdmitted int     // admitted at the time reportedAt
+	reportedAt       float64 // seconds since 1970, of the last measurement
+	requestRate      float64 // requests per second, as of the last measurement
 }
 
-// retryBudget is the pool's budget for a retry rule.
+// retryBudget returns the pool's budget for a retry rule.
 func (pool *serverPool) retryBudget(rule *limits.RetryRule) *limits.RetryBudget {
 	budget := pool.budgets[rule.Name]
 	if budget == nil {
@@ -110,18 +112,18 @@
 	return budget
 }
 
-// poolSet is all pools. It belongs to the owner, but for platform, which never changes.
+// poolSet holds all pools. It belongs to the owner, except for platform, which never changes.
 type poolSet struct {
 	platform *serverPool
-	all      []*serverPool // it and the operator's, retired ones included
-	wrap     CaptureFunc   // nil: calls are not captured
+	all      []*serverPool // the platform's and the operator's, including retired ones
+	wrap     CaptureFunc   // nil if calls are not captured
 }
 
 func (s *poolSet) init(platform *serverPool) {
 	s.platform, s.all = platform, []*serverPool{platform}
 }
 
-// newDecisions are the decisions of a pool.
+// newDecisions returns the decisions of a pool: its Balancer, wrapped if calls are captured.
 func (s *poolSet) newDecisions(poolName string, balancer *balance.Balancer) Decisions {
 	if s.wrap == nil {
 		return uncaptured{balancer}
@@ -129,22 +131,22 @@
 	return s.wrap(poolName, balancer)
 }
 
-// use reports whether any pool's decisions may still name a server: one that is listed, or that a list has left out and
-// that is still sent to.
-func (s *poolSet) use(index int) bool {
+// inUse reports whether any pool's decisions may still name a server: it is listed, or it was left out of a list and
+// still serves.
+func (s *poolSet) inUse(index int) bool {
 	return slices.ContainsFunc(s.all, func(pool *serverPool) bool { return pool.decisions.HasEndpoint(index) })
 }
 
-// configures reports whether any pool has a server of the operator file.
-func (s *poolSet) configures(index int) bool {
-	isServer := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
+// hasStatic reports whether any pool has the server of an index from the operator file.
+func (s *poolSet) hasStatic(index int) bool {
+	hasIndex := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
 	return slices.ContainsFunc(s.all, func(pool *serverPool) bool {
-		return slices.ContainsFunc(pool.staticEndpoints, isServer)
+		return slices.ContainsFunc(pool.staticEndpoints, hasIndex)
 	})
 }
 
-// updatePool tells a pool's decisions what of a list concerns it. endpoints are the list's entries as the decisions
-// take them.
+// updatePool passes the entries of a list that belong to a pool to its decisions. endpoints are all entries of the
+// list, converted for the decisions.
 func (p *Proxy) updatePool(pool *serverPool, list List, first bool, endpoints []balance.Endpoint) {
 	if pool.static {
 		if first {
@@ -166,14 +168,14 @@
 	})
 }
 
-// updateStaticPool tells a pool's decisions its configured servers, as the admin state leaves them.
+// updateStaticPool passes a pool's configured servers, with the admin state applied, to its decisions.
 func (p *Proxy) updateStaticPool(pool *serverPool) {
 	p.decide(pool, func(now float64) *balance.Actions {
-		return pool.decisions.EndpointsUpdated(now, true, true, p.staticUnderAdminState(pool.staticEndpoints))
+		return pool.decisions.EndpointsUpdated(now, true, true, p.staticWithAdminState(pool.staticEndpoints))
 	})
 }
 
-// initializePool tells a pool that is added while the proxy serves all that it has to know.
+// initializePool passes the current servers to the decisions of a pool that is added while the proxy serves.
 func (p *Proxy) initializePool(pool *serverPool) {
 	if pool.static {
 		p.updateStaticPool(pool)
@@ -182,15 +184,15 @@
 	list := List{Full: true}
 	var endpoints []balance.Endpoint
 	for _, index := range p.endpoints.sortedIndexes() {
-		entry, _ := p.underAdminState(p.endpoints.known[index])
+		entry, _ := p.withAdminState(p.endpoints.known[index])
 		list.Entries = append(list.Entries, entry)
 		endpoints = append(endpoints, p.registry.Endpoint(entry.Entry))
 	}
 	p.updatePool(pool, list, true, endpoints)
 }
 
-// removeIfRetired forgets a pool that a reload has removed, once its last request has ended. Until then it is
-// told of drains.
+// removeIfRetired removes a pool that a reload has retired, once its last request has ended. Until then the pool
+// receives endpoint lists, so that drains apply to its requests.
 func (p *Proxy) removeIfRetired(pool *serverPool) {
 	if !pool.retired || pool.inFlight > 0 {
 		return
@@ -200,7 +202,7 @@
 		capture.Dropped()
 	}
 	for i := range pool.staticEndpoints {
-		if index := pool.staticEndpoints[i].Index; !p.pools.configures(index) {
+		if index := pool.staticEndpoints[i].Index; !p.pools.hasStatic(index) {
 			delete(p.endpoints.static, index)
 			p.forgetEndpoint(index)
 		}
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -14,12 +14,13 @@
 	"lockloom/internal/config"
 )
 
-// Once a pool has had no admitted server for its time, its backup serves, until the pool has had one for longer.
+// A backup serves once its pool has had no admitted server for the configured time, and until the pool has had one
+// again for a longer time.
 func TestFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t,
 			map[string][]string{"f1:80": append(slices.Repeat([]string{faultResponse}, 7), okResponse), "c1:80": {okResponse}})
-		at := func(wait time.Duration) string {
+		send := func(wait time.Duration) string {
 			time.Sleep(wait)
 			env.received = nil
 			status := env.operatorRoundTrip(plainRequest("POST", "/frail", "Content-Length: 0\r\n"))[:3]
@@ -28,34 +29,34 @@
 			}
 			return status
 		}
-		for range 6 { // so many results pause it
-			assert.Equal(t, "500 f1", at(10*time.Millisecond))
+		for range 6 { // enough failures to pause the server
+			assert.Equal(t, "500 f1", send(10*time.Millisecond))
 		}
-		assert.Equal(t, "503", at(10*time.Millisecond), "paused, and its backup not yet in its place")
-		assert.Equal(t, "200 c1", at(time.Second))
-		assert.Equal(t, "500 f1", at(8*time.Second), "cooled down, it is tried with one request, which fails")
-		assert.Equal(t, "200 c1", at(time.Second))
-		assert.Equal(t, "200 f1", at(8*time.Second), "the next trial goes well")
-		assert.Equal(t, "200 c1", at(time.Second), "but it must stay well for a time")
-		assert.Equal(t, "200 c1", at(3*time.Second))
-		assert.Equal(t, "200 f1", at(2*time.Second))
+		assert.Equal(t, "503", send(10*time.Millisecond), "the server is paused, and the backup does not serve yet")
+		assert.Equal(t, "200 c1", send(time.Second))
+		assert.Equal(t, "500 f1", send(8*time.Second), "the cooldown is over: a trial with one request, which fails")
+		assert.Equal(t, "200 c1", send(time.Second))
+		assert.Equal(t, "200 f1", send(8*time.Second), "the next trial succeeds")
+		assert.Equal(t, "200 c1", send(time.Second), "the server must stay admitted for some time first")
+		assert.Equal(t, "200 c1", send(3*time.Second))
+		assert.Equal(t, "200 f1", send(2*time.Second))
 		env.stopAndWait()
 	})
-	synctest.Test(t, func(t *testing.T) { // requests that are out when it changes end where they are
+	synctest.Test(t, func(t *testing.T) { // a request in flight at a failover stays with its pool
 		env := startOperatorEnv(t, map[string][]string{"f1:80": {noResponse}, "c1:80": {okResponse}})
 		assert.Equal(t, "503 dismissed", env.operatorRoundTrip(plainRequest("GET", "/frail", "")))
 		env.stopAndWait()
 	})
 }
 
-// A pool that fails every other attempt is never paused; its requests are retried only as far as the budget goes.
+// A pool whose attempts fail alternately is never paused. Its requests are retried only within the retry budget.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var every []string
+		var alternating []string
 		for range 1000 {
-			every = append(every, faultResponse, okResponse)
+			alternating = append(alternating, faultResponse, okResponse)
 		}
-		env := startOperatorEnv(t, map[string][]string{"b1:80": every, "b2:80": every, "b3:80": every})
+		env := startOperatorEnv(t, map[string][]string{"b1:80": alternating, "b2:80": alternating, "b3:80": alternating})
 		served, requests := 0, 300
 		for range requests {
 			if env.operatorRoundTrip(plainRequest("GET", "/storm", "")) == "200 body" {
@@ -64,13 +65,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		assert.LessOrEqual(t, len(env.received), requests+requests/10+4)
-		assert.GreaterOrEqual(t, len(env.received), requests+requests/20, "and that far they are")
+		assert.GreaterOrEqual(t, len(env.received), requests+requests/20, "the budget is used")
 		assert.Greater(t, served, requests/2)
 		env.stopAndWait()
 	})
 }
 
-// A pool that fails wholly leaves the other as it is without it, and its own servers get few attempts.
+// A pool in which every attempt fails does not affect another pool, and its own servers receive few attempts.
 func TestFailingPoolDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"b1:80": {faultResponse}, "b2:80": {faultResponse},
@@ -92,18 +93,18 @@
 			}
 		}
 		assert.Equal(t, 100, served)
-		assert.LessOrEqual(t, attempts, requests, "its servers are paused, and tried one attempt at a time")
+		assert.LessOrEqual(t, attempts, requests, "the servers are paused, and receive trials only")
 		env.stopAndWait()
 	})
 }
 
-// A pool of listed servers has those of its kinds, and a pool that a reload adds knows at once what is listed, and what
-// drains.
+// A pool of listed servers has those of its kinds. A pool that a reload adds has the current list at once, including
+// what drains.
 func TestPoolsOfListedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, func(l *BootstrapConfig) {
-			for i := range l.Known.Entries {
-				l.Known.Entries[i].ModelName = []string{"blue", "old"}[i]
+		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, func(cfg *BootstrapConfig) {
+			for i := range cfg.Known.Entries {
+				cfg.Known.Entries[i].ModelName = []string{"blue", "old"}[i]
 			}
 		})
 		env.operatorConns = make(chan net.Conn, 100)
@@ -113,7 +114,7 @@
 		require.Empty(t, faults)
 		require.NoError(t, env.Configure(cfg, operatorListener{env}))
 		env.start()
-		at := func() string {
+		send := func() string {
 			env.received = nil
 			status := env.operatorRoundTrip(plainRequest("GET", "/", ""))[:3]
 			for _, line := range env.received {
@@ -122,18 +123,18 @@
 			return status
 		}
 		for range 5 {
-			assert.Equal(t, "200 b1", at())
+			assert.Equal(t, "200 b1", send())
 		}
 		cfg, faults = config.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
 		require.Empty(t, faults)
 		require.NoError(t, env.ReloadConfig(cfg))
 		for range 5 {
-			assert.Equal(t, "200 b2", at())
+			assert.Equal(t, "200 b2", send())
 		}
 		env.listUpdates["agent"] <- `{"version":9,"full":false,"servers":[{"id":"b2",` +
 			`"addr":"b2:1","zone":"a","kind":"old","cell":0,"state":"leaving","started_ms":0}]}`
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, "503", at(), "it drains")
+		assert.Equal(t, "503", send(), "the only server drains")
 		env.stopAndWait()
 	})
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,13 +1,13 @@
-// Package proxy serves HTTP/1.1 requests on sockets around the decisions of package balance.
+// Package proxy accepts HTTP/1.1 requests on sockets and forwards them to servers as package balance decides.
 //
 // A request passes these stages, each in a file of its own: its client connection (clientconn.go) is accepted
-// (listener.go), the request is read (readrequest.go), admitted to this core and to the decisions (admission.go),
-// routed to a pool (operatorroute.go) and forwarded in attempts (attempt.go); its outcome is recorded (outcome.go)
-// and the response relayed to the client (response.go).
+// (listener.go), the request is read (readrequest.go), queued for this machine's cores and admitted (admission.go),
+// routed to a pool (operatorroute.go) and forwarded in attempts (attempt.go); its outcome is recorded (outcome.go) and
+// the response relayed to the client (response.go).
 //
-// One goroutine, the owner (eventLoop), makes every call on the decisions and owns all state of requests and
-// endpoints. Each client connection has a goroutine of its own, which posts events to the owner and waits for one
-// response. The owner never waits for a socket or for a client.
+// One goroutine, the owner (eventLoop), makes every call on the decisions and owns all state of requests and endpoints.
+// Each client connection has a goroutine of its own, which posts events to the owner and waits for one response. The
+// owner never waits for a socket or for a client.
 package proxy
 
 import (
@@ -27,45 +27,48 @@
 	"lockloom/internal/upstream"
 )
 
-// Aliases of what a proxy is configured with when it starts.
+// Aliases of the types that configure a proxy at its start.
 type (
-	// BootstrapConfig is the whole configuration.
+	// BootstrapConfig is everything that a proxy is configured with at its start.
 	BootstrapConfig = bootstrap.Config
-	// Limits are the bounds of the machine.
+	// Limits are the resources of the machine: cores, memory and file descriptors.
 	Limits = bootstrap.Limits
-	// Settings are those of the fleet.
+	// Settings are the settings that all proxies of the fleet share.
 	Settings = settings.Settings
-	// List is a list of servers, as discovery sends it.
+	// List is an endpoint list, or changes to it, as discovery sends it.
 	List = discovery.List
 )
 
-// ReadBootstrap reads the bootstrap configuration from the environment's variables, by get, and from the file that
-// they name.
+// ReadBootstrap reads the bootstrap configuration from environment variables, which get looks up, and from the file
+// that they name.
 func ReadBootstrap(get func(string) string) (BootstrapConfig, error) { return bootstrap.Read(get) }
 
-// Sockets are divided between reserved ones, client connections and connections to servers.
+// File descriptors are divided among reserved ones, client connections and connections to servers.
 const (
-	defaultMaxSockets    = 1024 // descriptors, where the bootstrap configuration sets no limit
-	reservedSockets      = 64   // descriptors for files, listeners, discovery and connections that are closing
-	minSockets           = 4    // descriptors for clients and servers together, however low the limit is
-	clientSocketFraction = 0.75 // of the sockets that are not reserved; a request may wait longer than its attempts take
+	defaultMaxSockets = 1024 // descriptors if the bootstrap configuration sets no limit
+	reservedSockets   = 64   // descriptors for files, listeners, discovery and connections that are closing
+	minSockets        = 4    // descriptors for clients and servers together, even if the limit is lower
+
+	// clientSocketFraction is the share of client connections in the descriptors that are not reserved. It is more than
+	// half because a request may be queued for longer than its attempts take.
+	clientSocketFraction = 0.75
 
 	defaultConnectTimeout    = time.Second
-	defaultServerIdleTimeout = 2 * time.Second // where the deployment does not say when servers close idle connections
+	defaultServerIdleTimeout = 2 * time.Second // if the deployment does not set when servers close idle connections
 
-	// serverIdleMargin is how long before its server an idle connection is closed here: the time for a request to
-	// get there, and for a late sweep.
+	// serverIdleMargin is how much earlier than its server the proxy closes an idle connection. It covers the time that
+	// a request takes to reach the server and the delay of a late sweep.
 	serverIdleMargin = 250 * time.Millisecond
 )
 
-// Proxy is one proxy of the fleet. Create it with New, configure it, then call Serve once. Methods that are
-// documented as such may be called by any goroutine while it serves.
+// Proxy is one proxy of the fleet. Create it with New, configure it, then call Serve once. Any goroutine may call the
+// methods whose documentation says so, also while Serve runs.
 type Proxy struct {
-	// Dial opens the connections to discovery and servers. It may be set before Serve.
+	// Dial opens the connections to discovery and to servers. It may be set before Serve.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	// OnShareChanged is called with this process's share, from 0 to 1, of the proxy's resources, whenever another
-	// process of the same proxy starts or ends beside it. It may be nil. It may be set before Listen.
+	// process of the same proxy starts or ends while this one runs. It may be nil. It may be set before Listen.
 	OnShareChanged func(share float64)
 
 	clock
@@ -73,8 +76,8 @@
 	bootstrap   BootstrapConfig
 	maxDeadline time.Duration // the longest deadline of any class
 
-	// Shared by all goroutines; each part synchronizes itself.
-	registry       *settings.Registry // of endpoints, classes and tenants; the last two never change
+	// Shared by all goroutines; each field does its own locking.
+	registry       *settings.Registry // of endpoints, classes and tenants; the classes and tenants never change
 	routing        atomic.Pointer[routingConfig]
 	conns          connTable
 	overload       overloadMonitor
@@ -82,9 +85,9 @@
 	process        *processState
 	shutdown       shutdownState
 	loop           eventLoop
-	gossipLink     *gossip.Link // to the fleet's other proxies; nil: no gossip
+	gossipLink     *gossip.Link // to the fleet's other proxies; nil if gossip is off
 	listeners      []net.Listener
-	maxServerConns int // that this proxy's processes may have together
+	maxServerConns int // connections to servers, of all processes of this proxy together
 
 	// Owned by the owner goroutine.
 	upstream  *upstream.Pool
@@ -95,7 +98,7 @@
 	counters  counters
 }
 
-// New makes a proxy that does not serve yet.
+// New returns a proxy that does not serve yet. It fails if the balancer rejects the deployment.
 func New(cfg BootstrapConfig, log logrus.FieldLogger) (*Proxy, error) {
 	clk := clock{startedAt: time.Now()}
 	p := &Proxy{
@@ -130,8 +133,8 @@
 	}
 }
 
-// divideSockets returns how many client connections and connections to servers a number of descriptors allows; 0
-// stands for the default.
+// divideSockets returns how many client connections and how many connections to servers a number of file descriptors
+// allows; 0 stands for defaultMaxSockets.
 func divideSockets(sockets int) (clients, servers int) {
 	if sockets == 0 {
 		sockets = defaultMaxSockets
@@ -150,7 +153,7 @@
 		pool.ConnectTimeout = seconds(timeout)
 	}
 	if timeout := p.bootstrap.ServerIdleTimeout; timeout > 0 {
-		// As long as is safe: in a large fleet most new connections replace expired ones.
+		// As long as is safe, because in a large fleet most new connections replace expired ones.
 		pool.IdleTimeout = max(seconds(timeout)-serverIdleMargin, seconds(timeout/2))
 	}
 	return pool
@@ -161,7 +164,8 @@
 }
 
 // ReloadBootstrap applies a new bootstrap configuration. Only the address of discovery may change; every other
-// difference takes effect at the next start, since requests were admitted by it. Any goroutine may call it.
+// difference takes effect at the next start, since requests in flight were admitted under the old configuration. Any
+// goroutine may call it.
 func (p *Proxy) ReloadBootstrap(cfg BootstrapConfig) {
 	p.post(func() {
 		log := p.log.WithField("discovery", cfg.Discovery)
@@ -169,12 +173,12 @@
 		current.Seed, next.Seed = 0, 0
 		if cfg.Limits != p.bootstrap.Limits || !reflect.DeepEqual(current, next) ||
 			!reflect.DeepEqual(cfg.Fleet, p.bootstrap.Fleet) {
-			log.Warn("limits, peers or settings differ: they take effect at the next start")
+			log.Warn("launch file: changed limits, peers or settings take effect only at the next start")
 		}
 		log.Info("launch file reloaded")
 		p.subscribe(cfg.Discovery)
 	})
 }
 
-// post has the owner run a function soon; see eventLoop.post.
+// post queues a function for the owner; see eventLoop.post.
 func (p *Proxy) post(f func()) { p.loop.post(f) }
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	clientWriteTimeout = 5 * time.Second  // for a response to be taken
-	streamWriteTimeout = 30 * time.Second // for a piece of a streamed response to be taken
-	maxCachedHeadBytes = 2 << 10          // of a response's head, that a connection keeps for the next one
+	clientWriteTimeout = 5 * time.Second  // for the client to take a response
+	streamWriteTimeout = 30 * time.Second // for the client to take a piece of a streamed response
+	maxCachedHeadBytes = 2 << 10          // largest buffer of a response head that a connection keeps for its next one
 )
 
-// response is what a client is answered.
+// response is a response to a client.
 type response struct {
 	status        int
-	fields        []byte // lines of the head that go on
+	fields        []byte // header lines, relayed from the server
 	body          []byte
 	reservedBytes int64   // of the memory budget, to be released
-	http10        bool    // the client knows no chunks
-	retryAfter    float64 // seconds; 0: no advice
-	headOnly      bool    // the client asked for a head only
-	contentLength int     // of the body that a head only response would have, or that is streamed; -1: not known
+	http10        bool    // the client speaks HTTP/1.0, which has no chunked encoding
+	retryAfter    float64 // seconds; 0: no Retry-After
+	headOnly      bool    // the request was a HEAD
+	contentLength int     // of a streamed body, or of the body that is left out of a response to HEAD; -1: unknown
 	stream        *io.PipeReader
 }
 
-// endsWithConnection reports whether the response's end is that of its connection.
+// endsWithConnection reports whether the end of the connection marks the end of the body.
 func (resp *response) endsWithConnection() bool {
 	return resp.stream != nil && resp.http10 && resp.contentLength < 0
 }
@@ -38,7 +38,7 @@
 	return resp.stream != nil && !resp.http10 && resp.contentLength < 0
 }
 
-// writeResponse writes a response to its client, who may be slow to take it, within bounds.
+// writeResponse writes a response to its client. It fails if the client does not take it within the write timeouts.
 func (c *clientConn) writeResponse(resp response, closing bool) error {
 	head := resp.appendHead(c.headBuffer[:0], closing)
 	c.headBuffer = head
@@ -49,14 +49,14 @@
 	if resp.stream == nil {
 		return http1.Write(c.conn, head, resp.body)
 	}
-	defer closeStream(resp.stream) // no effect where it was read to its end
+	defer closeStream(resp.stream) // no effect if it was read to its end
 	if err := http1.Write(c.conn, head); err != nil {
 		return err
 	}
 	return c.streamResponse(&resp)
 }
 
-// appendHead appends the head, and drops a body that the client must not get.
+// appendHead appends the response head, and drops a body that must not be sent.
 func (resp *response) appendHead(head []byte, closing bool) []byte {
 	head = http1.AppendStatus(head, resp.status)
 	head = append(head, resp.fields...)
@@ -70,20 +70,20 @@
 	return append(head, "\r\n"...)
 }
 
-// appendFraming appends what says where the body ends.
+// appendFraming appends the header field that delimits the body, if there is one.
 func (resp *response) appendFraming(head []byte) []byte {
 	switch {
 	case resp.status == http1.StatusNoContent || resp.status == http1.StatusNotModified:
-		resp.body = nil // they have none, and a length would announce one
+		resp.body = nil // these statuses have no body, and a length would announce one
 		return head
 	case resp.stream != nil && resp.contentLength >= 0:
 		return http1.AppendLength(head, resp.contentLength)
 	case resp.isChunked():
 		return http1.AppendField(head, "Transfer-Encoding", "chunked")
-	case resp.stream != nil: // up to the connection's end
+	case resp.stream != nil: // the body ends with the connection
 		return head
 	case resp.headOnly:
-		if len(resp.body) > 0 { // a response of this proxy
+		if len(resp.body) > 0 { // the response is the proxy's own
 			resp.contentLength = len(resp.body)
 		}
 		resp.body = nil
@@ -95,8 +95,9 @@
 	return http1.AppendLength(head, len(resp.body))
 }
 
-// streamResponse writes a body as it comes, at the client's pace as long as that takes something every so often. A
-// response that breaks is shown as broken: the connection ends before the body does.
+// streamResponse writes a body as it arrives, at the client's pace as long as each piece is taken within
+// streamWriteTimeout. If the server's response breaks off, the connection closes before the end of the body, so that
+// the client sees the response as incomplete.
 func (c *clientConn) streamResponse(resp *response) error {
 	var out io.Writer = c.conn
 	var chunks http1.Chunked
@@ -104,7 +105,7 @@
 		chunks = http1.Chunked{Conn: c.conn}
 		out = chunks
 	}
-	if err := c.writePiece(out, resp.body); err != nil { // what had come when it began to be streamed
+	if err := c.writePiece(out, resp.body); err != nil { // what was received before streaming began
 		return err
 	}
 	buffer := make([]byte, streamBufferBytes)
@@ -135,8 +136,8 @@
 	return err
 }
 
-// resetOnClose has a connection end with a reset: an orderly end would make the body look complete. If that can't be
-// set, the connection has ended already.
+// resetOnClose makes a connection close with a reset: an orderly close would make the body look complete. Setting it
+// fails only if the connection has already ended.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -15,7 +15,8 @@
 	"lockloom/internal/http1"
 )
 
-// A response may be larger than all memory, and slow on both sides. Its first bytes are passed on as it begins.
+// A response may be larger than the memory limit, and slow on both sides. Its first bytes are relayed as soon as they
+// arrive.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	for _, c := range []struct {
 		name, head, rest string
@@ -28,10 +29,10 @@
 		{"in chunks, a while after its head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", longBodyChunked,
 			false, 100 * time.Millisecond},
 		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", longBodyChunked, false, 0},
-		{"to its end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", longBody, true, 0},
+		{"until the connection ends", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", longBody, true, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			env := newEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1 << 20 })
+			env := newEnv(t, map[string][]string{"b1": {okResponse}}, func(cfg *BootstrapConfig) { cfg.Limits.Memory = 1 << 20 })
 			env.respondWith = func(end net.Conn) {
 				write(end, c.head)
 				time.Sleep(c.pause)
@@ -41,25 +42,25 @@
 				}
 			}
 			env.start()
-			conn, began := env.connect(), time.Now()
+			conn, startedAt := env.connect(), time.Now()
 			go write(conn, lookRequest)
 			r := http1.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
 			assert.Equal(t, 200, h.Status)
-			assert.Less(t, time.Since(began), c.pause+50*time.Millisecond, "%s: it begins with its first bytes", c.name)
+			assert.Less(t, time.Since(startedAt), c.pause+50*time.Millisecond, "%s: the first bytes are relayed at once", c.name)
 			got, err := io.ReadAll(r.StreamBody(h.Length, h.Chunked))
 			assert.NoError(t, err, c.name)
 			assert.True(t, longBody == string(got), c.name)
-			assert.Greater(t, time.Since(began), 3*time.Second, "past the deadline")
+			assert.Greater(t, time.Since(startedAt), 3*time.Second, "the response may end after the deadline")
 			conn.Close()
 			env.stopAndWait()
 		})
 	}
 }
 
-// A response that breaks before it was passed on may be replaced by another attempt's; one that breaks later is shown
-// as broken.
+// A response that breaks off before any of it was relayed may be replaced by another attempt. One that breaks off later
+// reaches the client incomplete.
 func TestBrokenLargeResponses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n"
 	for _, c := range []struct {
@@ -107,15 +108,15 @@
 		buf := make([]byte, 4096)
 		n, _ := io.ReadAtLeast(ours, buf, 100)
 		text := string(buf[:n])
-		assert.Contains(t, text, "Content-Length: 700\r\n\r\nHTTP/1.1 200", "the second answer follows the first one's head")
+		assert.Contains(t, text, "Content-Length: 700\r\n\r\nHTTP/1.1 200", "the second response follows the first head")
 		assert.True(t, strings.HasSuffix(text, "Content-Length: 4\r\n\r\n"),
-			"and is a head only, of the answer's length: %q", text)
+			"the second response is a head with the length of the body that it leaves out: %q", text)
 		ours.Close()
 		env.stopAndWait()
 	})
 }
 
-// Clients that wait for 100 Continue, clients of HTTP/1.0, and a server whose failure never ends.
+// Clients that wait for 100 Continue, clients of HTTP/1.0, and a server whose error response never ends.
 func TestContinueAndHTTP10(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
@@ -129,7 +130,7 @@
 		status, _, body, err := readResponse(ours)
 		assert.Equal(t, []any{200, "body", nil}, []any{status, body, err})
 		ours.Close()
-		old, theirs := net.Pipe() // of HTTP/1.0, without a host; its connection ends with the answer
+		old, theirs := net.Pipe() // HTTP/1.0 without Host; the connection ends with the response
 		env.operatorConns <- theirs
 		go write(old, "GET /a HTTP/1.0\r\n\r\n")
 		text, err := io.ReadAll(old)
@@ -149,13 +150,13 @@
 		}
 		assert.Equal(t, "502 forfeited", env.operatorRoundTrip(plainRequest("POST", "/a", "Content-Length: 0\r\n")))
 		synctest.Wait()
-		assert.Equal(t, 1, env.closedConns, "its connection has ended")
+		assert.Equal(t, 1, env.closedConns, "the connection to the server is closed")
 		env.stopAndWait()
 	})
 }
 
-// Large responses are streamed at the client's pace; one that breaks is shown as broken; one whose client goes ends at
-// its server too.
+// Large responses are streamed at the client's pace. If the server breaks off, the client gets an incomplete response;
+// if the client disconnects, the exchange with the server ends too.
 func TestStreamedResponses(t *testing.T) {
 	const size = 8_000_000
 	for name, c := range map[string]struct {
@@ -177,8 +178,8 @@
 			ours, theirs := net.Pipe()
 			env.operatorConns <- theirs
 			write(ours, strings.Replace(plainRequest("GET", "/a", ""), "HTTP/1.1", "HTTP/"+c.version, 1))
-			time.Sleep(3 * time.Second) // a client that does not read; the deadline is long past
-			assert.Less(t, written.Load(), int64(200_000), "%s: what the client does not take is not read", name)
+			time.Sleep(3 * time.Second) // the client does not read until long after the deadline
+			assert.Less(t, written.Load(), int64(200_000), "%s: the proxy reads no more than the client takes", name)
 			r := http1.NewReader(ours)
 			h, err := r.Response()
 			require.NoError(t, err, name)
@@ -197,7 +198,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		var written atomic.Int64
-		env.respondWith = func(end net.Conn) { writeLargeBody(end, 1<<40, true, false, &written) } // an answer without end
+		env.respondWith = func(end net.Conn) { writeLargeBody(end, 1<<40, true, false, &written) } // an endless response
 		ours, theirs := net.Pipe()
 		env.operatorConns <- theirs
 		go write(ours, plainRequest("GET", "/a", ""))
@@ -205,7 +206,7 @@
 		assert.NoError(t, err)
 		ours.Close()
 		synctest.Wait()
-		assert.Equal(t, 1, env.closedConns, "the server's connection has ended")
+		assert.Equal(t, 1, env.closedConns, "the connection to the server is closed")
 		before := written.Load()
 		time.Sleep(time.Minute)
 		assert.Equal(t, before, written.Load())
@@ -213,13 +214,14 @@
 	})
 }
 
-// Downloads that their clients take slowly are no load of their servers: others are served beside them.
+// Downloads that clients read slowly do not count toward the concurrency limit of their servers: other requests are
+// served.
 func TestStreamedResponsesAreNoLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		var written atomic.Int64
 		env.respondWith = func(end net.Conn) { writeLargeBody(end, 1<<40, false, false, &written) }
-		const downloads = 30 // a server that was never heard is given two attempts
+		const downloads = 30 // a server without any result is limited to two attempts at a time
 		var clients []net.Conn
 		for range downloads {
 			ours, theirs := net.Pipe()
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -14,28 +14,29 @@
 	"lockloom/internal/invariant"
 )
 
-// firstListTimeout is how long discovery is waited for before the proxy is ready with the list that it was started
-// with.
+// firstListTimeout is how long the proxy waits for the first list from discovery before it is ready with the list of
+// its bootstrap configuration.
 const firstListTimeout = 300 * time.Millisecond
 
-// The order of a shutdown, from the order to stop to the time when the platform kills the process.
+// The schedule of a shutdown, from the order to stop to the time when the platform kills the process.
 const (
-	maxShutdownWait     = 3 * time.Second        // of the longest deadline, that the platform waits for
-	killMargin          = 700 * time.Millisecond // from the end of that to the kill
-	acceptShutdownDelay = 500 * time.Millisecond // to the end of accepting: the load balancer in front needs 0.4 s
-	finalAcceptDuration = 20 * time.Millisecond  // then, to accept past all bounds what a closed listener would reset
-	idleCloseMargin     = 350 * time.Millisecond // before the kill: connections close when idle and with their responses
+	maxShutdownWait     = 3 * time.Second        // the platform waits for the longest deadline, up to this
+	killMargin          = 700 * time.Millisecond // from the end of that wait to the kill
+	acceptShutdownDelay = 500 * time.Millisecond // until accepting ends: the load balancer in front takes 0.4 s to notice
+	finalAcceptDuration = 20 * time.Millisecond  // of accepting past all limits then: a closed listener resets its queue
+	idleCloseMargin     = 350 * time.Millisecond // before the kill: connections close when idle or after a response
 	finalDeadlineMargin = 150 * time.Millisecond // before the kill: the deadline of every request in flight
-	connectionCutMargin = 75 * time.Millisecond  // before the kill: responses that clients have not read are cut
+	connectionCutMargin = 75 * time.Millisecond  // before the kill: connections still being written to are closed
 )
 
-// shutdownState says how far the end of the process has come. It may be used by any goroutine.
+// shutdownState is the progress of a shutdown. Any goroutine may use it.
 type shutdownState struct {
-	deadline     atomic.Pointer[time.Time] // of all requests, once the process was told to stop; nil: it was not
-	acceptEnding atomic.Bool               // accepting is about to end
+	deadline     atomic.Pointer[time.Time] // of all requests, once the process was ordered to stop; nil before
+	acceptEnding atomic.Bool               // accepting is about to end: connection limits are ignored
 }
 
-// bound returns a deadline, in seconds since 1970, or that of the shutdown if there is an earlier one.
+// bound returns the earlier one of a deadline, in seconds since 1970, and the deadline of the shutdown, if there is
+// one.
 func (s *shutdownState) bound(deadline float64, clk clock) float64 {
 	if at := s.deadline.Load(); at != nil {
 		return min(deadline, clk.stamp(*at))
@@ -44,7 +45,8 @@
 }
 
 // Serve serves the listener's connections, and those of the listeners given to Configure, until the context ends. Then
-// it answers all that it has accepted and what still comes for a short time, and returns. It closes the listeners.
+// it answers all requests that it has accepted, and those that arrive for a short time after that, and returns. It
+// closes the listeners.
 func (p *Proxy) Serve(ctx context.Context, ln net.Listener) error {
 	if err := p.openGossip(); err != nil {
 		ln.Close()
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// gossipReceived passes a peer's message on to the decisions.
+// gossipReceived passes a peer's message on to the decisions of the platform's pool.
 func (p *Proxy) gossipReceived(from int, message balance.GossipMessage) {
 	p.post(func() {
 		pool := p.pools.platform
@@ -96,7 +98,8 @@
 	})
 }
 
-// startOwner brings the owner's state up to date, then starts its goroutine.
+// startOwner initializes the owner's state from the bootstrap configuration and a predecessor's state, then starts its
+// goroutine.
 func (p *Proxy) startOwner() {
 	p.applyAdminState()
 	p.applyEndpointList(p.bootstrap.Known, true)
@@ -115,7 +118,7 @@
 	p.loop.runEvery(sweepInterval, p.updateLocalDelay)
 	p.loop.runEvery(sweepInterval, p.conns.closeExpired)
 	p.loop.runEvery(countsLogInterval, func() {
-		go p.countsLogger()() // whoever reads the log may be slow, and the owner waits for nobody
+		go p.countsLogger()() // the writer of the log may be slow, and the owner must not block
 	})
 	if p.routing.Load() != nil {
 		p.loop.runEvery(sweepInterval, p.updateFailover)
@@ -133,8 +136,8 @@
 	close(p.loop.ended)
 }
 
-// waitForFirstList makes the proxy ready once discovery has sent a list, or has taken too long. One that a process
-// before has handed over is as good.
+// waitForFirstList makes the proxy ready once discovery has sent a list or firstListTimeout is over. A list that a
+// predecessor has handed over counts as one from discovery.
 func (p *Proxy) waitForFirstList() {
 	if inherited := p.process.inheritedState; inherited == nil || !inherited.Listed {
 		select {
@@ -145,11 +148,11 @@
 	p.post(p.startedServing)
 }
 
-// acceptLoops are the goroutines that accept client connections.
+// acceptLoops tracks the goroutines that accept client connections.
 type acceptLoops struct {
 	listeners []net.Listener
-	result    chan error     // of the platform's listener
-	others    sync.WaitGroup // of the operator's
+	result    chan error     // of accepting at the platform's listener
+	others    sync.WaitGroup // the goroutines of the operator's listeners
 }
 
 func (p *Proxy) startAccepting(platform net.Listener) *acceptLoops {
@@ -158,7 +161,7 @@
 	for _, ln := range p.listeners {
 		loops.others.Go(func() {
 			if err := p.acceptConnections(ln, true); err != nil {
-				p.log.WithError(err).Error("a listener has ended")
+				p.log.WithError(err).Error("operator listener stopped accepting connections")
 			}
 		})
 	}
@@ -166,9 +169,9 @@
 }
 
 // drainClients ends accepting and waits until the clients have gone, or until shortly before the platform kills the
-// process. What remains then is cut; the function returned stops that.
+// process. A timer closes the connections that remain then; the returned function stops it.
 func (p *Proxy) drainClients(accepting *acceptLoops) (stopCut func()) {
-	// The platform waits no longer, however long a request would.
+	// The platform waits no longer than maxShutdownWait, even if a class has a longer deadline.
 	killAt := time.Now().Add(min(p.maxDeadline, maxShutdownWait) + killMargin)
 	deadline := killAt.Add(-finalDeadlineMargin)
 	p.shutdown.deadline.Store(&deadline)
@@ -182,15 +185,15 @@
 	for _, ln := range accepting.listeners {
 		ln.Close()
 	}
-	<-accepting.result //nolint:errcheck // it ends because its listener is closed
+	<-accepting.result //nolint:errcheck // the error only says that the listener is closed
 	accepting.others.Wait()
-	// Clients that are sent away early may find no other proxy.
+	// Connections are not closed earlier, since their clients may find no other proxy.
 	p.conns.waitUntilEmpty(time.Until(killAt.Add(-idleCloseMargin)))
 	cut := time.AfterFunc(time.Until(killAt.Add(-connectionCutMargin)), p.conns.closeAll)
 	return func() { cut.Stop() }
 }
 
-// finish ends the client connections, then the owner, then all else.
+// finish ends the client connections, then the owner, then everything else.
 func (p *Proxy) finish() {
 	p.beginTermination()
 	p.conns.closeUnused()
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -22,7 +22,7 @@
 	"lockloom/internal/settings"
 )
 
-// On real sockets: gathered writes, and an error that a client can still read while it sends.
+// On real sockets, writes are gathered (writev), and a client can still read an error response while it sends.
 func TestRealSockets(t *testing.T) {
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,43 +84,43 @@
 		go write(partly, smsRequest[:20])
 		synctest.Wait()
 		env.behaviors["b1"] = []string{okResponse}
-		ordered := time.Now()
+		stoppedAt := time.Now()
 		env.cancel()
 		synctest.Wait()
 		status, _, _, _ = env.roundTrip(up)
-		assert.Equal(t, 503, status, "the load balancer in front sees it")
+		assert.Equal(t, 503, status, "the readiness check fails during a shutdown")
 		time.Sleep(400 * time.Millisecond)
 		late := env.connect()
 		for _, c := range []struct {
-			on    net.Conn
-			after time.Duration // the order to stop
+			conn  net.Conn
+			after time.Duration // since the order to stop
 			close bool
 		}{{idle, 0, false}, {late, 0, false}, {idle, 1200 * time.Millisecond, false}, {late, 1500 * time.Millisecond, true}} {
-			time.Sleep(c.after - time.Since(ordered))
+			time.Sleep(c.after - time.Since(stoppedAt))
 			if c.close {
 				env.behaviors["b1"] = []string{noResponse}
 			}
-			go write(c.on, strings.Replace(smsRequest, "0.5", "1.2", 1))
-			status, h, _, err := readResponse(c.on)
+			go write(c.conn, strings.Replace(smsRequest, "0.5", "1.2", 1))
+			status, h, _, err := readResponse(c.conn)
 			assert.NoError(t, err)
 			assert.Equal(t, c.close, h.Close, c.after)
 			if !c.close { // clients keep their connections: there may be no other proxy
 				assert.Equal(t, 200, status)
 			} else {
-				assert.Equal(t, 502, status, "what it has admitted is answered before it is killed")
+				assert.Equal(t, 502, status, "a request admitted late is answered before the kill")
 			}
 		}
 		status, h, _, err := readResponse(waiting)
 		assert.NoError(t, err)
-		assert.Equal(t, 503, status, "what it had admitted is answered")
+		assert.Equal(t, 503, status, "a request admitted before the order to stop is answered")
 		assert.False(t, h.Close)
 		assert.NoError(t, <-env.serveResult)
-		assert.Less(t, time.Since(ordered), env.maxDeadline+killMargin)
+		assert.Less(t, time.Since(stoppedAt), env.maxDeadline+killMargin)
 		for _, c := range []net.Conn{idle, unused, partly} {
 			_, err = c.Read(make([]byte, 1))
 			assert.Error(t, err)
 		}
-		time.Sleep(time.Minute) // nothing of it is left running
+		time.Sleep(time.Minute) // no goroutine of the proxy may be left
 	})
 }
 
@@ -130,67 +130,67 @@
 		status, _, _, _ := env.roundTrip("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 503, status)
 		time.Sleep(firstListTimeout)
-		synctest.Wait() // what wakes at the same instant may run after this
+		synctest.Wait() // goroutines that wake at the same instant may run after this one
 		status, _, _, _ = env.roundTrip("GET /up HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 200, status)
 		env.stopAndWait()
 	})
 }
 
-// The platform waits 3 s for the longest deadline and no longer; a proxy that plans for more is killed with requests in
+// The platform waits for the longest deadline, but at most 3 s. A proxy that takes longer is killed with requests in
 // flight.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	for _, c := range []struct{ deadline, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
-			env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(l *BootstrapConfig) {
-				l.Classes[0].Deadline, l.Classes[1].Deadline, l.Classes[2].Deadline = c.deadline, 0.1, c.deadline
+			env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(cfg *BootstrapConfig) {
+				cfg.Classes[0].Deadline, cfg.Classes[1].Deadline, cfg.Classes[2].Deadline = c.deadline, 0.1, c.deadline
 			})
 			conn := env.connect()
 			go write(conn, "GET /up HTTP/1.1\r\n\r\n")
 			_, _, _, err := readResponse(conn)
 			assert.NoError(t, err)
-			waiting, harmless, over := env.connect(), env.connect(), make(chan bool, 2)
-			go write(waiting, strings.NewReplacer("t3", "t4", "In: 0.5", "In: 60").Replace(smsRequest))
-			go write(harmless, strings.Replace(lookRequest, "In: 0.5", "In: 60", 1))
+			nonIdempotent, idempotent, done := env.connect(), env.connect(), make(chan bool, 2)
+			go write(nonIdempotent, strings.NewReplacer("t3", "t4", "In: 0.5", "In: 60").Replace(smsRequest))
+			go write(idempotent, strings.Replace(lookRequest, "In: 0.5", "In: 60", 1))
 			synctest.Wait()
-			ordered := time.Now()
+			stoppedAt := time.Now()
 			env.cancel()
 			left := seconds(c.left) + killMargin
-			for i, held := range []net.Conn{waiting, harmless} { // in hand before, for as long
+			for i, client := range []net.Conn{nonIdempotent, idempotent} { // in flight when the shutdown begins
 				go func() {
-					status, h, _, err := readResponse(held)
+					status, h, _, err := readResponse(client)
 					if assert.NoError(t, err, "in flight, deadline %v", c.deadline) {
 						assert.Equal(t, 502+i, status, "in flight, deadline %v", c.deadline)
 						assert.Equal(t, i == 1, h.Get("Retry-After") != nil)
 					}
-					assert.Less(t, time.Since(ordered), left, "in flight, deadline %v", c.deadline)
-					held.Close()
-					over <- true
+					assert.Less(t, time.Since(stoppedAt), left, "in flight, deadline %v", c.deadline)
+					client.Close()
+					done <- true
 				}()
 			}
-			time.Sleep(left - idleCloseMargin - 10*time.Millisecond) // the last moment to take it
+			time.Sleep(left - idleCloseMargin - 10*time.Millisecond) // the last moment to admit a request
 			go write(conn, strings.Replace(smsRequest, "In: 0.5", "In: 60", 1))
 			status, h, _, err := readResponse(conn)
 			assert.NoError(t, err, "deadline %v", c.deadline)
-			assert.Equal(t, 502, status, "it may have run")
+			assert.Equal(t, 502, status, "a server may have run the request")
 			assert.True(t, h.Close)
-			<-over
-			<-over
+			<-done
+			<-done
 			assert.NoError(t, <-env.serveResult)
-			assert.Less(t, time.Since(ordered), left, "deadline %v", c.deadline)
+			assert.Less(t, time.Since(stoppedAt), left, "deadline %v", c.deadline)
 			conn.Close()
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-// A proxy told to stop at its bound of connections keeps to that, and connections that wait to be accepted are not
-// reset.
+// Guards against a proxy that exceeds its connection limits during a shutdown, or resets connections in the accept
+// queue.
 func TestShutdownAtConnectionBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, nil)
 		env.conns.maxServed, env.conns.maxOverflow = 2, 1
-		asks := func(n int) (all []net.Conn) {
+		sendRequests := func(n int) (all []net.Conn) {
 			for range n {
 				c := env.connect()
 				go write(c, strings.NewReplacer("t3", fmt.Sprint("t", rand.Int()), "In: 0.5", "In: 1.2").Replace(smsRequest))
@@ -199,12 +199,12 @@
 			synctest.Wait()
 			return all
 		}
-		busy := asks(2)
+		busy := sendRequests(2)
 		env.cancel()
 		synctest.Wait()
-		waiting := asks(6)
+		waiting := sendRequests(6)
 		count, _ := env.conns.counts()
-		assert.LessOrEqual(t, count, 4, "its bounds hold") // one more, see wait
+		assert.LessOrEqual(t, count, 4, "the connection limits hold") // one more than these: see waitForCapacity
 		for _, c := range append(busy, waiting...) {
 			status, _, _, err := readResponse(c)
 			if assert.NoError(t, err) {
@@ -216,8 +216,8 @@
 	})
 }
 
-// A client that sends a request just as the proxy closes its idle connection is served, or its request is never
-// forwarded and its connection not reset.
+// Guards against resets when a client sends a request just as the proxy closes its idle connection: either the request
+// is served, or it is never forwarded and its connection is not reset.
 func TestRequestDuringShutdownIsNotReset(t *testing.T) {
 	s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
 	close(s.dialGate)
@@ -233,12 +233,12 @@
 			assert.Zero(t, n)
 			assert.ErrorIs(t, err, io.EOF)
 			before := s.received.Load()
-			for range 3 { // a reset would be seen by the second
+			for range 3 { // the second write would fail after a reset
 				_, err = io.WriteString(c, longWaitRequest)
 				assert.NoError(t, err)
 				time.Sleep(5 * time.Millisecond)
 			}
-			assert.Equal(t, before, s.received.Load(), "no answer could follow it")
+			assert.Equal(t, before, s.received.Load(), "no response could be sent to a forwarded request")
 		})
 	}
 	go s.cancel()
--- a/proxy/socketenv_test.go
+++ b/proxy/socketenv_test.go
@@ -17,20 +17,20 @@
 	"lockloom/internal/http1"
 )
 
-// socketEnv is a proxy on real sockets, between its clients and two servers, which a test can hold up in places.
+// socketEnv is a proxy on real sockets, with two servers, of which a test can block the dialing and the owner.
 type socketEnv struct {
 	*Proxy
 	t              *testing.T
 	listener       net.Listener
 	mu             sync.Mutex
-	dialGate       chan struct{} // connections to servers come up once it is closed
+	dialGate       chan struct{} // connections to servers are opened once it is closed
 	respond        func(n int, end net.Conn)
-	received       atomic.Int32 // requests at servers
-	discoveryDials atomic.Int32 // for the list
+	received       atomic.Int32 // requests that servers have received
+	discoveryDials atomic.Int32 // connection attempts to discovery
 	cancel         context.CancelFunc
 }
 
-// startSocketEnv serves; respond is what a server does with the n-th request that any of them receives.
+// startSocketEnv starts the proxy. respond is what a server does with the n-th request, counted over all servers.
 func startSocketEnv(t *testing.T, respond func(n int, end net.Conn)) *socketEnv {
 	t.Helper()
 	return startSocketEnvWithSockets(t, 1024, respond)
@@ -69,9 +69,9 @@
 			return nil, ctx.Err()
 		}
 		s.mu.Lock()
-		open := s.dialGate
+		gate := s.dialGate
 		s.mu.Unlock()
-		<-open
+		<-gate
 		return dial(ctx, addr)
 	}
 	s.listener, err = net.Listen("tcp", "127.0.0.1:0")
@@ -108,20 +108,20 @@
 	return conn.(*net.TCPConn)
 }
 
-// blockOwner has the owner do nothing until the function that it returns is called.
-func (s *socketEnv) blockOwner() (letGo func()) {
-	held, on := make(chan bool), make(chan bool)
-	s.post(func() { held <- true; <-on })
-	<-held
-	return func() { close(on) }
+// blockOwner blocks the owner until the returned function is called.
+func (s *socketEnv) blockOwner() (unblock func()) {
+	blocked, release := make(chan bool), make(chan bool)
+	s.post(func() { blocked <- true; <-release })
+	<-blocked
+	return func() { close(release) }
 }
 
-// waitForAttempt waits until a client's request is sent to a server, or is to be.
+// waitForAttempt waits until the owner has started an attempt, whether or not it is sent yet.
 func (s *socketEnv) waitForAttempt() {
 	require.Eventually(s.t, func() bool {
-		in := make(chan bool, 1)
-		s.post(func() { in <- s.counters.Attempts > 0 })
-		return <-in
+		started := make(chan bool, 1)
+		s.post(func() { started <- s.counters.Attempts > 0 })
+		return <-started
 	}, 5*time.Second, time.Millisecond)
 }
 
--- a/proxy/subscription.go
+++ b/proxy/subscription.go
@@ -6,14 +6,14 @@
 	"lockloom/internal/discovery"
 )
 
-// subscription is a watch on discovery at one address. It belongs to the owner; its goroutine ends after end.
+// subscription is a watch on discovery at one address. It belongs to the owner; its goroutine ends after a call to end.
 type subscription struct {
 	addr  string
 	stop  context.CancelFunc
 	ended bool
 }
 
-// end ends a subscription, if there is one; nothing that it still receives is applied.
+// end ends a subscription; lists that it still receives are not applied. It does nothing if s is nil.
 func (s *subscription) end() {
 	if s != nil {
 		s.ended = true
@@ -21,14 +21,14 @@
 	}
 }
 
-// endSubscriptions ends all that the list is received from.
+// endSubscriptions ends the current and the pending subscription.
 func (l *endpointList) endSubscriptions() {
 	l.subscription.end()
 	l.pending.end()
 }
 
-// subscribe has the list come from discovery at this address from now on. The address may be wrong, or without an
-// answer for long, so the present subscription is held until the new one is answered.
+// subscribe switches to discovery at an address. The address may be wrong, or not answer for long, so the current
+// subscription is kept until the new one is answered.
 func (p *Proxy) subscribe(addr string) {
 	list := &p.endpoints
 	if list.pending != nil && list.pending.addr == addr {
@@ -55,7 +55,7 @@
 	go watch.Run(ctx)
 }
 
-// activate replaces the present subscription by the pending one, which was answered.
+// activate replaces the current subscription with the pending one, which was answered.
 func (l *endpointList) activate(sub *subscription) {
 	if sub == l.pending {
 		l.subscription.end()
@@ -63,7 +63,7 @@
 	}
 }
 
-// listReceived applies what a subscription has received.
+// listReceived applies a list that a subscription has received.
 func (p *Proxy) listReceived(sub *subscription, update List) {
 	if !sub.ended {
 		p.applyEndpointList(update, false)
