--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -18,7 +18,7 @@
 // attempt is the sending of a request to one server. It belongs to the owner, its exchange to the upstream pool.
 type attempt struct {
 	number   int
-	server   string // its name
+	server   string // name of the server
 	exchange upstream.Exchange
 	sentAt   float64 // seconds since 1970, when it was handed over to be sent
 	started  bool    // it has a connection, or one is being opened for it
--- a/proxy/decide.go
+++ b/proxy/decide.go
@@ -67,7 +67,7 @@
 	p.releaseRequest(req)
 }
 
-// releaseRequest frees what a request holds once nothing more will happen to it.
+// releaseRequest frees what a request holds once its handle is done: no further call about it will be made.
 func (p *Proxy) releaseRequest(req *request) {
 	if req == nil || req.released || req.handle == nil || !req.handle.Done() {
 		return
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -59,7 +59,7 @@
 type fakeServers struct {
 	behaviors    map[string][]string // by address, or under "any": what servers do in turn; the last is repeated
 	respondWith  func(end net.Conn)  // replaces the behavior of all servers; nil: it does not
-	streamBodies bool                // bodies are read as they come, whatever their size
+	streamBodies bool                // request bodies of any size are read as a stream
 	recordHeads  bool                // received includes all header fields
 	dialDelay    time.Duration       // how long opening a connection takes
 	dialed       []string            // addresses
@@ -224,14 +224,14 @@
 	}
 }
 
-// nextBehavior returns what a server is to do now, and advances to its next behavior. If only is set, it advances only
-// from that behavior: refuseConnection is used up by opening a connection, all others by a request.
-func (env *testEnv) nextBehavior(addr string, only string) string {
+// nextBehavior returns what a server is to do now, and advances to its next behavior. If advanceFrom is set, it
+// advances only from that behavior: refuseConnection is used up by opening a connection, all others by a request.
+func (env *testEnv) nextBehavior(addr string, advanceFrom string) string {
 	if env.behaviors["any"] != nil {
 		addr = "any"
 	}
 	behaviors := env.behaviors[addr]
-	if len(behaviors) > 1 && (only == "" || behaviors[0] == only) {
+	if len(behaviors) > 1 && (advanceFrom == "" || behaviors[0] == advanceFrom) {
 		env.behaviors[addr] = behaviors[1:]
 	}
 	return behaviors[0]
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -89,7 +89,7 @@
 	listeners      []net.Listener
 	maxServerConns int // connections to servers, of all processes of this proxy together
 
-	// Owned by the owner goroutine.
+	// Used by the owner goroutine only.
 	upstream  *upstream.Pool
 	endpoints endpointList
 	requests  requestTable
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -71,23 +71,23 @@
 func TestShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, nil)
-		up := "GET /up HTTP/1.1\r\n\r\n"
+		readinessCheck := "GET /up HTTP/1.1\r\n\r\n"
 		time.Sleep(firstListTimeout)
 		synctest.Wait()
-		status, _, _, _ := env.roundTrip(up)
+		status, _, _, _ := env.roundTrip(readinessCheck)
 		assert.Equal(t, 200, status)
-		waiting, idle, unused, partly := env.connect(), env.connect(), env.connect(), env.connect()
+		waiting, idle, unused, partial := env.connect(), env.connect(), env.connect(), env.connect()
 		defer waiting.Close()
-		go write(idle, up)
+		go write(idle, readinessCheck)
 		env.readOK(idle)
 		go write(waiting, lookRequest)
-		go write(partly, smsRequest[:20])
+		go write(partial, smsRequest[:20])
 		synctest.Wait()
 		env.behaviors["b1"] = []string{okResponse}
 		stoppedAt := time.Now()
 		env.cancel()
 		synctest.Wait()
-		status, _, _, _ = env.roundTrip(up)
+		status, _, _, _ = env.roundTrip(readinessCheck)
 		assert.Equal(t, 503, status, "the readiness check fails during a shutdown")
 		time.Sleep(400 * time.Millisecond)
 		late := env.connect()
@@ -116,7 +116,7 @@
 		assert.False(t, h.Close)
 		assert.NoError(t, <-env.serveResult)
 		assert.Less(t, time.Since(stoppedAt), env.maxDeadline+killMargin)
-		for _, c := range []net.Conn{idle, unused, partly} {
+		for _, c := range []net.Conn{idle, unused, partial} {
 			_, err = c.Read(make([]byte, 1))
 			assert.Error(t, err)
 		}
@@ -221,14 +221,14 @@
 func TestRequestDuringShutdownIsNotReset(t *testing.T) {
 	s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
 	close(s.dialGate)
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 50 {
 		c := s.connect()
 		write(c, longWaitRequest)
 		status, _, _, err := readResponse(c)
 		require.NoError(t, err)
 		require.Equal(t, 200, status)
-		all.Go(func() {
+		clients.Go(func() {
 			n, err := c.Read(make([]byte, 1))
 			assert.Zero(t, n)
 			assert.ErrorIs(t, err, io.EOF)
@@ -242,5 +242,5 @@
 		})
 	}
 	go s.cancel()
-	all.Wait()
+	clients.Wait()
 }
