--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 	"lockloom/internal/http1"
 )
 
-// startServer starts an admin endpoint on loopback and returns its address and the calls that reach it.
+// startServer starts an admin endpoint on loopback and returns its address and a channel of the calls it receives.
 func startServer(t *testing.T) (addr string, calls chan Call) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,8 +40,7 @@
 	return listener.Addr().String(), calls
 }
 
-// send sends a text to an admin endpoint and returns status and body of the answer, which ends the connection; 0 and
-// nothing if there is none.
+// send sends text to an admin endpoint and returns the status and body of the response, or 0 and "" if there is none.
 func send(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -50,14 +49,14 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	_, _ = io.WriteString(conn, text) // the answer may come before all is sent
+	_, _ = io.WriteString(conn, text) // the response may arrive before all of text is sent
 	reader := http1.NewReader(conn)
 	head, err := reader.Response()
 	if err != nil {
 		return 0, ""
 	}
 	status = head.Status
-	assert.True(t, head.Close, "one call to a connection")
+	assert.True(t, head.Close, "the server must close the connection after one call")
 	content, err := reader.Body(head.Length, head.Chunked)
 	assert.NoError(t, err)
 	return status, string(content)
@@ -101,13 +100,13 @@
 		if c.call != nil {
 			assert.Equal(t, *c.call, <-calls)
 			path := strings.ReplaceAll(c.call.Path(), "%3A", ":")
-			assert.Equal(t, line, c.call.Method()+" "+path, "as the command line makes it")
+			assert.Equal(t, line, c.call.Method()+" "+path, "Method and Path must return the same request line")
 		}
 		assert.Empty(t, calls, line)
 	}
 }
 
-// Callers who send nothing, or half a call, and stay do not keep out the one who has to drain the proxy.
+// Clients that send nothing, or half a call, and stay connected must not block an operator who has to drain the proxy.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr, _ := startServer(t)
 	var silent []net.Conn
@@ -116,31 +115,31 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		if i%2 == 0 {
-			// The server may have closed the connection already: that is what this test is about.
+			// The server may have closed the connection already, as it must when there are too many.
 			_, _ = io.WriteString(conn, "PUT /-/dra")
 		}
 		silent = append(silent, conn)
 	}
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	for range 20 {
-		began := time.Now()
+		start := time.Now()
 		status, _ := send(t, addr, "PUT /-/drain HTTP/1.1\r\n\r\n")
 		assert.Equal(t, 200, status)
-		worst = max(worst, time.Since(began))
+		longest = max(longest, time.Since(start))
 	}
-	assert.Less(t, worst, time.Second)
-	t.Logf("worst answer among 200 silent callers: %v", worst)
-	ended := 0
-	for _, conn := range silent { // the first to come were the first to go
+	assert.Less(t, longest, time.Second)
+	t.Logf("longest response time with 200 silent clients: %v", longest)
+	closed := 0
+	for _, conn := range silent { // the server closes the oldest connections first
 		conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		if _, err := conn.Read(make([]byte, 1)); err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			ended++
+			closed++
 		}
 	}
-	assert.GreaterOrEqual(t, ended, 200-maxUnreadConnections)
+	assert.GreaterOrEqual(t, closed, 200-maxUnreadConnections)
 }
 
-// A call that is read is the one that Method and Path of it make, whatever bytes come.
+// For any bytes that readCall accepts, Method and Path of the call must make a request that is read as the same call.
 func FuzzRead(f *testing.F) {
 	for _, line := range []string{
 		"GET /-/ready", "PUT /-/backends/a/disable", "PUT /-/backends/%2f/enable", "PUT /-/drain",
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -7,7 +7,7 @@
 	"lockloom/internal/http1"
 )
 
-// Those of net/http would bring that package into the platform's program, which does without it.
+// Not taken from net/http: importing that package would add it to the proxy's binary, which does not use it.
 const (
 	methodGet = "GET"
 	methodPut = "PUT"
@@ -17,37 +17,37 @@
 	statusMethodNotAllowed = 405
 )
 
-// Action is what a call asks for.
+// Action is the operation that a call requests.
 type Action uint8
 
 // The actions of admin calls.
 const (
-	Ready   Action = iota // whether the process takes clients
-	Disable               // send a server nothing more
-	Enable                // send to it again
-	Drain                 // send the proxy's clients elsewhere
+	Ready   Action = iota // return whether the process accepts clients
+	Disable               // stop sending requests to a server
+	Enable                // send requests to a disabled server again
+	Drain                 // drain the proxy: its clients have to use other proxies
 	Resume                // end a drain
 )
 
 var actionNames = [...]string{"ready", "disable", "enable", "drain", "resume"}
 
-// String returns the action's name in paths, logs and on the command line.
+// String returns the action's name, as it stands in paths, in logs and on the command line.
 func (a Action) String() string { return actionNames[a] }
 
-// namesServer reports whether a call of this action is about one server.
-func (a Action) namesServer() bool { return a == Disable || a == Enable }
+// targetsServer reports whether a call of this action applies to a single server.
+func (a Action) targetsServer() bool { return a == Disable || a == Enable }
 
-// The published paths of calls: one about the proxy is pathPrefix and the action, one about a server has the server's
-// escaped id between serverPrefix and the action.
+// The published paths of calls. The path of a call that applies to the proxy is pathPrefix and the action's name; for a
+// single server it is serverPrefix, the server's escaped id, a slash and the action's name.
 const (
 	pathPrefix   = "/-/"
 	serverPrefix = "/-/backends/"
 )
 
-// Call is one admin call.
+// Call is a call to the admin endpoint.
 type Call struct {
 	Action Action
-	ID     string // of a server, for Disable and Enable
+	ID     string // id of the server, for Disable and Enable
 }
 
 // Method returns the HTTP method of the call.
@@ -60,13 +60,13 @@
 
 // Path returns the HTTP path of the call.
 func (c Call) Path() string {
-	if c.Action.namesServer() {
+	if c.Action.targetsServer() {
 		return serverPrefix + url.PathEscape(c.ID) + "/" + c.Action.String()
 	}
 	return pathPrefix + c.Action.String()
 }
 
-// readCall returns the call that a request's head makes, or an *http1.Error with the status to answer.
+// readCall returns the call that a request's head contains, or an *http1.Error with the status to respond with.
 func readCall(head *http1.Head) (Call, error) {
 	call, err := parsePath(string(head.Target))
 	if err != nil {
@@ -90,13 +90,13 @@
 			return Call{Action: action}, nil
 		}
 	}
-	rest, aboutServer := strings.CutPrefix(path, serverPrefix)
+	rest, isServerPath := strings.CutPrefix(path, serverPrefix)
 	escapedID, name, _ := strings.Cut(rest, "/")
 	action := Disable
 	if name == Enable.String() {
 		action = Enable
 	}
-	if !aboutServer || name != action.String() {
+	if !isServerPath || name != action.String() {
 		return Call{}, &http1.Error{Status: statusNotFound, Text: "no such call"}
 	}
 	id, err := url.PathUnescape(escapedID)
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,7 +9,8 @@
 	"lockloom/internal/http1"
 )
 
-// Send makes a call at an admin endpoint and returns the answer's status, 2xx if the call was carried out, and text.
+// Send sends a call to an admin endpoint and returns the status of the response, 2xx if the call was carried out, and
+// its text. The timeout applies to connecting and, anew, to the request and its response.
 func Send(addr string, call Call, timeout time.Duration) (status int, text string, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -25,7 +26,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	status = head.Status // the head is the reader's, and the body's bytes may come to stand in its place
+	status = head.Status // copied, because the head is valid only until the next read
 	body, err := reader.Body(head.Length, head.Chunked)
 	return status, strings.TrimSpace(string(body)), err
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,3 +1,3 @@
-// Package admin is the admin endpoint, an address for operators alone: HTTP requests to calls and answers back, as a
-// server and as a client. What a call does is decided by the server's owner.
+// Package admin implements the admin endpoint, an HTTP endpoint for operators only: Server parses requests into calls
+// and sends their responses, and Send is the client. What a call does is up to the Do function of the Server.
 package admin
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	readTimeout      = 2 * time.Second        // for a caller to send its call, from the accepting of its connection on
-	writeTimeout     = time.Second            // for it to receive its answer
-	lingerDuration   = 100 * time.Millisecond // of reading after the answer, so that a reset does not take it away
-	acceptRetryDelay = 10 * time.Millisecond  // after accepting failed, for example for lack of descriptors
+	readTimeout      = 2 * time.Second        // for a client to send its call, from when its connection is accepted
+	writeTimeout     = time.Second            // for sending the response
+	lingerDuration   = 100 * time.Millisecond // for reading after the response, so that no reset discards it
+	acceptRetryDelay = 10 * time.Millisecond  // after a failed accept, for example for lack of file descriptors
 
-	maxUnreadConnections = 32 // connections that have not sent their call; of more, the oldest is closed
-	lingerBytes          = 512
+	maxUnreadConnections = 32  // connections that have not sent their call; beyond it the oldest is closed
+	lingerBytes          = 512 // read at most after the response
 )
 
-// Server answers admin calls, one for each connection.
+// Server serves admin calls, one per connection.
 type Server struct {
-	// Do carries out a call and returns the answer's status, 2xx if it was carried out, and text. It is called from
-	// several goroutines, one for each connection, and must return at once.
+	// Do carries out a call and returns the status of the response, 2xx if the call was carried out, and its text. It is
+	// called concurrently, by one goroutine per connection, and must not block.
 	Do  func(Call) (status int, text string)
 	Log logrus.FieldLogger
 
 	mu     sync.Mutex
-	unread []net.Conn // have not sent their call, the oldest first
+	unread []net.Conn // connections that have not sent their call, oldest first
 }
 
-// Serve serves the connections of a listener until it is closed, and returns why accepting ended. It does not wait for
-// the connections that are open then; each ends within the timeouts above.
+// Serve serves the connections of a listener until the listener is closed, and returns the error that ended accepting.
+// It does not wait for open connections; each ends by its own timeouts.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -43,7 +43,7 @@
 			s.addUnread(conn)
 			go s.serve(conn)
 		case isTemporary(err):
-			s.Log.WithError(err).Error("admin endpoint: accept")
+			s.Log.WithError(err).Error("admin endpoint: accepting a connection failed")
 			time.Sleep(acceptRetryDelay)
 		default:
 			return err
@@ -51,14 +51,14 @@
 	}
 }
 
-// isTemporary reports whether accepting may succeed later.
+// isTemporary reports whether accepting may succeed later, after this error.
 func isTemporary(err error) bool {
 	var networkError net.Error
 	return errors.As(err, &networkError) && !errors.Is(err, net.ErrClosed)
 }
 
-// addUnread counts a connection among those that have not sent their call. They are bounded, and the oldest makes room,
-// so that callers who send nothing do not keep out the one who has to drain the proxy.
+// addUnread adds a connection to those that have not sent their call. Their number is bounded, and the oldest is closed
+// to make room, so that clients that send nothing do not block an operator who has to drain the proxy.
 func (s *Server) addUnread(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +77,8 @@
 	}
 }
 
-// serve reads the one call of a connection and answers it. A caller that sends nothing, or is gone, gets no answer.
+// serve reads the one call of a connection and responds to it. If the client does not send a call in time, or
+// disconnects, it sends no response.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	call, err := s.receive(conn)
@@ -88,10 +89,10 @@
 		if call.Action != Ready {
 			s.log(conn, call, status, text)
 		}
-		answer(conn, status, text)
+		respond(conn, status, text)
 	case errors.As(err, &requestError):
 		s.log(conn, call, requestError.Status, requestError.Text)
-		answer(conn, requestError.Status, requestError.Text)
+		respond(conn, requestError.Status, requestError.Text)
 	}
 }
 
@@ -115,7 +116,7 @@
 	}).Info("admin call")
 }
 
-func answer(conn net.Conn, status int, text string) {
+func respond(conn net.Conn, status int, text string) {
 	response := http1.AppendStatus(make([]byte, 0, 256), status)
 	response = http1.AppendField(response, "Content-Type", "text/plain")
 	response = http1.AppendLength(response, len(text)+len("\n"))
@@ -129,8 +130,8 @@
 	}
 }
 
-// linger ends the answer and reads what the caller still sends: closing a connection with unread bytes resets it, and
-// the caller could lose the answer. Its errors say that the caller is gone, and nothing is left to do.
+// linger half-closes the connection after the response and reads what the client still sends: closing a connection with
+// unread bytes resets it, and the client could lose the response. Errors are ignored: the client has disconnected.
 func linger(conn net.Conn) {
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/internal/hotrestart/client.go
+++ b/internal/hotrestart/client.go
@@ -11,13 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-const handshakeTimeout = 1500 * time.Millisecond // for connecting, and for all that passes before the link
+const handshakeTimeout = 1500 * time.Millisecond // for connecting, and again for the rest of the handshake
 
-// ErrNoPredecessor is returned by TakeOver where no process of this proxy offers anything.
-var ErrNoPredecessor = errors.New("no process of this proxy serves")
+// ErrNoPredecessor is returned by TakeOver if no process of this proxy offers a handover.
+var ErrNoPredecessor = errors.New("no process of this proxy offers a handover")
 
-// TakeOver takes over from the process that offers at a path: its state, its listening sockets and a link to it. It
-// returns ErrNoPredecessor if there is none. Without an error the caller closes the listeners and the link.
+// TakeOver takes over from the process that offers a handover at path. It returns that process's state, its listening
+// sockets and a link to it, or ErrNoPredecessor if there is no such process. The caller must close the listeners and
+// the link.
 func TakeOver(path string, identity Identity) (*State, []net.Listener, *Link, error) {
 	if _, err := os.Lstat(path); err != nil {
 		return nil, nil, nil, ErrNoPredecessor
@@ -47,7 +48,7 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// requestState is the successor's side of the handshake.
+// requestState performs the successor's side of the handshake.
 func requestState(conn *net.UnixConn, identity Identity) (*State, []net.Listener, error) {
 	if err := sendIdentity(conn, identity); err != nil {
 		return nil, nil, err
@@ -66,7 +67,7 @@
 		return nil, nil, err
 	}
 	if len(files) != len(state.Listeners) {
-		return nil, nil, fmt.Errorf("%d listening sockets, %d of them named", len(files), len(state.Listeners))
+		return nil, nil, fmt.Errorf("received %d listening sockets for %d addresses", len(files), len(state.Listeners))
 	}
 	listeners, err := openListeners(files)
 	if err != nil {
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,8 +1,8 @@
-// Package hotrestart carries what passes between two processes of one proxy. The one that serves offers, on a Unix
-// socket, its listening sockets and what it knows; its successor takes both over before it listens. After that each
-// reports to the other, over the same connection, changes of the admin state and whether the successor serves. The
-// package decides nothing.
+// Package hotrestart hands over from one process of a proxy to the next. The serving process offers its listening
+// sockets and its state on a Unix socket; its successor takes over both before it listens. The two then keep the
+// connection: each reports changes of the admin state to the other, and the successor reports that it serves. The
+// package only transfers this data; its callers act on it.
 //
-// The form on the socket: the greeting, one line both ways, with the listening sockets (SCM_RIGHTS) beside its first
-// byte on the way to the successor; then frames, each a length of four bytes (big endian) and so many bytes of JSON.
+// Protocol: each side sends the greeting, one line, and the predecessor attaches the listening sockets (SCM_RIGHTS) to
+// the first byte of its greeting. Frames follow, each a length of four bytes (big endian) and that many bytes of JSON.
 package hotrestart
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -43,15 +43,14 @@
 	return state
 }
 
-// testEntry returns an entry of an endpoint list.
 func testEntry(name string, state balance.EndpointState, pod int) discovery.Entry {
 	endpoint := balance.Endpoint{State: state, Pod: pod, Cores: 2, StartedAt: 1790000000.125}
 	entry := settings.Entry{Name: name, ZoneName: "a", ModelName: "m", Endpoint: endpoint}
 	return discovery.Entry{Addr: "127.0.0.1:2", Entry: entry}
 }
 
-// The frames in testdata were written by build f83df88 from the same values. A process of that build hands over to one
-// of the present build and the other way round: each reads what the other writes.
+// Guards against a change of the frame format that breaks a hot restart between build f83df88 and the current build,
+// in either direction. Build f83df88 wrote the frames in testdata from the same values.
 func TestFramesOfF83df88(t *testing.T) {
 	state := completeState()
 	for _, c := range []struct {
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	greeting      = "lockloom hand-over\n" // before all else, both ways
-	maxFrameBytes = 8 << 20                // an endpoint list of some ten thousand servers, and their ids
+	greeting      = "lockloom hand-over\n" // the first bytes that each side sends
+	maxFrameBytes = 8 << 20                // enough for an endpoint list of about ten thousand servers and their ids
 )
 
-var errNoGreeting = errors.New("no greeting")
+var errNoGreeting = errors.New("the peer did not send the expected greeting")
 
-func writeFrame(to io.Writer, message any) error {
-	text, err := json.Marshal(message)
+func writeFrame(w io.Writer, message any) error {
+	payload, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	if len(text) > maxFrameBytes {
-		return fmt.Errorf("frame of %d bytes", len(text))
+	if len(payload) > maxFrameBytes {
+		return fmt.Errorf("frame of %d bytes exceeds the limit of %d", len(payload), maxFrameBytes)
 	}
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
-	_, err = to.Write(append(frame, text...))
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(payload)))
+	_, err = w.Write(append(frame, payload...))
 	return err
 }
 
-// readFrame reads a frame into a message. The length is only a promise: memory is allocated as bytes come.
-func readFrame(from io.Reader, message any) error {
+// readFrame decodes a frame into message. It does not trust the length: memory is allocated as the bytes arrive.
+func readFrame(r io.Reader, message any) error {
 	var length [4]byte
-	if _, err := io.ReadFull(from, length[:]); err != nil {
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return err
 	}
 	size := int64(binary.BigEndian.Uint32(length[:]))
 	if size > maxFrameBytes {
-		return fmt.Errorf("frame of %d bytes", size)
+		return fmt.Errorf("frame of %d bytes exceeds the limit of %d", size, maxFrameBytes)
 	}
-	var text bytes.Buffer
-	if _, err := io.CopyN(&text, from, size); err != nil {
-		return fmt.Errorf("frame cut after %d of %d bytes: %w", text.Len(), size, err)
+	var payload bytes.Buffer
+	if _, err := io.CopyN(&payload, r, size); err != nil {
+		return fmt.Errorf("frame truncated after %d of %d bytes: %w", payload.Len(), size, err)
 	}
-	return json.Unmarshal(text.Bytes(), message)
+	return json.Unmarshal(payload.Bytes(), message)
 }
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A frame is read before its sender is known to be a process of this proxy, so any bytes must be survived.
+// Frames are read before the peer's identity is checked, so readFrame must not panic on any bytes, and a state that it
+// accepts must be the same after it is written and read again.
 func FuzzFrame(f *testing.F) {
 	var written bytes.Buffer
 	require.NoError(f, writeFrame(&written, testState()))
@@ -26,6 +27,6 @@
 		var again State
 		assert.NoError(t, readFrame(&first, &again))
 		assert.NoError(t, writeFrame(&second, again))
-		assert.Equal(t, want, second.Bytes(), "nothing is lost on the way")
+		assert.Equal(t, want, second.Bytes(), "the state changed when it was written and read again")
 	})
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -55,20 +55,20 @@
 	want.Identity = testIdentity
 	assert.Equal(t, &want, state)
 
-	checkOneQueue(t, predecessor, listeners[0])
+	checkSharedAcceptQueue(t, predecessor, listeners[0])
 	checkUpdates(t, <-links, link, state)
 
 	server.Close()
 	_, _, _, err = TakeOver(path, testIdentity)
-	assert.ErrorIs(t, err, ErrNoPredecessor, "the socket that was left in the directory is no process")
+	assert.ErrorIs(t, err, ErrNoPredecessor, "a socket file that no process listens at")
 	server, err = Serve(path, testIdentity, offer, func(*Link, error) {})
-	require.NoError(t, err, "and is replaced")
+	require.NoError(t, err, "Serve replaces the socket file")
 	server.Close()
 }
 
-// checkOneQueue checks that what connects while nobody accepts, or before the predecessor closes, is the successor's to
-// accept, since both listeners have one queue. It closes both.
-func checkOneQueue(t *testing.T, predecessor, successor net.Listener) {
+// checkSharedAcceptQueue checks that both listeners share one accept queue: the successor accepts a connection that was
+// made before the predecessor closed its listener, and that the predecessor did not accept. It closes both listeners.
+func checkSharedAcceptQueue(t *testing.T, predecessor, successor net.Listener) {
 	t.Helper()
 	client, err := net.Dial("tcp", predecessor.Addr().String())
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 	successor.Close()
 }
 
-// checkUpdates checks that a link carries updates until it is closed, and closes it.
+// checkUpdates checks that a link carries updates until it is closed. It closes both ends.
 func checkUpdates(t *testing.T, predecessor, successor *Link, state *State) {
 	t.Helper()
 	updates := make(chan Update, 10)
@@ -99,50 +99,51 @@
 	successor.Close()
 }
 
-// Whatever is found in the directory, TakeOver soon returns an error, and the new process starts afresh.
+// Guards against a new process that cannot start because of what is at the path of the socket: TakeOver must return an
+// error within seconds, so that the process starts without a predecessor.
 func TestTakeOverErrors(t *testing.T) {
 	frame := func(text string) string {
 		return string(binary.BigEndian.AppendUint32(nil, uint32(len(text)))) + text
 	}
-	const own = `{"Format":1,"Name":"n0","Listen":"127.0.0.1:1",`
+	const ownIdentity = `{"Format":1,"Name":"n0","Listen":"127.0.0.1:1",`
 	for _, c := range []struct{ name, sent, err string }{
-		{"silent", "", "i/o timeout"},
-		{"another protocol", "HTTP/1.1 400 Bad Request\r\n\r\n", "no greeting"},
-		{"cut in the greeting", greeting[:4] + "\x00", "i/o timeout"},
-		{"no JSON", greeting + frame("x"), "invalid character"},
-		{"cut in a frame", greeting + frame("{}")[:5], "i/o timeout"},
-		{"a frame without end", greeting + "\xff\xff\xff\xff", "frame of 4294967295 bytes"},
-		{"another format", greeting + frame(`{"Format":2}`), "format 2, not 1"},
+		{"nothing sent", "", "i/o timeout"},
+		{"another protocol", "HTTP/1.1 400 Bad Request\r\n\r\n", "did not send the expected greeting"},
+		{"truncated greeting", greeting[:4] + "\x00", "i/o timeout"},
+		{"invalid JSON", greeting + frame("x"), "invalid character"},
+		{"truncated frame", greeting + frame("{}")[:5], "i/o timeout"},
+		{"oversized frame", greeting + "\xff\xff\xff\xff", "frame of 4294967295 bytes exceeds the limit of 8388608"},
+		{"another format", greeting + frame(`{"Format":2}`), "frame format 2, expected 1"},
 		{
 			"another proxy", greeting + frame(`{"Format":1,"Name":"n1","Listen":"127.0.0.1:1"}`),
-			`it is proxy "n1"`,
+			`belongs to proxy "n1" at 127.0.0.1:1`,
 		},
 		{
-			"sockets named but not sent", greeting + frame(own+`"Listeners":["x"]}`),
-			"0 listening sockets, 1 of them named",
+			"addresses without sockets", greeting + frame(ownIdentity+`"Listeners":["x"]}`),
+			"received 0 listening sockets for 1 addresses",
 		},
 		{
-			"a list that cannot be followed",
-			greeting + frame(own+`"List":{"version":1,"servers":[{"id":"","state":"active"}]}}`), "id: missing",
+			"invalid endpoint list",
+			greeting + frame(ownIdentity+`"List":{"version":1,"servers":[{"id":"","state":"active"}]}}`), "id: missing",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			path := Path(t.TempDir(), testIdentity)
 			sendOnConnect(t, path, c.sent)
-			began := time.Now()
+			start := time.Now()
 			_, _, _, err := TakeOver(path, testIdentity)
 			assert.ErrorContains(t, err, c.err)
-			assert.Less(t, time.Since(began), 3*time.Second)
+			assert.Less(t, time.Since(start), 3*time.Second)
 		})
 	}
 	path := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(path, []byte("garbage"), 0o600))
 	_, _, _, err := TakeOver(path, testIdentity)
-	assert.ErrorIs(t, err, ErrNoPredecessor, "a file that is no socket")
+	assert.ErrorIs(t, err, ErrNoPredecessor, "a regular file instead of a socket")
 }
 
-// sendOnConnect listens at a path until the test ends, and sends a text to the first that connects.
+// sendOnConnect listens at a path until the test ends, and sends text to the first peer that connects.
 func sendOnConnect(t *testing.T, path, text string) {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
@@ -153,12 +154,12 @@
 		if err != nil {
 			return
 		}
-		// Some peers are rejected before they have sent all: TakeOver's error is what the test looks at.
+		// TakeOver may close the connection before all of text is sent; the test checks only TakeOver's error.
 		_, _ = io.WriteString(conn, text)
 	}()
 }
 
-// A peer that is no successor gets nothing, also in a directory whose name is longer than a Unix socket's may be.
+// Serve must send nothing to a peer that fails the handshake, also at a path that is too long for a Unix socket.
 func TestServeErrors(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	require.NoError(t, os.Mkdir(dir, 0o700))
@@ -174,9 +175,9 @@
 		link.Close()
 	}
 	for _, c := range []struct{ sent, err string }{
-		{strings.Repeat("x", 40), "no greeting"},
-		{greeting + "\x00\x00\x00\x02{}", "format 0, not 1"},
-		{greeting + "\x7f\x00\x00\x00", "frame of"},
+		{strings.Repeat("x", 40), "did not send the expected greeting"},
+		{greeting + "\x00\x00\x00\x02{}", "frame format 0, expected 1"},
+		{greeting + "\x7f\x00\x00\x00", "frame of 2130706432 bytes exceeds the limit of 8388608"},
 	} {
 		conn, err := dial(path)
 		require.NoError(t, err)
@@ -189,7 +190,7 @@
 	}
 }
 
-// An address held by a process that does not share it is waited for.
+// Listen must retry while a listener without SO_REUSEPORT holds the address.
 func TestListenWaits(t *testing.T) {
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -199,7 +200,7 @@
 	first, err := Listen(holder.Addr().String(), 5*time.Second)
 	if assert.NoError(t, err) {
 		second, err := Listen(first.Addr().String(), 0)
-		require.NoError(t, err, "and shared from then on")
+		require.NoError(t, err, "two listeners at one address")
 		second.Close()
 		first.Close()
 	}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const writeTimeout = time.Second // of one update
+const writeTimeout = time.Second // for one update
 
 // Link is the connection between two processes of one proxy. Its methods may be called concurrently, but only one
 // Receive at a time.
@@ -15,7 +15,7 @@
 	write sync.Mutex // held while a frame is written
 }
 
-// Send reports an update to the other process. It blocks for a second at most.
+// Send sends an update to the other process. It blocks for a second at most.
 func (l *Link) Send(update Update) error {
 	l.write.Lock()
 	defer l.write.Unlock()
@@ -23,9 +23,10 @@
 	return writeFrame(l.conn, update)
 }
 
-// Receive calls handle with each update of the other process until the link breaks or is closed, and returns why.
+// Receive calls handle with each update from the other process until the link fails or is closed, and returns the error
+// that ended it.
 func (l *Link) Receive(handle func(Update)) error {
-	l.conn.SetReadDeadline(time.Time{}) // that of the handshake
+	l.conn.SetReadDeadline(time.Time{}) // clears the deadline of the handshake
 	for {
 		var update Update
 		if err := readFrame(l.conn, &update); err != nil {
@@ -35,5 +36,5 @@
 	}
 }
 
-// Close ends the link, and with it Receive at both ends.
+// Close closes the link, which ends Receive at both ends.
 func (l *Link) Close() { l.conn.Close() }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -8,41 +8,41 @@
 	"lockloom/lifecycle"
 )
 
-// Format is the version of the frames; a process that speaks another is rejected.
+// Format is the version of the frame format; a peer with another version is rejected.
 const Format = 1
 
-// Identity names the proxy that a process belongs to. It is compared because two proxies may share a directory, and one
-// that took over the other's sockets would serve nobody.
+// Identity identifies the proxy that a process belongs to. Both sides compare it because two proxies may share a
+// directory, and a proxy that took over the other's sockets would serve no clients.
 type Identity struct {
 	Format int    `json:"Format"`
 	Name   string `json:"Name"`
 	Listen string `json:"Listen"` // the address of the platform listener
 }
 
-// check reports why a process of another identity is no process of this proxy.
+// check returns an error if a process with the other identity cannot be a process of this proxy.
 func (i Identity) check(other Identity) error {
 	switch {
 	case other.Format != Format:
-		return fmt.Errorf("format %d, not %d", other.Format, Format)
+		return fmt.Errorf("the peer uses frame format %d, expected %d", other.Format, Format)
 	case other != i:
-		return fmt.Errorf("it is proxy %q at %s", other.Name, other.Listen)
+		return fmt.Errorf("the peer belongs to proxy %q at %s", other.Name, other.Listen)
 	}
 	return nil
 }
 
-// State is what the process that serves hands over.
+// State is what the serving process hands over to its successor.
 type State struct {
 	Identity
-	Listeners  []string             `json:"Listeners"` // the addresses of the sockets that come with it, in their order
+	Listeners  []string             `json:"Listeners"` // addresses of the listening sockets, in the order sent
 	AdminState lifecycle.AdminState `json:"Orders"`
-	IDs        []uint64             `json:"IDs"` // the hashes of the server ids that the endpoint list ever named
+	IDs        []uint64             `json:"IDs"` // hashes of all server ids that were ever in the endpoint list
 	List       discovery.List       `json:"List"`
-	Listed     bool                 `json:"Listed"` // an endpoint list was received; without one List is empty
+	Listed     bool                 `json:"Listed"` // whether an endpoint list was received; if not, List is empty
 	Snapshot   balance.Snapshot     `json:"Learned"`
 }
 
-// Update is what one process reports to the other later.
+// Update is what one process reports to the other after the handover.
 type Update struct {
-	Serving    bool                  `json:"Serving"` // the successor takes clients
+	Serving    bool                  `json:"Serving"` // the successor accepts clients
 	AdminState *lifecycle.AdminState `json:"Orders"`  // nil: unchanged
 }
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -16,17 +16,17 @@
 	identity  Identity
 	offer     func() (State, []*net.TCPListener)
 	connected func(*Link, error)
-	ended     chan struct{} // closed once no more connection is accepted
+	ended     chan struct{} // closed when accept has returned
 }
 
-// Serve offers at a path, in the place of any process that did so before. Each process that connects is handed what
-// offer returns: the state and the listening sockets, which stay the caller's. Then connected is called with the link
-// to it, or with the reason why it got nothing. Both are called in a goroutine for each connection, which ends when
-// connected returns; whoever gets a link closes it.
+// Serve offers a handover at path, in place of any process that did so before. To each process that connects it sends
+// the state and the listening sockets that offer returns; the sockets remain the caller's to close. Then it calls
+// connected with the link to that process, which connected must close, or with the error that ended the handshake. Each
+// connection has its own goroutine, which calls both functions and ends when connected returns.
 func Serve(
 	path string, identity Identity, offer func() (State, []*net.TCPListener), connected func(*Link, error),
 ) (*Server, error) {
-	listener, err := listenInPlace(path)
+	listener, err := listenAndReplace(path)
 	if err != nil {
 		return nil, err
 	}
@@ -41,8 +41,9 @@
 	return s, nil
 }
 
-// listenInPlace listens at a path and replaces the socket there in one step, so that a successor finds either.
-func listenInPlace(path string) (*net.UnixListener, error) {
+// listenAndReplace listens at a path and replaces the socket file there atomically, so that a successor always finds
+// the old or the new one.
+func listenAndReplace(path string) (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
@@ -53,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // another process may have replaced the socket by then
+	listener.SetUnlinkOnClose(false) // another process may have replaced the socket file by the time of Close
 	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, path)); err != nil {
 		listener.Close()
 		return nil, err
@@ -82,14 +83,14 @@
 	s.connected(&Link{conn: conn}, nil)
 }
 
-// handOver is the predecessor's side of the handshake.
+// handOver performs the predecessor's side of the handshake.
 func (s *Server) handOver(conn *net.UnixConn) error {
 	if err := s.receiveIdentity(conn); err != nil {
 		return err
 	}
 	state, listeners := s.offer()
 	if len(listeners) > maxListeners {
-		return fmt.Errorf("%d listening sockets", len(listeners))
+		return fmt.Errorf("%d listening sockets exceed the limit of %d", len(listeners), maxListeners)
 	}
 	state.Identity = s.identity
 	if err := sendSockets(conn, listeners); err != nil {
@@ -98,7 +99,7 @@
 	return writeFrame(conn, state)
 }
 
-// receiveIdentity returns an error unless the peer is another process of this proxy.
+// receiveIdentity reads the peer's identity, and returns an error unless the peer is another process of this proxy.
 func (s *Server) receiveIdentity(conn *net.UnixConn) error {
 	if err := checkUser(conn); err != nil {
 		return err
@@ -120,7 +121,7 @@
 	return s.identity.check(peer)
 }
 
-// Close ends the offer; links that exist stay. A nil Server has nothing to close.
+// Close ends the offer and leaves existing links open. On a nil Server it does nothing.
 func (s *Server) Close() {
 	if s == nil {
 		return
--- a/internal/hotrestart/socketname.go
+++ b/internal/hotrestart/socketname.go
@@ -12,28 +12,28 @@
 	"lockloom/internal/settings"
 )
 
-const maxSocketNameBytes = 100 // of a Unix socket's name, less a margin
+const maxSocketNameBytes = 100 // the system's limit for the path of a Unix socket, less a margin
 
-// Path returns the name of the Unix socket at which a proxy's processes meet in a directory.
+// Path returns the path of the Unix socket in dir at which a process of the proxy offers a handover.
 func Path(dir string, identity Identity) string {
 	hash := settings.NameHash(identity.Name + " " + identity.Listen)
 	return filepath.Join(dir, fmt.Sprintf("lockloom-%016x", hash))
 }
 
-// shortName returns a name for the same file that is short enough for a Unix socket, and a function that releases it.
+// shortName returns a path of the same file that is short enough for a Unix socket, valid until release is called.
 func shortName(path string) (name string, release func()) {
 	if len(path) <= maxSocketNameBytes {
 		return path, func() {}
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return path, func() {} // whoever uses the name reports what is wrong with it
+		return path, func() {} // using the path fails with the same error
 	}
 	name = fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
 	return name, func() { closeUnused(dir) }
 }
 
-// checkUser rejects a peer that runs as another user: the directory may be open to all.
+// checkUser returns an error if the peer runs as another user: all users may have access to the directory.
 func checkUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -51,10 +51,11 @@
 		return optionErr
 	}
 	if int(peer.Uid) != os.Geteuid() {
-		return fmt.Errorf("the other process runs as user %d", peer.Uid)
+		return fmt.Errorf("the peer runs as another user, with uid %d", peer.Uid)
 	}
 	return nil
 }
 
-// closeUnused closes what nothing was written to, or what was given up: nobody can act on an error.
+// closeUnused closes c and ignores the error: nothing was written to c, or the handshake failed, so the error does not
+// matter.
 func closeUnused(c io.Closer) { _ = c.Close() }
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxListeners    = 16 // listening sockets that pass in one hot restart
-	descriptorBytes = 4  // of one descriptor in a control message
+	maxListeners    = 16 // maximum number of listening sockets in one handover
+	descriptorBytes = 4  // size of a descriptor in a control message
 )
 
-// sendSockets writes the greeting with the listening sockets beside its first byte.
+// sendSockets writes the greeting with the listening sockets attached to its first byte.
 func sendSockets(conn *net.UnixConn, listeners []*net.TCPListener) error {
 	return withDescriptors(listeners, nil, func(descriptors []int) error {
 		var control []byte
@@ -29,9 +29,9 @@
 	})
 }
 
-// withDescriptors calls use with the descriptors so far and those of the listeners, inside a Control call of each, so
-// that none can be closed, and its number be another file's, meanwhile. It does not use TCPListener.File, which
-// switches a socket that both processes accept from to blocking mode.
+// withDescriptors calls use with the given descriptors and those of the listeners. It nests a Control call of each
+// listener, so that no descriptor can be closed, and its number reused for another file, meanwhile. It does not
+// use TCPListener.File, which would switch the socket to blocking mode while both processes accept from it.
 func withDescriptors(listeners []*net.TCPListener, descriptors []int, use func([]int) error) error {
 	if len(listeners) == 0 {
 		return use(descriptors)
@@ -47,13 +47,13 @@
 	return errors.Join(err, useErr)
 }
 
-// receiveSockets reads the greeting and the sockets that come with it. The caller closes the files, also after an
+// receiveSockets reads the greeting and the sockets attached to it. The caller must close the files, even after an
 // error.
 func receiveSockets(conn *net.UnixConn) (files []*os.File, err error) {
 	text := make([]byte, len(greeting))
 	control := make([]byte, unix.CmsgSpace(descriptorBytes*maxListeners))
-	for have := 0; have < len(text); {
-		n, controlBytes, flags, _, err := conn.ReadMsgUnix(text[have:], control)
+	for offset := 0; offset < len(text); {
+		n, controlBytes, flags, _, err := conn.ReadMsgUnix(text[offset:], control)
 		received, controlErr := parseSockets(control[:controlBytes])
 		files = append(files, received...)
 		switch {
@@ -64,9 +64,9 @@
 		case n == 0:
 			return files, io.ErrUnexpectedEOF
 		case flags&unix.MSG_CTRUNC != 0:
-			return files, errors.New("too many listening sockets")
+			return files, errors.New("control message truncated: too many listening sockets")
 		}
-		have += n
+		offset += n
 	}
 	if string(text) != greeting {
 		return files, errNoGreeting
@@ -74,7 +74,7 @@
 	return files, nil
 }
 
-// parseSockets returns the files that came in control messages.
+// parseSockets returns the files whose descriptors the control messages contain.
 func parseSockets(control []byte) ([]*os.File, error) {
 	if len(control) == 0 {
 		return nil, nil
@@ -87,7 +87,7 @@
 	for i := range messages {
 		descriptors, err := unix.ParseUnixRights(&messages[i])
 		if err != nil {
-			continue // another kind of message
+			continue // a control message of another type
 		}
 		for _, fd := range descriptors {
 			unix.CloseOnExec(fd)
@@ -97,7 +97,7 @@
 	return files, nil
 }
 
-// openListeners makes a listener of each file; the files stay the caller's to close.
+// openListeners returns a listener for each file. The caller must still close the files.
 func openListeners(files []*os.File) ([]net.Listener, error) {
 	var listeners []net.Listener
 	for _, file := range files {
