--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
-// Package bootstrap reads what the platform gives a proxy at its start: variables of the environment and the launch
-// file that they name. Both forms are published.
+// Package bootstrap reads the configuration that the platform gives a proxy at its start: environment variables, and
+// the launch file that one of them names. Both formats are published.
 package bootstrap
 
 import (
@@ -11,33 +11,33 @@
 	"lockloom/internal/settings"
 )
 
-// Config is what a proxy gets at its start.
+// Config is the configuration of a proxy at its start.
 type Config struct {
 	Name          string
 	Listen        string // the address of the platform listener
 	Discovery     string // the address of the discovery service
-	AdminAddress  string // of the admin endpoint; empty: none
-	HotRestartDir string // where the next process of this proxy finds this one; empty: nowhere
+	AdminAddress  string // the address of the admin endpoint; empty: none
+	HotRestartDir string // the directory of the hot restart socket; empty: no hot restarts
 	settings.Settings
-	Known  discovery.List // the endpoint list at the writing of the launch file, perhaps out of date
+	Known  discovery.List // the endpoint list when the launch file was written; may be out of date
 	Limits Limits
 	Fleet  Fleet
 }
 
-// Fleet is the addresses for gossip with the other proxies, if the fleet's proxies send any.
+// Fleet holds the addresses for gossip between the proxies of a fleet. It is empty if they send no gossip.
 type Fleet struct {
-	Listen string         `json:"Listen"`
-	Peers  map[int]string `json:"Peers"` // by number
+	Listen string         `json:"Listen"` // the address on which this proxy receives gossip
+	Peers  map[int]string `json:"Peers"`  // addresses of the other proxies, by their number
 }
 
-// Limits are those of the proxy's machine.
+// Limits are the limits of the proxy's machine.
 type Limits struct {
 	Cores   float64
 	Memory  int64 // bytes
 	Sockets int   // file descriptors
 }
 
-// The variables of the environment; the last two are optional.
+// The environment variables; varAdmin and varHotRestart are optional.
 const (
 	varName       = "ROUTER_NAME"
 	varListen     = "ROUTER_LISTEN"
@@ -47,7 +47,8 @@
 	varHotRestart = "TMPDIR"
 )
 
-// Read reads the variables, by getenv, and the launch file that they name. An error names what is missing or unusable.
+// Read reads the environment variables, using getenv, and the launch file. An error names the variable or the setting
+// that is missing or invalid.
 func Read(getenv func(string) string) (Config, error) {
 	if err := checkVariables(getenv); err != nil {
 		return Config{}, err
@@ -75,7 +76,7 @@
 	return config, nil
 }
 
-// checkVariables checks the variables that must be set.
+// checkVariables checks the required environment variables.
 func checkVariables(getenv func(string) string) error {
 	for _, name := range []string{varName, varListen, varDiscovery, varFile} {
 		if getenv(name) == "" {
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -98,7 +98,7 @@
 	require.NoError(t, os.WriteFile(path, []byte(withoutDiscovery), 0o600))
 	config, err = Read(getenv)
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8", config.Discovery, "the variable's, where the file has none")
+	assert.Equal(t, "127.0.0.1:8", config.Discovery, "the variable applies if the file has no discovery address")
 	for name := range variables {
 		_, err := Read(getenvWith(name, ""))
 		assert.EqualError(t, err, name+": missing")
@@ -129,7 +129,7 @@
 	for _, field := range []string{`"outstanding"`, `"utilization"`} {
 		config, err = Parse([]byte(strings.Replace(sidecar, field, `"backlog"`, 1)))
 		require.NoError(t, err)
-		assert.False(t, config.HealthChecks, "a health check has a cost, and without both fields it would not help")
+		assert.False(t, config.HealthChecks, "health checks are off unless both fields are reported")
 	}
 	replacer := strings.NewReplacer(`"mesh"`, `"proxy"`, `"Ceilings"`, `"Rules":{"GoneIsAdvice":true},"Ceilings"`)
 	config, err = Parse([]byte(replacer.Replace(sidecar)))
@@ -137,21 +137,22 @@
 	assert.True(t, config.Gossip && config.HealthChecks && config.RemovalIsAdvisory && !config.Sidecar)
 }
 
-// Settings that contradict one another, or that this program does not support, are rejected by their key.
+// Settings that contradict one another, or that this program does not support, are rejected with an error that names
+// the key.
 func TestSettingsErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, err string }{
-		{`"PeerMessages":true`, `"PeerMessages":false`, "Ceilings.PeerMessages: not true, but there are peers"},
+		{`"PeerMessages":true`, `"PeerMessages":false`, "Ceilings.PeerMessages: not true, but peers are listed"},
 		{`"PeerMessages":true,`, `"PeerMessages":3,`, "Ceilings.PeerMessages: not true or false"},
-		{`"on_probe"`, `"inline"`, "Feedback.Via: inline, but KindOfService is mesh"},
-		{`"WarmKeys":false`, `"WarmKeys":true`, "FamilyInfo.WarmKeys: true, but KindOfService is mesh"},
+		{`"on_probe"`, `"inline"`, "Feedback.Via: inline is not supported if KindOfService is mesh"},
+		{`"WarmKeys":false`, `"WarmKeys":true`, "FamilyInfo.WarmKeys: true is not supported if KindOfService is mesh"},
 		{`"Zone":"south"`, `"Zone":"west"`, `Zone: not among Zones: "west"`},
 		{`"StreamsPerConn":1`, `"StreamsPerConn":100`, "Ceilings.StreamsPerConn: 100: this program"},
-		{`"StreamsPerConn":1`, `"StreamsPerConn":0`, "Ceilings.StreamsPerConn: under 1"},
-		{`"127.0.0.1:7100"`, `""`, "peers.listen is no address"},
-		{`"127.0.0.1:7100"`, `"localhost:7100"`, "peers.listen is no address"},
-		{`{"0":"127.0.0.1:7101"}`, `{}`, "peers.peers has none"},
+		{`"StreamsPerConn":1`, `"StreamsPerConn":0`, "Ceilings.StreamsPerConn: must be at least 1"},
+		{`"127.0.0.1:7100"`, `""`, "peers.listen is not an IP address with a port"},
+		{`"127.0.0.1:7100"`, `"localhost:7100"`, "peers.listen is not an IP address with a port"},
+		{`{"0":"127.0.0.1:7101"}`, `{}`, "peers.peers is empty"},
 		{`"127.0.0.1:7101"`, `"here"`, "peers.peers: 0: "},
-		{`{"0":`, `{"1":`, "peers.peers: 1: no other proxy's number of 2"},
+		{`{"0":`, `{"1":`, "peers.peers: 1: not the number of another proxy in a fleet of 2"},
 		{`"SlotNo":1`, `"SlotNo":"x"`, "SlotNo: not a number"},
 		{`"Peer":0.01`, `"Peer":"x"`, "Tariffs.Peer: not a number"},
 		{`"Probe":0.002`, `"Probe":"x"`, "Tariffs.Probe: not a number"},
@@ -159,7 +160,7 @@
 		{`"StreamsPerConn":1`, `"StreamsPerConn":"x"`, "Ceilings.StreamsPerConn: not a number"},
 		{`"Tariffs"`, `"Rules":{"GoneIsAdvice":"perhaps"},"Tariffs"`,
 			`Rules.GoneIsAdvice: not true or false: "perhaps"`},
-		{`"SlotNo":1`, `"SlotNo":2`, "SlotNo: 2: no number of a proxy of 2"},
+		{`"SlotNo":1`, `"SlotNo":2`, "SlotNo: 2: out of range for a fleet of 2 proxies"},
 	} {
 		_, err := Parse([]byte(strings.Replace(sidecar, c.old, c.new, 1)))
 		assert.ErrorContains(t, err, c.err, c.new)
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -7,11 +7,12 @@
 	"lockloom/internal/settings"
 )
 
-// checkSettings rejects settings that contradict one another, or ask for what this program does not do, by their key.
+// checkSettings returns an error, which names the key, if settings contradict one another or require what this program
+// does not support.
 func checkSettings(deployment settings.Settings, values map[string]string, fleet Fleet) error {
 	for _, err := range []error{
 		checkSidecar(deployment, values),
-		checkNumber(deployment),
+		checkProxyNumber(deployment),
 		checkStreams(deployment.StreamsPerConnection),
 		checkGossip(deployment, fleet),
 		checkPeers(deployment, fleet.Peers),
@@ -23,24 +24,25 @@
 	return nil
 }
 
-// checkSidecar checks what only proxies that clients share support (KindOfService other than mesh).
+// checkSidecar rejects, for a sidecar (KindOfService mesh), settings that only proxies that clients share support, and
+// a zone that is not among the settings' zones.
 func checkSidecar(deployment settings.Settings, values map[string]string) error {
 	switch {
 	case !deployment.Sidecar:
 		return nil
 	case values["Feedback.Via"] == "inline":
-		return keyError("Feedback.Via", "inline, but KindOfService is mesh")
+		return keyError("Feedback.Via", "inline is not supported if KindOfService is mesh")
 	case deployment.CacheAffinity:
-		return keyError("FamilyInfo.WarmKeys", "true, but KindOfService is mesh")
+		return keyError("FamilyInfo.WarmKeys", "true is not supported if KindOfService is mesh")
 	case deployment.Zone < 0:
 		return keyError("Zone", "not among Zones: %q", values["Zone"])
 	}
 	return nil
 }
 
-func checkNumber(deployment settings.Settings) error {
+func checkProxyNumber(deployment settings.Settings) error {
 	if deployment.Gossip && (deployment.Self < 0 || deployment.Self >= deployment.Proxies) {
-		return keyError("SlotNo", "%d: no number of a proxy of %d", deployment.Self, deployment.Proxies)
+		return keyError("SlotNo", "%d: out of range for a fleet of %d proxies", deployment.Self, deployment.Proxies)
 	}
 	return nil
 }
@@ -48,7 +50,7 @@
 func checkStreams(perConnection int) error {
 	switch {
 	case perConnection < 1:
-		return keyError("Ceilings.StreamsPerConn", "under 1")
+		return keyError("Ceilings.StreamsPerConn", "must be at least 1")
 	case perConnection > 1:
 		return keyError("Ceilings.StreamsPerConn", "%d: this program sends one request at a time on a connection",
 			perConnection)
@@ -59,16 +61,16 @@
 func checkGossip(deployment settings.Settings, fleet Fleet) error {
 	if !deployment.Gossip {
 		if fleet.Listen != "" || len(fleet.Peers) > 0 {
-			return keyError("Ceilings.PeerMessages", "not true, but there are peers")
+			return keyError("Ceilings.PeerMessages", "not true, but peers are listed")
 		}
 		return nil
 	}
-	// A host name would pass other checks of addresses, and be rejected only when the socket is opened.
+	// Not checkAddress, which accepts a host name: that would be rejected only when the socket is opened.
 	if _, err := netip.ParseAddrPort(fleet.Listen); err != nil {
-		return keyError("Ceilings.PeerMessages", "true, but peers.listen is no address: %q", fleet.Listen)
+		return keyError("Ceilings.PeerMessages", "true, but peers.listen is not an IP address with a port: %q", fleet.Listen)
 	}
 	if len(fleet.Peers) == 0 && deployment.Proxies > 1 {
-		return keyError("Ceilings.PeerMessages", "true, but peers.peers has none")
+		return keyError("Ceilings.PeerMessages", "true, but peers.peers is empty")
 	}
 	return nil
 }
@@ -79,13 +81,13 @@
 			return fmt.Errorf("peers.peers: %d: %w", number, err)
 		}
 		if number == deployment.Self || number < 0 || number >= deployment.Proxies {
-			return fmt.Errorf("peers.peers: %d: no other proxy's number of %d", number, deployment.Proxies)
+			return fmt.Errorf("peers.peers: %d: not the number of another proxy in a fleet of %d", number, deployment.Proxies)
 		}
 	}
 	return nil
 }
 
-// keyError says what is wrong with a setting, after its published key.
+// keyError returns an error about a setting, whose text starts with the setting's published key.
 func keyError(key, format string, args ...any) error {
 	return fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
 }
--- a/internal/bootstrap/file.go
+++ b/internal/bootstrap/file.go
@@ -14,7 +14,7 @@
 
 const bytesPerMebibyte = 1 << 20
 
-// launchFile is the launch file in its published form.
+// launchFile is the published form of the launch file.
 type launchFile struct {
 	Seed      string          `json:"Seed"` // hexadecimal
 	Discovery string          `json:"Discovery"`
@@ -31,8 +31,8 @@
 	Sockets  int     `json:"Sockets"`
 }
 
-// Parse parses a launch file. It leaves Name, Listen and HotRestartDir empty: those are in variables. The discovery
-// address is in the file if it has one, rather than in its variable: a file may be replaced while the program runs.
+// Parse parses a launch file. It leaves Name, Listen and HotRestartDir empty: they are in environment variables. If the
+// file has a discovery address, Read prefers it to the variable: a file may be replaced while the program runs.
 func Parse(text []byte) (Config, error) {
 	var file launchFile
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -67,17 +67,17 @@
 	}, nil
 }
 
-// check checks all but the settings, and returns the seed.
+// check checks the file except for its settings, and returns the seed.
 func (f *launchFile) check() (seed uint64, err error) {
 	if f.Known == nil || f.Settings == nil {
 		return 0, errors.New("known or settings: missing")
 	}
 	seed, err = strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("seed: no hex number: %q", f.Seed)
+		return 0, fmt.Errorf("seed: not a 64-bit hexadecimal number: %q", f.Seed)
 	}
 	if !(f.Limits.Cores > 0) || !(f.Limits.MemoryMB > 0) || f.Limits.Sockets <= 0 {
-		return 0, errors.New("limits: missing, or not above 0")
+		return 0, errors.New("limits: cores, memory_mb and sockets must be greater than 0")
 	}
 	if f.Discovery != "" {
 		if err := checkAddress(f.Discovery); err != nil {
@@ -92,7 +92,7 @@
 	return seed, nil
 }
 
-// flatten adds nested values by their key, in the form that settings.Read takes.
+// flatten adds a value under its key, in the form that settings.Read takes: dots join the keys of nested values.
 func flatten(values map[string]string, key string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -107,17 +107,17 @@
 	}
 }
 
-// flattenList adds the list's length, its plain values with commas between them, and its other values by their index.
+// flattenList adds the list's length, its scalar values joined by commas, and each other value under its index.
 func flattenList(values map[string]string, key string, list []any) {
-	var plain []string
+	var scalars []string
 	for i, inner := range list {
 		switch inner.(type) {
 		case map[string]any, []any:
 			flatten(values, fmt.Sprintf("%s.%d", key, i), inner)
 		default:
-			plain = append(plain, fmt.Sprint(inner))
+			scalars = append(scalars, fmt.Sprint(inner))
 		}
 	}
 	values[key+".count"] = strconv.Itoa(len(list))
-	values[key] = strings.Join(plain, ",")
+	values[key] = strings.Join(scalars, ",")
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads the platform's description of a deployment, maps its published keys to the decisions' types,
-// and gives the names in it the numbers and hashes by which the decisions know them. The simulator's wire and the proxy
-// share it, so that both read the same.
+// Package settings reads the platform's description of a deployment: it maps the published keys to the types of package
+// balance, and assigns to each name the index or hash that package balance uses for it. The simulator's wire protocol
+// and the proxy share it, so that both read a description in the same way.
 package settings
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -7,7 +7,7 @@
 	"lockloom/balance"
 )
 
-// The published fields of a load report that the decisions use.
+// The published names of the fields of a load report that package balance uses.
 const (
 	inFlightField    = "outstanding"
 	utilizationField = "utilization"
@@ -15,11 +15,11 @@
 
 const (
 	notReported    = -1
-	maxLoadReading = 1e6 // a greater number is a fault, not a load
+	maxLoadReading = 1e6 // a greater value cannot be a load, and is skipped as an error
 )
 
-// ParseLoadReport parses a load report of the form "name:value,name:value". Unknown fields, and values that are no
-// plausible numbers, are skipped; what is not reported is -1.
+// ParseLoadReport parses a load report of the form "name:value,name:value". It skips unknown fields, and values that
+// are malformed, negative or implausibly large. A field of the result that is not reported is -1.
 func ParseLoadReport(text string) balance.LoadReport {
 	report := balance.LoadReport{InFlight: notReported, Utilization: notReported}
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/settings/registry.go
+++ b/internal/settings/registry.go
@@ -6,33 +6,33 @@
 	"lockloom/balance"
 )
 
-const unknown = -1
+const unknownIndex = -1
 
-// Entry is a server with the names that an endpoint list gives it. Registry.Endpoint sets the embedded Index, NameHash,
-// Zone and Model from them.
+// Entry is an entry of an endpoint list, with names. Index, NameHash, Zone and Model are not set: Registry.Endpoint
+// derives them from the names.
 type Entry struct {
 	balance.Endpoint
 	Name, ZoneName, ModelName string
 }
 
-// Registry gives names the numbers by which the decisions know them. A server keeps its number until it is forgotten,
-// and every other name as long as the registry lives. It is not safe for concurrent use.
+// Registry assigns to names the indexes that package balance uses for them. A server keeps its index until Forget, and
+// every other name for the lifetime of the registry. It is not safe for concurrent use.
 type Registry struct {
 	classes map[string]int
 	tenants map[string]int
 	zones   map[string]int
 	models  map[string]int
-	servers serverNumbers
+	servers serverIndexes
 }
 
-// NewRegistry returns a registry in which the deployment's classes, tenants and zones have numbers in their order.
+// NewRegistry returns a registry in which the deployment's classes, tenants and zones have indexes in their order.
 func (s Settings) NewRegistry() *Registry {
 	registry := &Registry{
 		classes: map[string]int{},
 		tenants: map[string]int{},
 		zones:   map[string]int{},
 		models:  map[string]int{},
-		servers: serverNumbers{byName: map[string]int{}},
+		servers: serverIndexes{byName: map[string]int{}},
 	}
 	for i, class := range s.Classes {
 		registry.classes[class.Name] = i
@@ -46,90 +46,90 @@
 	return registry
 }
 
-// Class returns a class's number, and whether there is such a class.
+// Class returns the index of a class, and whether there is such a class.
 func (r *Registry) Class(name string) (int, bool) {
-	number, ok := r.classes[name]
-	return number, ok
+	index, ok := r.classes[name]
+	return index, ok
 }
 
-// Tenant returns a tenant's number, or -1 for one that is unknown.
-func (r *Registry) Tenant(name string) int { return numberOf(r.tenants, name) }
+// Tenant returns the index of a tenant, or -1 if the tenant is unknown.
+func (r *Registry) Tenant(name string) int { return indexOf(r.tenants, name) }
 
-// Endpoint returns an entry as the decisions take it, and numbers its server if it has no number yet.
+// Endpoint converts an entry for package balance, and assigns an index to its server if it has none yet.
 func (r *Registry) Endpoint(entry Entry) balance.Endpoint {
 	endpoint := entry.Endpoint
 	endpoint.NameHash = NameHash(entry.Name)
-	endpoint.Zone = numberOf(r.zones, entry.ZoneName)
-	endpoint.Index = r.servers.number(entry.Name)
-	endpoint.Model = assignNumber(r.models, entry.ModelName)
+	endpoint.Zone = indexOf(r.zones, entry.ZoneName)
+	endpoint.Index = r.servers.assign(entry.Name)
+	endpoint.Model = assignIndex(r.models, entry.ModelName)
 	return endpoint
 }
 
-// Forget frees a server's number for another. Without it, servers under ever new names would grow the registry, and
-// every loop over the numbers, without bound.
+// Forget frees a server's index for another server. Without it, servers under ever new names would grow the registry,
+// and every loop over the indexes, without bound.
 func (r *Registry) Forget(index int) { r.servers.forget(index) }
 
-// Size returns the number above the highest that was ever in use.
+// Size returns one more than the highest server index that was ever in use.
 func (r *Registry) Size() int { return len(r.servers.names) }
 
-// Find returns the number of a server's name, and whether it has one.
+// Find returns the index of the server with a name, and whether it has one.
 func (r *Registry) Find(name string) (int, bool) {
-	number, ok := r.servers.byName[name]
-	return number, ok
+	index, ok := r.servers.byName[name]
+	return index, ok
 }
 
-// Name returns a server's name.
+// Name returns the name of the server with an index, or an empty string if the index is free.
 func (r *Registry) Name(index int) string { return r.servers.names[index] }
 
-// serverNumbers numbers servers by name; numbers are used again.
-type serverNumbers struct {
+// serverIndexes assigns indexes to servers by name; freed indexes are reused.
+type serverIndexes struct {
 	byName map[string]int
-	names  []string // by number, empty where it is free
+	names  []string // by index, empty where the index is free
 	free   []int
 }
 
-func (s *serverNumbers) number(name string) int {
-	number, ok := s.byName[name]
+func (s *serverIndexes) assign(name string) int {
+	index, ok := s.byName[name]
 	if ok {
-		return number
+		return index
 	}
 	if count := len(s.free); count > 0 {
-		number = s.free[count-1]
+		index = s.free[count-1]
 		s.free = s.free[:count-1]
-		s.names[number] = name
+		s.names[index] = name
 	} else {
-		number = len(s.names)
+		index = len(s.names)
 		s.names = append(s.names, name)
 	}
-	s.byName[name] = number
-	return number
+	s.byName[name] = index
+	return index
 }
 
-func (s *serverNumbers) forget(number int) {
-	delete(s.byName, s.names[number])
-	s.names[number] = ""
-	s.free = append(s.free, number)
+func (s *serverIndexes) forget(index int) {
+	delete(s.byName, s.names[index])
+	s.names[index] = ""
+	s.free = append(s.free, index)
 }
 
-// numberOf returns a name's number, or -1 if it has none.
-func numberOf(numbers map[string]int, name string) int {
-	if number, ok := numbers[name]; ok {
-		return number
+// indexOf returns a name's index, or -1 if it has none.
+func indexOf(indexes map[string]int, name string) int {
+	if index, ok := indexes[name]; ok {
+		return index
 	}
-	return unknown
+	return unknownIndex
 }
 
-// assignNumber returns a name's number, the next if it has none yet.
-func assignNumber(numbers map[string]int, name string) int {
-	number, ok := numbers[name]
+// assignIndex returns a name's index, and assigns the next one if it has none yet.
+func assignIndex(indexes map[string]int, name string) int {
+	index, ok := indexes[name]
 	if !ok {
-		number = len(numbers)
-		numbers[name] = number
+		index = len(indexes)
+		indexes[name] = index
 	}
-	return number
+	return index
 }
 
-// NameHash returns the hash by which all proxies know a name or key; that of the empty name is 0.
+// NameHash returns the hash that stands for a name or key at every proxy; the hash of the empty name is 0.
 func NameHash(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,18 +8,18 @@
 	"lockloom/balance"
 )
 
-// Settings is a deployment, with what only its sockets need. Times are in seconds.
+// Settings describes a deployment, including values that only the network code needs. Times are in seconds.
 type Settings struct {
 	balance.Deployment
-	Zones                []string // numbered in this order
-	StreamsPerConnection int      // the most requests that one connection to a server carries at once
-	ConnectTimeout       float64  // a connection that is not up by then never will be; 0: unknown
-	DrainGrace           float64  // from the notification that a server drains or is gone to the last send to it
+	Zones                []string // a zone's index is its position here
+	StreamsPerConnection int      // maximum number of concurrent requests on a connection to a server
+	ConnectTimeout       float64  // an attempt to connect to a server that takes longer never succeeds; 0: unknown
+	DrainGrace           float64  // from the notification that a server drains or was removed to the last send to it
 }
 
 const millisecondsPerSecond = 1000
 
-// The words of published keys, as the decisions name them.
+// The published values of idempotency and deduplication scope.
 var (
 	idempotencies = map[string]balance.Idempotency{
 		"retryable": balance.Idempotent,
@@ -33,8 +33,8 @@
 	}
 )
 
-// Read reads settings from values by key, where a list has its length under its key and ".count". Unknown keys are
-// skipped, and a missing number is 0. An error names the first key whose value is malformed.
+// Read reads settings from values by published key. The length of a list is the value of its key with ".count"
+// appended. Unknown keys are skipped, and a missing number is 0. An error names the first key whose value is malformed.
 func Read(values map[string]string, seed uint64) (Settings, error) {
 	reader := valueReader{values: values}
 	settings := Settings{
@@ -55,7 +55,7 @@
 	return settings, reader.err
 }
 
-// readDeployment reads the keys of the decisions but for MaxRetryAfter, Classes and Tenants.
+// readDeployment reads the fields of a deployment, except for MaxRetryAfter, Classes and Tenants.
 func readDeployment(reader *valueReader, seed uint64, zones []string) balance.Deployment {
 	values := reader.values
 	return balance.Deployment{
@@ -87,8 +87,8 @@
 }
 
 // usableHealthChecks reports whether health checks return enough to be worth their cost. The number of requests in
-// flight tells how full a server is only beside the utilization of its cores: without it two cores would count as one,
-// and half of what the servers can do would be rejected.
+// flight shows the load of a server only together with the utilization of its cores: without the utilization, a server
+// with two cores would count as one with one core, and requests for half of the servers' capacity would be rejected.
 func usableHealthChecks(values map[string]string) bool {
 	fields := strings.Split(values["Feedback.Fields"], ",")
 	return values["Feedback.Via"] == "on_probe" &&
--- a/internal/settings/valuereader.go
+++ b/internal/settings/valuereader.go
@@ -35,13 +35,13 @@
 	return number
 }
 
-// seconds returns a duration that the key gives in milliseconds.
+// seconds returns, in seconds, a duration whose value is in milliseconds.
 func (r *valueReader) seconds(key string) float64 { return r.number(key) / millisecondsPerSecond }
 
-// count returns the length of a list.
+// count returns the length of the list under key.
 func (r *valueReader) count(key string) int { return int(r.number(key + ".count")) }
 
-// bool returns a truth value, or false for a missing key.
+// bool returns a boolean, or false for a missing key.
 func (r *valueReader) bool(key string) bool {
 	text, ok := r.values[key]
 	if ok && text != "true" && text != "false" && text != "1" && text != "0" {
@@ -50,7 +50,7 @@
 	return text == "true" || text == "1"
 }
 
-// choice returns what the word under a key stands for.
+// choice returns the meaning of the value under key. A value without a meaning is an error.
 func choice[T any](r *valueReader, key string, meanings map[string]T) T {
 	meaning, ok := meanings[r.values[key]]
 	if !ok {
