--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -9,13 +9,13 @@
 	"lockloom/internal/simwire"
 )
 
-// host is the simwire.Receiver of this process. It keeps the instances apart, which share nothing but the clock.
+// host is the simwire.Receiver of this process. Its instances share nothing but the clock.
 type host struct {
 	reply     *reply
-	now       float64 // s
-	batch     string  // its number
+	now       float64 // time of the batch, in seconds
+	batch     string  // number of the batch
 	instances map[int]*instance
-	selected  int // the instance that calls are for; noInstance: none
+	selected  int // number of the instance that calls apply to; noInstance: none
 }
 
 // fieldError is an error in a field of a message.
@@ -43,7 +43,7 @@
 
 func (h *host) InstanceLaunched(launched settings.Settings) error {
 	if h.selected < 0 {
-		return &fieldError{"Proxy", "no instance named"}
+		return &fieldError{"Proxy", "no instance selected"}
 	}
 	balancer, err := balance.New(launched.Deployment, h.now)
 	if err != nil {
@@ -65,15 +65,15 @@
 		return err
 	}
 	if kind == simwire.PollFailed {
-		return h.decide(in, in.balancer.PollFailed)
+		return h.callBalancer(in, in.balancer.PollFailed)
 	}
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i, e := range entries {
-		endpoints[i] = in.names.Endpoint(e)
+		endpoints[i] = in.registry.Endpoint(e)
 	}
 	full := kind != simwire.Changes
 	first := kind == simwire.CachedList
-	return h.decide(in, func(now float64) *balance.Actions {
+	return h.callBalancer(in, func(now float64) *balance.Actions {
 		return in.balancer.EndpointsUpdated(now, full, first, endpoints)
 	})
 }
@@ -85,16 +85,16 @@
 	}
 	info := r.RequestInfo
 	var ok bool
-	if info.Class, ok = in.names.Class(r.ClassName); !ok {
+	if info.Class, ok = in.registry.Class(r.ClassName); !ok {
 		return &fieldError{"Class", fmt.Sprintf("unknown: %q", r.ClassName)}
 	}
-	info.Tenant = in.names.Tenant(r.TenantName)
+	info.Tenant = in.registry.Tenant(r.TenantName)
 	info.Key = settings.NameHash(r.KeyName)
 	if in.has(r.ID) {
-		return &fieldError{"Job", fmt.Sprintf("used before: %q", r.ID)}
+		return &fieldError{"Job", fmt.Sprintf("already used by another request: %q", r.ID)}
 	}
 	info.Ref = in.add(r.ID)
-	return h.decide(in, func(now float64) *balance.Actions {
+	return h.callBalancer(in, func(now float64) *balance.Actions {
 		request, actions := in.balancer.RequestArrived(now, info)
 		in.slots[info.Ref].request = request
 		return actions
@@ -102,19 +102,19 @@
 }
 
 func (h *host) ResponseStarted(requestID string, attempt int) error {
-	return h.decideOn(requestID, func(r *balance.Request, now float64) *balance.Actions {
+	return h.callRequest(requestID, func(r *balance.Request, now float64) *balance.Actions {
 		return r.ResponseStarted(now, attempt)
 	})
 }
 
 func (h *host) AttemptEnded(a simwire.Attempt) error {
-	return h.decideOn(a.RequestID, func(r *balance.Request, now float64) *balance.Actions {
+	return h.callRequest(a.RequestID, func(r *balance.Request, now float64) *balance.Actions {
 		return r.AttemptEnded(now, a.Number, a.Outcome, a.Latency, a.Over)
 	})
 }
 
 func (h *host) ClientDisconnected(requestID string) error {
-	return h.decideOn(requestID, func(r *balance.Request, now float64) *balance.Actions {
+	return h.callRequest(requestID, func(r *balance.Request, now float64) *balance.Actions {
 		return r.ClientDisconnected(now)
 	})
 }
@@ -125,17 +125,17 @@
 		return err
 	}
 	if label == balancerTimer {
-		return h.decide(in, in.balancer.TimerFired)
+		return h.callBalancer(in, in.balancer.TimerFired)
 	}
-	ref := refOfTimer(label)
+	ref := refOfLabel(label)
 	if ref < 0 || ref >= len(in.slots) {
-		return &fieldError{"Label", fmt.Sprintf("never set: %d", label)}
+		return &fieldError{"Label", fmt.Sprintf("no timer has this label: %d", label)}
 	}
 	request := in.slots[ref].request
 	if request == nil {
 		return nil
 	}
-	return h.decide(in, request.TimerFired) // perhaps of an earlier request in the slot, which does no harm
+	return h.callBalancer(in, request.TimerFired) // a timer of an earlier request in the slot does no harm
 }
 
 func (h *host) HealthChecked(server string, ok bool, report balance.LoadReport) error {
@@ -143,11 +143,11 @@
 	if err != nil {
 		return err
 	}
-	index, known := in.names.Find(server)
+	index, known := in.registry.Find(server)
 	if !known {
 		return nil
 	}
-	return h.decide(in, func(now float64) *balance.Actions {
+	return h.callBalancer(in, func(now float64) *balance.Actions {
 		return in.balancer.HealthChecked(now, index, ok, report)
 	})
 }
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	return h.decide(in, func(now float64) *balance.Actions {
+	return h.callBalancer(in, func(now float64) *balance.Actions {
 		return in.balancer.GossipReceived(now, from, message)
 	})
 }
@@ -171,8 +171,8 @@
 	return in, nil
 }
 
-// decideOn makes one call on a request. One that has ended is unknown by now, and gets none.
-func (h *host) decideOn(requestID string, call func(*balance.Request, float64) *balance.Actions) error {
+// callRequest makes a call on a request. It ignores the call if the request is unknown, as it is once it has ended.
+func (h *host) callRequest(requestID string, call func(*balance.Request, float64) *balance.Actions) error {
 	in, err := h.instance()
 	if err != nil {
 		return err
@@ -182,17 +182,17 @@
 		return nil
 	}
 	request := in.slots[ref].request
-	err = h.decide(in, func(now float64) *balance.Actions { return call(request, now) })
+	err = h.callBalancer(in, func(now float64) *balance.Actions { return call(request, now) })
 	in.release(ref)
 	return err
 }
 
-// decide makes one call on the decisions and writes the actions that it returns. If the decisions panic, the simulator
-// is told so.
-func (h *host) decide(in *instance, call func(now float64) *balance.Actions) error {
+// callBalancer makes a call on an instance's balancer and writes the actions that it returns. If the balancer panics,
+// the simulator receives a message with the reason.
+func (h *host) callBalancer(in *instance, call func(now float64) *balance.Actions) error {
 	defer func() {
 		if failure := recover(); failure != nil {
-			h.reply.failed(h.selected, failure)
+			h.reply.reportFailure(h.selected, failure)
 		}
 	}()
 	actions := call(h.now)
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -9,21 +9,21 @@
 	"lockloom/internal/simwire"
 )
 
-// launch launches an instance with one server.
+// launch holds the messages that launch an instance with one server.
 const launch = "launch Prng=5 Profiles.count=1 Profiles.0.Name=a Profiles.0.Effect=retryable " +
 	"Profiles.0.DueTimeMs=300 Profiles.0.HardStopMs=1000 Profiles.0.Value=1 ReplicasOfMe=1 " +
 	"Ceilings.MaxLegs=3 Discovery=subscribe ObjectiveMix.Whole=1 Zones=z Zone=z New.Thing=9\n" +
 	"page List=0 NodesList=1\nentry Backend=10.0.0.1:7000 Az=z StageState=Ready Heft=1\nview Revision=1 How=C List=0\n"
 
-// play returns what a host replies to input.
-func play(in string) (string, error) {
+// runHost returns the replies of a new host to input.
+func runHost(in string) (string, error) {
 	var out strings.Builder
 	err := simwire.Read(strings.NewReader(in), newHost(&out))
 	return out.String(), err
 }
 
 func TestRequestIsAnsweredOnTheWire(t *testing.T) {
-	out, err := play("sync MomentMs=0 frame=1\ngo\nsync MomentMs=5.5 frame=2\ninstance Proxy=3\n" + launch +
+	out, err := runHost("sync MomentMs=0 frame=1\ngo\nsync MomentMs=5.5 frame=2\ninstance Proxy=3\n" + launch +
 		"order Job=j1 Class=a DeadlineMs=900\ngo\n" +
 		"sync MomentMs=20 frame=3\ninstance Proxy=3\nfinished Job=j1 Leg=0 LatencyMs=14 Status=pass " +
 		"Backend=10.0.0.1:7000 Over=1 Pressure=utilization:0.5,novel:1\nclient_left Job=j1\ngo\n" +
@@ -51,23 +51,23 @@
 		{begin + launch + "order Job=j Class=b DeadlineMs=9\n", "line 7: order: Class: unknown"},
 		{begin + launch + "order Job=j Class=a\n", "line 7: order: DeadlineMs: missing"},
 		{begin + launch + "finished Job=j Leg=0 LatencyMs=1 Status=well\n", "Status: unknown"},
-		{begin + launch + "fired Label=8\n", "Label: never set"},
+		{begin + launch + "fired Label=8\n", "Label: no timer has this label: 8"},
 		{begin + launch + "check_result Status=pass\n", "check_result: Backend: missing"},
 		{begin + launch + "peer_data Data=01\n", "peer_data: Who: missing"},
 	} {
-		_, err := play(c.in)
+		_, err := runHost(c.in)
 		assert.ErrorContains(t, err, c.want)
 	}
 }
 
-// In a fleet with gossip and health checks, what goes out is ordered on the wire, what comes in reaches the decisions,
-// and what is malformed changes nothing.
+// With gossip and health checks in use, the balancer's orders must be written, their results must reach the balancer,
+// and malformed messages must change nothing.
 func TestGossipAndHealthChecks(t *testing.T) {
 	settings := strings.Replace(launch, "ReplicasOfMe=1",
 		"ReplicasOfMe=2 SlotNo=1 KindOfService=mesh Ceilings.PeerMessages=true Ceilings.Probes=true "+
 			"Feedback.Via=on_probe Feedback.Fields=outstanding,novel,utilization "+
 			"Tariffs.Peer=0.004 Tariffs.Probe=0.004 Tariffs.Connection=0.03", 1)
-	out, err := play("sync MomentMs=0 frame=1\ninstance Proxy=1\n" + settings +
+	out, err := runHost("sync MomentMs=0 frame=1\ninstance Proxy=1\n" + settings +
 		"order Job=j1 Class=a DeadlineMs=900\ngo\n" +
 		"sync MomentMs=20 frame=2\ninstance Proxy=1\n" +
 		"finished Job=j1 Leg=0 LatencyMs=14 Status=pass Backend=10.0.0.1:7000 Over=1\n" +
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -5,41 +5,41 @@
 	"lockloom/internal/settings"
 )
 
-// balancerTimer is the label of a balancer's own timer.
+// balancerTimer is the label of the timer of an instance's balancer.
 const balancerTimer = 0
 
 // timerLabel returns the label of a request's timer.
 func timerLabel(ref int) int { return ref + 1 }
 
-// refOfTimer returns the request that a timer's label is of.
-func refOfTimer(label int) int { return label - 1 }
+// refOfLabel returns the Ref of the request that a timer label belongs to.
+func refOfLabel(label int) int { return label - 1 }
 
-// instance is one balancer, with the simulator's names of its servers and requests.
+// instance is the balancer of one simulated proxy, with the simulator's names for its servers and requests.
 type instance struct {
 	balancer *balance.Balancer
-	names    *settings.Registry
-	refs     map[string]int // requests by ID
+	registry *settings.Registry
+	refs     map[string]int // the Ref of each request, by the simulator's id
 	slots    []slot         // by the request's Ref
-	free     []int          // slots without a request
+	free     []int          // Refs of the slots without a request
 }
 
-// slot holds a request from its arrival until nothing of it is in flight.
+// slot holds a request from its arrival until the request has ended and none of its attempts is in flight.
 type slot struct {
 	id      string
 	request *balance.Request
 }
 
-func newInstance(balancer *balance.Balancer, names *settings.Registry) *instance {
-	return &instance{balancer: balancer, names: names, refs: map[string]int{}}
+func newInstance(balancer *balance.Balancer, registry *settings.Registry) *instance {
+	return &instance{balancer: balancer, registry: registry, refs: map[string]int{}}
 }
 
-// has reports whether a request is held.
+// has reports whether a request has a slot.
 func (in *instance) has(id string) bool {
 	_, ok := in.refs[id]
 	return ok
 }
 
-// add returns the Ref of a new request.
+// add gives a new request a slot and returns its Ref.
 func (in *instance) add(id string) int {
 	ref := len(in.slots)
 	if n := len(in.free); n > 0 {
@@ -53,7 +53,7 @@
 	return ref
 }
 
-// release frees a request's slot if nothing of it is in flight.
+// release frees a request's slot if the request has ended and none of its attempts is in flight.
 func (in *instance) release(ref int) {
 	s := &in.slots[ref]
 	if s.request != nil && s.request.Done() {
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink lets the simulator run the decisions: it hosts one balancer for each simulated proxy and speaks the
-// simulator's wire on standard input and output.
+// Command benchlink connects the simulator to package balance: it runs one balancer for each simulated proxy and speaks
+// the simulator's wire protocol on standard input and output.
 package main
 
 import (
--- a/cmd/benchlink/reply.go
+++ b/cmd/benchlink/reply.go
@@ -9,26 +9,26 @@
 	"lockloom/internal/simwire"
 )
 
-// noInstance is the number of no instance.
+// noInstance is used in place of an instance's number where there is none.
 const noInstance = -1
 
-// reply writes what instances order in a batch.
+// reply writes the actions of the instances in reply to a batch.
 type reply struct {
 	wire     *simwire.Writer
-	instance int // the one that was written of last in this reply
+	instance int // number of the instance of the last message in this reply
 }
 
 func newReply(out io.Writer) *reply {
 	return &reply{wire: simwire.NewWriter(out), instance: noInstance}
 }
 
-// begin begins the reply to a batch.
+// begin starts the reply to a batch.
 func (r *reply) begin() { r.instance = noInstance }
 
-// end ends the reply to a batch, and sends it.
+// end ends the reply to a batch and flushes it.
 func (r *reply) end(batch string) error { return r.wire.BatchReady(batch) }
 
-// selectInstance names an instance, unless the last lines are of it.
+// selectInstance selects the instance of the next messages, unless it is selected already.
 func (r *reply) selectInstance(number int) {
 	if r.instance != number {
 		r.wire.SelectInstance(number)
@@ -36,22 +36,22 @@
 	}
 }
 
-// failed writes that an instance's decisions have failed.
-func (r *reply) failed(number int, failure any) {
+// reportFailure writes that an instance's balancer has panicked.
+func (r *reply) reportFailure(number int, failure any) {
 	r.selectInstance(number)
 	r.wire.ReportFailure(fmt.Sprint(failure))
 }
 
-// write writes the actions that an instance orders.
+// write writes the actions of an instance.
 func (r *reply) write(number int, in *instance, now float64, actions *balance.Actions) {
 	if !isEmpty(actions) {
 		r.selectInstance(number)
 	}
-	for _, server := range actions.CloseIdle { // before attempts, which then open connections
-		r.wire.CloseIdle(in.names.Name(server))
+	for _, server := range actions.CloseIdle { // first, so that the attempts below open new connections
+		r.wire.CloseIdle(in.registry.Name(server))
 	}
 	for _, server := range actions.HealthChecks {
-		r.wire.CheckHealth(in.names.Name(server))
+		r.wire.CheckHealth(in.registry.Name(server))
 	}
 	if actions.Gossip != nil {
 		r.wire.SendGossip(actions.GossipPeer, gossip.ToHex(*actions.Gossip))
@@ -67,11 +67,11 @@
 	}
 }
 
-// writeRequest writes what is ordered for one request.
+// writeRequest writes the action for one request.
 func (r *reply) writeRequest(in *instance, now float64, action *balance.RequestAction) {
 	id := in.slots[action.Ref].id
 	if action.Send {
-		r.wire.Send(id, in.names.Name(action.Endpoint), action.Deadline)
+		r.wire.Send(id, in.registry.Name(action.Endpoint), action.Deadline)
 	}
 	if action.CancelAttempt > 0 {
 		r.wire.CancelAttempt(id, action.CancelAttempt-1)
@@ -88,7 +88,7 @@
 	}
 }
 
-// isEmpty reports whether there is nothing to do.
+// isEmpty reports whether actions contains nothing to do.
 func isEmpty(actions *balance.Actions) bool {
 	return len(actions.Requests) == 0 && len(actions.HealthChecks) == 0 && len(actions.CloseIdle) == 0 &&
 		actions.Gossip == nil && !actions.Subscribe && actions.WakeAt <= 0
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,30 +10,30 @@
 	"lockloom/internal/settings"
 )
 
-// message is one line: its name, its fields, and the first error in them.
+// message is one line of the protocol: its name, its fields, and the first error in them.
 type message struct {
-	line   int // its number, from 1
+	line   int // line number, from 1
 	name   string
-	fields string // NAME=VALUE, with a space between
+	fields string // NAME=VALUE, separated by spaces
 	err    error
 }
 
-// parseMessage splits a line.
+// parseMessage splits a line into the message's name and its fields.
 func parseMessage(line int, text string) *message {
 	m := &message{line: line}
 	m.name, m.fields, _ = strings.Cut(strings.TrimRight(text, "\r\n"), " ")
 	return m
 }
 
-// fail records an error in a field, unless there was one before.
+// fail records an error in a field, unless the message has an error already.
 func (m *message) fail(field, reason string) {
 	if m.err == nil {
 		m.err = fmt.Errorf("line %d: %s: %s: %s", m.line, m.name, field, reason)
 	}
 }
 
-// text returns a field's value and whether the field is there. A message has few fields, so that a search costs less
-// than a map.
+// text returns a field's value and whether the field is present. A message has few fields, so a linear search costs
+// less than a map.
 func (m *message) text(name string) (value string, ok bool) {
 	for rest := m.fields; rest != ""; {
 		var field string
@@ -73,13 +73,13 @@
 	return number
 }
 
-// number returns the number of a field that must be there.
+// number returns the number of a required field.
 func (m *message) number(name string) float64 {
 	m.requiredText(name)
 	return m.optionalNumber(name)
 }
 
-// integer returns the whole number of a field that must be there.
+// integer returns the integer of a required field.
 func (m *message) integer(name string) int {
 	number := m.number(name)
 	if number != math.Trunc(number) || math.Abs(number) > 1<<62 {
@@ -88,7 +88,7 @@
 	return int(number)
 }
 
-// flag returns whether a field is 1; absent is 0.
+// flag reports whether a field is 1; an absent field counts as 0.
 func (m *message) flag(name string) bool {
 	value, ok := m.text(name)
 	if ok && value != "0" && value != "1" {
@@ -97,12 +97,12 @@
 	return value == "1"
 }
 
-// loadReport returns the message's load report, the zero one if it has none.
+// loadReport returns the message's load report. Without one in the message, nothing is reported: all values are -1.
 func (m *message) loadReport() balance.LoadReport {
 	return settings.ParseLoadReport(m.optionalText("Pressure"))
 }
 
-// lookUp returns what the value of a field that must be there stands for.
+// lookUp returns the meaning of the value of a required field. A value without a meaning is an error.
 func lookUp[T any](m *message, name string, meanings map[string]T) T {
 	value := m.requiredText(name)
 	meaning, ok := meanings[value]
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -10,11 +10,11 @@
 	"lockloom/internal/settings"
 )
 
-// readBufferBytes is the size of the reader's buffer; a longer line is read all the same.
+// readBufferBytes is the size of the read buffer. Lines may be longer.
 const readBufferBytes = 1 << 20
 
-// Read makes the calls that the messages of in stand for, until in ends. It returns an error, with the line's number,
-// if a message is malformed or out of place, a call fails or in ends within a batch.
+// Read calls receiver for the messages of in until in ends. It returns an error, with the line number, if a message is
+// malformed or out of order, a call fails or in ends within a batch.
 func Read(in io.Reader, receiver Receiver) error {
 	source := bufio.NewReaderSize(in, readBufferBytes)
 	d := &decoder{receiver: receiver, lists: map[int][]settings.Entry{}}
@@ -35,22 +35,22 @@
 	}
 }
 
-// decoder turns messages into calls.
+// decoder turns messages into calls of the receiver.
 type decoder struct {
 	receiver    Receiver
 	inBatch     bool
-	lists       map[int][]settings.Entry // by number
-	list        int                      // the one that is being read
-	entriesLeft int                      // of it
+	lists       map[int][]settings.Entry // by list number
+	list        int                      // number of the list being read
+	entriesLeft int                      // entries of that list still to be read
 }
 
-// handle makes the call that a message stands for.
+// handle decodes a message and makes the call that it requests.
 func (d *decoder) handle(m *message) error {
 	if (m.name == "entry") != (d.entriesLeft > 0) {
-		return fmt.Errorf("line %d: %s: an entry is due, or none is", m.line, m.name)
+		return fmt.Errorf("line %d: %s: %d more entry messages are expected here", m.line, m.name, d.entriesLeft)
 	}
 	if (m.name == "sync") == d.inBatch {
-		return fmt.Errorf("line %d: %s: outside its place in a batch", m.line, m.name)
+		return fmt.Errorf("line %d: %s: a batch must start with a sync message and contain no other", m.line, m.name)
 	}
 	call := d.decode(m)
 	if m.err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// decode returns the call that a message stands for, nil for none, or sets the message's error.
+// decode returns the call that a message requests, or nil if it requests none. For a malformed message it sets m.err.
 func (d *decoder) decode(m *message) func() error {
 	switch m.name {
 	case "sync":
@@ -93,7 +93,7 @@
 	return d.decodeTraffic(m)
 }
 
-// decodeTraffic is decode for the messages about requests and what their instance learns meanwhile.
+// decodeTraffic is decode for the messages about requests, timers, health checks and gossip.
 func (d *decoder) decodeTraffic(m *message) func() error {
 	switch m.name {
 	case "order":
@@ -128,7 +128,7 @@
 	}
 }
 
-// beginList begins a list, whose entries follow.
+// beginList starts an endpoint list, whose entries follow as separate messages.
 func (d *decoder) beginList(m *message) {
 	d.list = m.integer("List")
 	d.entriesLeft = m.integer("NodesList")
@@ -183,7 +183,7 @@
 	return func() error { return d.receiver.AttemptEnded(a) }
 }
 
-// gossipReceived ignores a malformed gossip message: it is from a peer of another version or over a broken wire.
+// gossipReceived ignores a malformed gossip message: its sender has another version, or it was corrupted in transit.
 func (d *decoder) gossipReceived(m *message) func() error {
 	from, data := m.integer("Who"), m.requiredText("Data")
 	return func() error {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire reads and writes the simulator's wire, a text protocol with a message a line. The wire's names end
-// here: Read turns its messages into calls on a Receiver, and Writer turns calls into messages.
+// Package simwire reads and writes the simulator's wire protocol, a text protocol with one message per line. Only this
+// package uses the protocol's names: Read turns messages into calls of a Receiver, Writer turns calls into messages.
 package simwire
 
 import (
@@ -7,13 +7,15 @@
 	"lockloom/internal/settings"
 )
 
-// Receiver gets what the simulator sends, on the goroutine of Read. Times are in seconds. An error ends Read.
+// Receiver handles the simulator's messages. Its methods are called on the goroutine that called Read, which ends with
+// the first error that they return. Times are in seconds.
 type Receiver interface {
-	// BatchStarted says the time of the calls up to BatchEnded, whose reply has this number.
+	// BatchStarted starts a batch: now is the time of all calls up to BatchEnded, and number identifies the batch in the
+	// reply.
 	BatchStarted(now float64, number string)
-	// BatchEnded asks for the reply.
+	// BatchEnded ends the batch and requests the reply to it.
 	BatchEnded() error
-	// InstanceSelected says for which instance the calls below are.
+	// InstanceSelected selects the instance that the following calls apply to.
 	InstanceSelected(number int) error
 
 	InstanceLaunched(settings.Settings) error
@@ -28,30 +30,31 @@
 	GossipReceived(from int, message balance.GossipMessage) error
 }
 
-// ListKind says what an endpoint list holds.
+// ListKind is the kind of an update of the endpoint list.
 type ListKind uint8
 
-// The kinds of endpoint lists.
+// The kinds of endpoint list updates.
 const (
-	Changes    ListKind = iota // the changed entries
+	Changes    ListKind = iota // only the changed entries
 	FullList                   // all entries
 	CachedList                 // all entries, perhaps stale
-	PollFailed                 // none: polling failed
+	PollFailed                 // no entries, because polling failed
 )
 
-// Request is a request with its names; of RequestInfo, Ref, Class, Tenant and Key are not set.
+// Request is a request with the simulator's names for its class, tenant and key. Ref, Class, Tenant and Key of the
+// embedded RequestInfo are not set.
 type Request struct {
 	balance.RequestInfo
 	ID, ClassName, TenantName, KeyName string
 }
 
-// Attempt is an attempt that has ended.
+// Attempt is the result of an attempt.
 type Attempt struct {
 	RequestID string
-	Number    int // among the request's attempts, from 0
+	Number    int // index among the request's attempts, from 0
 	Outcome   balance.Outcome
 	Latency   float64 // s
-	Over      bool    // the request is over with it, or was before
+	Over      bool    // the request has ended, with this attempt or before it
 }
 
 // The published names of outcomes, endpoint states and kinds of lists.
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,30 +8,31 @@
 	"strings"
 )
 
-// writeBufferBytes is the size of the writer's buffer.
+// writeBufferBytes is the size of the write buffer.
 const writeBufferBytes = 1 << 16
 
-// Writer writes replies, a message a line. Times are in seconds. An error in writing is returned by BatchReady.
+// Writer writes replies, one message per line. Times are in seconds. BatchReady returns the first write error.
 type Writer struct{ out *bufio.Writer }
 
 // NewWriter returns a writer to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, writeBufferBytes)} }
 
-// SelectInstance says of which instance the messages below are.
+// SelectInstance selects the instance that the following messages are from.
 func (w *Writer) SelectInstance(number int) { w.message("context Proxy=", strconv.Itoa(number)) }
 
-// Send orders an attempt, which ends by a deadline. That is rounded down, so that an attempt never outlives it.
+// Send requests an attempt at a server, which ends by the deadline. The deadline is rounded down to microseconds, so
+// that an attempt never ends after it.
 func (w *Writer) Send(requestID, server string, deadline float64) {
 	deadline = math.Floor(deadline*1e6) / 1e6
 	w.message("try Job=", requestID, " Backend=", server, " NotPastMs=", milliseconds(deadline))
 }
 
-// CancelAttempt orders that the simulator stops waiting for an attempt, counted from 0.
+// CancelAttempt cancels an attempt, counted from 0: the simulator stops waiting for it.
 func (w *Writer) CancelAttempt(requestID string, attempt int) {
 	w.message("stop_attempt Job=", requestID, " Leg=", strconv.Itoa(attempt))
 }
 
-// Reject answers a request that may be retried after a time; 0: no time is named.
+// Reject rejects a request. The client may retry it after retryAfter; 0 leaves the time open.
 func (w *Writer) Reject(requestID string, retryAfter float64) {
 	if retryAfter > 0 {
 		w.message("refuse Job=", requestID, " CoolDownMs=", milliseconds(retryAfter))
@@ -40,40 +41,40 @@
 	w.message("refuse Job=", requestID)
 }
 
-// Fail answers a request of whose effect nothing is promised.
+// Fail answers a request with an error, which leaves open whether the request took effect.
 func (w *Writer) Fail(requestID string) { w.message("respond_error Job=", requestID) }
 
-// SetTimer asks for a timer, which fires with its label after a delay.
+// SetTimer requests a timer, which fires with its label after delay.
 func (w *Writer) SetTimer(delay float64, label int) {
 	w.message("wake_at AfterMs=", milliseconds(delay), " Label=", strconv.Itoa(label))
 }
 
-// Subscribe asks for the changes of the endpoint list.
+// Subscribe requests the endpoint list and its changes from now on.
 func (w *Writer) Subscribe() { w.message("keep_informed Enable=1") }
 
-// CheckHealth asks a server for its load.
+// CheckHealth requests a health check, with which a server reports its load.
 func (w *Writer) CheckHealth(server string) { w.message("inspect Backend=", server) }
 
 // CloseIdle closes the idle connections to a server.
 func (w *Writer) CloseIdle(server string) { w.message("hang_up Backend=", server) }
 
-// SendGossip sends a gossip message, in its text form, to a peer.
+// SendGossip sends a gossip message, encoded by gossip.ToHex, to a peer.
 func (w *Writer) SendGossip(peer int, text string) {
 	w.message("broadcast_to Target=", strconv.Itoa(peer), " Data=", text)
 }
 
-// ReportFailure says that the decisions have failed, and how.
+// ReportFailure reports that an instance's balancer has failed. Newlines in text become spaces.
 func (w *Writer) ReportFailure(text string) {
 	w.message("give_in Line=", strings.Join(strings.Fields(text), " "))
 }
 
-// BatchReady ends the reply to the batch of this number, and sends it.
+// BatchReady ends the reply to the batch with this number and flushes it.
 func (w *Writer) BatchReady(number string) error {
 	w.message("ready frame=", number)
 	return w.out.Flush()
 }
 
-// message writes a line. Its error is kept by the buffer and returned by its next Flush.
+// message writes a line. The buffered writer keeps a write error and returns it from the next Flush.
 func (w *Writer) message(parts ...string) {
 	for _, part := range parts {
 		_, _ = w.out.WriteString(part)
@@ -81,5 +82,5 @@
 	_ = w.out.WriteByte('\n')
 }
 
-// milliseconds formats a time with three decimals.
+// milliseconds formats a time in seconds as milliseconds with three decimals.
 func milliseconds(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
