--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -135,7 +135,8 @@
 	if request == nil {
 		return nil
 	}
-	return h.callBalancer(in, request.TimerFired) // a timer of an earlier request in the slot does no harm
+	// The timer may have been set for an earlier request in the slot. That is harmless: this request checks what is due.
+	return h.callBalancer(in, request.TimerFired)
 }
 
 func (h *host) HealthChecked(server string, ok bool, report balance.LoadReport) error {
@@ -171,7 +172,8 @@
 	return in, nil
 }
 
-// callRequest makes a call on a request. It ignores the call if the request is unknown, as it is once it has ended.
+// callRequest calls a method of a request and writes the actions that it returns. It does nothing if the request has
+// no slot any more: it has ended, and none of its attempts is in flight.
 func (h *host) callRequest(requestID string, call func(*balance.Request, float64) *balance.Actions) error {
 	in, err := h.instance()
 	if err != nil {
@@ -187,8 +189,8 @@
 	return err
 }
 
-// callBalancer makes a call on an instance's balancer and writes the actions that it returns. If the balancer panics,
-// the simulator receives a message with the reason.
+// callBalancer calls a method of an instance's balancer and writes the actions that it returns. If the balancer panics,
+// it writes a message with the reason instead.
 func (h *host) callBalancer(in *instance, call func(now float64) *balance.Actions) error {
 	defer func() {
 		if failure := recover(); failure != nil {
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// With gossip and health checks in use, the balancer's orders must be written, their results must reach the balancer,
+// With gossip and health checks in use, the balancer's actions must be written, their results must reach the balancer,
 // and malformed messages must change nothing.
 func TestGossipAndHealthChecks(t *testing.T) {
 	settings := strings.Replace(launch, "ReplicasOfMe=1",
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -5,10 +5,10 @@
 	"lockloom/internal/settings"
 )
 
-// balancerTimer is the label of the timer of an instance's balancer.
+// balancerTimer is the label of the timer of an instance's balancer. The labels of the requests' timers start at 1.
 const balancerTimer = 0
 
-// timerLabel returns the label of a request's timer.
+// timerLabel returns the label of the timer of the request with a Ref. It adds 1 because 0 is balancerTimer.
 func timerLabel(ref int) int { return ref + 1 }
 
 // refOfLabel returns the Ref of the request that a timer label belongs to.
@@ -18,7 +18,7 @@
 type instance struct {
 	balancer *balance.Balancer
 	registry *settings.Registry
-	refs     map[string]int // the Ref of each request, by the simulator's id
+	refs     map[string]int // the Ref of each request (its index in slots), by the simulator's id
 	slots    []slot         // by the request's Ref
 	free     []int          // Refs of the slots without a request
 }
--- a/cmd/benchlink/reply.go
+++ b/cmd/benchlink/reply.go
@@ -15,7 +15,7 @@
 // reply writes the actions of the instances in reply to a batch.
 type reply struct {
 	wire     *simwire.Writer
-	instance int // number of the instance of the last message in this reply
+	instance int // the instance that the simulator takes the next message to be from; noInstance: none
 }
 
 func newReply(out io.Writer) *reply {
@@ -28,7 +28,7 @@
 // end ends the reply to a batch and flushes it.
 func (r *reply) end(batch string) error { return r.wire.BatchReady(batch) }
 
-// selectInstance selects the instance of the next messages, unless it is selected already.
+// selectInstance writes which instance the next messages are from, unless the last message of this reply was from it.
 func (r *reply) selectInstance(number int) {
 	if r.instance != number {
 		r.wire.SelectInstance(number)
@@ -42,12 +42,12 @@
 	r.wire.ReportFailure(fmt.Sprint(failure))
 }
 
-// write writes the actions of an instance.
+// write writes the actions that an instance's balancer returned.
 func (r *reply) write(number int, in *instance, now float64, actions *balance.Actions) {
 	if !isEmpty(actions) {
 		r.selectInstance(number)
 	}
-	for _, server := range actions.CloseIdle { // first, so that the attempts below open new connections
+	for _, server := range actions.CloseIdle { // first, so that the attempts below do not use these connections
 		r.wire.CloseIdle(in.registry.Name(server))
 	}
 	for _, server := range actions.HealthChecks {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -49,7 +49,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	_, _ = io.WriteString(conn, text) // the response may arrive before all of text is sent
+	_, _ = io.WriteString(conn, text) // fails if the server responds and closes before it has read all
 	reader := http1.NewReader(conn)
 	head, err := reader.Response()
 	if err != nil {
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -37,17 +37,17 @@
 // targetsServer reports whether a call of this action applies to a single server.
 func (a Action) targetsServer() bool { return a == Disable || a == Enable }
 
-// The published paths of calls. The path of a call that applies to the proxy is pathPrefix and the action's name; for a
-// single server it is serverPrefix, the server's escaped id, a slash and the action's name.
+// The paths of calls, which operators' tools use. The path of a call that applies to the proxy is pathPrefix and the
+// action's name; for a single server it is serverPrefix, the server's escaped id, a slash and the action's name.
 const (
 	pathPrefix   = "/-/"
 	serverPrefix = "/-/backends/"
 )
 
-// Call is a call to the admin endpoint.
+// Call is a request to the admin endpoint, without its HTTP form: an action, and the server that the action applies to.
 type Call struct {
 	Action Action
-	ID     string // id of the server, for Disable and Enable
+	ID     string // id of the server, for Disable and Enable; otherwise empty
 }
 
 // Method returns the HTTP method of the call.
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,7 +10,7 @@
 )
 
 // Send sends a call to an admin endpoint and returns the status of the response, 2xx if the call was carried out, and
-// its text. The timeout applies to connecting and, anew, to the request and its response.
+// its text. The timeout applies to connecting, and again to the request and its response.
 func Send(addr string, call Call, timeout time.Duration) (status int, text string, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -15,10 +15,10 @@
 const (
 	readTimeout      = 2 * time.Second        // for a client to send its call, from when its connection is accepted
 	writeTimeout     = time.Second            // for sending the response
-	lingerDuration   = 100 * time.Millisecond // for reading after the response, so that no reset discards it
+	lingerDuration   = 100 * time.Millisecond // for reading after the response, so that no reset discards the response
 	acceptRetryDelay = 10 * time.Millisecond  // after a failed accept, for example for lack of file descriptors
 
-	maxUnreadConnections = 32  // connections that have not sent their call; beyond it the oldest is closed
+	maxUnreadConnections = 32  // limit of connections that have not sent their call; a further one closes the oldest
 	lingerBytes          = 512 // read at most after the response
 )
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// isTemporary reports whether accepting may succeed later, after this error.
+// isTemporary reports whether Accept may succeed when it is called again after this error.
 func isTemporary(err error) bool {
 	var networkError net.Error
 	return errors.As(err, &networkError) && !errors.Is(err, net.ErrClosed)
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
 // Package bootstrap reads the configuration that the platform gives a proxy at its start: environment variables, and
-// the launch file that one of them names. Both formats are published.
+// the launch file that one of them names. The platform publishes both formats.
 package bootstrap
 
 import (
@@ -14,9 +14,9 @@
 // Config is the configuration of a proxy at its start.
 type Config struct {
 	Name          string
-	Listen        string // the address of the platform listener
-	Discovery     string // the address of the discovery service
-	AdminAddress  string // the address of the admin endpoint; empty: none
+	Listen        string // host:port of the platform listener
+	Discovery     string // host:port of the discovery service
+	AdminAddress  string // host:port of the admin endpoint; empty: none
 	HotRestartDir string // the directory of the hot restart socket; empty: no hot restarts
 	settings.Settings
 	Known  discovery.List // the endpoint list when the launch file was written; may be out of date
@@ -26,8 +26,8 @@
 
 // Fleet holds the addresses for gossip between the proxies of a fleet. It is empty if they send no gossip.
 type Fleet struct {
-	Listen string         `json:"Listen"` // the address on which this proxy receives gossip
-	Peers  map[int]string `json:"Peers"`  // addresses of the other proxies, by their number
+	Listen string         `json:"Listen"` // the IP address and port on which this proxy receives gossip
+	Peers  map[int]string `json:"Peers"`  // the same for each other proxy, by the number of that proxy, from 0
 }
 
 // Limits are the limits of the proxy's machine.
@@ -76,7 +76,8 @@
 	return config, nil
 }
 
-// checkVariables checks the required environment variables.
+// checkVariables returns an error if a required environment variable is missing, or if one that holds an address is not
+// of the form host:port.
 func checkVariables(getenv func(string) string) error {
 	for _, name := range []string{varName, varListen, varDiscovery, varFile} {
 		if getenv(name) == "" {
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -151,7 +151,7 @@
 		{`"127.0.0.1:7100"`, `""`, "peers.listen is not an IP address with a port"},
 		{`"127.0.0.1:7100"`, `"localhost:7100"`, "peers.listen is not an IP address with a port"},
 		{`{"0":"127.0.0.1:7101"}`, `{}`, "peers.peers is empty"},
-		{`"127.0.0.1:7101"`, `"here"`, "peers.peers: 0: "},
+		{`"127.0.0.1:7101"`, `"here"`, "peers.peers: proxy 0: "},
 		{`{"0":`, `{"1":`, "peers.peers: 1: not the number of another proxy in a fleet of 2"},
 		{`"SlotNo":1`, `"SlotNo":"x"`, "SlotNo: not a number"},
 		{`"Peer":0.01`, `"Peer":"x"`, "Tariffs.Peer: not a number"},
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -65,7 +65,7 @@
 		}
 		return nil
 	}
-	// Not checkAddress, which accepts a host name: that would be rejected only when the socket is opened.
+	// Not checkAddress, which accepts a host name: a host name would be rejected only when the socket is opened.
 	if _, err := netip.ParseAddrPort(fleet.Listen); err != nil {
 		return keyError("Ceilings.PeerMessages", "true, but peers.listen is not an IP address with a port: %q", fleet.Listen)
 	}
@@ -78,7 +78,7 @@
 func checkPeers(deployment settings.Settings, peers map[int]string) error {
 	for number, addr := range peers {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return fmt.Errorf("peers.peers: %d: %w", number, err)
+			return fmt.Errorf("peers.peers: proxy %d: %w", number, err)
 		}
 		if number == deployment.Self || number < 0 || number >= deployment.Proxies {
 			return fmt.Errorf("peers.peers: %d: not the number of another proxy in a fleet of %d", number, deployment.Proxies)
--- a/internal/bootstrap/file.go
+++ b/internal/bootstrap/file.go
@@ -14,7 +14,7 @@
 
 const bytesPerMebibyte = 1 << 20
 
-// launchFile is the published form of the launch file.
+// launchFile is the JSON object in the launch file, whose format the platform publishes.
 type launchFile struct {
 	Seed      string          `json:"Seed"` // hexadecimal
 	Discovery string          `json:"Discovery"`
@@ -32,7 +32,8 @@
 }
 
 // Parse parses a launch file. It leaves Name, Listen and HotRestartDir empty: they are in environment variables. If the
-// file has a discovery address, Read prefers it to the variable: a file may be replaced while the program runs.
+// file has a discovery address, Read uses it instead of the environment variable's: unlike the variable, the file can
+// be replaced while the program runs, so a reload can change the address.
 func Parse(text []byte) (Config, error) {
 	var file launchFile
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -67,7 +68,8 @@
 	}, nil
 }
 
-// check checks the file except for its settings, and returns the seed.
+// check returns the seed, or an error if a field is missing or invalid. It leaves the values under Settings, and Peers,
+// to checkSettings.
 func (f *launchFile) check() (seed uint64, err error) {
 	if f.Known == nil || f.Settings == nil {
 		return 0, errors.New("known or settings: missing")
--- a/internal/hotrestart/client.go
+++ b/internal/hotrestart/client.go
@@ -16,9 +16,10 @@
 // ErrNoPredecessor is returned by TakeOver if no process of this proxy offers a handover.
 var ErrNoPredecessor = errors.New("no process of this proxy offers a handover")
 
-// TakeOver takes over from the process that offers a handover at path. It returns that process's state, its listening
-// sockets and a link to it, or ErrNoPredecessor if there is no such process. The caller must close the listeners and
-// the link.
+// TakeOver connects to the predecessor, the process that offers a handover at path. It returns the predecessor's state
+// and listening sockets, and the link on which the two processes exchange updates from then on. It returns
+// ErrNoPredecessor if no process offers a handover at path, and another error if the predecessor's identity differs.
+// The caller must close the listeners and the link.
 func TakeOver(path string, identity Identity) (*State, []net.Listener, *Link, error) {
 	if _, err := os.Lstat(path); err != nil {
 		return nil, nil, nil, ErrNoPredecessor
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -50,13 +50,13 @@
 }
 
 // Guards against a change of the frame format that breaks a hot restart between build f83df88 and the current build,
-// in either direction. Build f83df88 wrote the frames in testdata from the same values.
+// in either direction. Build f83df88 wrote the frames in testdata from the values that stand as want below.
 func TestFramesOfF83df88(t *testing.T) {
 	state := completeState()
 	for _, c := range []struct {
 		file string
 		want any
-		got  any // a pointer to the same type
+		got  any // a pointer to a zero value of the type of want, to decode the frame into
 	}{
 		{"hello", &testIdentity, &Identity{}},
 		{"state", &state, &State{}},
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -29,7 +29,8 @@
 	return err
 }
 
-// readFrame decodes a frame into message. It does not trust the length: memory is allocated as the bytes arrive.
+// readFrame reads a frame and decodes it into message. The peer may send a wrong length, so memory is allocated as the
+// bytes arrive, not by the length.
 func readFrame(r io.Reader, message any) error {
 	var length [4]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -8,8 +8,8 @@
 
 const writeTimeout = time.Second // for one update
 
-// Link is the connection between two processes of one proxy. Its methods may be called concurrently, but only one
-// Receive at a time.
+// Link is the connection between two processes of one proxy after the handshake. Its methods may be called
+// concurrently, but only one Receive at a time.
 type Link struct {
 	conn  net.Conn
 	write sync.Mutex // held while a frame is written
--- a/internal/hotrestart/listen.go
+++ b/internal/hotrestart/listen.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// setReusePort sets SO_REUSEPORT. It ignores an error of the option: the process then listens without sharing the
-// address.
+// setReusePort sets SO_REUSEPORT. It ignores a failure to set the option: the process then listens without sharing
+// the address.
 func setReusePort(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -11,15 +11,16 @@
 // Format is the version of the frame format; a peer with another version is rejected.
 const Format = 1
 
-// Identity identifies the proxy that a process belongs to. Both sides compare it because two proxies may share a
-// directory, and a proxy that took over the other's sockets would serve no clients.
+// Identity identifies the proxy that a process belongs to. Both sides compare it because two proxies may have their
+// sockets in one directory, and a process that took over another proxy's sockets would not serve its own proxy's
+// clients.
 type Identity struct {
 	Format int    `json:"Format"`
 	Name   string `json:"Name"`
 	Listen string `json:"Listen"` // the address of the platform listener
 }
 
-// check returns an error if a process with the other identity cannot be a process of this proxy.
+// check returns an error unless other is the identity of a process of this proxy that uses the same frame format.
 func (i Identity) check(other Identity) error {
 	switch {
 	case other.Format != Format:
@@ -44,5 +45,5 @@
 // Update is what one process reports to the other after the handover.
 type Update struct {
 	Serving    bool                  `json:"Serving"` // the successor accepts clients
-	AdminState *lifecycle.AdminState `json:"Orders"`  // nil: unchanged
+	AdminState *lifecycle.AdminState `json:"Orders"`  // the whole admin state; nil: no change to report
 }
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Server offers this process's state and sockets to its successor.
+// Server offers this process's state and listening sockets to its successor.
 type Server struct {
 	listener  *net.UnixListener
 	identity  Identity
@@ -22,7 +22,7 @@
 // Serve offers a handover at path, in place of any process that did so before. To each process that connects it sends
 // the state and the listening sockets that offer returns; the sockets remain the caller's to close. Then it calls
 // connected with the link to that process, which connected must close, or with the error that ended the handshake. Each
-// connection has its own goroutine, which calls both functions and ends when connected returns.
+// connection has its own goroutine, which calls offer and connected and ends when connected returns.
 func Serve(
 	path string, identity Identity, offer func() (State, []*net.TCPListener), connected func(*Link, error),
 ) (*Server, error) {
@@ -121,7 +121,7 @@
 	return s.identity.check(peer)
 }
 
-// Close ends the offer and leaves existing links open. On a nil Server it does nothing.
+// Close stops offering a handover and leaves existing links open. On a nil Server it does nothing.
 func (s *Server) Close() {
 	if s == nil {
 		return
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -30,8 +30,8 @@
 }
 
 // withDescriptors calls use with the given descriptors and those of the listeners. It nests a Control call of each
-// listener, so that no descriptor can be closed, and its number reused for another file, meanwhile. It does not
-// use TCPListener.File, which would switch the socket to blocking mode while both processes accept from it.
+// listener, so that no descriptor can be closed, and its number reused for another file, while use runs. It does not
+// call TCPListener.File, which would switch the socket to blocking mode while both processes accept from it.
 func withDescriptors(listeners []*net.TCPListener, descriptors []int, use func([]int) error) error {
 	if len(listeners) == 0 {
 		return use(descriptors)
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -7,7 +7,7 @@
 	"lockloom/balance"
 )
 
-// The published names of the fields of a load report that package balance uses.
+// The names, as the platform publishes them, of the fields of a load report that package balance uses.
 const (
 	inFlightField    = "outstanding"
 	utilizationField = "utilization"
@@ -15,11 +15,12 @@
 
 const (
 	notReported    = -1
-	maxLoadReading = 1e6 // a greater value cannot be a load, and is skipped as an error
+	maxLoadReading = 1e6 // a greater value cannot be a real load, and is ignored like a malformed one
 )
 
-// ParseLoadReport parses a load report of the form "name:value,name:value". It skips unknown fields, and values that
-// are malformed, negative or implausibly large. A field of the result that is not reported is -1.
+// ParseLoadReport parses a server's load report in the form "name:value,name:value". The proxy reads it from a header
+// of a health check's response. Unknown fields are ignored, and so are values that are malformed, negative or greater
+// than maxLoadReading. A field of the result that is not reported is -1.
 func ParseLoadReport(text string) balance.LoadReport {
 	report := balance.LoadReport{InFlight: notReported, Utilization: notReported}
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/settings/registry.go
+++ b/internal/settings/registry.go
@@ -8,15 +8,16 @@
 
 const unknownIndex = -1
 
-// Entry is an entry of an endpoint list, with names. Index, NameHash, Zone and Model are not set: Registry.Endpoint
-// derives them from the names.
+// Entry is an entry of an endpoint list, with the names of the server, its zone and its model. Index, NameHash, Zone
+// and Model of the embedded Endpoint are not set: Registry.Endpoint derives them from the names.
 type Entry struct {
 	balance.Endpoint
 	Name, ZoneName, ModelName string
 }
 
-// Registry assigns to names the indexes that package balance uses for them. A server keeps its index until Forget, and
-// every other name for the lifetime of the registry. It is not safe for concurrent use.
+// Registry assigns to names the indexes that package balance uses for them. A server keeps its index until Forget is
+// called for it; a class, tenant, zone or model keeps its index for the lifetime of the registry. Registry is not safe
+// for concurrent use.
 type Registry struct {
 	classes map[string]int
 	tenants map[string]int
@@ -65,8 +66,8 @@
 	return endpoint
 }
 
-// Forget frees a server's index for another server. Without it, servers under ever new names would grow the registry,
-// and every loop over the indexes, without bound.
+// Forget frees a server's index, so that another server can get it. Without Forget, the registry, and every loop over
+// the indexes, would grow without bound as servers with new names replace old ones.
 func (r *Registry) Forget(index int) { r.servers.forget(index) }
 
 // Size returns one more than the highest server index that was ever in use.
@@ -129,7 +130,8 @@
 	return index
 }
 
-// NameHash returns the hash that stands for a name or key at every proxy; the hash of the empty name is 0.
+// NameHash returns the hash that identifies a name or an affinity key, and is the same at every proxy; the hash of the
+// empty name is 0.
 func NameHash(name string) uint64 {
 	if name == "" {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,12 +14,12 @@
 	Zones                []string // a zone's index is its position here
 	StreamsPerConnection int      // maximum number of concurrent requests on a connection to a server
 	ConnectTimeout       float64  // an attempt to connect to a server that takes longer never succeeds; 0: unknown
-	DrainGrace           float64  // from the notification that a server drains or was removed to the last send to it
+	DrainGrace           float64  // from the notification that a server drains or was removed until sending must stop
 }
 
 const millisecondsPerSecond = 1000
 
-// The published values of idempotency and deduplication scope.
+// The values that the platform publishes for idempotency and deduplication scope, and the constants they stand for.
 var (
 	idempotencies = map[string]balance.Idempotency{
 		"retryable": balance.Idempotent,
@@ -88,7 +88,8 @@
 
 // usableHealthChecks reports whether health checks return enough to be worth their cost. The number of requests in
 // flight shows the load of a server only together with the utilization of its cores: without the utilization, a server
-// with two cores would count as one with one core, and requests for half of the servers' capacity would be rejected.
+// with two cores would count as one with one core, and requests would be rejected while half of the servers' capacity
+// is free.
 func usableHealthChecks(values map[string]string) bool {
 	fields := strings.Split(values["Feedback.Fields"], ",")
 	return values["Feedback.Via"] == "on_probe" &&
--- a/internal/settings/valuereader.go
+++ b/internal/settings/valuereader.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// valueReader reads values by their published key, and keeps the first error.
+// valueReader reads values by their published key. Its methods return no errors; err keeps the first one.
 type valueReader struct {
 	values map[string]string
 	err    error
@@ -22,7 +22,7 @@
 	return ok
 }
 
-// number returns a number, or 0 for a missing key.
+// number returns a number, or 0 for a missing key. A value that is not a number is an error.
 func (r *valueReader) number(key string) float64 {
 	text, ok := r.values[key]
 	if !ok {
@@ -41,7 +41,7 @@
 // count returns the length of the list under key.
 func (r *valueReader) count(key string) int { return int(r.number(key + ".count")) }
 
-// bool returns a boolean, or false for a missing key.
+// bool returns a boolean, or false for a missing key. A value other than true, false, 1 and 0 is an error.
 func (r *valueReader) bool(key string) bool {
 	text, ok := r.values[key]
 	if ok && text != "true" && text != "false" && text != "1" && text != "0" {
@@ -50,11 +50,12 @@
 	return text == "true" || text == "1"
 }
 
-// choice returns the meaning of the value under key. A value without a meaning is an error.
-func choice[T any](r *valueReader, key string, meanings map[string]T) T {
-	meaning, ok := meanings[r.values[key]]
+// choice returns the constant that the value under key stands for. A missing key, or a value that is not in constants,
+// is an error.
+func choice[T any](r *valueReader, key string, constants map[string]T) T {
+	constant, ok := constants[r.values[key]]
 	if !ok {
 		r.fail(key, "unknown", r.values[key])
 	}
-	return meaning
+	return constant
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -102,17 +102,18 @@
 	return settings.ParseLoadReport(m.optionalText("Pressure"))
 }
 
-// lookUp returns the meaning of the value of a required field. A value without a meaning is an error.
-func lookUp[T any](m *message, name string, meanings map[string]T) T {
+// lookUp returns the constant that the value of a required field stands for. A missing value, or one that is not in
+// constants, is an error.
+func lookUp[T any](m *message, name string, constants map[string]T) T {
 	value := m.requiredText(name)
-	meaning, ok := meanings[value]
+	constant, ok := constants[value]
 	if !ok {
 		m.fail(name, fmt.Sprintf("unknown: %q", value))
 	}
-	return meaning
+	return constant
 }
 
-// settings returns the settings of a launch message.
+// settings returns the settings in a launch message, which starts an instance.
 func (m *message) settings() settings.Settings {
 	seed, err := strconv.ParseUint(m.requiredText("Prng"), 10, 64)
 	if err != nil {
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -13,8 +13,8 @@
 // readBufferBytes is the size of the read buffer. Lines may be longer.
 const readBufferBytes = 1 << 20
 
-// Read calls receiver for the messages of in until in ends. It returns an error, with the line number, if a message is
-// malformed or out of order, a call fails or in ends within a batch.
+// Read decodes the messages of in and calls the receiver's methods for them until in ends. It returns an error, with
+// the line number, if a message is malformed or out of order, a method returns an error or in ends within a batch.
 func Read(in io.Reader, receiver Receiver) error {
 	source := bufio.NewReaderSize(in, readBufferBytes)
 	d := &decoder{receiver: receiver, lists: map[int][]settings.Entry{}}
@@ -35,7 +35,7 @@
 	}
 }
 
-// decoder turns messages into calls of the receiver.
+// decoder turns messages into calls of the receiver's methods.
 type decoder struct {
 	receiver    Receiver
 	inBatch     bool
@@ -44,7 +44,7 @@
 	entriesLeft int                      // entries of that list still to be read
 }
 
-// handle decodes a message and makes the call that it requests.
+// handle decodes a message and calls the receiver's method for it, if there is one.
 func (d *decoder) handle(m *message) error {
 	if (m.name == "entry") != (d.entriesLeft > 0) {
 		return fmt.Errorf("line %d: %s: %d more entry messages are expected here", m.line, m.name, d.entriesLeft)
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// decode returns the call that a message requests, or nil if it requests none. For a malformed message it sets m.err.
+// decode returns a function that calls the receiver's method for a message, or nil if there is none: the entries of an
+// endpoint list are only stored. For a malformed or unknown message it sets m.err.
 func (d *decoder) decode(m *message) func() error {
 	switch m.name {
 	case "sync":
@@ -93,7 +94,8 @@
 	return d.decodeTraffic(m)
 }
 
-// decodeTraffic is decode for the messages about requests, timers, health checks and gossip.
+// decodeTraffic is the part of decode for the messages about requests, timers, health checks and gossip. For a message
+// that is none of these it sets m.err: decode has handled all other kinds.
 func (d *decoder) decodeTraffic(m *message) func() error {
 	switch m.name {
 	case "order":
@@ -183,7 +185,8 @@
 	return func() error { return d.receiver.AttemptEnded(a) }
 }
 
-// gossipReceived ignores a malformed gossip message: its sender has another version, or it was corrupted in transit.
+// gossipReceived ignores a malformed gossip message: its sender may use another version of the gossip format, or the
+// message may have been corrupted in transit.
 func (d *decoder) gossipReceived(m *message) func() error {
 	from, data := m.integer("Who"), m.requiredText("Data")
 	return func() error {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,6 @@
 // Package simwire reads and writes the simulator's wire protocol, a text protocol with one message per line. Only this
-// package uses the protocol's names: Read turns messages into calls of a Receiver, Writer turns calls into messages.
+// package uses the protocol's names: Read decodes the simulator's messages and calls the methods of a Receiver, and
+// the methods of Writer write messages to the simulator.
 package simwire
 
 import (
@@ -7,8 +8,8 @@
 	"lockloom/internal/settings"
 )
 
-// Receiver handles the simulator's messages. Its methods are called on the goroutine that called Read, which ends with
-// the first error that they return. Times are in seconds.
+// Receiver handles the simulator's messages. An instance is one simulated proxy. The methods are called on the
+// goroutine that called Read, which ends with the first error that they return. Times are in seconds.
 type Receiver interface {
 	// BatchStarted starts a batch: now is the time of all calls up to BatchEnded, and number identifies the batch in the
 	// reply.
@@ -57,7 +58,7 @@
 	Over      bool    // the request has ended, with this attempt or before it
 }
 
-// The published names of outcomes, endpoint states and kinds of lists.
+// The protocol's names of outcomes, endpoint states and kinds of lists.
 var (
 	outcomes = map[string]balance.Outcome{
 		"pass":       balance.Succeeded,
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -20,8 +20,8 @@
 // SelectInstance selects the instance that the following messages are from.
 func (w *Writer) SelectInstance(number int) { w.message("context Proxy=", strconv.Itoa(number)) }
 
-// Send requests an attempt at a server, which ends by the deadline. The deadline is rounded down to microseconds, so
-// that an attempt never ends after it.
+// Send requests an attempt at a server; the attempt ends by the deadline. The deadline is rounded down to microseconds,
+// so that the attempt never ends after it.
 func (w *Writer) Send(requestID, server string, deadline float64) {
 	deadline = math.Floor(deadline*1e6) / 1e6
 	w.message("try Job=", requestID, " Backend=", server, " NotPastMs=", milliseconds(deadline))
@@ -32,7 +32,7 @@
 	w.message("stop_attempt Job=", requestID, " Leg=", strconv.Itoa(attempt))
 }
 
-// Reject rejects a request. The client may retry it after retryAfter; 0 leaves the time open.
+// Reject rejects a request. The client may retry it after retryAfter; if that is 0, the message gives no time.
 func (w *Writer) Reject(requestID string, retryAfter float64) {
 	if retryAfter > 0 {
 		w.message("refuse Job=", requestID, " CoolDownMs=", milliseconds(retryAfter))
@@ -63,12 +63,13 @@
 	w.message("broadcast_to Target=", strconv.Itoa(peer), " Data=", text)
 }
 
-// ReportFailure reports that an instance's balancer has failed. Newlines in text become spaces.
+// ReportFailure reports that an instance's balancer has panicked. Each run of white space in text, newlines included,
+// becomes one space.
 func (w *Writer) ReportFailure(text string) {
 	w.message("give_in Line=", strings.Join(strings.Fields(text), " "))
 }
 
-// BatchReady ends the reply to the batch with this number and flushes it.
+// BatchReady ends the reply to the batch with this number, written as frame, and flushes it.
 func (w *Writer) BatchReady(number string) error {
 	w.message("ready frame=", number)
 	return w.out.Flush()
