--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,3 +1,4 @@
-// Package admin is the admin endpoint, an address for operators alone: HTTP requests to calls and answers back, as a
-// server and as a client. What a call does is decided by the server's owner.
+// Package admin implements the admin endpoint, an HTTP endpoint for operators only. Its requests are named calls:
+// Server parses them and sends the responses, and Send is the client. What a call does is up to the Do function of the
+// Server.
 package admin
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,8 +1,10 @@
-// Package hotrestart carries what passes between two processes of one proxy. The one that serves offers, on a Unix
-// socket, its listening sockets and what it knows; its successor takes both over before it listens. After that each
-// reports to the other, over the same connection, changes of the admin state and whether the successor serves. The
-// package decides nothing.
+// Package hotrestart hands over the listening sockets and the state of a proxy's process to the process that replaces
+// it. The serving process, the predecessor, offers both on a Unix socket; the new process, the successor, takes them
+// over before it listens. The two then keep the connection: each reports changes of the admin state to the other, and
+// the successor reports when it accepts clients. The package only transfers this data; its callers act on it.
 //
-// The form on the socket: the greeting, one line both ways, with the listening sockets (SCM_RIGHTS) beside its first
-// byte on the way to the successor; then frames, each a length of four bytes (big endian) and so many bytes of JSON.
+// Protocol: the successor sends the greeting, one line, and its Identity. The predecessor checks them, sends the same
+// greeting with the listening sockets attached to the first byte (SCM_RIGHTS), and then its State. From then on, either
+// side sends Updates. Identity, State and Update are sent as frames: a length of four bytes (big endian) and that many
+// bytes of JSON.
 package hotrestart
