--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -1,15 +1,15 @@
 package config
 
-// Capture is where a proxy's calls on its decisions are recorded; see package capture.
+// Capture configures the recording of a proxy's calls to its balancers; see package capture.
 type Capture struct {
 	Dir           string  `toml:"dir"`
-	On            bool    `toml:"on"`         // from the start
-	Address       string  `toml:"address"`    // where operators turn it on and off; empty: nowhere
-	TotalMB       int     `toml:"total_mb"`   // of all files of this proxy there; 0: 256
-	SegmentMB     int     `toml:"segment_mb"` // of calls, before they are compressed; 0: 8
-	Age           float64 `toml:"age"`        // of a segment, in seconds; 0: 60
-	RingMB        int     `toml:"ring_mb"`    // cached in memory until it is requested or a trigger fires; 0: files only
-	RejectedShare float64 `toml:"dismissed"`  // the fraction of a second's requests whose rejection is a trigger; 0: none
+	On            bool    `toml:"on"`         // recording starts with the process
+	Address       string  `toml:"address"`    // HTTP address where operators turn recording on and off; empty: none
+	TotalMB       int     `toml:"total_mb"`   // maximum total size of this proxy's files in Dir; 0: 256
+	SegmentMB     int     `toml:"segment_mb"` // maximum size of a segment before compression; 0: 8
+	Age           float64 `toml:"age"`        // maximum age of a segment, in seconds; 0: 60
+	RingMB        int     `toml:"ring_mb"`    // size of the ring in memory, written on request or by a trigger; 0: none
+	RejectedShare float64 `toml:"dismissed"`  // the share of a second's requests whose rejection is a trigger; 0: none
 }
 
 const (
@@ -36,6 +36,6 @@
 	table.checkRange("age", capture.Age, 0, maxSeconds)
 	table.checkRange("dismissed", capture.RejectedShare, 0, 1)
 	if capture.RejectedShare > 0 && capture.RingMB == 0 {
-		table.fail("dismissed", "it is a trigger for what is kept in memory: ring_mb is 0")
+		table.fail("dismissed", "requires ring_mb above 0: it triggers writing the ring in memory")
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// checkClasses also sets the default of the priority weight.
+// checkClasses checks the tariffs and sets their default priority weight.
 func (r *reader) checkClasses() {
 	names := r.file.classNames()
 	for i := range r.file.Classes {
@@ -32,14 +32,14 @@
 		table.checkKnown("scope", "scope", class.DedupScope, dedupScopes)
 		hasScope := class.DedupScope != "" && class.DedupScope != "none"
 		if hasScope != (class.DedupWindow > 0) {
-			table.fail("window", "a scope and a window go together")
+			table.fail("window", "scope and window must be set together")
 		}
 		if class.PriorityWeight == 0 {
 			class.PriorityWeight = 1
 		}
 	}
 	if len(r.file.Classes) == 0 {
-		r.fail("tariff", 0, "", "there is none")
+		r.fail("tariff", 0, "", "at least one is required")
 	}
 }
 
@@ -50,10 +50,10 @@
 		table.checkName(pool.Name, names[:i])
 		table.checkKnown("backup", "pool", pool.Backup, names)
 		if pool.Backup == pool.Name && pool.Name != "" {
-			table.fail("backup", "a pool is no backup of its own")
+			table.fail("backup", "a pool cannot be its own backup")
 		}
 		if len(pool.Servers) > 0 && len(pool.Kinds)+len(pool.Zones) > 0 {
-			table.fail("servers", "written out, or of the list by kinds and zones: not both")
+			table.fail("servers", "cannot be combined with kinds or zones, which select servers of the endpoint list")
 		}
 		for _, server := range pool.Servers {
 			table.checkAddress("servers", server)
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkBackupChain checks that a pool is not, through others, its own backup.
+// checkBackupChain checks that a pool is not its own backup through other pools.
 func (r *reader) checkBackupChain(index int, names []string) {
 	pool := &r.file.Pools[index]
 	chain := []string{pool.Name}
@@ -80,8 +80,8 @@
 		next = r.file.Pools[i].Backup
 		if next == pool.Name {
 			chain = append(chain, pool.Name)
-			text := strings.Join(chain, " to ")
-			r.table("pool", index+1).fail("backup", "%s come back to where they began", text)
+			text := strings.Join(chain, " -> ")
+			r.table("pool", index+1).fail("backup", "cycle: %s", text)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	maxFileBytes = 64 << 20 // some 100,000 routes
-	maxSeconds   = 3600.0   // of any time in the file
+	maxFileBytes = 64 << 20 // enough for about 100,000 routes
+	maxSeconds   = 3600.0   // upper bound of every duration in the file
 )
 
-// defaultBudgetRatio is the fraction of recent first attempts that may be retried where a rule sets none: enough for
-// single failures, too little to double the load on a pool that fails.
+// defaultBudgetRatio is the share of recent first attempts that may be retried where a retry rule sets none: enough for
+// occasional failures, too little to double the load on a failing pool.
 const defaultBudgetRatio = 0.2
 
-// defaultRetryRule is that of routes without one.
+// defaultRetryRule applies to routes without a retry rule.
 var defaultRetryRule = limits.RetryRule{Name: "plain", BudgetRatio: defaultBudgetRatio}
 
-// Config is an operator file ready for use. It is only read after Read, so it is safe for concurrent use.
+// Config is a checked operator file. It is not modified after Read has returned it, so it is safe for concurrent use.
 type Config struct {
 	File
 	RouteTable *routes.Table
 	Limits     *limits.Limits
 	RetryRules []limits.RetryRule
 
-	written map[*routes.Route]*Route // the routes of the table as they are in the file
+	routeConfigs map[*routes.Route]*Route // the configuration of each route of RouteTable
 }
 
-// RouteConfig returns what the file says of a matched route.
-func (c *Config) RouteConfig(route *routes.Route) *Route { return c.written[route] }
+// RouteConfig returns the configuration of a route that RouteTable matched.
+func (c *Config) RouteConfig(route *routes.Route) *Route { return c.routeConfigs[route] }
 
-// RetryRule returns a route's retry rule, the default rule if it has none.
+// RetryRule returns a route's retry rule, or the default rule if it names none.
 func (c *Config) RetryRule(route *Route) *limits.RetryRule {
 	for i := range c.RetryRules {
 		if c.RetryRules[i].Name == route.Retry {
@@ -41,7 +41,7 @@
 	return &defaultRetryRule
 }
 
-// Open reads a file; the errors are all that is wrong with it, each in one line.
+// Open reads a file like Read. Each error is one line.
 func Open(name string) (*Config, []error) {
 	text, err := tomlfile.Load(name, maxFileBytes)
 	if err != nil {
@@ -50,9 +50,10 @@
 	return Read(name, text)
 }
 
-// Read reads the text of a file of this name, which errors begin with.
+// Read parses and checks the text of an operator file. Errors begin with name. Either all unknown fields are reported,
+// or all invalid values.
 func Read(name string, text []byte) (*Config, []error) {
-	config := &Config{written: map[*routes.Route]*Route{}}
+	config := &Config{routeConfigs: map[*routes.Route]*Route{}}
 	source, errs := tomlfile.Decode(name, text, &config.File)
 	if len(errs) > 0 {
 		return nil, errs
@@ -66,7 +67,7 @@
 	r.checkCapture()
 	list := r.readRoutes(r.file.Routes, "route")
 	if len(r.file.Routes) == 0 {
-		r.fail("route", 0, "", "there is none")
+		r.fail("route", 0, "", "at least one is required")
 	}
 	r.checkListeners()
 	if len(r.errs) == 0 {
@@ -75,14 +76,14 @@
 	if len(r.errs) > 0 {
 		return nil, r.errs
 	}
-	config.bind(list, config.Routes)
+	config.recordRoutes(list, config.Routes)
 	return config, nil
 }
 
-// bind records, for each route of the table, how it is in the file.
-func (c *Config) bind(list []routes.Route, written []Route) {
+// recordRoutes records the configuration of each route and of the routes nested in it.
+func (c *Config) recordRoutes(list []routes.Route, configs []Route) {
 	for i := range list {
-		c.written[&list[i]] = &written[i]
-		c.bind(list[i].Nested, written[i].Routes)
+		c.routeConfigs[&list[i]] = &configs[i]
+		c.recordRoutes(list[i].Nested, configs[i].Routes)
 	}
 }
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -5,19 +5,19 @@
 // ControlPlane is the configuration of a control plane; see package controlplane.
 type ControlPlane struct {
 	Address         string   `toml:"address"`     // where subscribers connect
-	Status          string   `toml:"status"`      // where operators see what subscribers have; empty: nowhere
-	PreferLocalZone bool     `toml:"local"`       // subscribers keep to their own zone while it has a healthy server
-	SnapshotFile    string   `toml:"memory"`      // empty: none
-	Subscribers     int      `toml:"subscribers"` // the most at once; 0: the service's own bound
-	Certificate     string   `toml:"certificate"` // PEM files, all or none
-	Key             string   `toml:"key"`
-	Authority       string   `toml:"authority"` // of the subscribers' certificates
-	Allow           []Allow  `toml:"allow"`     // subscribers by the names in their certificates; none: all that have one
-	Subsets         []Subset `toml:"subset"`    // what some subscribers receive
+	Status          string   `toml:"status"`      // HTTP address where operators query the subscribers; empty: none
+	PreferLocalZone bool     `toml:"local"`       // subscribers stay in their own zone while it has a healthy server
+	SnapshotFile    string   `toml:"memory"`      // empty: no snapshot is kept
+	Subscribers     int      `toml:"subscribers"` // maximum at once; 0: the default of package controlplane
+	Certificate     string   `toml:"certificate"` // PEM file; Certificate, Key and Authority are all set, or none
+	Key             string   `toml:"key"`         // PEM file
+	Authority       string   `toml:"authority"`   // PEM file of the CA of the subscribers' certificates
+	Allow           []Allow  `toml:"allow"`       // by the names in client certificates; empty: all that have one
+	Subsets         []Subset `toml:"subset"`      // restrict the pools of some subscribers
 }
 
-// Subset narrows what some subscribers receive. It keeps nobody out: a node names itself as it likes. Each of the first
-// three may end with a star; empty, it matches all.
+// Subset restricts the pools that some subscribers receive. It is no access control: a node states its own id, cluster
+// and zone. Node, Cluster and Zone may each end with "*", which matches any rest; an empty one matches all.
 type Subset struct {
 	Node    string   `toml:"node"` // the node's id
 	Cluster string   `toml:"cluster"`
@@ -25,16 +25,16 @@
 	Pools   []string `toml:"pools"`
 }
 
-// Fits reports whether the subset is for a node.
+// Fits reports whether the subset applies to a node.
 func (s *Subset) Fits(node, cluster, zone string) bool {
 	return (s.Node == "" || matchesPattern(s.Node, node)) &&
 		(s.Cluster == "" || matchesPattern(s.Cluster, cluster)) &&
 		(s.Zone == "" || matchesPattern(s.Zone, zone))
 }
 
-// Allow lets subscribers receive pools.
+// Allow permits subscribers with a name in their certificates to receive pools.
 type Allow struct {
-	Name  string   `toml:"name"`  // a DNS name or URI; with a star at its end, all that begin so
+	Name  string   `toml:"name"`  // a DNS name or URI; with "*" at its end, a prefix
 	Pools []string `toml:"pools"` // empty: all
 }
 
@@ -64,25 +64,25 @@
 	if control.Status != "" {
 		table.checkLoopback("status", control.Status)
 	}
-	if some, all := control.certificates(); some && !all {
-		table.fail("certificate", "certificate, key and authority go together")
+	if anySet, allSet := control.certificates(); anySet && !allSet {
+		table.fail("certificate", "certificate, key and authority must be set together")
 	}
 	table.checkRange("subscribers", float64(control.Subscribers), 0, maxSubscribers)
 	if len(control.Allow) > 0 && control.Certificate == "" {
-		table.fail("allow", "without certificates nobody has a name")
+		table.fail("allow", "requires certificate, key and authority: names are those in client certificates")
 	}
 	r.checkAllow(control.Allow)
 	r.checkSubsets(control.Subsets)
 }
 
-// certificates reports whether some and whether all of the certificate files are set.
-func (c *ControlPlane) certificates() (some, all bool) {
-	all = true
+// certificates reports whether any and whether all of the certificate files are set.
+func (c *ControlPlane) certificates() (anySet, allSet bool) {
+	allSet = true
 	for _, file := range []string{c.Certificate, c.Key, c.Authority} {
-		some = some || strings.TrimSpace(file) != ""
-		all = all && file != ""
+		anySet = anySet || strings.TrimSpace(file) != ""
+		allSet = allSet && file != ""
 	}
-	return some, all
+	return anySet, allSet
 }
 
 func (r *reader) checkAllow(list []Allow) {
--- a/internal/config/controlplane_test.go
+++ b/internal/config/controlplane_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// minimalFile is the least that a file must have beside the tables under test.
+// minimalFile holds the tables that every file needs besides the one under test.
 const minimalFile = `
 [[tariff]]
 name = "t"
@@ -19,7 +19,8 @@
 pool = "p"
 `
 
-// checkTable checks the first error of a file that begins with a table; empty: there is none.
+// checkTable checks that the first error of a file that begins with a table contains want; if want is empty, that there
+// is no error.
 func checkTable(t *testing.T, header, table, want string) {
 	t.Helper()
 	_, errs := Read("f.toml", []byte(header+"\n"+table+minimalFile))
@@ -40,24 +41,24 @@
 		{`address = "[::1]:1"` + "\nstatus = \"localhost:2\"", ""},
 		{`address = "0.0.0.0:1"` + "\n" + certificates + "[[control.allow]]\nname = \"edge-*\"\npools = [\"p\"]", ""},
 		{`address = "1"`, "f.toml:2:1: control: address: address 1: missing port"},
-		{`address = "0.0.0.0:1"`, "f.toml:2:1: control: address: 0.0.0.0:1: it must be of the loopback"},
+		{`address = "0.0.0.0:1"`, "f.toml:2:1: control: address: 0.0.0.0:1: must be a loopback address"},
 		{
 			`address = "0.0.0.0:1"` + "\nstatus = \"0.0.0.0:2\"\n" + certificates,
-			"f.toml:3:1: control: status: 0.0.0.0:2: it must be of the loopback",
+			"f.toml:3:1: control: status: 0.0.0.0:2: must be a loopback address",
 		},
-		{address + `key = "k"`, "f.toml:1:1: control: certificate: certificate, key and authority go together"},
-		{address + "subscribers = -1", "f.toml:3:1: control: subscribers: -1"},
-		{address + "[[control.allow]]\nname = \"x\"", "control: allow: without certificates nobody has a name"},
+		{address + `key = "k"`, "f.toml:1:1: control: certificate: certificate, key and authority must be set together"},
+		{address + "subscribers = -1", "f.toml:3:1: control: subscribers: -1: must be between"},
+		{address + "[[control.allow]]\nname = \"x\"", "control: allow: requires certificate, key and authority"},
 		{
 			address + certificates + "[[control.allow]]\npools = [\"q\"]",
 			"f.toml:6:1: control.allow: name: missing",
 		},
 		{
 			address + certificates + "[[control.allow]]\nname = \"x\"\npools = [\"q\"]",
-			`f.toml:8:1: control.allow: pools: no pool "q"`,
+			`f.toml:8:1: control.allow: pools: unknown pool "q"`,
 		},
 		{address + "[[control.subset]]\nnode = \"x\"", "f.toml:3:1: control.subset: pools: missing"},
-		{`addresz = "127.0.0.1:1"`, "f.toml:2:1: control.addresz: no such field: address?"},
+		{`addresz = "127.0.0.1:1"`, "f.toml:2:1: control.addresz: no such field, did you mean address?"},
 	} {
 		checkTable(t, "[control]", c.table, c.want)
 	}
@@ -67,8 +68,8 @@
 	for table, want := range map[string]string{
 		"dir = \"x\"\nring_mb = 9\ndismissed = 0.1\naddress = \"127.0.0.1:1\"": "",
 		"on = true":                             "f.toml:1:1: capture: dir: missing",
-		"dir = \"x\"\naddress = \"10.0.0.1:1\"": "f.toml:3:1: capture: address: 10.0.0.1:1: it must be of the loopback",
-		"dir = \"x\"\ndismissed = 0.1":          "f.toml:3:1: capture: dismissed: it is a trigger",
+		"dir = \"x\"\naddress = \"10.0.0.1:1\"": "f.toml:3:1: capture: address: 10.0.0.1:1: must be a loopback address",
+		"dir = \"x\"\ndismissed = 0.1":          "f.toml:3:1: capture: dismissed: requires ring_mb above 0",
 		"dir = \"x\"\ntotal_mb = -1":            "f.toml:3:1: capture: total_mb: -1",
 		"dir = \"x\"\nring = 1":                 "f.toml:3:1: capture.ring: no such field",
 	} {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,4 +1,4 @@
-// Package config reads the operator file: listeners, classes, pools, routes, limits and retry rules of an installation,
-// as opposed to what the platform gives a proxy at its start. Every error is reported at once, with its place in the
-// file. The package decides nothing: packages routes and limits do.
+// Package config parses and checks the operator file: the listeners, classes, pools, routes, limits and retry rules of
+// an installation, as opposed to the launch file, which the platform provides. Errors are reported together, each with
+// its position in the file. Requests are matched and limited by packages routes and limits.
 package config
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -9,27 +9,27 @@
 	"lockloom/routes"
 )
 
-// Request is a request to explain.
+// Request describes a request to Explain.
 type Request struct {
 	Method, Target, Host string
 	Fields               map[string]string // by lower-case name
 }
 
-// Get returns a header field of the request, and whether it has it.
+// Get returns a header field of the request, and whether it is present. The case of name does not matter.
 func (r *Request) Get(name string) (string, bool) {
 	value, present := r.Fields[strings.ToLower(name)]
 	return value, present
 }
 
-// Explain writes which route, limits, pool, class and retry rule a request would meet, and why not other routes. The
-// error is the writer's.
+// Explain writes which route, limits, pool, class and retry rule apply to a request, and why other routes do not match.
+// It returns the first error of w.
 func (c *Config) Explain(w io.Writer, request *Request) error {
 	p := &printer{w: w}
 	c.explain(p, request)
 	return p.err
 }
 
-// printer writes lines until the first error, which it keeps.
+// printer writes lines until the first write error, which it keeps in err.
 type printer struct {
 	w   io.Writer
 	err error
@@ -69,7 +69,7 @@
 	}
 }
 
-// normalize returns a request as routes match it; an error says why it would be rejected.
+// normalize returns a request in the form that routes match. An error states why a proxy would reject it.
 func normalize(request *Request) (routes.Request, error) {
 	host, path, query, err := routes.ParseTarget(request.Target)
 	if err != nil {
@@ -78,7 +78,7 @@
 	if host == "" {
 		host = request.Host
 	} else if request.Host != "" && routes.NormalizeHost(request.Host) != routes.NormalizeHost(host) {
-		return routes.Request{}, fmt.Errorf("the target is for %s, Host says %s", host, request.Host)
+		return routes.Request{}, fmt.Errorf("the target is for %s, but Host is %s", host, request.Host)
 	}
 	return routes.Request{
 		Host:   routes.NormalizeHost(host),
@@ -102,7 +102,7 @@
 func (l *Limit) describe() string {
 	var bounds []string
 	if l.Rate > 0 {
-		bounds = append(bounds, fmt.Sprintf("%g a second, %g at once", l.Rate, max(l.Burst, 1)))
+		bounds = append(bounds, fmt.Sprintf("%g per second, burst %g", l.Rate, max(l.Burst, 1)))
 	}
 	if l.Concurrency > 0 {
 		bounds = append(bounds, fmt.Sprintf("%d in flight", l.Concurrency))
@@ -113,7 +113,7 @@
 func (c *Config) explainForwarding(p *printer, request *Request, match *routes.Match, route *Route) {
 	path, err := match.UpstreamPath()
 	if err != nil {
-		p.printf("rejected with 400: rewritten: %v", err)
+		p.printf("rejected with 400: rewritten path: %v", err)
 		return
 	}
 	for _, pool := range match.Route.Action.Pools {
@@ -130,7 +130,8 @@
 	p.printf("forwarded as %s %s", request.Method, path)
 }
 
-// retrySafety returns how a request of a class may be retried. Without a window, no server knows its idempotency key.
+// retrySafety returns how a request of a class may be retried. Without a deduplication window no server drops repeats
+// by their idempotency key, so a keyed request counts as non-idempotent.
 func retrySafety(rule *limits.RetryRule, request *Request, class Class) limits.RetrySafety {
 	_, hasKey := request.Get("Idempotency-Key")
 	safety := rule.SafetyOf(request.Method, hasKey)
--- a/internal/config/explain_test.go
+++ b/internal/config/explain_test.go
@@ -16,7 +16,7 @@
 	withKey := map[string]string{"idempotency-key": "k"}
 	for _, c := range []struct {
 		request Request
-		want    []string // lines, or parts of them, in order
+		want    []string // parts of the output, in order
 	}{
 		{
 			Request{Method: "GET", Target: "/a//b/../c?x=1", Host: "Example.org:80"},
@@ -29,7 +29,7 @@
 		{
 			Request{Method: "POST", Target: "http://example.org/sign/7", Host: "example.org"},
 			[]string{
-				"route signing", "limit each-address by address: 20 a second, 40 at once", "pool signatures",
+				"route signing", "limit each-address by address: 20 per second, burst 40", "pool signatures",
 				"class sign: non-idempotent", "POST /v2/sign/7",
 			},
 		},
@@ -38,7 +38,7 @@
 			[]string{"class sign: keyed", "POST /v2/sign"},
 		},
 		{
-			Request{Method: "POST", Target: "/page", Fields: withKey}, // no server knows the key
+			Request{Method: "POST", Target: "/page", Fields: withKey}, // the class has no deduplication window
 			[]string{"class page: non-idempotent"},
 		},
 		{
@@ -55,7 +55,7 @@
 		},
 		{
 			Request{Method: "GET", Target: "http://a.org/", Host: "b.org"},
-			[]string{"rejected with 400: the target is for a.org, Host says b.org"},
+			[]string{"rejected with 400: the target is for a.org, but Host is b.org"},
 		},
 		{
 			Request{Method: "GET", Target: "/../etc"},
@@ -64,14 +64,14 @@
 	} {
 		var out strings.Builder
 		require.NoError(t, config.Explain(&out, &c.request))
-		rest := out.String()
+		remaining := out.String()
 		for _, part := range c.want {
-			i := strings.Index(rest, part)
+			i := strings.Index(remaining, part)
 			request := c.request.Method + " " + c.request.Target
 			if !assert.GreaterOrEqual(t, i, 0, "%s: %q in\n%s", request, part, out.String()) {
 				break
 			}
-			rest = rest[i+len(part):]
+			remaining = remaining[i+len(part):]
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// File is the operator file as it is written. Times are in seconds.
+// File is the content of an operator file. Times are in seconds.
 type File struct {
 	Listeners    []Listener    `toml:"listener"`
 	Classes      []Class       `toml:"tariff"`
@@ -10,45 +10,45 @@
 	Limits       []Limit       `toml:"limit"`
 	Retries      []Retry       `toml:"retry"`
 	Routes       []Route       `toml:"route"`
-	ControlPlane *ControlPlane `toml:"control"` // only for a program with a control plane
-	Capture      *Capture      `toml:"capture"` // only for a program that captures
+	ControlPlane *ControlPlane `toml:"control"` // supported by lockloom-controlplane only
+	Capture      *Capture      `toml:"capture"` // supported by lockloom-controlplane only
 }
 
-// Listener is where clients connect.
+// Listener configures an address where clients connect.
 type Listener struct {
 	Address string `toml:"address"`
 }
 
-// Class is a class of requests.
+// Class configures a class of requests; the file calls it a tariff.
 type Class struct {
 	Name             string  `toml:"name"`
 	LatencyObjective float64 `toml:"due"`
 	Deadline         float64 `toml:"hard_stop"`
-	PriorityWeight   float64 `toml:"value"`  // 0: 1
-	DedupScope       string  `toml:"scope"`  // the servers that drop a repeat by its key: none, all, zone or pod
-	DedupWindow      float64 `toml:"window"` // the time in which they do
+	PriorityWeight   float64 `toml:"value"`  // 0: the default of 1
+	DedupScope       string  `toml:"scope"`  // servers that drop repeats by their idempotency key: none, all, zone or pod
+	DedupWindow      float64 `toml:"window"` // how long those servers remember a key
 }
 
-// Pool is servers that requests go to: some of the endpoint list's, or those written out.
+// Pool configures a group of servers, either listed here or selected from the endpoint list.
 type Pool struct {
 	Name        string   `toml:"name"`
 	Servers     []string `toml:"servers"`      // addresses
-	Kinds       []string `toml:"kinds"`        // models of the list's servers
-	Zones       []string `toml:"zones"`        // zones of the list's servers; with kinds: both
-	Backup      string   `toml:"backup"`       // the pool that serves while this one has no server admitted
-	BackupAfter float64  `toml:"backup_after"` // for so long
-	BackupUntil float64  `toml:"backup_until"` // until it has had one for so long
-	Capacity    int      `toml:"room"`         // requests in flight that its routes share; 0: no bound
+	Kinds       []string `toml:"kinds"`        // models of the selected servers; empty: any
+	Zones       []string `toml:"zones"`        // zones of the selected servers; empty: any
+	Backup      string   `toml:"backup"`       // the pool that serves while this one has no admitted server
+	BackupAfter float64  `toml:"backup_after"` // how long this pool has no admitted server before the backup serves
+	BackupUntil float64  `toml:"backup_until"` // how long this pool has one again before the backup stops
+	Capacity    int      `toml:"room"`         // maximum requests in flight over all its routes; 0: no limit
 }
 
-// Same reports whether a pool has the same servers as another; backup and capacity do not matter.
+// Same reports whether two pools have the same servers; backup and capacity are not compared.
 func (p *Pool) Same(other *Pool) bool {
 	return slices.Equal(p.Servers, other.Servers) &&
 		slices.Equal(p.Kinds, other.Kinds) &&
 		slices.Equal(p.Zones, other.Zones)
 }
 
-// Limit bounds the rate or concurrency of requests.
+// Limit bounds the rate or concurrency of requests; see limits.Limit.
 type Limit struct {
 	Name        string  `toml:"name"`
 	By          string  `toml:"by"` // all, route, customer (a tenant), address, or field:NAME
@@ -58,7 +58,7 @@
 	MaxKeys     int     `toml:"keys"`
 }
 
-// Retry is a retry rule.
+// Retry configures a retry rule; see limits.RetryRule.
 type Retry struct {
 	Name              string   `toml:"name"`
 	IdempotentMethods []string `toml:"freely"`
@@ -67,7 +67,8 @@
 	BudgetRatio       *float64 `toml:"share"`
 }
 
-// Route is a route; it has one of Exact, Prefix, Under and Regex, and one of Pool, Split, Redirect and Response.
+// Route configures a route. One of Exact, Prefix, Under and Regex is set, and one of Pool, Split, Redirect and
+// Response.
 type Route struct {
 	Name     string         `toml:"name"`
 	Hosts    []string       `toml:"hosts"`
@@ -87,10 +88,10 @@
 	Class    string         `toml:"tariff"`
 	Limits   []string       `toml:"limits"`
 	Retry    string         `toml:"retry"`
-	Routes   []Route        `toml:"route"` // nested ones
+	Routes   []Route        `toml:"route"` // nested routes
 }
 
-// Condition is a condition on a header field or a query parameter.
+// Condition is a condition on a header field or a query parameter; see routes.Condition.
 type Condition struct {
 	Name   string `toml:"name"`
 	Value  string `toml:"value"`
@@ -98,20 +99,20 @@
 	Negate bool   `toml:"not"`
 }
 
-// WeightedPool is a pool, and its weight among a route's pools.
+// WeightedPool is a pool with its weight among a route's pools.
 type WeightedPool struct {
 	Pool   string  `toml:"pool"`
 	Weight float64 `toml:"weight"`
 }
 
-// Redirect sends the client elsewhere.
+// Redirect configures a redirect of the client; see routes.Redirect.
 type Redirect struct {
 	Status   int    `toml:"status"`
 	To       string `toml:"to"`
 	KeepPath bool   `toml:"keep"`
 }
 
-// FixedResponse is given by the proxy itself.
+// FixedResponse configures a response that the proxy itself sends.
 type FixedResponse struct {
 	Status int    `toml:"status"`
 	Type   string `toml:"type"`
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	fieldPrefix = "field:" // of a limit's key that is a header field
+	fieldPrefix = "field:" // begins a limit's key that is a header field
 	maxAttempts = 16
 )
 
 var limitKeys = []string{"all", "route", "customer", "address"}
 
-// readLimits checks the limits, and makes them if nothing in the file is wrong so far.
+// readLimits checks the limits, and builds them unless the file has had an error so far.
 func (r *reader) readLimits() {
 	names := r.file.limitNames()
 	var list []limits.Limit
@@ -22,10 +22,10 @@
 		table := r.table("limit", i+1)
 		table.checkName(limit.Name, names[:i])
 		if !strings.HasPrefix(limit.By, fieldPrefix) {
-			table.checkKnown("by", "way to tell apart", limit.By, limitKeys)
+			table.checkKnown("by", "key", limit.By, limitKeys)
 		}
 		if limit.By == "" {
-			table.fail("by", "missing: all, route, customer, address or field:NAME")
+			table.fail("by", "missing: must be all, route, customer, address or field:NAME")
 		}
 		list = append(list, limits.Limit{
 			Name:        limit.Name,
@@ -39,7 +39,7 @@
 		}
 	}
 	if len(r.errs) == 0 {
-		r.config.Limits, _ = limits.New(list) // each limit has been checked
+		r.config.Limits, _ = limits.New(list) // no error: each limit was checked above
 	}
 }
 
@@ -56,7 +56,7 @@
 		table.checkRange("legs", float64(retry.MaxAttempts), 0, maxAttempts)
 		for _, method := range slices.Concat(retry.IdempotentMethods, retry.KeyedMethods) {
 			if !isMethod(method) {
-				table.fail("freely", "method %q: in capitals", method)
+				table.fail("freely", "method %q must be in upper case", method)
 			}
 		}
 		r.config.RetryRules = append(r.config.RetryRules, limits.RetryRule{
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -7,15 +7,15 @@
 	"lockloom/internal/tomlfile"
 )
 
-// reader gathers the errors of a file while it is read.
+// reader checks a decoded file and collects its errors.
 type reader struct {
 	config *Config
-	file   *File // the config's
+	file   *File // &config.File
 	source *tomlfile.File
 	errs   []error
 
-	routeTables map[string]int   // route tables met so far, by their name in the file
-	routes      map[string]table // by the route's name
+	routeTables map[string]int   // number of route tables read so far, by table name
+	routes      map[string]table // route tables, by the name of the route
 }
 
 func newReader(config *Config, source *tomlfile.File) *reader {
@@ -28,12 +28,12 @@
 	}
 }
 
-// fail adds an error at a field of the n-th table of a name, from 1; n 0: of the only one.
+// fail adds an error at a field of the n-th table of a name, counted from 1; n = 0 means the only table.
 func (r *reader) fail(tableName string, n int, field, format string, args ...any) {
 	r.errs = append(r.errs, r.source.At(tableName, n, field, format, args...))
 }
 
-// table is one table of the file, the n-th of its name, from 1; 0: the only one.
+// table refers to the n-th table of a name in the file, counted from 1; n = 0 means the only table.
 type table struct {
 	reader *reader
 	name   string
@@ -46,31 +46,31 @@
 	t.reader.fail(t.name, t.n, field, format, args...)
 }
 
-// checkName checks the table's name, and that none before it has the same.
-func (t table) checkName(name string, before []string) {
+// checkName checks that the table has a name that no previous table has.
+func (t table) checkName(name string, previous []string) {
 	switch {
 	case name == "":
 		t.fail("name", "missing")
-	case slices.Contains(before, name):
-		t.fail("name", "%q is another's already", name)
+	case slices.Contains(previous, name):
+		t.fail("name", "%q is already in use", name)
 	}
 }
 
-// checkKnown checks that a field is empty or names something there is, of this kind.
-func (t table) checkKnown(field, kind, name string, among []string) {
-	if name == "" || slices.Contains(among, name) {
+// checkKnown checks that a field is empty or holds a known name of a kind.
+func (t table) checkKnown(field, kind, name string, known []string) {
+	if name == "" || slices.Contains(known, name) {
 		return
 	}
-	if near := tomlfile.Nearest(name, among); near != "" {
-		t.fail(field, "no %s %q: %s?", kind, name, near)
+	if nearest := tomlfile.Nearest(name, known); nearest != "" {
+		t.fail(field, "unknown %s %q, did you mean %q?", kind, name, nearest)
 		return
 	}
-	t.fail(field, "no %s %q", kind, name)
+	t.fail(field, "unknown %s %q", kind, name)
 }
 
-func (t table) checkRange(field string, value, least, greatest float64) {
-	if !(value >= least && value <= greatest) {
-		t.fail(field, "%v: it is from %v to %v", value, least, greatest)
+func (t table) checkRange(field string, value, minimum, maximum float64) {
+	if !(value >= minimum && value <= maximum) {
+		t.fail(field, "%v: must be between %v and %v", value, minimum, maximum)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkLoopback checks an address whose clients are not authenticated.
+// checkLoopback checks the address of an endpoint that does not authenticate its clients.
 func (t table) checkLoopback(field, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -89,6 +89,6 @@
 	}
 	ip := net.ParseIP(host)
 	if host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		t.fail(field, "%s: it must be of the loopback: nobody is asked who he is there", address)
+		t.fail(field, "%s: must be a loopback address: clients are not authenticated there", address)
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -7,69 +7,69 @@
 	"lockloom/routes"
 )
 
-// readRoutes checks routes that stand in tables of a name, and returns them as package routes takes them.
+// readRoutes checks the routes of the tables named tableName, and converts them to those of package routes.
 func (r *reader) readRoutes(list []Route, tableName string) []routes.Route {
-	var read []routes.Route
+	var converted []routes.Route
 	for i := range list {
-		written := &list[i]
+		routeConfig := &list[i]
 		r.routeTables[tableName]++
 		table := r.table(tableName, r.routeTables[tableName])
-		if _, taken := r.routes[written.Name]; taken {
-			table.fail("name", "%q is another's already", written.Name)
-		} else if written.Name == "" {
+		if _, taken := r.routes[routeConfig.Name]; taken {
+			table.fail("name", "%q is already in use", routeConfig.Name)
+		} else if routeConfig.Name == "" {
 			table.fail("name", "missing")
 		}
-		r.routes[written.Name] = table
-		route := r.readRoute(written, table)
-		route.Nested = r.readRoutes(written.Routes, tableName+".route")
-		read = append(read, route)
+		r.routes[routeConfig.Name] = table
+		route := r.readRoute(routeConfig, table)
+		route.Nested = r.readRoutes(routeConfig.Routes, tableName+".route")
+		converted = append(converted, route)
 	}
-	return read
+	return converted
 }
 
-// readRoute checks one route. It sets its class if there is only one.
-func (r *reader) readRoute(written *Route, table table) routes.Route {
+// readRoute checks and converts one route. If the file has only one class, it is the default.
+func (r *reader) readRoute(routeConfig *Route, table table) routes.Route {
 	route := routes.Route{
-		Name:    written.Name,
-		Hosts:   written.Hosts,
-		Final:   written.Final,
-		Methods: written.Methods,
-		Fields:  conditions(written.Fields),
-		Query:   conditions(written.Query),
-	}
-	route.Kind, route.Path = readPath(written, table)
-	for _, method := range written.Methods {
+		Name:    routeConfig.Name,
+		Hosts:   routeConfig.Hosts,
+		Final:   routeConfig.Final,
+		Methods: routeConfig.Methods,
+		Fields:  conditions(routeConfig.Fields),
+		Query:   conditions(routeConfig.Query),
+	}
+	route.Kind, route.Path = readPath(routeConfig, table)
+	for _, method := range routeConfig.Methods {
 		if !isMethod(method) {
-			table.fail("methods", "%q: in capitals", method)
+			table.fail("methods", "%q must be in upper case", method)
 		}
 	}
-	route.Action = r.readAction(written, table)
-	table.checkKnown("tariff", "tariff", written.Class, r.file.classNames())
-	if len(route.Action.Pools) > 0 && written.Class == "" {
+	route.Action = r.readAction(routeConfig, table)
+	table.checkKnown("tariff", "tariff", routeConfig.Class, r.file.classNames())
+	if len(route.Action.Pools) > 0 && routeConfig.Class == "" {
 		if len(r.file.Classes) == 1 {
-			written.Class = r.file.Classes[0].Name
+			routeConfig.Class = r.file.Classes[0].Name
 		} else {
-			table.fail("tariff", "missing: there are %d", len(r.file.Classes))
+			table.fail("tariff", "missing: required unless there is one tariff, there are %d", len(r.file.Classes))
 		}
 	}
-	for _, limit := range written.Limits {
+	for _, limit := range routeConfig.Limits {
 		table.checkKnown("limits", "limit", limit, r.file.limitNames())
 	}
-	table.checkKnown("retry", "retry rule", written.Retry, r.file.retryNames())
+	table.checkKnown("retry", "retry rule", routeConfig.Retry, r.file.retryNames())
 	return route
 }
 
-// readPath returns a route's path; after an error, one that matches all.
-func readPath(written *Route, table table) (kind routes.MatchKind, path string) {
+// readPath returns the path that a route matches, and how it matches; after an error, the path is "/".
+func readPath(routeConfig *Route, table table) (kind routes.MatchKind, path string) {
 	count := 0
 	for _, candidate := range []struct {
 		kind routes.MatchKind
 		path string
 	}{
-		{routes.Exact, written.Exact},
-		{routes.Prefix, written.Prefix},
-		{routes.Segments, written.Under},
-		{routes.Regex, written.Regex},
+		{routes.Exact, routeConfig.Exact},
+		{routes.Prefix, routeConfig.Prefix},
+		{routes.Segments, routeConfig.Under},
+		{routes.Regex, routeConfig.Regex},
 	} {
 		if candidate.path != "" {
 			kind, path = candidate.kind, candidate.path
@@ -77,11 +77,11 @@
 		}
 	}
 	if count != 1 {
-		table.fail("", "%q: it has one of exact, prefix, under and regex, not %d", written.Name, count)
+		table.fail("", "%q: exactly one of exact, prefix, under and regex must be set, not %d", routeConfig.Name, count)
 		path = "/"
 	}
-	if written.Final && written.Prefix == "" && written.Under == "" {
-		table.fail("final", "only a prefix can be")
+	if routeConfig.Final && routeConfig.Prefix == "" && routeConfig.Under == "" {
+		table.fail("final", "requires prefix or under")
 	}
 	return kind, path
 }
@@ -94,20 +94,20 @@
 	return out
 }
 
-func (r *reader) readAction(written *Route, table table) routes.Action {
+func (r *reader) readAction(routeConfig *Route, table table) routes.Action {
 	action := routes.Action{
-		Rewrite:  written.Rewrite,
-		Redirect: (*routes.Redirect)(written.Redirect),
-		Response: (*routes.FixedResponse)(written.Response),
+		Rewrite:  routeConfig.Rewrite,
+		Redirect: (*routes.Redirect)(routeConfig.Redirect),
+		Response: (*routes.FixedResponse)(routeConfig.Response),
 	}
-	if written.Pool != "" && len(written.Split) > 0 {
-		table.fail("split", "a pool or a split, not both")
+	if routeConfig.Pool != "" && len(routeConfig.Split) > 0 {
+		table.fail("split", "cannot be combined with pool")
 	}
-	table.checkKnown("pool", "pool", written.Pool, r.file.poolNames())
-	if written.Pool != "" {
-		action.Pools = []routes.WeightedPool{{Pool: written.Pool, Weight: 1}}
+	table.checkKnown("pool", "pool", routeConfig.Pool, r.file.poolNames())
+	if routeConfig.Pool != "" {
+		action.Pools = []routes.WeightedPool{{Pool: routeConfig.Pool, Weight: 1}}
 	}
-	for _, weighted := range written.Split {
+	for _, weighted := range routeConfig.Split {
 		table.checkKnown("split", "pool", weighted.Pool, r.file.poolNames())
 		action.Pools = append(action.Pools, routes.WeightedPool(weighted))
 	}
@@ -123,7 +123,7 @@
 	r.config.RouteTable = compiled
 }
 
-// failRoutes adds each error of compiling at the table of its route.
+// failRoutes adds the errors of routes.Compile, each at the table of its route.
 func (r *reader) failRoutes(err error) {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -111,7 +111,7 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"empty":            {"", "seconds: 0: it is from"},
 		"not TOML":         {"name = ", "f.toml:1:"},
-		"unknown field":    {small + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field: count?"},
+		"unknown field":    {small + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field, did you mean count?"},
 		"wrong type":       {strings.Replace(small, "= 4.0", `= "long"`, 1), "f.toml:2:"},
 		"unknown table":    {small + "[proxy]\n", "no such field"},
 		"no tariff":        {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -7,13 +7,15 @@
 	"sync"
 )
 
-// tableHeader is compiled when first used: the platform's proxy reads no such file.
+// tableHeader matches the header of a table and captures its name. It is compiled on first use, because a proxy without
+// an operator file never needs it.
 var tableHeader = sync.OnceValue(func() *regexp.Regexp {
 	return regexp.MustCompile(`^\s*\[+\s*"?([\w.-]+)"?\s*\]+`)
 })
 
-// At returns a *PositionError at a field of the n-th table of a name, from 1, in the order of the file; with n 0, of
-// the first or only one. Without such a field, or with an empty one, the position is the table's.
+// At returns a *PositionError at a field of the n-th table of a name, counted from 1 in the order of the file; n = 0
+// means the first or only table, an empty name the top level of the file. If the field is empty or not set in the
+// table, the position is that of the table's header.
 func (f *File) At(table string, n int, field, format string, args ...any) error {
 	text := fmt.Sprintf(format, args...)
 	if field != "" {
@@ -26,7 +28,8 @@
 	return &PositionError{File: f.Name, Line: line, Column: column, Text: text}
 }
 
-// locate returns the position of a field of the n-th table of a name, else that of the table, else 0.
+// locate returns the position of a field of the n-th table of a name, or that of the table's header if the field is not
+// set, or 0, 0 without such a table.
 func (f *File) locate(table string, n int, field string) (line, column int) {
 	inTable, tables := table == "", 0
 	for i, text := range f.lines {
@@ -44,22 +47,22 @@
 		if !inTable || table != "" && tables != n {
 			continue
 		}
-		if at := assignmentColumn(text, field); at > 0 {
-			return i + 1, at
+		if fieldColumn := assignmentColumn(text, field); fieldColumn > 0 {
+			return i + 1, fieldColumn
 		}
 	}
 	return line, column
 }
 
-// assignmentColumn returns the column of a field that a line sets; 0: it does not.
+// assignmentColumn returns the column, from 1, of a field if the line assigns it, else 0.
 func assignmentColumn(line, field string) int {
-	at := strings.Index(line, field)
-	if field == "" || at < 0 {
+	index := strings.Index(line, field)
+	if field == "" || index < 0 {
 		return 0
 	}
-	before, after := line[:at], line[at+len(field):]
+	before, after := line[:index], line[index+len(field):]
 	if strings.TrimSpace(before) != "" || !strings.HasPrefix(strings.TrimSpace(after), "=") {
 		return 0
 	}
-	return at + 1
+	return index + 1
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML files strictly and reports what is wrong with them by file, line and column. The operator
-// file and scenario files are read with it.
+// Package tomlfile decodes TOML files strictly and reports errors by file, line and column. The operator file and
+// scenario files are read with it.
 package tomlfile
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// PositionError is what is wrong with a file, and where.
+// PositionError is an error in a file, with its position.
 type PositionError struct {
 	File         string
-	Line, Column int // from 1; 0: not at one place
+	Line, Column int // from 1; 0: the error has no single position
 	Text         string
 }
 
@@ -27,26 +27,26 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// File is a file's text, in which At finds places.
+// File holds the lines of a file, in which At locates tables and fields.
 type File struct {
 	Name  string
 	lines []string
 }
 
-// Load reads a file of at most so many bytes.
+// Load reads a file of at most maxBytes bytes.
 func Load(name string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxBytes {
-		return nil, &PositionError{File: name, Text: fmt.Sprintf("%d bytes: %d at most", info.Size(), maxBytes)}
+		return nil, &PositionError{File: name, Text: fmt.Sprintf("%d bytes exceed the maximum of %d", info.Size(), maxBytes)}
 	}
 	return os.ReadFile(name)
 }
 
-// Decode decodes the text of a file of this name into a struct. Fields that the struct does not have are errors, a
-// *PositionError for each of them at once, with the nearest name that it does have.
+// Decode decodes TOML text into the struct that into points to; errors begin with name. It returns a *PositionError for
+// each field that the struct does not have, with the most similar field name as a suggestion.
 func Decode(name string, text []byte, into any) (*File, []error) {
 	file := &File{Name: name, lines: strings.Split(string(text), "\n")}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -74,19 +74,20 @@
 		key := field.Key()
 		line, column := field.Position()
 		text := strings.Join(key, ".") + ": no such field"
-		if near := Nearest(key[len(key)-1], known); near != "" {
-			text += ": " + near + "?"
+		if nearest := Nearest(key[len(key)-1], known); nearest != "" {
+			text += ", did you mean " + nearest + "?"
 		}
 		errs = append(errs, &PositionError{f.Name, line, column, text})
 	}
 	return errs
 }
 
+// oneLine removes the decoder's prefix and line breaks from an error text.
 func oneLine(text string) string {
 	return strings.Join(strings.Fields(strings.TrimPrefix(text, "toml: ")), " ")
 }
 
-// fieldNames appends the names of a struct's fields in the file, and those of the structs in it, to a list.
+// fieldNames appends the TOML names of a struct type's fields, and of the structs nested in it, to a list.
 func fieldNames(t reflect.Type, list []string, seen map[reflect.Type]bool) []string {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -23,7 +23,7 @@
 	assert.EqualError(t, file.At("route", 0, "", "there is none"), "f.toml: route: there is none")
 
 	_, errs = Decode("f.toml", []byte("sead = 1\n[[pool]]\nnane = \"a\"\n"), &into)
-	require.Len(t, errs, 2, "every unknown field at once")
-	assert.EqualError(t, errs[0], "f.toml:1:1: sead: no such field: seed?")
-	assert.EqualError(t, errs[1], "f.toml:3:1: pool.nane: no such field: name?")
+	require.Len(t, errs, 2, "every unknown field is reported")
+	assert.EqualError(t, errs[0], "f.toml:1:1: sead: no such field, did you mean seed?")
+	assert.EqualError(t, errs[1], "f.toml:3:1: pool.nane: no such field, did you mean name?")
 }
