--- a/cmd/lockloom-controlplane/main.go
+++ b/cmd/lockloom-controlplane/main.go
@@ -1,5 +1,5 @@
-// Command lockloom-controlplane is lockloom with captures and with a control plane over xDS, for proxies and clients of
-// other makes.
+// Command lockloom-controlplane is lockloom with captures and with an xDS control plane for third-party proxies and
+// clients.
 package main
 
 import (
--- a/cmd/lockloom/main.go
+++ b/cmd/lockloom/main.go
@@ -1,4 +1,4 @@
-// Command lockloom is one proxy of the fleet.
+// Command lockloom runs one proxy of a fleet, checks its configuration and makes admin calls to it.
 package main
 
 import (
--- a/cmd/lockloomctl/main.go
+++ b/cmd/lockloomctl/main.go
@@ -1,4 +1,5 @@
-// Command lockloomctl holds the tools for lockloom: simulations, experiments, load, emulated servers, captures.
+// Command lockloomctl holds the tools for lockloom: simulations, experiments, load generation, emulated
+// servers, captures.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,28 +18,28 @@
 const (
 	ExitOK      = 0
 	ExitFailure = 1
-	ExitUsage   = 2 // the arguments are wrong
+	ExitUsage   = 2 // invalid arguments
 )
 
-// usageError is an error in a program's arguments. It ends the program with ExitUsage.
+// usageError is an error in a program's arguments. The program exits with ExitUsage.
 type usageError struct{ error }
 
-// Unwrap returns the error that says what is wrong.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
-// errPrinted is an error that the flag package has printed already.
+// errPrinted stands for an error that the flag package has already printed.
 var errPrinted = errors.New("")
 
-// UsageErrorf returns an error in a program's arguments, which ends it with ExitUsage.
+// UsageErrorf returns an error in a program's arguments. The program exits with ExitUsage.
 func UsageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// Exec runs a sub-command with the arguments that are no flags.
+// Exec runs a sub-command with the arguments that are not flags.
 type Exec func(ctx context.Context, args []string) error
 
 // NewFlagSet returns an empty set of flags for a sub-command.
 func NewFlagSet(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-// NewCommand returns a sub-command, whose flags may come before, between and after its other arguments.
+// NewCommand returns a sub-command whose flags may stand before, between and after its other arguments.
 func NewCommand(name, usage, help string, flags *flag.FlagSet, exec Exec) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       name,
@@ -75,10 +75,10 @@
 	return others, nil
 }
 
-// Run runs one command line, prints its error if there is one, and returns the exit code.
+// Run runs a command line, prints its error if there is one, and returns the exit code.
 func Run(ctx context.Context, root *ffcli.Command, args []string, out, errOut io.Writer) int {
 	stdout, stderr := Output{out}, Output{errOut}
-	prepare(root, stderr)
+	configureUsage(root, stderr)
 	if len(args) == 0 {
 		stderr.Printf("%s", commandList(root))
 		return ExitUsage
@@ -101,8 +101,8 @@
 	return exitCode(root.Name, args[0], root.Run(ctx), stderr)
 }
 
-// prepare sets where a program and its sub-commands print their usage.
-func prepare(root *ffcli.Command, stderr Output) {
+// configureUsage sets the usage texts of a program and its sub-commands, and prints them to stderr.
+func configureUsage(root *ffcli.Command, stderr Output) {
 	root.FlagSet = NewFlagSet(root.Name)
 	root.FlagSet.SetOutput(stderr)
 	root.UsageFunc = func(*ffcli.Command) string { return commandList(root) }
@@ -113,15 +113,15 @@
 	}
 }
 
-// exitCode prints the error that a command ended with, and returns the exit code.
+// exitCode prints the error that a command returned, if any, and returns the exit code.
 func exitCode(program, command string, err error, stderr Output) int {
-	var wrongArgs usageError
+	var argsErr usageError
 	switch {
 	case err == nil || errors.Is(err, flag.ErrHelp):
 		return ExitOK
-	case errors.As(err, &wrongArgs):
-		if !errors.Is(wrongArgs, errPrinted) {
-			stderr.Printf("%s: %s: %v\n", program, command, wrongArgs)
+	case errors.As(err, &argsErr):
+		if !errors.Is(argsErr, errPrinted) {
+			stderr.Printf("%s: %s: %v\n", program, command, argsErr)
 		}
 		return ExitUsage
 	}
@@ -136,7 +136,7 @@
 	for _, c := range root.Subcommands {
 		fmt.Fprintf(&text, "  %-12s%s\n", c.Name, c.ShortHelp)
 	}
-	fmt.Fprintf(&text, "\n%s COMMAND -h tells a command's flags.\n", root.Name)
+	fmt.Fprintf(&text, "\n%s COMMAND -h prints a command's flags.\n", root.Name)
 	return text.String()
 }
 
--- a/internal/cli/controlplanecmd/call.go
+++ b/internal/cli/controlplanecmd/call.go
@@ -20,21 +20,21 @@
 	"lockloom/internal/cli"
 )
 
-// callTimeout is what a call of the health service has to be answered in.
+// callTimeout bounds a call to the health service.
 const callTimeout = time.Second
 
-// callCommand returns the sub-command that calls servers as a control service tells it to, by gRPC's own xDS client.
+// callCommand returns the sub-command that calls servers assigned by a control plane, through gRPC's own xDS client.
 func callCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("call")
-	control := flags.String("control", os.Getenv("LOOMD_CONTROL"), "the control service's `address`")
-	duration := flags.Duration("for", 10*time.Second, "`time` to go on for")
-	rate := flags.Float64("rate", 200, "calls a `second`")
-	help := "call gRPC's health service at a target such as pool/try or a host, steered over xDS"
+	control := flags.String("control", os.Getenv("LOOMD_CONTROL"), "control plane `address`")
+	duration := flags.Duration("for", 10*time.Second, "`duration` of the run")
+	rate := flags.Float64("rate", 200, "`number` of calls per second")
+	help := "call the gRPC health service of a target such as pool/try or a host, resolved over xDS"
 	return cli.NewCommand("call", "call TARGET [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) != 1 || *control == "" || !(*rate > 0) {
-			return cli.UsageErrorf("it takes a target, -control and a rate above 0")
+			return cli.UsageErrorf("expected one target, -control and a -rate above 0")
 		}
-		conn, err := dialThrough(*control, args[0], "lockloom-controlplane-call")
+		conn, err := dialXDS(*control, args[0], "lockloom-controlplane-call")
 		if err != nil {
 			return err
 		}
@@ -45,9 +45,9 @@
 	})
 }
 
-// dialThrough returns a connection to a target, whose servers a control service names to the client of this ID.
-func dialThrough(control, target, id string) (*grpc.ClientConn, error) {
-	builder, err := newResolver(control, id)
+// dialXDS returns a connection to a target that the control plane resolves, for a client with this node ID.
+func dialXDS(control, target, id string) (*grpc.ClientConn, error) {
+	builder, err := newXDSResolver(control, id)
 	if err != nil {
 		return nil, err
 	}
@@ -55,8 +55,8 @@
 	return grpc.NewClient("xds:///"+target, grpc.WithResolvers(builder), credentials)
 }
 
-// newResolver returns gRPC's own xDS client, which asks the control service at an address.
-func newResolver(control, id string) (resolver.Builder, error) {
+// newXDSResolver returns the resolver of gRPC's own xDS client, configured for the control plane at an address.
+func newXDSResolver(control, id string) (resolver.Builder, error) {
 	bootstrap, err := json.Marshal(map[string]any{
 		"xds_servers": []any{map[string]any{
 			"server_uri":      control,
@@ -71,27 +71,27 @@
 	return xds.NewXDSResolverWithConfigForTesting(bootstrap)
 }
 
-// callCounts are the calls by server; "" is none.
+// callCounts counts calls by server. The key "" stands for calls that no server answered.
 type callCounts struct{ answered, failed map[string]int }
 
-// printCalls prints a line for each server.
+// printCalls prints a line for each server, and one for the calls that no server answered.
 func printCalls(calls callCounts, out cli.Output) {
 	for _, server := range slices.Sorted(maps.Keys(calls.answered)) {
 		out.Printf("%-21s %6d answered %6d failed\n", server, calls.answered[server], calls.failed[server])
 	}
 	if n := calls.failed[""]; n > 0 {
-		out.Printf("%-21s %6d\n", "by none", n)
+		out.Printf("%-21s %6d\n", "no server", n)
 	}
 }
 
-// callResult is how one call ended.
+// callResult is the outcome of a call.
 type callResult struct {
-	server   string // "": none answered
+	server   string // "": no server answered
 	answered bool
 }
 
-// callAtRate calls the health service at a rate until the context ends, waits for the calls that are out then, and
-// counts them.
+// callAtRate makes rate calls per second to the health service until the context ends. It waits for the calls in flight
+// then, and counts all calls.
 func callAtRate(ctx context.Context, conn *grpc.ClientConn, rate float64) callCounts {
 	counts := callCounts{answered: map[string]int{}, failed: map[string]int{}}
 	results := make(chan callResult)
@@ -115,17 +115,17 @@
 	return counts
 }
 
-// add counts a call.
+// add counts a call by its outcome.
 func (c callCounts) add(result callResult) {
 	if result.answered {
 		c.answered[result.server]++
 		return
 	}
 	c.failed[result.server]++
-	c.answered[result.server] += 0 // so that the server is listed
+	c.answered[result.server] += 0 // adds the key, so that printCalls lists the server
 }
 
-// callHealth makes one call.
+// callHealth makes one call to the health service.
 func callHealth(conn *grpc.ClientConn) callResult {
 	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 	defer stop()
--- a/internal/cli/controlplanecmd/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -22,8 +22,8 @@
 	"lockloom/internal/cli/ctlcmd"
 )
 
-// A proxy under load is captured from some time after its start, killed, started again, and captured again. All that
-// was recorded can be replayed, and explains why a request went where it went.
+// A capture is turned on in a proxy under load, the proxy is killed, started again and captured again. All recorded
+// calls can be replayed, and explain how a request was balanced.
 func TestCaptureSurvivesKill(t *testing.T) {
 	dir := t.TempDir()
 	var servers []string
@@ -78,11 +78,11 @@
 		require.Equal(t, cli.ExitOK, code, output)
 		assert.Contains(t, output, "on true, 0 calls")
 		sendRequests(200, fmt.Sprint("run", run, "-"))
-		time.Sleep(600 * time.Millisecond) // until what was recorded is written
+		time.Sleep(600 * time.Millisecond) // until the recorded calls are written
 		sendRequests(50, "late-")
 		if run == 0 {
 			require.NoError(t, cmd.Process.Signal(syscall.SIGKILL))
-			assert.Error(t, cmd.Wait(), "it was killed")
+			assert.Error(t, cmd.Wait(), "the process was killed")
 			continue
 		}
 		code, output = lockloomctl("capture", captureAddr, "-look")
@@ -102,10 +102,10 @@
 		assert.Contains(t, output, "payoff")
 	}
 	code, output = lockloomctl("why", folder, "-lookup", "before-5")
-	assert.Equal(t, cli.ExitFailure, code, "it was not captured: %s", output)
+	assert.Equal(t, cli.ExitFailure, code, "the request came before the capture: %s", output)
 }
 
-// lockloom refuses an operator file with a table that it has no program for.
+// lockloom rejects an operator file with a table that only lockloom-controlplane supports.
 func TestPlatformProgramRefusesControlAndCapture(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, writeInstallation(dir, []string{"127.0.0.1:1"}))
@@ -117,5 +117,5 @@
 	run.Env = p.environment(dir)
 	out, err = run.CombinedOutput()
 	assert.Error(t, err)
-	assert.Contains(t, string(out), "control, capture: this program has neither; lockloom-controlplane has")
+	assert.Contains(t, string(out), "the control and capture tables require lockloom-controlplane")
 }
--- a/internal/cli/controlplanecmd/controlplanecmd.go
+++ b/internal/cli/controlplanecmd/controlplanecmd.go
@@ -1,4 +1,4 @@
-// Package controlplanecmd is the command line of lockloom-controlplane: the proxy with the xDS control plane and
+// Package controlplanecmd implements the command line of lockloom-controlplane: the proxy with an xDS control plane and
 // captures.
 package controlplanecmd
 
@@ -15,7 +15,7 @@
 	"lockloom/internal/cli/proxycmd"
 )
 
-// program is the program's name.
+// program is the name that usage and errors show.
 const program = "lockloom-controlplane"
 
 // Run runs one command line and returns the exit code.
--- a/internal/cli/controlplanecmd/controlplanecmd_test.go
+++ b/internal/cli/controlplanecmd/controlplanecmd_test.go
@@ -39,7 +39,7 @@
 	return server.Check(ctx, r)
 }
 
-// testProgram is lockloom-controlplane as a program, with gRPC servers.
+// testProgram is a process of lockloom-controlplane with its gRPC servers.
 type testProgram struct {
 	t       *testing.T
 	servers []*countingServer
@@ -78,7 +78,7 @@
 	return program
 }
 
-// environment returns what writeInstallation wrote down for a program, besides this one's environment.
+// environment returns this process's environment and the variables of loomd.env, which it also records in p.env.
 func (p *testProgram) environment(dir string) []string {
 	text, err := os.ReadFile(filepath.Join(dir, "loomd.env"))
 	require.NoError(p.t, err)
@@ -91,7 +91,7 @@
 	return all
 }
 
-// start starts the program in a folder, and waits until it takes clients.
+// start starts the program in a folder, and waits until it is ready for clients.
 func (p *testProgram) start(program, dir string) *exec.Cmd {
 	run := exec.Command(program, "serve", "-operator", filepath.Join(dir, "operator.toml"))
 	run.Env = p.environment(dir)
@@ -114,9 +114,9 @@
 	return Run(append(words, p.env["ROUTER_OPERATOR"]), io.Discard, io.Discard)
 }
 
-// startClient calls the pool until the test ends, as the control service at this address tells it to.
+// startClient calls the pool until the test ends, through the control plane at an address.
 func (p *testProgram) startClient(id, control string) {
-	conn, err := dialThrough(control, "pool/try", id)
+	conn, err := dialXDS(control, "pool/try", id)
 	require.NoError(p.t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	var calls sync.WaitGroup
@@ -128,7 +128,7 @@
 	})
 }
 
-// callsWithin returns how many calls each server gets in a time.
+// callsWithin waits for a duration, and returns how many calls each server received in it.
 func (p *testProgram) callsWithin(duration time.Duration) []int64 {
 	counts := make([]int64, len(p.servers))
 	for i, server := range p.servers {
@@ -141,9 +141,9 @@
 	return counts
 }
 
-// gRPC's own xDS client follows the control service. By the servers' own counts, a disabled server gets no more calls
-// from any of three clients; a client that is cut off meanwhile goes on with what it received last, and follows as soon
-// as it is connected again; a server that is enabled gets calls again.
+// gRPC's own xDS client follows the control plane: a disabled server receives no more calls, an enabled one receives
+// calls again. A client that is disconnected meanwhile keeps its last assignment, and follows once it reconnects. Calls
+// are counted by the servers.
 func TestClientsFollowDisabledServers(t *testing.T) {
 	p := startTestProgram(t, 3)
 	link, err := faultproxy.Open(p.env["LOOMD_CONTROL"])
@@ -169,7 +169,7 @@
 	require.Equal(t, cli.ExitOK, p.call("disable", id))
 	time.Sleep(500 * time.Millisecond)
 	got := p.callsWithin(time.Second)
-	assert.True(t, got[0] > 5 && got[0] < 80, "of one client in three alone: %v", got)
+	assert.True(t, got[0] > 5 && got[0] < 80, "only the disconnected one of three clients calls it: %v", got)
 	assert.Greater(t, got[1]+got[2], int64(150), "%v", got)
 	link.Set(faultproxy.Fault{})
 	link.Cut()
@@ -180,7 +180,7 @@
 	require.Eventually(t, allAreCalled, 10*time.Second, time.Millisecond)
 }
 
-// By what clients report of their calls, a server that fails is paused, and readmitted once it is well.
+// A failing server is paused by the load reports of clients, and readmitted once it has recovered.
 func TestReportsPauseAndReadmit(t *testing.T) {
 	p := startTestProgram(t, 4)
 	p.startClient("a", p.env["LOOMD_CONTROL"])
@@ -197,12 +197,12 @@
 	p.servers[0].fails.Store(true)
 	require.Eventually(t, func() bool { return shareOfFirst() < .02 }, 10*time.Second, time.Millisecond, "paused")
 	p.servers[0].fails.Store(false)
-	began := time.Now()
+	start := time.Now()
 	require.Eventually(t, func() bool { return shareOfFirst() > .15 }, 40*time.Second, time.Millisecond, "readmitted")
-	t.Logf("readmitted %v after it was well", time.Since(began))
+	t.Logf("readmitted %v after it had recovered", time.Since(start))
 }
 
-// The platform's program stays small: nothing of gRPC or protobuf gets into it.
+// Guards against a large lockloom binary: it must not depend on gRPC, protobuf and other large packages.
 func TestPlatformProgramHasNoControlPlane(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "lockloom/cmd/lockloom").Output()
 	require.NoError(t, err)
@@ -212,5 +212,5 @@
 	} {
 		assert.NotContains(t, string(out), excluded)
 	}
-	assert.Contains(t, string(out), "lockloom/assignment", "the form of estimates is pure")
+	assert.Contains(t, string(out), "lockloom/assignment", "assignment is used, but has no such dependency")
 }
--- a/internal/cli/controlplanecmd/extension.go
+++ b/internal/cli/controlplanecmd/extension.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	invariantInterval = time.Second     // between checks whether an invariant was broken
-	headTimeout       = 2 * time.Second // for a request's head, where operators ask
+	invariantInterval = time.Second     // between checks for broken invariants
+	headTimeout       = 2 * time.Second // for a request's head, and for an idle connection, at the capture address
 )
 
-// extension is the control plane and the capture of a proxy, each if the operator file has its table.
+// extension runs the control plane and the capture of a proxy, each if the operator file has its table.
 type extension struct {
 	log          logrus.FieldLogger
 	controlPlane *controlplane.Service
 	recorder     *capture.Recorder
-	stopped      chan struct{}
+	stopped      chan struct{} // closed by Stop
 }
 
-// startExtension is a proxycmd.StartExtension.
+// startExtension implements proxycmd.StartExtension.
 func startExtension(
 	p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig, log logrus.FieldLogger,
 ) (proxycmd.Extension, error) {
@@ -54,7 +54,8 @@
 	return e, nil
 }
 
-// Reload puts another operator file in force. A capture changes with the next start, or by calls to its address.
+// Reload applies a new operator file to the control plane. The capture table takes effect at the next start; until then
+// the capture changes only by calls to its address.
 func (e *extension) Reload(config *proxy.Config) error {
 	if e.controlPlane != nil {
 		return e.controlPlane.Reload(config)
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// Stop ends both, once the proxy has ended.
+// Stop stops the control plane and the capture. Call it once the proxy has ended.
 func (e *extension) Stop() {
 	close(e.stopped)
 	if e.controlPlane != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// serveAt serves at an address that a key of the operator file's table names.
+// serveAt listens on an address, which the operator file sets by a key of a table, and serves it in the background.
 func (e *extension) serveAt(table, key, addr string, serve func(net.Listener) error) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -84,7 +85,7 @@
 	e.log.WithField(key, ln.Addr().String()).Info(table)
 	go func() {
 		if err := serve(ln); err != nil {
-			e.log.WithError(err).Error(table + ": " + key + " has ended")
+			e.log.WithError(err).Error(table + ": " + key + ": serving failed")
 		}
 	}()
 	return nil
@@ -112,17 +113,17 @@
 	return e.serveAt("control", "address", config.ControlPlane.Address, service.Serve)
 }
 
-// recordedDecisions are a pool's decisions, recorded.
+// recordedDecisions implements proxy.Decisions with a balancer whose calls are recorded.
 type recordedDecisions struct{ *capture.Balancer }
 
-// RequestArrived makes the call of proxy.Decisions.
+// RequestArrived implements proxy.Decisions.
 func (d recordedDecisions) RequestArrived(
 	now float64, request balance.RequestInfo, id string,
 ) (proxy.RequestHandle, *balance.Actions) {
 	return d.Balancer.RequestArrived(now, request, id)
 }
 
-// startCapture records the decisions of every pool.
+// startCapture opens the recorder, has it record the decisions of every pool, and serves its address.
 func (e *extension) startCapture(p *proxy.Proxy, config *proxy.Config, bootstrap *proxy.BootstrapConfig) error {
 	c := config.Capture
 	recorder, err := capture.Open(capture.Options{
@@ -153,7 +154,7 @@
 	})
 }
 
-// serveHTTP serves a listener until the extension is stopped.
+// serveHTTP serves HTTP on a listener until the extension is stopped.
 func (e *extension) serveHTTP(ln net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: headTimeout}
 	go func() {
@@ -168,9 +169,9 @@
 	return nil
 }
 
-// triggerCapture writes what is held in memory when an invariant is broken or on SIGUSR2, until the extension is
-// stopped. Without a ring in memory, the signal turns the capture on or off.
-func (e *extension) triggerCapture(recorder *capture.Recorder, ring bool) {
+// triggerCapture triggers a write of the ring in memory when an invariant is broken or on SIGUSR2, until the extension
+// is stopped. Without a ring, SIGUSR2 turns the capture on or off.
+func (e *extension) triggerCapture(recorder *capture.Recorder, hasRing bool) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR2)
 	defer signal.Stop(signals)
@@ -181,7 +182,7 @@
 		case <-e.stopped:
 			return
 		case <-signals:
-			e.captureSignaled(recorder, ring)
+			e.handleSignal(recorder, hasRing)
 		case <-check.C:
 			broken := brokenInvariants()
 			if broken > seen {
@@ -192,9 +193,9 @@
 	}
 }
 
-// captureSignaled does what SIGUSR2 stands for.
-func (e *extension) captureSignaled(recorder *capture.Recorder, ring bool) {
-	if ring {
+// handleSignal handles SIGUSR2.
+func (e *extension) handleSignal(recorder *capture.Recorder, hasRing bool) {
+	if hasRing {
 		recorder.Trigger("SIGUSR2")
 		return
 	}
@@ -202,7 +203,7 @@
 	e.log.WithField("on", recorder.On()).Info("capture")
 }
 
-// brokenInvariants returns how often an invariant was broken so far.
+// brokenInvariants returns how many times invariants were broken so far.
 func brokenInvariants() int {
 	total := 0
 	for _, times := range invariant.Broken() {
--- a/internal/cli/controlplanecmd/installation.go
+++ b/internal/cli/controlplanecmd/installation.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// launchFile is the launch file of an installation to try the control service with.
+// launchFile is the launch file of an installation for trying out the control plane.
 const launchFile = `{"seed": "1",
  "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
  "known": {"version": 0, "full": true, "servers": []},
@@ -17,7 +17,8 @@
   "Profiles": [{"Name": "call", "Effect": "retryable", "HardStopMs": 1000, "Value": 1}]}}
 `
 
-// operatorFileFormat is its operator file: the control service's address, status address and snapshot, and the servers.
+// operatorFileFormat is its operator file, formatted with the control plane's address, status address and snapshot file
+// and with the servers.
 const operatorFileFormat = `[control]
 address = "%s"
 status = "%s"
@@ -37,8 +38,8 @@
 pool = "try"
 `
 
-// installation are the addresses of a proxy on loopback.
-type installation struct{ control, status, listen, discovery, admin string }
+// addresses holds the loopback addresses of a proxy and its control plane.
+type addresses struct{ control, status, listen, discovery, admin string }
 
 // writeInstallation writes the files of an installation with one pool, "try", of these servers: launch.json,
 // operator.toml and loomd.env.
@@ -67,19 +68,19 @@
 	return nil
 }
 
-// environment returns the variables that serve and its clients need, a line each.
-func (i installation) environment(launchFile string) string {
+// environment returns the environment variables that serve and its clients need, one per line.
+func (a addresses) environment(launchFile string) string {
 	return fmt.Sprintf("ROUTER_NAME=n0\nROUTER_LISTEN=%s\nROUTER_DISCOVERY=%s\nROUTER_OPERATOR=%s\n"+
 		"ROUTER_CONFIG=%s\nLOOMD_CONTROL=%s\nLOOMD_STATUS=%s\n",
-		i.listen, i.discovery, i.admin, launchFile, i.control, i.status)
+		a.listen, a.discovery, a.admin, launchFile, a.control, a.status)
 }
 
-// freeAddresses returns addresses where nobody listens now. They are held until all are found, so that they differ.
-func freeAddresses() (free installation, err error) {
+// freeAddresses returns unused addresses. The listeners stay open until all addresses are found, so that they differ.
+func freeAddresses() (free addresses, err error) {
 	for _, addr := range []*string{&free.control, &free.status, &free.listen, &free.discovery, &free.admin} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return installation{}, err
+			return addresses{}, err
 		}
 		defer ln.Close()
 		*addr = ln.Addr().String()
--- a/internal/cli/controlplanecmd/servers.go
+++ b/internal/cli/controlplanecmd/servers.go
@@ -28,14 +28,14 @@
 	healthResponse = grpc_health_v1.HealthCheckResponse
 )
 
-// healthServer answers gRPC's health service, and fails a fraction of the calls.
+// healthServer implements gRPC's health service, and fails a fraction of the calls.
 type healthServer struct {
 	grpc_health_v1.UnimplementedHealthServer
 	name            string
 	failureFraction float64
 }
 
-// Check answers after a delay.
+// Check responds after responseDelay.
 func (s *healthServer) Check(ctx context.Context, _ *healthRequest) (*healthResponse, error) {
 	if err := grpc.SetHeader(ctx, metadata.Pairs(serverField, s.name)); err != nil {
 		return nil, err
@@ -47,17 +47,17 @@
 	return &healthResponse{Status: grpc_health_v1.HealthCheckResponse_SERVING}, nil
 }
 
-// serversCommand returns the sub-command that runs gRPC servers on loopback, and writes what serve needs to send
-// clients there.
+// serversCommand returns the sub-command that runs gRPC servers on loopback, and writes the files that serve needs to
+// send clients to them.
 func serversCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("servers")
 	dir := flags.String("dir", "stand", "write loomd.env, launch.json and operator.toml to this `folder`")
 	count := flags.Int("n", 4, "`number` of servers")
-	failureFraction := flags.Float64("fail", 0, "`share` of its calls that the last one fails")
-	help := "run gRPC servers to try the control service with, and write what serve needs, until Ctrl-C"
+	failureFraction := flags.Float64("fail", 0, "`share` of calls that the last server fails")
+	help := "run gRPC servers to try the control plane with, until Ctrl-C, and write the files that serve needs"
 	return cli.NewCommand("servers", "servers [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) > 0 || *count < 1 {
-			return cli.UsageErrorf("it takes no further words, and one server at least")
+			return cli.UsageErrorf("expected no arguments and an -n of at least 1")
 		}
 		var addrs []string
 		for i := range *count {
@@ -81,7 +81,7 @@
 	})
 }
 
-// start serves on a free port of loopback, which becomes the server's name, until stop is called.
+// start serves on a free loopback address, which becomes the server's name, until stop is called.
 func (s *healthServer) start() (stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,6 +95,6 @@
 func serveHealth(ln net.Listener, handler grpc_health_v1.HealthServer) (stop func()) {
 	server := grpc.NewServer()
 	grpc_health_v1.RegisterHealthServer(server, handler)
-	go func() { _ = server.Serve(ln) }() // if it ends early, calls fail: that is what its clients are to see
+	go func() { _ = server.Serve(ln) }() // an error shows in the failed calls of its clients
 	return server.Stop
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// Output is where a command prints to. That printing fails is no error of the command: whoever was to read it has gone.
+// Output is what a command prints to. Write errors are ignored: they mean that the reader is gone, which is no failure
+// of the command.
 type Output struct{ io.Writer }
 
 // Printf formats like fmt.Printf.
--- a/internal/cli/proxycmd/admin.go
+++ b/internal/cli/proxycmd/admin.go
@@ -12,17 +12,17 @@
 	"lockloom/internal/cli"
 )
 
-// adminTimeout is what the admin endpoint has to answer in.
+// adminTimeout bounds an admin call.
 const adminTimeout = 2 * time.Second
 
-// adminCommands returns the sub-commands for operators, one for each admin call.
+// adminCommands returns the sub-commands that make admin calls, one for each kind of call.
 func adminCommands(out cli.Output) []*ffcli.Command {
 	return []*ffcli.Command{
-		adminCommand(admin.Ready, "ask whether the proxy's process takes clients", out),
-		adminCommand(admin.Drain, "empty the proxy: it says at /up that it is not up, and sends its clients away", out),
+		adminCommand(admin.Ready, "check whether the proxy process accepts clients", out),
+		adminCommand(admin.Drain, "drain the proxy: /up reports that it is not up, and client connections are closed", out),
 		adminCommand(admin.Resume, "end a drain", out),
-		adminCommand(admin.Disable, "send nothing more to the server ID, until it is enabled", out),
-		adminCommand(admin.Enable, "send to the server ID again", out),
+		adminCommand(admin.Disable, "send no requests to the server ID until it is enabled", out),
+		adminCommand(admin.Enable, "send requests to the server ID again", out),
 	}
 }
 
@@ -51,10 +51,10 @@
 	})
 }
 
-// adminAddress returns the admin endpoint's address: the only argument or, without one, that of the environment.
+// adminAddress returns the admin endpoint's address: the only argument or, without one, that of ROUTER_OPERATOR.
 func adminAddress(args []string) (string, error) {
 	if len(args) > 1 {
-		return "", cli.UsageErrorf("it takes no further words")
+		return "", cli.UsageErrorf("unexpected argument %q", args[1])
 	}
 	addr := os.Getenv("ROUTER_OPERATOR")
 	if len(args) == 1 {
@@ -66,14 +66,14 @@
 	return addr, nil
 }
 
-// sendAdminCall makes an admin call and prints the answer. A status that is not 2xx is an error.
+// sendAdminCall makes an admin call and prints the response. A status other than 2xx is an error.
 func sendAdminCall(addr string, call admin.Call, out cli.Output) error {
 	status, text, err := admin.Send(addr, call, adminTimeout)
 	if err != nil {
 		return err
 	}
 	if status < 200 || status > 299 {
-		return fmt.Errorf("%s says no: %d: %s", addr, status, text)
+		return fmt.Errorf("%s rejected the call: status %d: %s", addr, status, text)
 	}
 	out.Printf("%s: %s\n", addr, text)
 	return nil
--- a/internal/cli/proxycmd/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -12,12 +12,11 @@
 	"lockloom/proxy"
 )
 
-// checkCommand returns the sub-command that reads an operator file or the launch file, and prints what is wrong with
-// it.
+// checkCommand returns the sub-command that checks an operator file or the launch file, and prints its errors.
 func checkCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("check")
 	file := operatorFileFlag(flags)
-	help := "read the launch file that serve would read, or an operator file, and say what is wrong with it"
+	help := "check the launch file that serve would read, or an operator file, and print its errors"
 	return newFlagsCommand("check", help, flags, func() error {
 		if *file == "" {
 			return checkBootstrap(out)
@@ -28,11 +27,10 @@
 
 // operatorFileFlag adds the flag that names an operator file.
 func operatorFileFlag(flags *flag.FlagSet) *string {
-	return flags.String("operator", "", "the operator's `FILE`: listeners, pools, routes, limits")
+	return flags.String("operator", "", "operator `FILE` with listeners, pools, routes and limits")
 }
 
-// readOperatorFile reads an operator file. It prints all that is wrong with it, a line each, but for the last, which it
-// returns.
+// readOperatorFile reads an operator file. It prints all errors but the last, one per line, and returns the last.
 func readOperatorFile(file string, errOut cli.Output) (*config.Config, error) {
 	c, errs := config.Open(file)
 	if len(errs) == 0 {
@@ -45,7 +43,7 @@
 	return nil, errs[last]
 }
 
-// checkOperatorFile prints what an operator file holds.
+// checkOperatorFile checks an operator file and prints how many entries of each kind it has.
 func checkOperatorFile(file string, out, errOut cli.Output) error {
 	c, err := readOperatorFile(file, errOut)
 	if err != nil {
@@ -56,7 +54,7 @@
 	return nil
 }
 
-// checkBootstrap prints what serve would be given at start.
+// checkBootstrap checks the environment and the launch file as serve reads them, and prints a summary.
 func checkBootstrap(out cli.Output) error {
 	b, err := proxy.ReadBootstrap(os.Getenv)
 	if err != nil {
--- a/internal/cli/proxycmd/clientload_test.go
+++ b/internal/cli/proxycmd/clientload_test.go
@@ -14,7 +14,7 @@
 // maxClientErrors bounds the errors that a clientLoad keeps.
 const maxClientErrors = 5
 
-// clientLoad is clients that send requests until they are stopped, and what came of them.
+// clientLoad runs clients that send requests until they are stopped, and counts the results.
 type clientLoad struct {
 	stop    chan struct{}
 	running sync.WaitGroup
@@ -22,18 +22,18 @@
 	mu         sync.Mutex
 	sent       int
 	served     int
-	refused    int // no connection
-	unanswered int
-	raced      int // sent as a connection closed between requests, and once more on a new one, as clients do
-	rejected   int // told to retry, which is no loss: on a busy machine some requests are late
+	refused    int // connections that could not be opened
+	unanswered int // requests without a whole response
+	raced      int // sent while the connection closed between requests, and again on a new one, as clients do
+	rejected   int // answered with 503, which is no loss: on a busy machine some requests are late
 	errors     []string
 }
 
-// startClients starts clients that keep their connections, and others that open one for each request.
-func (s *installation) startClients(keeping, opening int) *clientLoad {
+// startClients starts clients that keep their connections alive, and others that open one for each request.
+func (s *testEnvironment) startClients(persistent, oneShot int) *clientLoad {
 	load := &clientLoad{stop: make(chan struct{})}
-	for i := range keeping + opening {
-		c := &client{load: load, addr: s.addr, number: i, keeps: i < keeping}
+	for i := range persistent + oneShot {
+		c := &client{load: load, addr: s.addr, number: i, keepsAlive: i < persistent}
 		load.running.Go(c.run)
 	}
 	return load
@@ -52,7 +52,7 @@
 	return l.served
 }
 
-// count adds to one of the counts, and keeps an error if there is one.
+// count increments one of the counts, and keeps an error if there is one.
 func (l *clientLoad) count(count *int, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,14 +62,14 @@
 	}
 }
 
-// client sends one request after the other.
+// client sends requests one after the other.
 type client struct {
-	load   *clientLoad
-	addr   string
-	number int
-	keeps  bool // its connection
-	conn   net.Conn
-	used   bool // the connection had a response
+	load       *clientLoad
+	addr       string
+	number     int
+	keepsAlive bool // reuses its connection
+	conn       net.Conn
+	used       bool // the connection has carried a response
 }
 
 // run sends requests until the load is stopped.
@@ -84,7 +84,7 @@
 	}
 }
 
-// request sends a request and counts what comes of it.
+// request sends a request and counts its result.
 func (c *client) request(id string) {
 	if c.conn == nil {
 		conn, err := net.Dial("tcp", c.addr)
@@ -110,12 +110,12 @@
 	default:
 		c.load.count(new(int), fmt.Errorf("%d %q", r.status, r.body))
 	}
-	if err != nil || r.closes || !c.keeps {
+	if err != nil || r.closes || !c.keepsAlive {
 		c.close()
 	}
 }
 
-// sendAgain sends a request on a new connection, since the old one was closed before it.
+// sendAgain sends a request again on a new connection, because the old one was closed before the request arrived.
 func (c *client) sendAgain(id string) (response, error) {
 	c.close()
 	conn, err := net.Dial("tcp", c.addr)
@@ -136,17 +136,17 @@
 	c.used = false
 }
 
-// response is a response to a request.
+// response holds what the tests check of an HTTP response.
 type response struct {
 	status int
 	body   string
-	closes bool // the connection
+	closes bool // the proxy closes the connection after it
 }
 
-// sendRequest sends a request on a connection that carries nothing else, and reads its response.
+// sendRequest sends a request on a connection without other requests in flight, and reads its response.
 func sendRequest(conn net.Conn, id string) (response, error) {
 	conn.SetDeadline(time.Now().Add(2 * time.Second))
-	// That it cannot be written shows in the read below, which also tells a connection that was closed before it.
+	// After a write error the read below fails too, with io.EOF if the connection was closed before the request.
 	_, _ = fmt.Fprintf(conn,
 		"GET /look HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: %s\r\nX-Expires-In: 1\r\n\r\n", id)
 	reader := http1.NewReader(conn)
--- a/internal/cli/proxycmd/cost_test.go
+++ b/internal/cli/proxycmd/cost_test.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// plainProxyTo, in the environment, makes the test's program a plain reverse proxy to that address. It prints the
-// address on which it listens.
+// plainProxyTo names the environment variable that makes the test binary a plain reverse proxy to the address it holds.
+// The proxy prints the address on which it listens.
 const plainProxyTo = "LOCKLOOM_PLAIN_TO"
 
 func TestMain(m *testing.M) {
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// servePlainProxy is a reverse proxy of the standard library.
+// servePlainProxy serves a reverse proxy of the standard library.
 func servePlainProxy(to string) error {
 	target := &url.URL{Scheme: "http", Host: to}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,10 +46,10 @@
 	})
 }
 
-// BenchmarkCost measures the processor time that a program on one core takes for a request, next to that of a plain
-// reverse proxy of the standard library: on kept connections, and on a connection for each.
+// BenchmarkCost measures the CPU time per request of a program on one core, compared with a reverse proxy of the
+// standard library: on persistent connections, and with a connection per request.
 func BenchmarkCost(b *testing.B) {
-	s := newInstallation(b, 128)
+	s := newTestEnvironment(b, 128)
 	lockloom := s.startReady()
 	plain := exec.Command(os.Args[0])
 	plain.Env = append(os.Environ(), plainProxyTo+"="+s.serverAddrs[0], "GOMAXPROCS=1")
@@ -58,7 +58,7 @@
 	require.NoError(b, plain.Start())
 	defer func() {
 		require.NoError(b, plain.Process.Kill())
-		require.Error(b, plain.Wait(), "it was killed")
+		require.Error(b, plain.Wait(), "the process was killed")
 	}()
 	var plainAddr string
 	_, err = fmt.Fscanln(out, &plainAddr)
@@ -66,7 +66,7 @@
 	for _, c := range []struct {
 		name, addr string
 		pid        int
-		keeps      bool
+		keepsAlive bool
 	}{
 		{"httputil/kept", plainAddr, plain.Process.Pid, true},
 		{"lockloom/kept", s.addr, lockloom.Process.Pid, true},
@@ -78,23 +78,23 @@
 			const clients = 40
 			requests := b.N/clients + 1
 			var running sync.WaitGroup
-			before := processorTime(b, c.pid)
+			before := cpuTime(b, c.pid)
 			for i := range clients {
 				running.Go(func() {
-					if err := sendRequests(c.addr, fmt.Sprint(i), requests, c.keeps); err != nil {
+					if err := sendRequests(c.addr, fmt.Sprint(i), requests, c.keepsAlive); err != nil {
 						b.Error(err)
 					}
 				})
 			}
 			running.Wait()
-			used := processorTime(b, c.pid) - before
+			used := cpuTime(b, c.pid) - before
 			b.ReportMetric(float64(used.Nanoseconds())/float64(requests*clients), "cpu-ns/op")
 		})
 	}
 }
 
 // sendRequests sends requests one after the other, until one fails.
-func sendRequests(addr, client string, requests int, keeps bool) error {
+func sendRequests(addr, client string, requests int, keepsAlive bool) error {
 	var conn net.Conn
 	for i := range requests {
 		if conn == nil {
@@ -108,7 +108,7 @@
 			conn.Close()
 			return fmt.Errorf("status %d: %w", r.status, err)
 		}
-		if r.closes || !keeps {
+		if r.closes || !keepsAlive {
 			conn.Close()
 			conn = nil
 		}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// pinToCore keeps all threads of a program to one core, which others may use too.
+// pinToCore pins all threads of a process to one core, which other processes may use too.
 func pinToCore(tb testing.TB, pid int) {
 	tb.Helper()
 	var core unix.CPUSet
@@ -133,8 +133,8 @@
 	}
 }
 
-// processorTime returns the processor time that a program has used.
-func processorTime(tb testing.TB, pid int) time.Duration {
+// cpuTime returns the CPU time that a process has used.
+func cpuTime(tb testing.TB, pid int) time.Duration {
 	tb.Helper()
 	var used unix.Timespec
 	processClock := int32(^pid<<3 | 2) // see clock_getcpuclockid(3)
--- a/internal/cli/proxycmd/explain.go
+++ b/internal/cli/proxycmd/explain.go
@@ -10,12 +10,12 @@
 	"lockloom/internal/config"
 )
 
-// explainCommand returns the sub-command that explains what an operator file does with a request.
+// explainCommand returns the sub-command that explains how an operator file handles a request.
 func explainCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("explain")
 	file := operatorFileFlag(flags)
 	return cli.NewCommand("explain", "explain -operator FILE METHOD URL [NAME:VALUE...]",
-		"say which route, pool, class, limits and retry rule a request would meet, and why not others", flags,
+		"print which route, pool, class, limits and retry rule apply to a request, and why not others", flags,
 		func(_ context.Context, args []string) error {
 			if *file == "" {
 				return cli.UsageErrorf("-operator: missing")
@@ -32,16 +32,16 @@
 		})
 }
 
-// parseRequest returns the request that arguments describe: a method, a URL or path, and fields.
+// parseRequest returns the request that the arguments describe: a method, a URL or path, and header fields.
 func parseRequest(args []string) (*config.Request, error) {
 	if len(args) < 2 {
-		return nil, cli.UsageErrorf("it takes a method, a URL or path, and fields as NAME:VALUE")
+		return nil, cli.UsageErrorf("expected a method, a URL or path, and fields as NAME:VALUE")
 	}
 	request := &config.Request{Method: args[0], Target: args[1], Fields: map[string]string{}}
 	for _, field := range args[2:] {
 		name, value, ok := strings.Cut(field, ":")
 		if !ok || name == "" {
-			return nil, cli.UsageErrorf("%q: a field is NAME:VALUE", field)
+			return nil, cli.UsageErrorf("field %q: expected NAME:VALUE", field)
 		}
 		request.Fields[strings.ToLower(name)] = strings.TrimSpace(value)
 	}
--- a/internal/cli/proxycmd/installation_test.go
+++ b/internal/cli/proxycmd/installation_test.go
@@ -28,8 +28,8 @@
 // largeResponseBytes is the size of the response to a request of "/look?large".
 const largeResponseBytes = 32 << 20
 
-// programBuild returns the path of the program, which it builds once.
-var programBuild = sync.OnceValues(func() (string, error) {
+// buildProgram returns the path of the lockloom program, which the first call builds.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "lockloom-test")
 	if err != nil {
 		return "", err
@@ -42,29 +42,29 @@
 	return name, err
 })
 
-// installation is what is around a proxy: two servers, an endpoint list that no agent changes, and a folder.
-type installation struct {
+// testEnvironment is what a proxy runs with: two servers, an endpoint list that no agent changes, and a folder.
+type testEnvironment struct {
 	t             testing.TB
 	env           []string
-	addr          string // the proxy's
+	addr          string // the proxy's platform listener
 	dir           string
 	serverAddrs   []string
-	firstProgram  string // of the first process
-	laterProgram  string // of all others
-	startedCount  int    // processes
+	firstProgram  string // path of the program of the first process
+	laterProgram  string // path of the program of all later processes
+	startedCount  int    // number of processes started
 	failingServer string // the ID of a server that fails all requests; set while no request is in flight
 
 	mu       sync.Mutex
-	servedBy map[string]int // requests by server's ID
-	runs     map[string]int // by request's ID
+	servedBy map[string]int // requests by the server's ID
+	runs     map[string]int // executions by the request's ID
 }
 
-// newInstallation returns the surroundings of a proxy with so many MB of memory.
-func newInstallation(tb testing.TB, memoryMB int) *installation {
+// newTestEnvironment returns the environment of a proxy with a memory limit of memoryMB.
+func newTestEnvironment(tb testing.TB, memoryMB int) *testEnvironment {
 	tb.Helper()
-	program, err := programBuild()
+	program, err := buildProgram()
 	require.NoError(tb, err)
-	s := &installation{
+	s := &testEnvironment{
 		t:            tb,
 		addr:         freeAddr(tb),
 		dir:          tb.TempDir(),
@@ -91,7 +91,7 @@
 }
 
 // startServer runs a server until the test ends, and returns its address.
-func (s *installation) startServer(id string) string {
+func (s *testEnvironment) startServer(id string) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(s.t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 }
 
 // serve answers with the request's ID, or with a large body.
-func (s *installation) serve(id string, w http.ResponseWriter, r *http.Request) {
+func (s *testEnvironment) serve(id string, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/look" && r.URL.RawQuery == "large" {
 		w.Header().Set("Content-Length", strconv.Itoa(largeResponseBytes))
 		writeBody(w, io.LimitReader(zeros{}, largeResponseBytes))
@@ -122,9 +122,10 @@
 	writeBody(w, strings.NewReader(requestID))
 }
 
-// writeBody writes a response's body. A proxy that is killed does not read it, which is no error here.
+// writeBody writes a response's body. It ignores write errors, which a killed proxy causes.
 func writeBody(w io.Writer, body io.Reader) { _, _ = io.Copy(w, body) }
 
+// zeros reads as an endless sequence of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
@@ -132,10 +133,10 @@
 	return len(p), nil
 }
 
-var freeAddrs atomic.Int64 // given out
+var freeAddrs atomic.Int64 // number of addresses that freeAddr has returned
 
-// freeAddr returns an address where nobody listens, on a loopback address of its own. A free port on an address that
-// others use may be another's by the time a process listens there, or be given out twice.
+// freeAddr returns an unused address on a loopback IP of its own. On a shared IP another process could take the port
+// before the caller listens on it, or the same port could be returned twice.
 func freeAddr(tb testing.TB) string {
 	tb.Helper()
 	n := freeAddrs.Add(1)
@@ -152,11 +153,11 @@
 	adminAddr string
 	logFile   string
 	ended     chan struct{}
-	err       error // read once it has ended
+	err       error // of the process; read it after ended is closed
 }
 
-// startProcess starts a process.
-func (s *installation) startProcess() *process {
+// startProcess starts a process of the proxy; it is killed when the test ends.
+func (s *testEnvironment) startProcess() *process {
 	program := s.firstProgram
 	if s.startedCount++; s.startedCount > 1 {
 		program = s.laterProgram
@@ -177,20 +178,20 @@
 	return p
 }
 
-// startReady starts a process and waits until it takes clients.
-func (s *installation) startReady() *process {
+// startReady starts a process and waits until it is ready for clients.
+func (s *testEnvironment) startReady() *process {
 	p := s.startProcess()
 	isReady := func() bool { return p.call("ready") == cli.ExitOK }
 	require.Eventually(s.t, isReady, 20*time.Second, 5*time.Millisecond, p.log())
 	return p
 }
 
-// call makes an admin call by the command line, and returns the exit code.
+// call makes an admin call to the process through the command line, and returns the exit code.
 func (p *process) call(args ...string) int {
 	return Run(append(args, p.adminAddr), io.Discard, io.Discard)
 }
 
-// kill kills the process, unless it has ended.
+// kill kills the process unless it has ended, and waits for its end.
 func (p *process) kill() {
 	if err := p.Process.Kill(); !errors.Is(err, os.ErrProcessDone) {
 		assert.NoError(p.t, err)
@@ -198,14 +199,14 @@
 	<-p.ended
 }
 
-// stop has the process end by itself.
+// stop sends SIGTERM and waits until the process ends.
 func (p *process) stop() {
 	assert.NoError(p.t, p.Process.Signal(syscall.SIGTERM))
 	select {
 	case <-p.ended:
 		assert.NoError(p.t, p.err, p.log())
-	case <-time.After(2500 * time.Millisecond): // it may be killed after its longest deadline and 0.7 s
-		assert.Fail(p.t, "it has not ended", p.log())
+	case <-time.After(2500 * time.Millisecond): // the platform may kill it after its longest deadline and 0.7 s
+		assert.Fail(p.t, "the process did not end after SIGTERM", p.log())
 	}
 }
 
@@ -216,7 +217,7 @@
 	return string(text)
 }
 
-// memory returns a process's memory in kB: VmRSS now, VmHWM the most so far.
+// memory returns a value of /proc/PID/status in kB: VmRSS is the current memory, VmHWM the peak.
 func (p *process) memory(name string) (kB int) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	assert.NoError(p.t, err)
@@ -226,8 +227,8 @@
 	return kB
 }
 
-// offeredState returns what the process that serves would hand over now, nil if none offers to.
-func (s *installation) offeredState() *hotrestart.State {
+// offeredState returns the state that the serving process would hand over now, nil if no process offers a hot restart.
+func (s *testEnvironment) offeredState() *hotrestart.State {
 	identity := hotrestart.Identity{Format: hotrestart.Format, Name: "n0", Listen: s.addr}
 	state, listeners, link, err := hotrestart.TakeOver(hotrestart.Path(s.dir, identity), identity)
 	if err != nil {
@@ -240,8 +241,8 @@
 	return state
 }
 
-// awaitState returns the same once a process offers it: one that serves again does so a moment later.
-func (s *installation) awaitState() (state *hotrestart.State) {
+// awaitState waits until a process offers its state, and returns it. One that resumes serving offers it a moment later.
+func (s *testEnvironment) awaitState() (state *hotrestart.State) {
 	for end := time.Now().Add(5 * time.Second); state == nil && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		state = s.offeredState()
 	}
--- a/internal/cli/proxycmd/proxycmd.go
+++ b/internal/cli/proxycmd/proxycmd.go
@@ -1,4 +1,4 @@
-// Package proxycmd is the command line of lockloom, the proxy.
+// Package proxycmd implements the command line of lockloom, the proxy.
 package proxycmd
 
 import (
@@ -11,7 +11,7 @@
 	"lockloom/internal/cli"
 )
 
-// program is the program's name.
+// program is the name that usage and errors show.
 const program = "lockloom"
 
 // Run runs one command line and returns the exit code.
@@ -21,8 +21,7 @@
 	return cli.Run(context.Background(), root, args, out, errOut)
 }
 
-// Commands returns the sub-commands of a program that is a proxy. Its serve runs an extension too, unless start is
-// nil.
+// Commands returns the sub-commands of a proxy program. Unless start is nil, serve also runs an extension.
 func Commands(program string, start StartExtension, out, errOut cli.Output) []*ffcli.Command {
 	commands := []*ffcli.Command{
 		serveCommand(start, errOut),
@@ -34,11 +33,11 @@
 	return append(commands, adminCommands(out)...)
 }
 
-// newFlagsCommand returns a sub-command that takes flags alone.
+// newFlagsCommand returns a sub-command that takes only flags.
 func newFlagsCommand(name, help string, flags *flag.FlagSet, run func() error) *ffcli.Command {
 	return cli.NewCommand(name, name+" [FLAGS]", help, flags, func(_ context.Context, args []string) error {
 		if len(args) > 0 {
-			return cli.UsageErrorf("it takes no further words")
+			return cli.UsageErrorf("unexpected argument %q", args[0])
 		}
 		return run()
 	})
--- a/internal/cli/proxycmd/proxycmd_test.go
+++ b/internal/cli/proxycmd/proxycmd_test.go
@@ -17,7 +17,7 @@
 	"lockloom/internal/cli"
 )
 
-// logLines gets each line that is logged.
+// logLines receives each line that is logged.
 type logLines chan string
 
 func (l logLines) Write(p []byte) (int, error) {
@@ -25,13 +25,14 @@
 	return len(p), nil
 }
 
-// wait waits for a line that contains a text.
+// wait reads lines until one contains a text.
 func (l logLines) wait(text string) {
 	for !strings.Contains(<-l, text) {
 	}
 }
 
-// A signal that was not handled would end the program, and all requests in flight with it.
+// SIGHUP reloads the launch file. It is handled until the process ends: an unhandled SIGHUP would end the process and
+// all requests in flight with it.
 func TestReloadOnHangUp(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file.json")
 	write := func(discovery string) {
@@ -77,17 +78,17 @@
 	write(addr(1))
 	sendHangUp()
 	acceptWatch(1)
-	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != cli.ExitOK { // it serves on
+	for Run([]string{"up", free.Addr().String()}, io.Discard, io.Discard) != cli.ExitOK { // it still serves
 		time.Sleep(10 * time.Millisecond)
 	}
-	own := make(chan os.Signal, 1)
-	signal.Notify(own, syscall.SIGHUP) // the program may have ended when the last one comes
-	defer signal.Stop(own)
+	hangUps := make(chan os.Signal, 1)
+	signal.Notify(hangUps, syscall.SIGHUP) // serve may have stopped handling SIGHUP when the last one arrives
+	defer signal.Stop(hangUps)
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	log.wait("stopping")
 	sendHangUp()
 	go func() {
-		for range log { // so that no writer waits
+		for range log { // drained, so that no log write blocks
 		}
 	}()
 	served.Wait()
@@ -103,12 +104,12 @@
 	for _, c := range []struct {
 		args      string
 		code      int
-		out, errs string // what they contain; out is empty if this is
+		out, errs string // parts of the outputs; if out is empty, standard output must be
 	}{
 		{"", cli.ExitUsage, "", "usage: lockloom"},
 		{"dance", cli.ExitUsage, "", `unknown command "dance"`},
 		{"serve -x", cli.ExitUsage, "", "flag provided but not defined"},
-		{"serve more", cli.ExitUsage, "", "takes no further words"},
+		{"serve more", cli.ExitUsage, "", `unexpected argument "more"`},
 		{"up", cli.ExitUsage, "", "the proxy's address is missing"},
 		{"help", cli.ExitOK, "usage: lockloom", ""},
 		{"serve -h", cli.ExitOK, "", "-log"},
@@ -119,8 +120,8 @@
 		{"check -operator " + sample, cli.ExitOK, "3 pools, 4 routes", ""},
 		{"check -operator no.toml", cli.ExitFailure, "", "no.toml: no such file"},
 		{"explain GET /", cli.ExitUsage, "", "-operator: missing"},
-		{"explain -operator " + sample + " GET", cli.ExitUsage, "", "a method, a URL"},
-		{"explain -operator " + sample + " GET / x", cli.ExitUsage, "", `"x": a field is NAME:VALUE`},
+		{"explain -operator " + sample + " GET", cli.ExitUsage, "", "expected a method, a URL or path"},
+		{"explain -operator " + sample + " GET / x", cli.ExitUsage, "", `field "x": expected NAME:VALUE`},
 		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", cli.ExitOK,
 			"class sign: keyed", ""},
 		{"up 127.0.0.1:1", cli.ExitFailure, "", "lockloom: dial"},
@@ -130,7 +131,7 @@
 		assert.Contains(t, out.String(), c.out, c.args)
 		assert.Contains(t, errs.String(), c.errs, c.args)
 		if c.code == cli.ExitFailure {
-			assert.Equal(t, 1, strings.Count(errs.String(), "\n"), "one line says what is wrong: %s", c.args)
+			assert.Equal(t, 1, strings.Count(errs.String(), "\n"), "the error must be one line: %s", c.args)
 		}
 		if c.out == "" {
 			assert.Empty(t, out.String(), c.args)
--- a/internal/cli/proxycmd/serve.go
+++ b/internal/cli/proxycmd/serve.go
@@ -20,15 +20,15 @@
 	"lockloom/proxy"
 )
 
-// How the Go runtime keeps to the machine's limits.
+// Settings of Go's garbage collector.
 const (
-	heapFraction = 0.6 // of the memory limit, as the collector's aim; the rest is for bursts of buffers
-	gcPercent    = 300 // the heap is small: it is collected seldom, unless it nears the aim
+	heapFraction = 0.6 // of the proxy's memory, as the runtime's soft memory limit; the rest is for bursts of buffers
+	gcPercent    = 300 // the heap is small, so it is collected seldom unless it nears the soft limit
 )
 
-// Extension is what a program runs beside the proxy, by the operator file.
+// Extension is a service that a program runs beside the proxy, configured by the operator file.
 type Extension interface {
-	// Reload puts another operator file in force.
+	// Reload applies a new operator file.
 	Reload(*proxy.Config) error
 	// Stop is called once the proxy has ended.
 	Stop()
@@ -40,7 +40,7 @@
 // serveCommand returns the sub-command that runs a proxy, with an extension unless start is nil.
 func serveCommand(start StartExtension, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("serve")
-	level := flags.String("log", "info", "the least `level` that is logged: debug, info, warning or error")
+	level := flags.String("log", "info", "minimum `level` to log: debug, info, warning or error")
 	file := operatorFileFlag(flags)
 	help := "run a proxy, configured by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG"
 	return newFlagsCommand("serve", help, flags, func() error {
@@ -54,7 +54,7 @@
 	})
 }
 
-// newLogger returns a logger with a least level.
+// newLogger returns a logger that drops entries below a level.
 func newLogger(level string, errOut cli.Output) (*logrus.Logger, error) {
 	log := logrus.New()
 	log.SetOutput(errOut.Writer)
@@ -71,7 +71,7 @@
 	return log, nil
 }
 
-// server is one run of serve.
+// server holds the state of one run of serve.
 type server struct {
 	operatorFile   string // "": none
 	startExtension StartExtension
@@ -111,7 +111,7 @@
 	return s.proxy.Serve(ctx, platform)
 }
 
-// close ends what run has opened, the last first.
+// close stops the extension and closes the listeners that run has opened, the last first.
 func (s *server) close() {
 	if s.extension != nil {
 		s.extension.Stop()
@@ -121,7 +121,7 @@
 	}
 }
 
-// serveAdmin opens the admin endpoint, if there is one. It is the first to answer, while the rest is made ready.
+// serveAdmin serves the admin endpoint, if one is configured. It answers calls while the rest is still starting.
 func (s *server) serveAdmin() error {
 	if s.bootstrap.AdminAddress == "" {
 		return nil
@@ -134,13 +134,13 @@
 	endpoint := &admin.Server{Do: s.proxy.Administer, Log: s.log}
 	go func() {
 		if err := endpoint.Serve(ln); !errors.Is(err, net.ErrClosed) {
-			s.log.WithError(err).Error("admin endpoint has ended")
+			s.log.WithError(err).Error("admin endpoint: serving failed")
 		}
 	}()
 	return nil
 }
 
-// limitRuntime has the Go runtime keep to the machine's limits. During a hot restart two processes share its memory.
+// limitRuntime adapts the Go runtime to the proxy's limits. During a hot restart two processes share its memory.
 func (s *server) limitRuntime() {
 	limits := s.bootstrap.Limits
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
@@ -151,7 +151,8 @@
 	s.proxy.OnShareChanged(1)
 }
 
-// configure puts the operator file in force, if there is one: its listeners, the extension and the proxy.
+// configure applies the operator file, if there is one: it opens the listeners, starts the extension and configures the
+// proxy.
 func (s *server) configure() error {
 	if s.operatorFile == "" {
 		return nil
@@ -178,13 +179,13 @@
 	return nil
 }
 
-// extend starts the extension, if the operator file has a table for one.
+// extend starts the extension if the operator file has a control or capture table.
 func (s *server) extend(config *proxy.Config) error {
 	if config.ControlPlane == nil && config.Capture == nil {
 		return nil
 	}
 	if s.startExtension == nil {
-		return errors.New("control, capture: this program has neither; lockloom-controlplane has")
+		return errors.New("the control and capture tables require lockloom-controlplane")
 	}
 	extension, err := s.startExtension(s.proxy, config, &s.bootstrap, s.log)
 	if err != nil {
@@ -194,8 +195,8 @@
 	return nil
 }
 
-// reloadOnHangUp reads the launch file and the operator file again on every SIGHUP, until the returned function is
-// called. That does not wait for a reload that has begun.
+// reloadOnHangUp reloads the launch file and the operator file on every SIGHUP, until stop is called. stop does not
+// wait for a reload in progress.
 func (s *server) reloadOnHangUp() (stop func()) {
 	hangUps := make(chan os.Signal, 1)
 	signal.Notify(hangUps, syscall.SIGHUP)
@@ -211,7 +212,7 @@
 	}
 }
 
-// reloadBootstrap puts the launch file in force as it is now.
+// reloadBootstrap reads the launch file again and applies it.
 func (s *server) reloadBootstrap() {
 	bootstrap, err := proxy.ReadBootstrap(os.Getenv)
 	if err != nil {
@@ -221,7 +222,7 @@
 	s.proxy.ReloadBootstrap(bootstrap)
 }
 
-// reloadOperatorFile puts the operator file in force as it is now, if there is one.
+// reloadOperatorFile reads the operator file again, if there is one, and applies it.
 func (s *server) reloadOperatorFile() {
 	if s.operatorFile == "" {
 		return
--- a/internal/cli/proxycmd/up.go
+++ b/internal/cli/proxycmd/up.go
@@ -12,7 +12,7 @@
 	"lockloom/internal/http1"
 )
 
-// upTimeout is what a proxy has to connect in, and to answer in.
+// upTimeout bounds the connection to a proxy, and its response.
 const upTimeout = 2 * time.Second
 
 // upCommand returns the sub-command that asks whether a proxy is up.
@@ -23,13 +23,13 @@
 			case len(args) == 0:
 				return cli.UsageErrorf("the proxy's address is missing")
 			case len(args) > 1:
-				return cli.UsageErrorf("it takes no further words")
+				return cli.UsageErrorf("unexpected argument %q", args[1])
 			}
 			return checkUp(args[0], out)
 		})
 }
 
-// checkUp asks a proxy whether it is up. Any answer but 200 is an error.
+// checkUp asks a proxy whether it is up. A status other than 200 is an error.
 func checkUp(addr string, out cli.Output) error {
 	conn, err := net.DialTimeout("tcp", addr, upTimeout)
 	if err != nil {
@@ -45,7 +45,7 @@
 		return err
 	}
 	if head.Status != 200 {
-		return fmt.Errorf("%s does not take requests: %d", addr, head.Status)
+		return fmt.Errorf("%s does not take requests: status %d", addr, head.Status)
 	}
 	out.Println(addr, "takes requests")
 	return nil
--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -21,14 +21,15 @@
 	"lockloom/internal/http1"
 )
 
-// oldBinary names an older build of the program, for tests of upgrades from it and back to it. CI has none.
+// oldBinary names the environment variable with the path of an older build, for tests of upgrades from it and back to
+// it. CI does not set it.
 const oldBinary = "LOCKLOOM_OLD_BINARY"
 
-// forEachBuildPair runs a test of an upgrade: from an older build and back to it if one is named, else with the present
-// build alone.
-func forEachBuildPair(t *testing.T, test func(s *installation)) {
+// forEachBuildPair runs a test of an upgrade: from an older build and back to it if LOCKLOOM_OLD_BINARY is set, else
+// between two processes of the present build.
+func forEachBuildPair(t *testing.T, test func(s *testEnvironment)) {
 	t.Helper()
-	present, err := programBuild()
+	present, err := buildProgram()
 	require.NoError(t, err)
 	pairs := map[string][2]string{"present build": {present, present}}
 	if old := os.Getenv(oldBinary); old != "" {
@@ -36,21 +37,21 @@
 	}
 	for name, pair := range pairs {
 		t.Run(name, func(t *testing.T) {
-			s := newInstallation(t, 64)
+			s := newTestEnvironment(t, 64)
 			s.firstProgram, s.laterProgram = pair[0], pair[1]
 			test(s)
 		})
 	}
 }
 
-// Operators upgrade the proxy while it serves. No client is refused, no request is lost and none runs twice; and an
-// order to disable a server binds at the process that got it, at the other one and at the next.
+// An upgrade under load refuses no client, loses no request and runs none twice. A server that is disabled at one
+// process is disabled at the other one too, and at their successor.
 func TestUpgradeUnderLoad(t *testing.T) { forEachBuildPair(t, upgradeUnderLoad) }
 
-func upgradeUnderLoad(s *installation) {
+func upgradeUnderLoad(s *testEnvironment) {
 	t, old := s.t, s.startReady()
 	clients := s.startClients(8, 8)
-	onlyServedBy := func(want ...string) {
+	assertServedBy := func(want ...string) {
 		time.Sleep(100 * time.Millisecond)
 		s.mu.Lock()
 		clear(s.servedBy)
@@ -60,58 +61,58 @@
 		defer s.mu.Unlock()
 		assert.Equal(t, want, slices.Sorted(maps.Keys(s.servedBy)))
 	}
-	onlyServedBy("b1", "b2")
-	assert.Equal(t, cli.ExitFailure, old.call("disable", "b9"), "never listed")
+	assertServedBy("b1", "b2")
+	assert.Equal(t, cli.ExitFailure, old.call("disable", "b9"), "a server that was never listed")
 	assert.Equal(t, cli.ExitOK, old.call("disable", "b1"))
 	next := s.startReady()
-	onlyServedBy("b2")
+	assertServedBy("b2")
 	assert.Equal(t, cli.ExitOK, next.call("enable", "b1"))
-	onlyServedBy("b1", "b2")
+	assertServedBy("b1", "b2")
 	assert.Equal(t, cli.ExitOK, next.call("disable", "b2"))
-	assert.Equal(t, cli.ExitOK, next.call("disable", "b2"), "it may be repeated")
+	assert.Equal(t, cli.ExitOK, next.call("disable", "b2"), "a repeated call succeeds")
 	old.stop()
-	onlyServedBy("b1")
-	assert.Equal(t, cli.ExitOK, next.call("enable", "b2"), "one call to enable ends it")
-	onlyServedBy("b1", "b2")
+	assertServedBy("b1")
+	assert.Equal(t, cli.ExitOK, next.call("enable", "b2"), "one call to enable undoes two to disable")
+	assertServedBy("b1", "b2")
 	clients.stopAll()
 	answered := clients.served + clients.rejected
 	assert.Equal(t, []int{0, 0, clients.sent}, []int{clients.refused, clients.unanswered, answered},
-		"refused, ended without a response, answered")
+		"refused, unanswered, answered")
 	assert.Greater(t, clients.served, clients.sent*9/10)
-	assert.LessOrEqual(t, clients.raced, 5, "closes that race with a request are few")
+	assert.LessOrEqual(t, clients.raced, 5, "requests sent while their connection closed")
 	assert.Empty(t, clients.errors, old.log())
 	for id, n := range s.runs {
-		assert.Equal(t, 1, n, "%s ran once", id)
+		assert.Equal(t, 1, n, "executions of request %s", id)
 	}
 	tookOver := "hot restart: took over from the predecessor"
 	if s.laterProgram == os.Getenv(oldBinary) {
-		tookOver = "handed over" // as builds up to f83df88 log it
+		tookOver = "handed over" // the log message of builds up to f83df88
 	}
 	assert.Contains(t, next.log(), tookOver)
-	t.Logf("%d requests, over an upgrade", clients.sent)
+	t.Logf("%d requests during an upgrade", clients.sent)
 }
 
-// Whenever either process is killed, one serves and can be upgraded again.
+// Whichever process of an upgrade is killed, and whenever, another one serves and can be upgraded again.
 func TestProcessKilledDuringUpgrade(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		play func(s *installation, old *process)
-		ends bool // the old one has
+		name     string
+		run      func(s *testEnvironment, old *process)
+		oldEnded bool // after run
 	}{
-		{"new before it serves", func(s *installation, _ *process) {
+		{"new before it serves", func(s *testEnvironment, _ *process) {
 			p := s.startProcess()
 			time.Sleep(15 * time.Millisecond)
 			p.kill()
 		}, false},
-		{"new once it serves", func(s *installation, _ *process) { s.startReady().kill() }, false},
-		{"old at once", func(s *installation, old *process) { s.startReady(); old.kill() }, true},
-		{"old on SIGTERM", func(s *installation, old *process) {
+		{"new once it serves", func(s *testEnvironment, _ *process) { s.startReady().kill() }, false},
+		{"old at once", func(s *testEnvironment, old *process) { s.startReady(); old.kill() }, true},
+		{"old on SIGTERM", func(s *testEnvironment, old *process) {
 			s.startReady()
 			assert.NoError(s.t, old.Process.Signal(syscall.SIGTERM))
 			time.Sleep(50 * time.Millisecond)
 			old.kill()
 		}, true},
-		{"a third", func(s *installation, old *process) {
+		{"a third", func(s *testEnvironment, old *process) {
 			next := s.startReady()
 			s.startReady()
 			next.stop()
@@ -120,7 +121,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := newInstallation(t, 64)
+			s := newTestEnvironment(t, 64)
 			old := s.startReady()
 			clients := s.startClients(2, 2)
 			defer clients.stopAll()
@@ -130,10 +131,10 @@
 				time.Sleep(500 * time.Millisecond)
 				assert.Greater(t, clients.servedSoFar(), before+20)
 			}
-			c.play(s, old)
+			c.run(s, old)
 			assertServes()
 			last := s.startReady()
-			if !c.ends {
+			if !c.oldEnded {
 				old.stop()
 			}
 			assertServes()
@@ -142,11 +143,11 @@
 	}
 }
 
-// Responses may be larger than all the memory there is, many at once, to clients that read slowly.
+// Many responses larger than the memory limit, to clients that read slowly, do not exceed that limit.
 func TestLargeAnswersInLittleMemory(t *testing.T) {
 	t.Parallel()
 	const responses, memoryMB = 40, 32
-	s := newInstallation(t, memoryMB)
+	s := newTestEnvironment(t, memoryMB)
 	p := s.startReady()
 	var clients sync.WaitGroup
 	for i := range responses {
@@ -154,12 +155,12 @@
 	}
 	clients.Wait()
 	assert.Less(t, p.memory("VmHWM"), memoryMB<<10)
-	t.Logf("%d responses of %d MB: %d kB at most", responses, largeResponseBytes>>20, p.memory("VmHWM"))
+	t.Logf("%d responses of %d MB: peak memory %d kB", responses, largeResponseBytes>>20, p.memory("VmHWM"))
 	p.stop()
 }
 
-// readLargeResponseSlowly requests a large response and reads it, at first a little at a time until its deadline is
-// past.
+// readLargeResponseSlowly requests a large response and reads it, slowly until the request's deadline has passed, then
+// at full speed.
 func readLargeResponseSlowly(t *testing.T, addr string, client int) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -185,8 +186,8 @@
 	assert.EqualValues(t, largeResponseBytes, received+n)
 }
 
-// requestLargeResponse returns the head of a large response, nil after an error. On a busy machine some requests are
-// rejected, and sent again.
+// requestLargeResponse requests a large response and returns its head, nil after an error. Rejected requests, which are
+// normal on a busy machine, are sent again.
 func requestLargeResponse(t *testing.T, conn net.Conn, reader *http1.Reader, client int) (head *http1.Head) {
 	t.Helper()
 	for n := range 50 {
@@ -208,33 +209,33 @@
 	return head
 }
 
-// A drain outlasts an upgrade; how a proxy drains is proxy.TestDrain.
+// A drain persists over an upgrade. The drain itself is tested by proxy.TestDrain.
 func TestDrainAndResume(t *testing.T) { forEachBuildPair(t, drainAndResume) }
 
-func drainAndResume(s *installation) {
+func drainAndResume(s *testEnvironment) {
 	t, old := s.t, s.startReady()
 	up := func() int { return Run([]string{"up", s.addr}, io.Discard, io.Discard) }
-	busy, err := net.Dial("tcp", s.addr)
+	conn, err := net.Dial("tcp", s.addr)
 	require.NoError(t, err)
 	assert.Equal(t, cli.ExitOK, old.call("drain"))
 	assert.Equal(t, []int{cli.ExitFailure, cli.ExitOK}, []int{up(), old.call("ready")},
-		"the process takes clients, though it wants none")
+		"a drained process is not up, but ready")
 	time.Sleep(700 * time.Millisecond)
-	r, err := sendRequest(busy, "2")
+	r, err := sendRequest(conn, "2")
 	assert.NoError(t, err)
-	assert.True(t, r.status == 200 && r.closes, "served, and sent away")
+	assert.True(t, r.status == 200 && r.closes, "served, and the connection closed")
 	next := s.startReady()
 	old.stop()
-	assert.Equal(t, cli.ExitFailure, up(), "drained still")
+	assert.Equal(t, cli.ExitFailure, up(), "still drained")
 	assert.Equal(t, cli.ExitOK, next.call("resume"))
 	assert.Equal(t, cli.ExitOK, up())
 }
 
-// A successor holds what its predecessor held: the endpoint list, the IDs, what operators ordered, and what the
-// decisions learned. What is ordered at either of them later reaches the other.
+// A successor takes over its predecessor's endpoint list, IDs, admin state and learned statistics. Later admin calls to
+// either process take effect at the other one too.
 func TestHandsOverState(t *testing.T) { forEachBuildPair(t, handsOverState) }
 
-func handsOverState(s *installation) {
+func handsOverState(s *testEnvironment) {
 	t, old := s.t, s.startReady()
 	s.failingServer = "b2"
 	clients := s.startClients(8, 0)
@@ -251,37 +252,39 @@
 	assert.Equal(t, before.Snapshot.BaseLatencies, after.Snapshot.BaseLatencies)
 	paused := 0
 	require.Equal(t, []int{2, 2}, []int{len(before.Snapshot.Servers), len(after.Snapshot.Servers)})
-	for i, l := range after.Snapshot.Servers {
-		was := before.Snapshot.Servers[i]
-		assert.True(t, was.NameHash != 0 && was.Limit > 0 && was.RelativeLatency > 0 && was.Confidence > 0, "learned")
-		if was.Paused {
+	for i, got := range after.Snapshot.Servers {
+		want := before.Snapshot.Servers[i]
+		assert.True(t, want.NameHash != 0 && want.Limit > 0 && want.RelativeLatency > 0 && want.Confidence > 0,
+			"the predecessor has learned statistics of server %d", i)
+		if want.Paused {
 			paused++
-			assert.InDelta(t, was.PauseRemaining, l.PauseRemaining, 3)
+			assert.InDelta(t, want.PauseRemaining, got.PauseRemaining, 3)
 		} else {
-			was.Errors, was.Results = 0, 0 // counts of a window that is forgotten
+			want.Errors, want.Results = 0, 0 // the window of a server that is not paused starts anew
 		}
-		assert.InDelta(t, was.Age, l.Age, 3)
-		was.Age, was.PauseRemaining = l.Age, l.PauseRemaining
-		assert.Equal(t, was, l)
+		assert.InDelta(t, want.Age, got.Age, 3)
+		want.Age, want.PauseRemaining = got.Age, got.PauseRemaining
+		assert.Equal(t, want, got)
 	}
-	assert.Equal(t, 1, paused, "the one that fails")
+	assert.Equal(t, 1, paused, "only the failing server is paused")
 
-	assert.Equal(t, cli.ExitFailure, Run([]string{"up", s.addr}, io.Discard, io.Discard), "drained still")
+	assert.Equal(t, cli.ExitFailure, Run([]string{"up", s.addr}, io.Discard, io.Discard), "still drained")
 	assert.Equal(t, cli.ExitOK, old.call("disable", "b1"))
 	disabledAtSuccessor := func() bool {
 		state := s.offeredState()
 		return state != nil && state.AdminState.Servers["b1"].On
 	}
-	require.Eventually(t, disabledAtSuccessor, 5*time.Second, 50*time.Millisecond, "what is ordered at the old one")
-	for _, order := range [][]string{{"enable", "b1"}, {"enable", "b2"}, {"resume"}} {
-		assert.Equal(t, cli.ExitOK, next.call(order...))
+	require.Eventually(t, disabledAtSuccessor, 5*time.Second, 50*time.Millisecond,
+		"a call to the old process takes effect at the new one")
+	for _, call := range [][]string{{"enable", "b1"}, {"enable", "b2"}, {"resume"}} {
+		assert.Equal(t, cli.ExitOK, next.call(call...))
 	}
 	want := s.awaitState().AdminState
 	assert.False(t, want.Drain.On || want.Servers["b1"].On || want.Servers["b2"].On)
 	requireLogged(t, old, "drained=false")
 	next.kill()
 	requireLogged(t, old, "serving again")
-	assert.Equal(t, want, s.awaitState().AdminState, "what is ordered at the new one")
+	assert.Equal(t, want, s.awaitState().AdminState, "calls to the new process took effect at the old one")
 	assert.Equal(t, cli.ExitOK, Run([]string{"up", s.addr}, io.Discard, io.Discard))
 	old.stop()
 }
@@ -293,26 +296,25 @@
 	require.Eventually(tb, logged, 5*time.Second, 20*time.Millisecond, p.log())
 }
 
-// BenchmarkUpgrade upgrades under 2,000 clients that come one after the other, 500 a second, each on a connection of
-// its own.
+// BenchmarkUpgrade upgrades the proxy while 2,000 clients connect at 500 per second, each on a connection of its own.
 func BenchmarkUpgrade(b *testing.B) {
 	const clients, interval = 2000, 2 * time.Millisecond
 	for range b.N {
-		s := newInstallation(b, 64)
+		s := newTestEnvironment(b, 64)
 		old := s.startReady()
 		load := &clientLoad{}
-		slowest, bothkB := time.Duration(0), 0
+		slowest, totalKB := time.Duration(0), 0
 		load.running.Go(func() {
 			time.Sleep(clients / 3 * interval)
 			next := s.startReady()
-			bothkB = old.memory("VmRSS") + next.memory("VmRSS")
+			totalKB = old.memory("VmRSS") + next.memory("VmRSS")
 			time.Sleep(clients / 3 * interval)
 			old.stop()
 		})
 		for i := range clients {
 			time.Sleep(interval)
 			load.running.Go(func() {
-				began := time.Now()
+				start := time.Now()
 				conn, err := net.Dial("tcp", s.addr)
 				if err != nil {
 					load.count(&load.refused, err)
@@ -323,7 +325,7 @@
 					load.count(&load.unanswered, fmt.Errorf("%d %w", r.status, err))
 				}
 				load.mu.Lock()
-				slowest = max(slowest, time.Since(began))
+				slowest = max(slowest, time.Since(start))
 				load.mu.Unlock()
 			})
 		}
@@ -331,7 +333,7 @@
 		b.ReportMetric(float64(load.refused), "refused/op")
 		b.ReportMetric(float64(load.unanswered), "unserved/op")
 		b.ReportMetric(float64(slowest.Microseconds())/1000, "worst-ms")
-		b.ReportMetric(float64(bothkB), "both-kB")
+		b.ReportMetric(float64(totalKB), "both-kB")
 		if len(load.errors) > 0 {
 			b.Log(load.errors)
 		}
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -9,17 +9,18 @@
 
 // VersionCommand returns the sub-command that prints a program's version.
 func VersionCommand(program string, out Output) *ffcli.Command {
-	return NewCommand("version", "version", "say what this is", NewFlagSet("version"),
+	return NewCommand("version", "version", "print the version", NewFlagSet("version"),
 		func(_ context.Context, args []string) error {
 			if len(args) > 0 {
-				return UsageErrorf("it takes no further words")
+				return UsageErrorf("unexpected argument %q", args[0])
 			}
 			out.Println(program, BuildVersion())
 			return nil
 		})
 }
 
-// BuildVersion returns the module's version, the compiler's and the commit of this build, "unknown" without any.
+// BuildVersion returns the module version, the Go version and the commit of this build, or "unknown" if the binary has
+// no build information.
 func BuildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
