--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// clientWatchDelay is from a request's admission: until then nobody checks whether its client has gone.
+	// clientWatchDelay is how long a request waits for its response before the watch for a disconnected client starts.
 	clientWatchDelay = 10 * time.Millisecond
-	// clientCheckInterval is between checks of a client whose end can't be read.
+	// clientCheckInterval is the interval between socket queries for a client whose disconnect a read cannot detect.
 	clientCheckInterval = 50 * time.Millisecond
 )
 
-// admission is what admits one request, in its connection's goroutine: first to this core, then to the decisions. The
-// zero value but for conn is ready for use.
+// admission admits one request: first to this core (overload queue), then to the decisions. It belongs to the
+// connection's goroutine. Only conn must be set.
 type admission struct {
 	conn         *clientConn
-	occupiesCore bool  // the request is in this core's work, until the owner has it
-	reserved     int64 // bytes of the memory budget
+	occupiesCore bool  // the request counts against requestsPerCore and end is to release that, not the owner
+	reserved     int64 // bytes of the memory budget, released by end
 }
 
-// awaitTurn waits for the request's turn at this core, and reports whether it is admitted.
-func (a *admission) awaitTurn(class *balance.Class, tenant, bodyBytes int) bool {
+// awaitAdmission waits until the overload queue admits or rejects the request, and reports whether it is admitted.
+func (a *admission) awaitAdmission(class *balance.Class, tenant, bodyBytes int) bool {
 	c := a.conn
-	admitted := c.proxy.overload.awaitTurn(c, class, tenant, bodyBytes)
+	admitted := c.proxy.overload.awaitAdmission(c, class, tenant, bodyBytes)
 	a.occupiesCore = true
 	return admitted
 }
 
-// serve has the owner admit a request to the decisions and waits for its response. An error says that the client has
-// gone, or that the rest of its body can't be read.
+// serve passes a request to the owner, which admits it to the decisions, and waits for the response. It returns an
+// error if the client has gone or the rest of a streamed body cannot be read.
 func (a *admission) serve(req *request, info balance.RequestInfo) (response, error) {
 	c := a.conn
 	p := c.proxy
@@ -48,18 +48,18 @@
 	shed := !a.reserve(int64(len(req.head)+len(req.body))) || c.overflow || !p.admitsRequests()
 	a.occupiesCore = false
 	p.post(func() {
-		defer p.requestLeftCore() // also after a panic, which must not cost the core a place
+		defer p.requestLeftCore() // also after a panic, which would otherwise reduce the core's capacity for good
 		p.admit(req, info, shed)
 	})
 	resp, err := c.awaitResponse(req)
 	if err != nil {
-		c.abandoned.Store(true) // the owner may get the event late
+		c.abandoned.Store(true) // at once, since the owner may process the event late
 		p.post(func() { p.clientDisconnected(req) })
 	}
 	return resp, err
 }
 
-// reserve takes so many bytes of the memory budget until the end, and reports whether they were left.
+// reserve takes bytes of the memory budget until end, and reports whether they were available.
 func (a *admission) reserve(bytes int64) bool {
 	if !a.conn.proxy.memory.reserve(bytes) {
 		return false
@@ -68,7 +68,7 @@
 	return true
 }
 
-// end releases what the request still holds.
+// end releases the memory and, if the owner never had the request, its place in requestsPerCore.
 func (a *admission) end() {
 	if a.reserved > 0 {
 		a.conn.proxy.memory.release(a.reserved)
@@ -78,10 +78,11 @@
 	}
 }
 
-// awaitResponse waits for a request's response, and for its client to go. While a body is streamed its reader sees that
-// first. Else the connection is watched only where the response takes long: a watch costs a goroutine and two turns of
-// the scheduler. What a client sends before its response stays in the buffer; behind what does not fit, or is not read,
-// the system is asked whether it has gone.
+// awaitResponse waits for a request's response, and returns an error if the client disconnects before. While a body is
+// streamed, its reader detects a disconnect. Otherwise a read watches the connection, but only after clientWatchDelay,
+// since a watch costs a goroutine and two scheduler switches. Bytes that the client sends before its response stay in
+// the buffer. When the buffer is full, or an upload has stopped reading, a read cannot detect the disconnect and the
+// socket is queried every clientCheckInterval.
 func (c *clientConn) awaitResponse(req *request) (response, error) {
 	if c.watchTimer == nil {
 		c.watchTimer = time.NewTimer(clientWatchDelay)
@@ -91,13 +92,13 @@
 	defer c.watchTimer.Stop()
 	uploadDone := c.uploadDone
 	var watchDone chan error
-	unreadable := c.uploadDone != nil // reading does not show the client's end
+	unreadable := c.uploadDone != nil // a watch cannot detect a disconnect
 	for {
 		select {
 		case resp := <-req.response:
 			if watchDone != nil {
 				c.setReadDeadline(pastDeadline) // ends the watch
-				<-watchDone                     //nolint:errcheck // the response is here, whatever the watch saw
+				<-watchDone                     //nolint:errcheck // there is a response, whatever the watch has read
 			}
 			return resp, nil
 		case err := <-uploadDone:
@@ -125,8 +126,8 @@
 	}
 }
 
-// startWatch reads on in a goroutine of its own, to see whether the client goes. It ends without an error where it
-// can't see that any more.
+// startWatch starts a goroutine that reads into the connection's buffer until the client disconnects. Its result is nil
+// if the buffer is full, so that it cannot detect a disconnect any more, else the read error.
 func (c *clientConn) startWatch() chan error {
 	c.setReadDeadline(time.Time{})
 	done := make(chan error, 1)
@@ -134,13 +135,14 @@
 	return done
 }
 
-// uploadStopped reports whether an upload has ended because nobody wants more of it: the client has not gone.
+// uploadStopped reports whether an upload has ended because the proxy or the server stopped reading it, not because of
+// the client.
 func uploadStopped(err error) bool {
 	return errors.Is(err, upstream.ErrUploadStopped) || errors.Is(err, io.ErrClosedPipe)
 }
 
-// admit hands a request to the decisions. One over a bound of this machine, of connections or memory, is shed: rejected
-// without the decisions. The owner calls it.
+// admit passes a request to the decisions. With shed it is rejected without them: its connection is over maxServed, the
+// memory budget is used up, or the process admits no more requests. It is called by the owner.
 func (p *Proxy) admit(req *request, info balance.RequestInfo, shed bool) {
 	if shed {
 		p.counters.Requests++
@@ -148,17 +150,18 @@
 		p.respond(req, balance.Rejected, p.bootstrap.MaxRetryAfter)
 		return
 	}
-	// Attempts of two requests of one id would look like one that runs twice, and either could get the other's response.
+	// To the servers, two requests with one id would look like one request that runs twice, and either could get the
+	// other's response.
 	if p.requests.openIDs[req.id] {
 		p.counters.BadRequests++
 		req.answered = true
 		req.response <- response{status: http1.StatusConflict, body: []byte("X-Trace-Id is in use\n")}
 		return
 	}
-	if !p.acquireQuota(req) { // a request over its limit must cost nothing more
+	if !p.acquireQuota(req) { // first, so that a request over a limit costs as little as possible
 		return
 	}
-	// Its last byte, or this call, may have come after the order to stop.
+	// The shutdown may have started after the deadline was computed.
 	info.Deadline = p.shutdown.bound(info.Deadline, p.clock)
 	req.deadline = p.shutdown.bound(req.deadline, p.clock)
 	p.requests.add(req)
@@ -175,23 +178,24 @@
 	})
 }
 
-// requestQuota is what a request holds of its route's limits and its pool's capacity.
+// requestQuota is a request's part of its route's limits and its pool's capacity.
 type requestQuota struct {
 	limits      *limits.Limits
 	keys        []limits.LimitKey
-	permit      limits.Permit
-	route       string
+	permit      limits.Permit       // acquired from limits for keys
+	route       string              // name
 	routeNumber int                 // in the pool's fair limiter
-	fairLimiter *limits.FairLimiter // of which it holds a place; nil: none
+	fairLimiter *limits.FairLimiter // the limiter that counts the request; nil: none
 }
 
-// acquireQuota takes a request through its limits and its pool's capacity, and has the pool that serves take it. Where
-// it does not pass, it is rejected at once, with the time to retry if that is known.
+// acquireQuota acquires a request's limits and its pool's capacity, and sets the pool that serves it, which may be a
+// backup. If one of them is exceeded, it rejects the request at once, with Retry-After where that is known, and returns
+// false.
 func (p *Proxy) acquireQuota(req *request) bool {
-	if req.retryRule == nil { // the platform's
+	if req.retryRule == nil { // from the platform listener, which has neither
 		return true
 	}
-	if req.pool.retired { // it is not told of drains any more
+	if req.pool.retired { // it may no longer receive endpoint updates such as drains
 		p.rejectBeforeDecision(req, response{status: http1.StatusServiceUnavailable, body: []byte("its pool has gone\n")})
 		return false
 	}
@@ -201,7 +205,7 @@
 		if rejection != nil {
 			p.rejectBeforeDecision(req, response{
 				status:     http1.StatusTooManyRequests,
-				retryAfter: math.Ceil(rejection.RetryAfter), // Retry-After has whole seconds, and not less than it is
+				retryAfter: math.Ceil(rejection.RetryAfter), // Retry-After has whole seconds: round up, never down
 				body:       []byte("over a limit\n"),
 			})
 			return false
@@ -221,7 +225,7 @@
 	return true
 }
 
-// rejectBeforeDecision rejects a request that the decisions never saw.
+// rejectBeforeDecision rejects a request that was not passed to the decisions.
 func (p *Proxy) rejectBeforeDecision(req *request, resp response) {
 	p.counters.Requests++
 	p.counters.Rejected++
@@ -229,7 +233,7 @@
 	req.response <- resp
 }
 
-// releaseQuota returns what a request holds.
+// releaseQuota releases the request's limits and its pool's capacity.
 func (req *request) releaseQuota() {
 	if req.retryRule == nil {
 		return
--- a/proxy/admission_test.go
+++ b/proxy/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An id that another client's request has in use would be at two servers at once, as if that had run twice.
+// Guards against two requests with one id in flight: servers would see one request that runs twice.
 func TestIDInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {cutAfterDelay, okResponse}}, nil)
@@ -22,7 +22,7 @@
 		assert.Equal(t, 409, status)
 		status, _, _, err = readResponse(first)
 		assert.NoError(t, err)
-		assert.Equal(t, 502, status, "the first is not touched by it")
+		assert.Equal(t, 502, status, "the first request is not affected")
 		assert.Len(t, env.received, 1)
 		status, _, _, err = env.roundTrip(smsRequest)
 		assert.NoError(t, err)
@@ -32,7 +32,8 @@
 	})
 }
 
-// Bodies of requests that wait must not fill the memory: the proxy would be killed with all that it has admitted.
+// Guards against running out of memory for the bodies of waiting requests: the proxy would be killed and all admitted
+// requests lost.
 func TestMemoryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1000 })
@@ -56,7 +57,7 @@
 	})
 }
 
-// A client over a limit is told at once when to retry, and nothing is sent.
+// Checks that a request over a limit is rejected at once with Retry-After, and not sent.
 func TestRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
@@ -66,12 +67,12 @@
 		}
 		assert.Equal(t, "429 1.000 over a limit", env.operatorRoundTrip(request, "Retry-After"))
 		assert.Len(t, env.received, 2)
-		assert.Equal(t, "200 body", env.operatorRoundTrip(plainRequest("GET", "/other", "")), "another route is not")
+		assert.Equal(t, "200 body", env.operatorRoundTrip(plainRequest("GET", "/other", "")), "a route without the limit")
 		time.Sleep(time.Second)
 		assert.Equal(t, "200 body", env.operatorRoundTrip(request))
 		env.stopAndWait()
 	})
-	synctest.Test(t, func(t *testing.T) { // each value of a field, and each tenant, has a bucket of its own
+	synctest.Test(t, func(t *testing.T) { // each value of a field, and each tenant, has its own token bucket
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
 		for _, c := range []struct{ team, tenant, want string }{{"a", "x", "200"}, {"a", "y", "429"}, {"b", "x", "429"},
 			{"b", "y", "200"},
@@ -84,15 +85,15 @@
 		}
 		env.stopAndWait()
 	})
-	synctest.Test(t, func(t *testing.T) { // what is in hand counts until its end, however that comes
+	synctest.Test(t, func(t *testing.T) { // a request in flight counts until it ends, also when its client disconnects
 		env := startOperatorEnv(t, map[string][]string{"any": {noResponse, okResponse}})
 		request := plainRequest("GET", "/narrow", "")
-		ours, theirs := net.Pipe()
-		env.operatorConns <- theirs
-		write(ours, request)
+		clientEnd, proxyEnd := net.Pipe()
+		env.operatorConns <- proxyEnd
+		write(clientEnd, request)
 		synctest.Wait()
 		assert.Equal(t, "429 over a limit", env.operatorRoundTrip(request))
-		ours.Close() // its client leaves
+		clientEnd.Close()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.Equal(t, "200 body", env.operatorRoundTrip(request))
@@ -100,14 +101,14 @@
 	})
 }
 
-// A pool's capacity is shared: a request over it is rejected at once.
+// Checks that a request over its pool's capacity is rejected at once.
 func TestPoolCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {noResponse}})
 		for range 2 {
-			ours, theirs := net.Pipe()
-			env.operatorConns <- theirs
-			write(ours, plainRequest("GET", "/other", ""))
+			clientEnd, proxyEnd := net.Pipe()
+			env.operatorConns <- proxyEnd
+			write(clientEnd, plainRequest("GET", "/other", ""))
 			synctest.Wait()
 		}
 		assert.Equal(t, "503 the pool is full", env.operatorRoundTrip(plainRequest("GET", "/other", "")))
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -14,46 +14,48 @@
 )
 
 const (
-	// lingerTimeout is how long a connection is read on after its last response, so that its client can read that.
+	// lingerTimeout bounds how long a connection is read after its last response, so that the client can receive that
+	// response before the connection closes.
 	lingerTimeout  = 500 * time.Millisecond
-	maxLingerBytes = 8 << 20 // read on at most
+	maxLingerBytes = 8 << 20 // read and dropped while a connection lingers
 )
 
-// pastDeadline, set as a deadline, ends reading at once, but for what has come.
+// pastDeadline is a read deadline in the past: a read that would block fails at once, while buffered bytes can still be
+// read.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is a client's connection. Its goroutine serves its requests one after the other: it reads a request
-// (requestReader), has it admitted and waits for the response (admission), and writes that. Other goroutines use its
-// signals only, and those with the connTable's lock its queueState.
+// clientConn is a client connection. Its goroutine serves the requests one after the other: it reads a request
+// (requestReader), passes it to admission, waits for the response and writes it. Other goroutines access only
+// connSignals, and queueState while they hold the connTable's lock.
 type clientConn struct {
-	proxy     *Proxy
-	operators bool // accepted by an operator's listener
-	overflow  bool // accepted over the bound: its requests are rejected
-	conn      net.Conn
+	proxy        *Proxy
+	httpListener bool // accepted by an HTTP listener of the operator file; false: by the platform listener
+	overflow     bool // accepted over connLimits.maxServed: its requests are rejected
+	conn         net.Conn
 	*connReader
-	acceptedAt   time.Time
-	readDeadline time.Time    // as it is set; zero: none
-	idleWait     *poller.Wait // nil: waiting for a request is a read
-	watchTimer   *time.Timer  // of a request that takes long; nil: none did yet
-	headBuffer   []byte       // of the last response, to be used again
-	lost         bool         // its client has closed it, or reads nothing more
-	pipelined    bool         // its present request was sent before the last response
-	bodyStreamed bool         // a goroutine was started to read a body: it may still read
-	uploadDone   chan error   // the result of that goroutine, while it reads; nil: there is none
-	turn         chan bool    // whether its request is admitted to this core, once that is decided
+	acceptedAt      time.Time
+	readDeadline    time.Time    // the read deadline in force; zero: none
+	idleWait        *poller.Wait // waits for the next request without a blocked read; nil: not supported
+	watchTimer      *time.Timer  // starts the watch for a disconnect, see awaitResponse; nil: no request was awaited yet
+	headBuffer      []byte       // the last response head's buffer, reused for the next one
+	lost            bool         // the client has closed the connection or stopped reading: no response can be sent
+	pipelined       bool         // the current request was received before the previous response was written
+	bodyStreamed    bool         // an upload goroutine was started, which may still read from the connection
+	uploadDone      chan error   // receives the result of the running upload goroutine; nil: there is none
+	admissionResult chan bool    // receives whether the overload queue admitted the queued request
 
 	connSignals
 	queueState
 }
 
-// connSignals are what other goroutines tell a connection's goroutine and each other.
+// connSignals are the fields of a clientConn that any goroutine may access without a lock.
 type connSignals struct {
-	wake           chan struct{} // its next request has come, or it is to close
-	peerClosed     atomic.Bool   // its client sends nothing more than has come
-	abandoned      atomic.Bool   // its request is not waited for any more; the connection then ends
-	closeRequested atomic.Bool   // it closes as soon as what has come is answered, see requestClose
-	evicted        atomic.Bool   // it closes without lingering: others need its place
-	readNoMore     atomic.Bool   // what its client has not sent of its request is not waited for
+	wake           chan struct{} // holds a value to end an idle wait: bytes were received, or the connection is to close
+	peerClosed     atomic.Bool   // the client has closed its sending side; bytes sent before that may still be unread
+	abandoned      atomic.Bool   // the connection's goroutine no longer waits for the response; the connection closes
+	closeRequested atomic.Bool   // close once the requests received so far are answered, see requestClose
+	evicted        atomic.Bool   // close without lingering, to make room for another connection
+	abortReads     atomic.Bool   // do not wait for the unsent rest of the current request
 }
 
 // serve serves the connection's requests until it closes.
@@ -74,30 +76,31 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request and reports whether it came.
+// awaitRequest waits for the first byte of a request and reports whether it was received.
 func (c *clientConn) awaitRequest(first bool) bool {
 	c.proxy.conns.markIdle(c, first)
 	c.pipelined = c.Buffered()
 	if !c.pipelined && c.beginIdleWait() {
 		<-c.wake
-		// Requests whose clients have given up would take the turns of those who wait.
+		// Under overload, requests of clients that have disconnected would delay the queued requests of other clients.
 		if c.peerClosed.Load() && c.proxy.overloaded() {
 			c.lost = true
 			return false
 		}
 	}
 	if err := c.Wait(); err != nil {
-		c.lost = !errors.Is(err, os.ErrDeadlineExceeded) // else the connTable has closed it
+		c.lost = !errors.Is(err, os.ErrDeadlineExceeded) // a deadline error comes from requestClose, not from the client
 		return false
 	}
-	c.proxy.conns.markBegun(c, first)
+	c.proxy.conns.markReceiving(c, first)
 	return true
 }
 
-// beginIdleWait has the connection wait together with all idle ones, and reports whether that works.
+// beginIdleWait registers the connection with the poller of idle connections and reports whether the caller can wait on
+// wake. If not, the caller waits with a blocking read.
 func (c *clientConn) beginIdleWait() bool {
 	select {
-	case <-c.wake: // a signal from before
+	case <-c.wake: // a stale signal of an earlier wait
 	default:
 	}
 	return c.idleWait != nil && c.idleWait.Begin() == nil && c.proxy.conns.idleConns.Works() && !c.closeRequested.Load()
@@ -111,27 +114,29 @@
 	}
 }
 
-// requestClose has a connection close once what has come on it is answered. A request that was read and is not noted
-// yet is known to its reader only, so only that may close it. The caller holds the lock of the connTable.
+// requestClose makes the connection close once every request received on it is answered. It does not close the
+// connection itself: the connection's goroutine may have read a request that the connTable does not know of yet. The
+// caller holds the connTable's lock.
 func (c *clientConn) requestClose() {
 	c.closeRequested.Store(true)
-	if c.requestBegun { // its client is slow: what has not come yet is not waited for
-		c.readNoMore.Store(true)
+	if c.receivingRequest { // the client is slow to send its request: do not wait for the rest
+		c.abortReads.Store(true)
 	}
 	c.conn.SetReadDeadline(pastDeadline)
 	c.wakeUp()
 }
 
-// setReadDeadline sets when reading ends without a byte; the zero time: never.
+// setReadDeadline sets the read deadline, or removes it if t is zero. After requestClose has aborted reads it stays in
+// the past.
 func (c *clientConn) setReadDeadline(t time.Time) {
 	c.readDeadline = t
 	c.conn.SetReadDeadline(t)
-	if c.readNoMore.Load() {
+	if c.abortReads.Load() {
 		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// serveRequest reads a request, has it answered, and reports whether the connection stays open.
+// serveRequest reads a request, writes its response, and reports whether the connection stays open.
 func (c *clientConn) serveRequest(first bool) bool {
 	adm := admission{conn: c}
 	defer adm.end()
@@ -139,7 +144,7 @@
 	if err := reader.read(); err != nil {
 		return c.rejectBadRequest(err)
 	}
-	c.proxy.conns.markComplete(c) // only now: a request that does not come completely is no reason to stay
+	c.proxy.conns.markComplete(c) // only now: a connection with an incomplete request stays evictable
 	closing := reader.closing
 	resp := reader.direct
 	if req := reader.req; req != nil {
@@ -147,13 +152,13 @@
 		if resp, err = adm.serve(req, reader.info); err != nil {
 			return c.rejectBadRequest(err)
 		}
-		if req.stream.upload != nil { // it may not be read to its end, and what is left would be taken for a request
+		if req.stream.upload != nil { // the unread rest of the body would be parsed as the next request
 			req.stream.upload.Stop()
 			closing = true
 		}
 	}
 	defer c.proxy.memory.release(resp.reservedBytes)
-	resp.headOnly = resp.headOnly || reader.isHead && c.operators
+	resp.headOnly = resp.headOnly || reader.isHead && c.httpListener
 	resp.http10 = reader.http10
 	closing = closing || c.closesAfter(&resp, first)
 	if err := c.writeResponse(resp, closing); err != nil {
@@ -164,26 +169,27 @@
 		return false
 	}
 	if !c.readDeadline.IsZero() {
-		c.setReadDeadline(time.Time{}) // the connTable closes it when idle
+		c.setReadDeadline(time.Time{}) // the connTable closes connections that are idle for too long
 	}
 	return true
 }
 
-// closesAfter reports whether the connection closes with a response.
+// closesAfter reports whether the connection closes after a response.
 func (c *clientConn) closesAfter(resp *response, first bool) bool {
 	return c.overflow || c.closeRequested.Load() || c.proxy.closesAfterResponse() ||
 		first && c.proxy.conns.closesFirstResponse() || resp.endsWithConnection()
 }
 
-// Bodies of responses to requests that are not complete; clients know these texts.
+// Response bodies for incomplete requests. Clients may match these texts.
 const (
 	lateRequestBody       = "request not whole in time"
 	incompleteRequestBody = "request not whole"
 )
 
-// rejectBadRequest answers what can't be served and closes the connection; it returns false.
+// rejectBadRequest responds to a request that could not be read or is invalid, if the client can still receive a
+// response. It always returns false: the connection closes.
 func (c *clientConn) rejectBadRequest(err error) bool {
-	if c.readNoMore.Load() {
+	if c.abortReads.Load() {
 		return false
 	}
 	var status int
@@ -208,19 +214,19 @@
 	return false
 }
 
-// closeGracefully ends the connection, whatever ended its service: nothing more is sent, and what its client still
-// sends is read and dropped for a bounded time. Closed over bytes that nobody has read, it would be reset by the
-// system, and a response still on its way lost with that. What comes from here on is no request: no response could
-// follow it.
+// closeGracefully closes the connection (lingering close): it shuts down the sending side, then reads and drops what
+// the client still sends for a bounded time. If the connection were closed with unread bytes, the kernel would send a
+// reset, and the client could lose a response that it has not read yet. Bytes received from here on are not parsed as
+// requests, since no response could follow.
 func (c *clientConn) closeGracefully() {
 	defer c.conn.Close()
 	defer c.idleWait.Forget()
-	half, ok := c.conn.(interface{ CloseWrite() error })
-	if !ok || c.lost || c.evicted.Load() || half.CloseWrite() != nil {
+	closeWriter, ok := c.conn.(interface{ CloseWrite() error })
+	if !ok || c.lost || c.evicted.Load() || closeWriter.CloseWrite() != nil {
 		return
 	}
 	c.proxy.conns.markLingering(c)
-	if c.uploadDone != nil { // that goroutine reads on
+	if c.uploadDone != nil { // the upload goroutine reads and drops the rest
 		select {
 		case <-c.uploadDone: //nolint:errcheck // however reading has ended, the connection closes now
 		case <-time.After(lingerTimeout):
@@ -231,15 +237,17 @@
 	discard(c.source)
 }
 
-// discard reads on for a while and drops what it reads. Whatever ends that, the connection closes next.
-func discard(from io.Reader) {
-	_, _ = io.CopyN(io.Discard, from, maxLingerBytes)
+// discard reads up to maxLingerBytes and drops them. Read errors are ignored, since the caller closes the connection.
+func discard(r io.Reader) {
+	_, _ = io.CopyN(io.Discard, r, maxLingerBytes)
 }
 
-// errClientGone says that a client has closed its connection behind what was not read of it.
-var errClientGone = errors.New("the client has gone")
+// errClientGone is returned when the client has closed its connection after bytes that were not read, so that no read
+// reports the end.
+var errClientGone = errors.New("client closed its connection")
 
-// receivedAt is when what was read last came to this machine, as far as that is known.
+// receivedAt returns when this machine received the bytes that were read last, or the present time where that is
+// unknown or they belong to a pipelined request.
 func (c *clientConn) receivedAt() time.Time {
 	if at := c.source.Received(); !at.IsZero() && !c.pipelined {
 		return at
@@ -247,5 +255,5 @@
 	return time.Now()
 }
 
-// peerHasGone asks the system whether the client has closed its connection, also behind bytes that were not read.
+// peerHasGone queries the socket for whether the client has closed the connection, even after bytes that were not read.
 func (c *clientConn) peerHasGone() bool { return upstream.ClosedByPeer(c.conn) }
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		c := env.connect()
-		go write(c, lookRequest+smsRequest+lookRequest[:20]) // what comes ahead must not be lost
+		go write(c, lookRequest+smsRequest+lookRequest[:20]) // pipelined bytes must not be lost
 		for range 2 {
 			status, _, _, err := readResponse(c)
 			assert.NoError(t, err)
@@ -32,12 +32,12 @@
 		assert.Equal(t, 200, status)
 		time.Sleep(clientIdleTimeout + sweepInterval)
 		_, err = c.Write([]byte("x"))
-		assert.Error(t, err, "idle for too long")
+		assert.Error(t, err, "closed: idle for too long")
 
-		for _, ahead := range []string{"", lookRequest[:20]} { // leaves while its request waits, also with bytes ahead
+		for _, pipelined := range []string{"", lookRequest[:20]} { // closes before the response, also with pipelined bytes
 			env.behaviors["b1"] = []string{noResponse}
 			c = env.connect()
-			go write(c, lookRequest+ahead)
+			go write(c, lookRequest+pipelined)
 			synctest.Wait()
 			n := env.closedConns
 			c.Close()
@@ -50,17 +50,17 @@
 		env.behaviors["b1"] = []string{okResponse}
 		c = env.connect()
 		go write(c, lookRequest)
-		time.Sleep(clientWriteTimeout + 1) // never reads its answer
+		time.Sleep(clientWriteTimeout + 1) // never reads its response
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err)
 
 		c = env.connect()
 		go write(c, strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
 			"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n", 1))
-		leave := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
-		_, err = io.ReadFull(c, leave)
+		interim := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
+		_, err = io.ReadFull(c, interim)
 		assert.NoError(t, err)
-		assert.Contains(t, string(leave), "100")
+		assert.Contains(t, string(interim), "100")
 		go write(c, "abc")
 		status, _, _, err = readResponse(c)
 		assert.NoError(t, err)
@@ -69,7 +69,7 @@
 	})
 }
 
-// hookedConn calls a function each time bytes were read from it, before their reader goes on.
+// hookedConn calls a function each time bytes were read from it, before Read returns.
 type hookedConn struct {
 	net.Conn
 	afterRead func()
@@ -83,7 +83,7 @@
 	return n, err
 }
 
-// closeQueued closes all connections in queues, as the table does without capacity.
+// closeQueued closes all connections that are in a queue, as evict does with one.
 func (t *connTable) closeQueued() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// A request that its reader has, and that the connTable does not know of yet, is not lost when its connection is to
-// close at that moment.
+// Guards against losing a request whose connection is evicted after the request was read and before the connTable knows
+// of it.
 func TestCloseWhileRequestIsRead(t *testing.T) {
 	head, body, _ := strings.Cut(smsRequest, "\r\n\r\n")
 	for name, parts := range map[string][]string{"complete": {smsRequest}, "head and body": {head + "\r\n\r\n", body},
@@ -104,8 +104,8 @@
 		for last := range parts {
 			synctest.Test(t, func(t *testing.T) {
 				env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-				ours, theirs := net.Pipe()
-				end := &hookedConn{Conn: theirs}
+				clientEnd, proxyEnd := net.Pipe()
+				end := &hookedConn{Conn: proxyEnd}
 				env.platformConns <- end
 				synctest.Wait()
 				for i, part := range parts {
@@ -113,22 +113,23 @@
 						end.afterRead = env.conns.closeQueued
 						time.Sleep(2 * firstByteTimeout / 3)
 					}
-					go write(ours, part)
+					go write(clientEnd, part)
 					synctest.Wait()
 				}
-				status, h, _, err := readResponse(ours)
+				status, h, _, err := readResponse(clientEnd)
 				if assert.NoError(t, err, "%s, closed with part %d", name, last) {
 					assert.Equal(t, 200, status)
-					assert.True(t, h.Close, "it closes with its response")
+					assert.True(t, h.Close, "the connection closes after the response")
 				}
-				ours.Close()
+				clientEnd.Close()
 				env.stopAndWait()
 			})
 		}
 	}
 }
 
-// A client that stays is served for as long as it waits, whatever it has sent ahead, and that is served next.
+// Guards against taking a client for gone that has pipelined more requests than the buffer holds. These are served in
+// order.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	s := startSocketEnv(t, func(_ int, end net.Conn) {
 		time.Sleep(2 * clientCheckInterval)
@@ -152,8 +153,8 @@
 	}
 }
 
-// Closed over bytes that nobody has read, a connection is reset, and what the client has not taken of its response is
-// lost. The client takes nothing until the proxy's side is done.
+// Guards against losing a response when the proxy closes a connection with unread bytes, which makes the kernel send a
+// reset. The client reads nothing until the proxy has closed its side.
 func TestResponsesOutliveTheirConnections(t *testing.T) {
 	large := strings.Repeat("y", 60_000)
 	served := "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + large
@@ -163,7 +164,7 @@
 		name, request string
 		status        int
 	}{
-		{"closing by its client's wish", closing, 200},
+		{"closed as its client asked", closing, 200},
 		{"rejected while its body is streamed",
 			"POST /sms HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: sms\r\nX-Expires-In: 5\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				"20000\r\n" + strings.Repeat("z", 0x20000) + "\r\nno chunk\r\n", 400},
@@ -171,13 +172,13 @@
 		{"too large", strings.Replace(longWaitRequest, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			on := make(chan bool)
+			respond := make(chan bool)
 			s := startSocketEnv(t, func(_ int, end net.Conn) {
-				<-on
+				<-respond
 				write(end, served)
 			})
 			close(s.dialGate)
-			d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { // the answer does not fit
+			d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error { // the response does not fit
 				return raw.Control(func(fd uintptr) {
 					assert.NoError(t, syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048))
 				})
@@ -188,10 +189,10 @@
 			_, err = io.WriteString(conn, c.request+junk)
 			require.NoError(t, err)
 			time.Sleep(2 * clientWatchDelay)
-			close(on)
+			close(respond)
 			time.Sleep(clientCheckInterval)
 			all, err := io.ReadAll(conn)
-			assert.NoError(t, err, "it ends in order")
+			assert.NoError(t, err, "closed without a reset")
 			r := http1.NewReader(bytes.NewReader(all))
 			h, err := r.Response()
 			require.NoError(t, err)
--- a/proxy/clientgone_test.go
+++ b/proxy/clientgone_test.go
@@ -10,42 +10,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client may close while its request waits for a connection to a server, for the owner, for its turn, or for the
-// outcome of another attempt. However it goes, and whatever is known of that, nothing is sent for it any more.
+// Guards against sending a request to a server after its client has disconnected while the request was queued, or
+// waited for a connection to a server, for the owner, or for the outcome of another attempt.
 func TestNothingIsSentForGoneClient(t *testing.T) {
-	ahead := string(bytes.Repeat([]byte("x"), 64<<10))
-	ends := map[string]func(c *net.TCPConn){
+	pipelined := string(bytes.Repeat([]byte("x"), 64<<10))
+	disconnects := map[string]func(c *net.TCPConn){
 		"closes": func(c *net.TCPConn) { assert.NoError(t, c.Close()) },
-		"closes behind what is unread": func(c *net.TCPConn) {
-			write(c, ahead)
+		"closes after unread bytes": func(c *net.TCPConn) {
+			write(c, pipelined)
 			assert.NoError(t, c.Close())
 		},
-		"resets behind what is unread": func(c *net.TCPConn) {
-			write(c, ahead)
+		"resets after unread bytes": func(c *net.TCPConn) {
+			write(c, pipelined)
 			assert.NoError(t, c.SetLinger(0))
 			assert.NoError(t, c.Close())
 		},
 	}
-	for name, end := range ends {
+	for name, disconnect := range disconnects {
 		t.Run(name+", as its attempt's connection opens", func(t *testing.T) {
 			s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
 			c := s.connect()
 			write(c, longWaitRequest)
 			s.waitForAttempt()
-			letGo := s.blockOwner() // it hears of nothing
-			end(c)
+			unblockOwner := s.blockOwner() // it receives no events
+			disconnect(c)
 			time.Sleep(2 * clientCheckInterval)
 			close(s.dialGate)
 			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.received.Load())
-			letGo()
+			unblockOwner()
 			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.received.Load())
 		})
 		t.Run(name+", as its attempt is rejected", func(t *testing.T) {
-			on := make(chan bool)
+			respond := make(chan bool)
 			s := startSocketEnv(t, func(n int, end net.Conn) {
-				<-on
+				<-respond
 				write(end, neverRanResponse)
 			})
 			close(s.dialGate)
@@ -53,28 +53,28 @@
 			write(c, longWaitRequest)
 			require.Eventually(t, func() bool { return s.received.Load() == 1 }, 5*time.Second, time.Millisecond)
 			s.mu.Lock()
-			further := make(chan struct{})
-			s.dialGate = further
+			nextDialGate := make(chan struct{})
+			s.dialGate = nextDialGate
 			s.mu.Unlock()
-			letGo, again := s.blockOwner(), make(chan bool)
-			close(on)
+			unblockOwner, unblockAgain := s.blockOwner(), make(chan bool)
+			close(respond)
 			time.Sleep(clientCheckInterval)
-			s.post(func() { <-again }) // the owner hears of that, sends on, and does not hear yet that the client goes
-			end(c)
+			s.post(func() { <-unblockAgain }) // the owner gets the rejection and retries, but not yet the disconnect
+			disconnect(c)
 			time.Sleep(2 * clientCheckInterval)
-			letGo()
+			unblockOwner()
 			time.Sleep(clientCheckInterval)
-			close(further)
+			close(nextDialGate)
 			time.Sleep(clientCheckInterval)
 			assert.EqualValues(t, 1, s.received.Load(), "no further attempt")
-			close(again)
+			close(unblockAgain)
 			time.Sleep(clientCheckInterval)
 			assert.EqualValues(t, 1, s.received.Load(), "no further attempt")
 		})
-		t.Run(name+", as it waits for its turn", func(t *testing.T) {
+		t.Run(name+", as its request is queued", func(t *testing.T) {
 			s := startSocketEnv(t, func(_ int, end net.Conn) { write(end, okResponse) })
 			close(s.dialGate)
-			free := (&testEnv{Proxy: s.Proxy}).occupyCore(1)
+			releaseCore := (&testEnv{Proxy: s.Proxy}).occupyCore(1)
 			c := s.connect()
 			write(c, longWaitRequest)
 			require.Eventually(t, func() bool {
@@ -82,40 +82,40 @@
 				defer s.overload.mu.Unlock()
 				return s.overload.Queued > 0
 			}, 5*time.Second, time.Millisecond)
-			end(c)
+			disconnect(c)
 			time.Sleep(clientCheckInterval / 5)
-			free()
+			releaseCore()
 			time.Sleep(clientCheckInterval)
 			assert.Zero(t, s.received.Load())
 		})
 	}
 }
 
-// What a client's own goroutine has not seen, because its core is busy, is seen all the same.
+// Guards against missing a disconnect that the connection's goroutine has not detected because the core is busy.
 func TestClientGone(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
 	for _, c := range []struct {
-		name             string
-		age              time.Duration
-		ends, left, want bool
-	}{{"there", time.Second, false, false, false}, {"gone", time.Second, true, false, true}, {"just admitted", 0, true,
-		false, false}, {"seen to go", 0, false, true, true}} {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
+		name                    string
+		age                     time.Duration
+		closed, abandoned, want bool
+	}{{"connected", time.Second, false, false, false}, {"gone", time.Second, true, false, true}, {"just arrived", 0, true,
+		false, false}, {"abandoned", 0, false, true, true}} {
+		clientEnd, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
-		ours, err := ln.Accept()
+		proxyEnd, err := ln.Accept()
 		require.NoError(t, err)
-		req := &request{client: &clientConn{conn: ours}}
-		req.client.abandoned.Store(c.left)
-		write(theirs, "unread")
-		if c.ends {
-			theirs.Close()
+		req := &request{client: &clientConn{conn: proxyEnd}}
+		req.client.abandoned.Store(c.abandoned)
+		write(clientEnd, "unread")
+		if c.closed {
+			clientEnd.Close()
 		}
 		time.Sleep(clientCheckInterval / 5)
 		assert.Equal(t, c.want, req.clientGone(time.Now().Add(-c.age)), c.name)
-		theirs.Close()
-		ours.Close()
+		clientEnd.Close()
+		proxyEnd.Close()
 	}
-	assert.False(t, (&request{}).clientGone(time.Time{}), "nobody's")
+	assert.False(t, (&request{}).clientGone(time.Time{}), "no client")
 }
--- a/proxy/connqueue.go
+++ b/proxy/connqueue.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// connQueue is client connections in the order in which they began to wait, linked through themselves. A connection is
-// in one queue at most. The lock of the connTable protects it.
+// connQueue is an intrusive doubly linked list of client connections in the order in which they were queued, except
+// that lingering ones are at the front. A connection is in at most one queue. Protected by the connTable's lock.
 type connQueue struct {
 	first, last *clientConn
 	n           int
 }
 
-// queueState is where a client connection stands in the connTable, whose lock protects it.
+// queueState is a client connection's state in the connTable. Protected by the connTable's lock.
 type queueState struct {
-	requestBegun bool        // a request has begun to come and is not complete
-	lingering    bool        // the last response is written; what still comes is dropped
-	recent       bool        // new, or its request has just begun: it is given time to go on
-	queuedAt     time.Time   // when it began to wait
-	closeAt      time.Time   // then it is closed, unless a request has begun
-	queue        *connQueue  // nil: none
-	prev, next   *clientConn // in queue
+	receivingRequest bool        // a part of a request was received, but not all of it
+	lingering        bool        // the last response is written; bytes still received are dropped
+	recent           bool        // new, or a request has just started: not evictable for newConnectionGracePeriod
+	queuedAt         time.Time   // when the connection entered its present state
+	closeAt          time.Time   // when the connection is closed, unless a request has started by then
+	queue            *connQueue  // nil: in no queue
+	prev, next       *clientConn // neighbors in queue
 }
 
-// append adds a connection at the end.
+// append adds a connection at the back.
 func (q *connQueue) append(c *clientConn) { q.insert(c, q.last) }
 
-// insert adds a connection behind another one, or at the front if that is nil.
+// insert adds a connection after prev, or at the front if prev is nil.
 func (q *connQueue) insert(c, prev *clientConn) {
 	c.queue, c.prev, c.next = q, prev, q.first
 	if prev != nil {
--- a/proxy/conntable.go
+++ b/proxy/conntable.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	overflowFraction   = 0.2                     // of all client connections: accepted over the bound
-	maxIdleFraction    = 0.25                    // of the client connections served: idle between requests
-	nearlyFullFraction = 0.75                    // of the client connections served
-	firstByteTimeout   = 2100 * time.Millisecond // from a connection's start to its first request's first byte
-	clientIdleTimeout  = 75 * time.Second        // of a connection between requests
+	overflowFraction   = 0.2                     // share of all client connections that is over maxServed
+	maxIdleFraction    = 0.25                    // share of maxServed that may stay idle between requests
+	nearlyFullFraction = 0.75                    // share of maxServed from which on the table counts as nearly full
+	firstByteTimeout   = 2100 * time.Millisecond // from accepting a connection to the first byte of its first request
+	clientIdleTimeout  = 75 * time.Second        // for a connection between requests
 )
 
-// connTable holds the client connections and bounds their number. All methods may be called by any goroutine.
+// connTable holds the client connections and bounds their number. It is safe for concurrent use, but for init.
 //
-// Connections without a complete request wait in one of three queues: pending before their first request is complete,
-// and after the last response; idle between requests; longIdle when they have been idle for so long that they seem to
-// be used no more.
+// Connections without a complete request are in one of three queues: pending before the first request is complete and
+// while lingering after the last response; idle between requests; longIdle after longIdleDelay without a request, from
+// when on the client is unlikely to use the connection again.
 type connTable struct {
 	mu      sync.Mutex
-	changed sync.Cond // a connection has gone or become idle, or acceptors are to look again
+	changed sync.Cond // a connection has closed or become idle, the limits changed, or acceptors are to check again
 	connLimits
-	totalLimits connLimits // for all processes of this proxy together
+	totalLimits connLimits // for all processes of this proxy together; connLimits is this process's share
 	all         map[*clientConn]bool
 	pending     connQueue
 	idle        connQueue
 	longIdle    connQueue
-	overBound   int  // connections accepted over the bound, in all
-	closed      bool // connections close as soon as they have no request
+	overBound   int  // count of connections accepted over maxServed since the start
+	closed      bool // connections without a request are closed, see closeUnused
 
-	group     sync.WaitGroup // the connections' goroutines
-	idleConns poller.Set     // connections that wait for a request without a goroutine's read
+	group     sync.WaitGroup // of the connections' goroutines
+	idleConns poller.Set     // idle connections, polled without a blocked read for each
 }
 
-// connLimits are how many client connections are served, how many further ones are accepted to be rejected at once, and
-// how many stay idle between requests.
+// connLimits bounds the client connections: how many are served, how many more are accepted only for their requests to
+// be rejected, and how many may stay idle between requests.
 type connLimits struct{ maxServed, maxOverflow, maxIdle int }
 
-// init divides so many connections.
+// init sets the limits for a total number of client connections.
 func (t *connTable) init(clients int) {
 	t.maxOverflow = max(int(overflowFraction*float64(clients)), 1)
 	t.maxServed = clients - t.maxOverflow
@@ -54,14 +54,14 @@
 func (t *connTable) setShare(share float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	of := func(n int) int { return max(int(share*float64(n)), 1) }
+	scale := func(n int) int { return max(int(share*float64(n)), 1) }
 	total := &t.totalLimits
-	t.connLimits = connLimits{of(total.maxServed), of(total.maxOverflow), of(total.maxIdle)}
+	t.connLimits = connLimits{scale(total.maxServed), scale(total.maxOverflow), scale(total.maxIdle)}
 	t.changed.Broadcast()
 }
 
-// add takes a connection in, and closes an idle one if there are too many. It reports whether there still is one too
-// many.
+// add adds a connection and, if that exceeds maxServed, evicts another one. It reports whether none could be evicted:
+// the requests of the added connection are then rejected.
 func (t *connTable) add(c *clientConn) (overflow bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +82,7 @@
 	t.changed.Signal()
 }
 
-// markIdle notes that a connection waits for a request: the first one, or another.
+// markIdle records that a connection waits for a request: its first one if first is set.
 func (t *connTable) markIdle(c *clientConn, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +91,7 @@
 		return
 	}
 	t.dequeue(c)
-	c.requestBegun, c.recent, c.queuedAt = false, first, time.Now()
+	c.receivingRequest, c.recent, c.queuedAt = false, first, time.Now()
 	if first {
 		c.closeAt = c.acceptedAt.Add(firstByteTimeout)
 		t.pending.append(c)
@@ -103,51 +103,54 @@
 	t.changed.Signal()
 }
 
-// markBegun notes that a connection's request has begun to come. One that was served before leaves the queues: closed
-// now, it would lose its request. One that has never had a complete request stays evictable.
-func (t *connTable) markBegun(c *clientConn, first bool) {
+// markReceiving records that the first byte of a request was received. A connection that has had a response before
+// leaves its queue, since closing it now would lose the request. A new connection, which has never had a complete
+// request, stays evictable.
+func (t *connTable) markReceiving(c *clientConn, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c.requestBegun, c.recent, c.queuedAt = true, true, time.Now()
+	c.receivingRequest, c.recent, c.queuedAt = true, true, time.Now()
 	t.dequeue(c)
 	if first {
 		t.pending.append(c)
 	}
 }
 
-// markComplete notes that a connection's request is complete: its response is to arrive.
+// markComplete records that a request is completely received, or streams its body. The connection is not closed before
+// the response.
 func (t *connTable) markComplete(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dequeue(c)
-	c.readNoMore.Store(false)
+	c.abortReads.Store(false)
 	c.evicted.Store(false)
 }
 
-// markLingering notes that a connection's last response is written and what still comes is dropped. It is the first to
-// be evicted: many that were rejected would otherwise keep others out while they are read on.
+// markLingering records that the last response is written and bytes still received are dropped. The connection becomes
+// the first candidate for eviction: otherwise many connections whose requests were rejected could keep new ones out
+// while they linger.
 func (t *connTable) markLingering(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dequeue(c)
-	c.requestBegun, c.recent, c.lingering, c.queuedAt = false, false, true, time.Now()
+	c.receivingRequest, c.recent, c.lingering, c.queuedAt = false, false, true, time.Now()
 	c.closeAt = c.queuedAt.Add(clientIdleTimeout)
 	t.pending.insert(c, nil)
 	t.changed.Signal()
 }
 
-// dequeue takes a connection out of its queue, if it is in one. The caller holds the lock.
+// dequeue removes a connection from its queue, if it is in one. The caller holds the lock.
 func (t *connTable) dequeue(c *clientConn) {
 	if c.queue != nil {
 		c.queue.remove(c)
 	}
 }
 
-// closesFirstResponse reports whether a connection's first response is to close it: as many as may stay idle seem to be
-// used no more, or are idle while the table is nearly full. Clients that ask once and stay would otherwise take up all
-// connections that their side may open, so that nobody can ask any more, and those that write slowly would be cut off
-// for them meanwhile. One that was used again stays: closing it costs its client and this core more than its next
-// request.
+// closesFirstResponse reports whether a connection is to close after its first response: maxIdle connections are in
+// longIdle, or the table is nearly full and maxIdle connections are idle. Otherwise clients that send one request and
+// keep the connection open would use up all connections that their side may open, so that no client could send a
+// request, and clients that send slowly would be evicted meanwhile. A connection that has carried more than one request
+// stays open: closing it would cost the client and this core more than its next request.
 func (t *connTable) closesFirstResponse() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,10 +162,10 @@
 	return nearlyFull && t.longIdle.n+t.idle.n >= t.maxIdle
 }
 
-// wakeAcceptors has waitForCapacity look again.
+// wakeAcceptors makes every waitForCapacity check its condition again.
 func (t *connTable) wakeAcceptors() { t.changed.Broadcast() }
 
-// waitUntilEmpty waits until no connection is left, but no longer than a timeout.
+// waitUntilEmpty waits until no connection is left or the timeout has passed.
 func (t *connTable) waitUntilEmpty(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	defer time.AfterFunc(timeout, t.wakeAcceptors).Stop()
@@ -173,14 +176,14 @@
 	}
 }
 
-// closeUnused closes the connections without a request, from now on as soon as they have none.
+// closeUnused closes all connections without a request. Connections that have one close as soon as it is answered.
 func (t *connTable) closeUnused() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	for _, queue := range []*connQueue{&t.pending, &t.idle, &t.longIdle} {
 		for c := queue.first; c != nil; c = c.next {
-			if !c.requestBegun && !c.lingering { // these end by themselves, or are cut
+			if !c.receivingRequest && !c.lingering { // those close by themselves or by closeAll
 				c.requestClose()
 			}
 		}
@@ -198,7 +201,7 @@
 	}
 }
 
-// counts returns how many connections there are, and how many were accepted over the bound so far.
+// counts returns how many connections are open, and how many were accepted over maxServed since the start.
 func (t *connTable) counts() (open, overBound int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/proxy/conntable_test.go
+++ b/proxy/conntable_test.go
@@ -31,14 +31,14 @@
 		three := env.connect()
 		synctest.Wait()
 		_, err = one.Read(make([]byte, 1))
-		assert.Error(t, err, "the one that is idle makes room")
+		assert.Error(t, err, "the idle connection is evicted")
 		for i, c := range []net.Conn{two, three} {
 			go write(c, strings.Replace(strings.Replace(lookRequest, "t1", fmt.Sprint("t", 5+i), 1), "0.5", "10", 1))
 			synctest.Wait()
 		}
 		status, _, _, err := readResponse(three)
 		assert.NoError(t, err)
-		assert.Equal(t, 503, status, "no connection to a backend may be had")
+		assert.Equal(t, 503, status, "no connection to a server is available")
 		go write(three, strings.Replace(lookRequest, "0.5", "10", 1))
 		synctest.Wait()
 		var further []net.Conn
@@ -48,14 +48,14 @@
 			synctest.Wait()
 			further = append(further, c)
 		}
-		count, crowded := env.conns.counts()
-		assert.LessOrEqual(t, count, 4, "those after the bound are not accepted yet")
-		assert.Positive(t, crowded)
+		count, overBound := env.conns.counts()
+		assert.LessOrEqual(t, count, 4, "connections over maxOverflow are not accepted yet")
+		assert.Positive(t, overBound)
 		for _, c := range further {
 			go write(c, lookRequest[20:])
 			status, h, _, err := readResponse(c)
 			assert.NoError(t, err)
-			assert.Equal(t, 503, status, "over the bound it is rejected")
+			assert.Equal(t, 503, status, "over maxServed the request is rejected")
 			assert.True(t, h.Close)
 		}
 		env.behaviors["b1"] = []string{okResponse}
@@ -70,14 +70,14 @@
 	})
 }
 
-// Connections that send nothing, or begin a request and stop, must not keep out those that send one.
+// Guards against clients that send nothing, or only a part of a request, keeping out clients that send requests.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	for _, begun := range []string{"", lookRequest[:20]} {
+	for _, partial := range []string{"", lookRequest[:20]} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 			env.conns.maxServed, env.conns.maxOverflow = 4, 2
 			for range 20 {
-				go write(env.connect(), begun)
+				go write(env.connect(), partial)
 			}
 			synctest.Wait()
 			count, _ := env.conns.counts()
@@ -91,17 +91,17 @@
 					assert.Contains(t, []int{200, 503}, status)
 				}
 			}
-			assert.Less(t, time.Since(began), 5*env.maxDeadline, begun)
+			assert.Less(t, time.Since(began), 5*env.maxDeadline, partial)
 			env.stopAndWait()
 		})
 	}
 }
 
-// A client that sends nothing, or a byte now and then, would hold its connection for as long as it likes.
+// Guards against a client that holds a connection without a time limit by sending nothing, or a byte now and then.
 func TestUnfinishedHeadsTimeOut(t *testing.T) {
 	for _, c := range []struct {
-		first  string
-		status int // 0: closed
+		first  string // the bytes sent before the slow ones
+		status int    // 0: closed without a response
 	}{{"", 0}, {lookRequest[:20], 408}, {"G", 408}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Classes[0].Deadline = 20 })
@@ -112,7 +112,7 @@
 				}
 				time.Sleep(2 * time.Second)
 				write(conn, c.first)
-				for range 100 { // trickles
+				for range 100 { // a byte every 200 ms
 					time.Sleep(200 * time.Millisecond)
 					if _, err := io.WriteString(conn, "x"); err != nil {
 						return
@@ -129,7 +129,7 @@
 	}
 }
 
-// A connection whose next request comes in pieces must not be the one that makes room.
+// Guards against evicting a connection whose next request is received in pieces.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
@@ -141,7 +141,7 @@
 		go write(idle, long[:30])
 		synctest.Wait()
 		go write(rejected, "nonsense\r\n\r\n")
-		_, err := http1.NewReader(rejected).Response() // and does not close
+		_, err := http1.NewReader(rejected).Response() // the client does not close its end
 		assert.NoError(t, err)
 		for range 10 {
 			env.connect()
@@ -149,7 +149,7 @@
 		time.Sleep(9 * newConnectionGracePeriod)
 		synctest.Wait()
 		_, err = rejected.Write([]byte("x"))
-		assert.Error(t, err, "a rejected one makes room")
+		assert.Error(t, err, "the lingering connection is evicted")
 		go write(idle, long[30:])
 		status, _, _, err := readResponse(idle)
 		assert.NoError(t, err)
@@ -158,7 +158,7 @@
 	})
 }
 
-// A request that has come and is not read yet would be lost if its connection had to make room.
+// Guards against losing a request that was received, but not read yet, when its connection is evicted.
 func TestUnreadRequestIsNotEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
@@ -166,7 +166,7 @@
 	table := &connTable{connLimits: connLimits{maxServed: 1, maxIdle: 1}, all: map[*clientConn]bool{}}
 	table.changed.L = &table.mu
 	var clients []*clientConn
-	var ends []net.Conn
+	var clientEnds []net.Conn
 	for range 2 {
 		end, err := net.Dial("tcp", ln.Addr().String())
 		assert.NoError(t, err)
@@ -177,34 +177,35 @@
 		c := &clientConn{conn: nc}
 		table.all[c] = true
 		table.markIdle(c, false)
-		clients, ends = append(clients, c), append(ends, end)
+		clients, clientEnds = append(clients, c), append(clientEnds, end)
 	}
-	write(ends[0], lookRequest)
+	write(clientEnds[0], lookRequest)
 	for !upstream.HasUnreadBytes(clients[0].conn) {
 		time.Sleep(time.Millisecond)
 	}
-	assert.Nil(t, table.evictionCandidate(), "one that was served just now is likely to be used again")
+	assert.Nil(t, table.evictionCandidate(), "a recently used connection is not evicted")
 	for _, c := range clients {
 		c.queuedAt = time.Now().Add(-crowdedIdleTimeout)
 	}
-	assert.Same(t, clients[1], table.evictionCandidate(), "the other one makes room")
+	assert.Same(t, clients[1], table.evictionCandidate(), "the connection without unread bytes is evicted")
 	table.closeLongIdle()
 	assert.False(t, clients[0].closeRequested.Load())
 	assert.True(t, clients[1].closeRequested.Load())
 }
 
-// A connection in two queues at once would break both: those behind it would be found no more and fill the table.
+// Guards against a connection in two queues at once: it would break the links of both, and the connections after it
+// would never be found again and fill the table.
 func TestConnectionIsInOneQueue(t *testing.T) {
 	table := &connTable{connLimits: connLimits{maxServed: 1000, maxIdle: 1000}, all: map[*clientConn]bool{}}
 	table.changed.L = &table.mu
 	var all []*clientConn
 	for i := range 20 {
-		ours, _ := net.Pipe()
-		c := &clientConn{conn: ours, connSignals: connSignals{wake: make(chan struct{}, 1)}}
+		end, _ := net.Pipe()
+		c := &clientConn{conn: end, connSignals: connSignals{wake: make(chan struct{}, 1)}}
 		all = append(all, c)
 		table.all[c] = true
 		table.markIdle(c, true)
-		table.markBegun(c, true)
+		table.markReceiving(c, true)
 		switch i % 4 {
 		case 0: // rejected before its request is complete
 			table.markLingering(c)
@@ -222,26 +223,26 @@
 	}
 	for _, queue := range []*connQueue{&table.pending, &table.idle, &table.longIdle} {
 		n := 0
-		var before *clientConn
+		var prev *clientConn
 		for c := queue.first; c != nil && n <= queue.n; c = c.next {
 			assert.Same(t, queue, c.queue)
-			assert.Same(t, before, c.prev)
-			before = c
+			assert.Same(t, prev, c.prev)
+			prev = c
 			n++
 		}
 		assert.Equal(t, queue.n, n)
-		assert.Same(t, before, queue.last)
+		assert.Same(t, prev, queue.last)
 	}
-	assert.Equal(t, 10-4, table.pending.n) // those rejected and those whose request has begun, but for those that left
+	assert.Equal(t, 10-4, table.pending.n) // 5 lingering and 5 receiving, of which 4 were removed
 	assert.Equal(t, 4, table.idle.n)
 }
 
-// Clients that send one request and keep their connections must leave some for those that still send.
+// Guards against clients that send one request and keep their connections open using up all connections.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		env.conns.maxIdle = 3
-		once := func() (net.Conn, bool) {
+		requestOnce := func() (net.Conn, bool) {
 			c := env.connect()
 			go write(c, lookRequest)
 			status, h, _, err := readResponse(c)
@@ -252,23 +253,24 @@
 		}
 		var idle []net.Conn
 		for i := range 7 {
-			c, closes := once()
-			assert.Equal(t, i >= 3, closes, "so many stay idle")
+			c, closes := requestOnce()
+			assert.Equal(t, i >= 3, closes, "maxIdle connections stay open")
 			idle = append(idle, c)
 			time.Sleep(longIdleDelay)
 		}
 		time.Sleep(crowdedIdleTimeout)
-		once() // lets the first be seen as idle for too long
+		requestOnce() // makes the table close the first one, which is idle for too long
 		_, err := idle[0].Write([]byte("x"))
 		assert.Error(t, err)
-		c, closes := once()
-		assert.False(t, closes, "there is room to keep one again")
+		c, closes := requestOnce()
+		assert.False(t, closes, "fewer than maxIdle connections are idle again")
 		c.Close()
 		env.stopAndWait()
 	})
 }
 
-// Connections that were used once and stay, each for a moment, would leave no room for clients that write slowly.
+// Guards against connections that were used once and stay open briefly filling the table, so that clients that send
+// slowly are evicted.
 func TestFirstResponseClosesWhenNearlyFull(t *testing.T) {
 	for _, c := range []struct {
 		all, idle, longIdle int
@@ -288,10 +290,10 @@
 	}
 }
 
-// waitForPlace waits until no connection was accepted lately, so that none waits to be accepted, and a new one has a
-// place: below the bound, or that of a connection that may be evicted. New connections may not be evicted within their
-// grace period; one that arrives among many others meets none but such, and is rejected as it should be.
-func waitForPlace(t *testing.T, conns *connTable) {
+// waitForConnCapacity waits until a new connection will be served: no connection was accepted lately, so none is left
+// in the accept queue, and the table is below maxServed or has an eviction candidate. Otherwise the new connection
+// could find only connections within newConnectionGracePeriod, which are not evicted, and would rightly be rejected.
+func waitForConnCapacity(t *testing.T, conns *connTable) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		conns.mu.Lock()
@@ -305,8 +307,8 @@
 	}, 10*time.Second, 10*time.Millisecond)
 }
 
-// Idle clients in every place that they may have, while discovery is down, leave places for new clients, for servers
-// and for discovery.
+// Guards against idle clients, as many as may connect, using up the sockets for new clients, for servers and for
+// discovery, while discovery is down.
 func TestIdleClientsLeaveCapacity(t *testing.T) {
 	for _, sockets := range []int{80, 128, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -315,7 +317,7 @@
 			var idle []net.Conn
 			for i := range 2 * sockets {
 				c := s.connect()
-				if i%2 == 0 { // some were served, some say nothing, some stop in a head
+				if i%2 == 0 { // some are served, some send nothing, some send a part of a head
 					write(c, "GET /up HTTP/1.1\r\n\r\n")
 				} else if i%3 == 0 {
 					write(c, lookRequest[:20])
@@ -324,16 +326,16 @@
 			}
 			calls := s.discoveryDials.Load()
 			require.Eventually(t, func() bool { return s.discoveryDials.Load() > calls }, 5*time.Second, time.Millisecond,
-				"discovery is asked on")
+				"the proxy keeps connecting to discovery")
 			for range 3 {
-				waitForPlace(t, &s.conns)
+				waitForConnCapacity(t, &s.conns)
 				c := s.connect()
 				write(c, strings.Replace(longWaitRequest, "t1", fmt.Sprint(rand.Int()), 1))
 				status, _, _, err := readResponse(c)
 				require.NoError(t, err)
 				assert.Equal(t, 200, status)
 				count, _ := s.conns.counts()
-				assert.LessOrEqual(t, count, s.conns.totalLimits.maxServed+s.conns.totalLimits.maxOverflow, "places")
+				assert.LessOrEqual(t, count, s.conns.totalLimits.maxServed+s.conns.totalLimits.maxOverflow, "connections")
 				assert.LessOrEqual(t, count+s.maxServerConns+reservedSockets, sockets, "descriptors")
 			}
 			for _, c := range idle {
--- a/proxy/eviction.go
+++ b/proxy/eviction.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	crowdedIdleTimeout       = 2 * time.Second        // of an idle connection while as many are idle as may be
-	longIdleDelay            = 250 * time.Millisecond // after its response a connection seems to be used no more
-	newConnectionGracePeriod = 100 * time.Millisecond // for a first request, while others wait to be accepted
-	evictionInterval         = 20 * time.Millisecond  // between evictions while no connection may be accepted
-	maxIdleChecks            = 8                      // connections looked at for one to close: each costs a system call
+	crowdedIdleTimeout       = 2 * time.Second        // idle timeout while maxIdle connections are in longIdle
+	longIdleDelay            = 250 * time.Millisecond // from a response to moving its connection from idle to longIdle
+	newConnectionGracePeriod = 100 * time.Millisecond // in which a new or receiving connection is not evicted
+	evictionInterval         = 20 * time.Millisecond  // least interval between evictions while the table is at capacity
+	maxIdleChecks            = 8                      // connections checked, a system call each, to find one to close
 )
 
-// waitForCapacity waits until a connection may be accepted, or ending reports true. While this core is overloaded no
-// connection is accepted over the bound: accepting one to reject it costs as much as three requests. Where one is idle
-// it is closed first and its descriptor waited for, since descriptors are bounded too.
-func (t *connTable) waitForCapacity(ending, overloaded func() bool) {
+// waitForCapacity waits until a connection may be accepted, or stopAccepting reports true. While overloaded reports
+// true, no connection is accepted over maxServed: accepting one and rejecting its request costs as much as three
+// requests. At capacity an idle connection is evicted first, and the caller waits until its descriptor is closed, since
+// the number of descriptors is bounded too.
+func (t *connTable) waitForCapacity(stopAccepting, overloaded func() bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var lastEviction time.Time
-	for t.atCapacity(overloaded) && !ending() {
-		// Every connection that becomes idle or goes wakes this loop.
+	for t.atCapacity(overloaded) && !stopAccepting() {
+		// This loop wakes whenever a connection becomes idle or closes; evictionInterval bounds the evictions.
 		if now := time.Now(); now.Sub(lastEviction) >= evictionInterval {
 			lastEviction = now
 			t.evict()
 		}
-		recheck := time.AfterFunc(newConnectionGracePeriod, t.wakeAcceptors) // recent ones may turn out to be idle
+		recheck := time.AfterFunc(newConnectionGracePeriod, t.wakeAcceptors) // a recent connection becomes evictable
 		t.changed.Wait()
 		recheck.Stop()
 	}
@@ -39,13 +40,15 @@
 	return len(t.all) >= t.maxServed+t.maxOverflow || len(t.all) >= t.maxServed && overloaded()
 }
 
-// evictionCandidate is the connection that has been idle for longest and may go, or nil. The caller holds the lock.
+// evictionCandidate returns the evictable connection that has been idle for longest, or nil. The caller holds the lock.
 //
-// A new connection looks idle while its first request is on the way; but one that never sends it, or a part only, must
-// not keep others out. One whose request has come and is not read yet, because the core is busy, would lose it, as
-// would one whose request crosses the close: so one that was served goes only when it seems to be used no more. Only a
-// few are looked at, since each look is a system call and this runs for every connection that comes while there is no
-// capacity; those in the first queue that send on what nobody reads must not hide the second one's.
+// A new connection looks idle while its first request is on the way, so it gets newConnectionGracePeriod; after that a
+// client that sends nothing, or a part of a request only, must not keep others out. A connection with unread bytes is
+// skipped: its request was received but not read yet, because the core is busy, and would be lost. A request that is
+// still on the way when the connection closes would be lost too, so a connection that has had a response is evicted
+// only from longIdle. At most maxIdleChecks connections of each queue are checked, since each check is a system call
+// and this runs for every connection that arrives at capacity. The limit counts for each queue, so that lingering
+// connections in pending, whose clients keep sending, do not hide the candidates in longIdle.
 func (t *connTable) evictionCandidate() *clientConn {
 	t.moveLongIdle()
 	for _, queue := range []*connQueue{&t.pending, &t.longIdle} {
@@ -63,8 +66,8 @@
 	return nil
 }
 
-// evict closes the connection that may go, if there is one, and reports whether there was. It does not linger: it has
-// had its response for long. The caller holds the lock.
+// evict closes the eviction candidate and reports whether there was one. The connection does not linger: its last
+// response, if any, was written long ago. The caller holds the lock.
 func (t *connTable) evict() bool {
 	c := t.evictionCandidate()
 	if c == nil {
@@ -76,7 +79,8 @@
 	return true
 }
 
-// moveLongIdle moves connections that have been idle for long to their queue. The caller holds the lock.
+// moveLongIdle moves connections that have been idle for longIdleDelay from idle to longIdle. The caller holds the
+// lock.
 func (t *connTable) moveLongIdle() {
 	for c := t.idle.first; c != nil && time.Since(c.queuedAt) >= longIdleDelay; c = t.idle.first {
 		t.idle.remove(c)
@@ -84,8 +88,8 @@
 	}
 }
 
-// closeLongIdle closes connections that have been idle for long, where as many are as may be. The caller holds the
-// lock.
+// closeLongIdle closes connections that have been idle for crowdedIdleTimeout while longIdle holds maxIdle or more. The
+// caller holds the lock.
 func (t *connTable) closeLongIdle() {
 	t.moveLongIdle()
 	c := t.longIdle.first
@@ -102,16 +106,16 @@
 	}
 }
 
-// closeExpired closes connections whose time is over.
+// closeExpired closes connections without a request whose closeAt has passed.
 func (t *connTable) closeExpired() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	for _, queue := range []*connQueue{&t.longIdle, &t.idle, &t.pending} {
-		ordered := queue != &t.pending // by closeAt
+		ordered := queue != &t.pending // pending is not ordered by closeAt
 		for c := queue.first; c != nil && (!ordered || !c.closeAt.After(now)); {
 			next := c.next
-			if !c.requestBegun && !c.closeAt.After(now) && !upstream.HasUnreadBytes(c.conn) {
+			if !c.receivingRequest && !c.closeAt.After(now) && !upstream.HasUnreadBytes(c.conn) {
 				c.requestClose()
 				t.dequeue(c)
 			}
@@ -121,8 +125,8 @@
 }
 
 // closeIdleFraction closes a fraction of the idle connections, those idle for longest first, and with includeNew also
-// new ones that send nothing. All at once they would cross many requests on their way, and their clients would come
-// back all at once.
+// new ones whose clients send nothing. Closing all of them at once would lose many requests that are on their way, and
+// all clients would reconnect at the same time.
 func (t *connTable) closeIdleFraction(fraction float64, includeNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +135,7 @@
 	for _, queue := range []*connQueue{&t.longIdle, &t.idle, &t.pending} {
 		for c := queue.first; c != nil && n > 0; {
 			next := c.next
-			if !c.requestBegun && !upstream.HasUnreadBytes(c.conn) && c.mayDrain(includeNew) {
+			if !c.receivingRequest && !upstream.HasUnreadBytes(c.conn) && c.mayDrain(includeNew) {
 				c.requestClose()
 				t.dequeue(c)
 				n--
@@ -141,7 +145,8 @@
 	}
 }
 
-// mayDrain reports whether a connection without a request may be closed in a drain: a new one is given some time.
+// mayDrain reports whether a connection without a request may be closed in a drain. A new one may be closed only with
+// includeNew, and after lifecycle.NewConnectionCloseSpread.
 func (c *clientConn) mayDrain(includeNew bool) bool {
 	return !c.recent || includeNew && time.Since(c.queuedAt) >= seconds(lifecycle.NewConnectionCloseSpread)
 }
--- a/proxy/listener.go
+++ b/proxy/listener.go
@@ -11,24 +11,26 @@
 	"lockloom/internal/recvtime"
 )
 
-// acceptRetryDelay is waited after accepting has failed: without it, being out of descriptors would spin.
+// acceptRetryDelay is the delay after a temporary accept error. Without it the loop would spin while the process is out
+// of file descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// acceptConnections accepts client connections and serves each in a goroutine of its own, until the listener ends.
-// Requests of an operator's listener are routed by the operator file, those of the platform's by their path.
-func (p *Proxy) acceptConnections(ln net.Listener, operators bool) error {
+// acceptConnections accepts client connections and serves each in a goroutine of its own, until the listener is closed.
+// With httpListener, requests are routed by the operator file; else they have the platform's fields and classes. It
+// returns nil if the proxy is shutting down.
+func (p *Proxy) acceptConnections(ln net.Listener, httpListener bool) error {
 	for {
 		p.conns.waitForCapacity(p.shutdown.acceptEnding.Load, p.overloaded)
 		conn, err := ln.Accept()
 		if err == nil {
-			p.startConn(conn, operators)
+			p.startConn(conn, httpListener)
 			continue
 		}
 		var temporary net.Error
 		switch {
 		case p.shuttingDown() && errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded): // a successor accepts now
+		case errors.Is(err, os.ErrDeadlineExceeded): // accepting is paused: a successor accepts instead
 			time.Sleep(acceptPollInterval)
 		case errors.As(err, &temporary) && !errors.Is(err, net.ErrClosed):
 			p.log.WithError(err).Error("accept")
@@ -39,15 +41,15 @@
 	}
 }
 
-// startConn serves one client connection.
-func (p *Proxy) startConn(conn net.Conn, operators bool) {
+// startConn adds a client connection to the table and starts its goroutine.
+func (p *Proxy) startConn(conn net.Conn, httpListener bool) {
 	c := &clientConn{
-		proxy:      p,
-		operators:  operators,
-		conn:       conn,
-		connReader: newConnReader(conn),
-		acceptedAt: time.Now(),
-		turn:       make(chan bool, 1),
+		proxy:           p,
+		httpListener:    httpListener,
+		conn:            conn,
+		connReader:      newConnReader(conn),
+		acceptedAt:      time.Now(),
+		admissionResult: make(chan bool, 1),
 	}
 	c.wake = make(chan struct{}, 1)
 	c.idleWait = p.conns.idleConns.Add(conn, func(peerClosed bool) {
@@ -59,13 +61,13 @@
 	go c.serve()
 }
 
-// connReader reads HTTP/1.1 messages from a connection and knows when their bytes came to this machine.
+// connReader reads HTTP/1.1 messages from a connection and records when this machine received their bytes.
 type connReader struct {
 	*http1.Reader
 	source *recvtime.Reader
 }
 
-// connReaders are those of connections that have ended, to be used again.
+// connReaders holds the readers of closed connections for reuse.
 var connReaders = sync.Pool{New: func() any { return &connReader{http1.NewReader(nil), recvtime.NewReader(nil)} }}
 
 func newConnReader(conn net.Conn) *connReader {
@@ -76,7 +78,7 @@
 	return r
 }
 
-// recycle lets another connection use the reader. Nobody may read from it any more.
+// recycle returns the reader to connReaders. No goroutine may read from it any more.
 func (r *connReader) recycle() {
 	r.source.Reset(nil)
 	connReaders.Put(r)
--- a/proxy/listeners_bench_test.go
+++ b/proxy/listeners_bench_test.go
@@ -21,13 +21,13 @@
 	"lockloom/internal/http1"
 )
 
-// BenchmarkListeners measures the processor time of a request on kept connections to the platform's and the operator's
-// listener, and of one through a plain reverse proxy of the standard library, in one process and so with the same
-// clients and servers, whose part is measured apart; and the same of a streamed response of largeResponse bytes.
+// BenchmarkListeners measures the CPU time of a request on persistent connections through the platform listener, an
+// HTTP listener and a reverse proxy of the standard library, each with a small response and with a streamed response of
+// largeResponse bytes. Clients and servers run in the same process; the no-proxy target measures their part.
 func BenchmarkListeners(b *testing.B) {
 	server := benchServer(b)
 	class := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
-	setup, faults := config.Read("bench",
+	operatorConfig, faults := config.Read("bench",
 		[]byte(class+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n"+
 			"[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
 	require.Empty(b, faults)
@@ -36,13 +36,13 @@
 		"settings":{"Ceilings":{"MaxLegs":3},"Profiles":[{"Name":"page","Effect":"retryable","HardStopMs":5000}]}}`
 	cfg, err := bootstrap.Parse([]byte(text))
 	require.NoError(b, err)
-	cfg.Discovery = "127.0.0.1:1" // nobody: the list is as it is known
+	cfg.Discovery = "127.0.0.1:1" // unreachable: the proxy uses the known list
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p, err := New(cfg, log)
 	require.NoError(b, err)
-	platform, operators := benchListen(b), benchListen(b)
-	require.NoError(b, p.Configure(setup, operators))
+	platform, httpListener := benchListen(b), benchListen(b)
+	require.NoError(b, p.Configure(operatorConfig, httpListener))
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- p.Serve(ctx, platform) }()
@@ -50,47 +50,47 @@
 		stop()
 		require.NoError(b, <-served)
 	}()
-	to, _ := url.Parse("http://" + server)
+	serverURL, _ := url.Parse("http://" + server)
 	plain := benchListen(b)
 	reverseProxy := &httputil.ReverseProxy{
-		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(to); r.SetXForwarded() },
+		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(serverURL); r.SetXForwarded() },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 100},
 	}
 	go func() { _ = http.Serve(plain, reverseProxy) }() // until the benchmark closes its listener
 	time.Sleep(2 * firstListTimeout)
 	fields := "X-Trace-Id: %d\r\nX-Qos: page\r\nX-Expires-In: 4\r\n"
-	ways := []benchWay{{"no-proxy", server, "", "/page"},
+	targets := []benchTarget{{"no-proxy", server, "", "/page"},
 		{"platform", platform.Addr().String(), fields, "/page"},
-		{"operator", operators.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
-	for _, way := range ways[:len(ways):len(ways)] {
-		way.name, way.path = way.name+"-large", "/page?large"
-		ways = append(ways, way)
+		{"operator", httpListener.Addr().String(), "", "/page"}, {"httputil", plain.Addr().String(), "", "/page"}}
+	for _, target := range targets[:len(targets):len(targets)] {
+		target.name, target.path = target.name+"-large", "/page?large"
+		targets = append(targets, target)
 	}
-	for _, way := range ways {
-		b.Run(way.name, way.run)
+	for _, target := range targets {
+		b.Run(target.name, target.run)
 	}
 }
 
-// benchWay is a way from clients to the server.
-type benchWay struct{ name, addr, fields, path string }
+// benchTarget is an address at which clients reach the server, through a proxy or directly.
+type benchTarget struct{ name, addr, fields, path string }
 
-// run sends b.N requests, or a few more, on some connections.
-func (way *benchWay) run(b *testing.B) {
+// run sends at least b.N requests on a few connections at once and reports the CPU time of each.
+func (target *benchTarget) run(b *testing.B) {
 	const clients = 8
 	var group sync.WaitGroup
-	before := processor(b)
+	before := cpuTime(b)
 	each := b.N/clients + 1
 	for k := range clients {
-		group.Go(func() { way.runClient(b, k*1_000_000_000, each) })
+		group.Go(func() { target.runClient(b, k*1_000_000_000, each) })
 	}
 	group.Wait()
-	b.ReportMetric(float64((processor(b)-before).Nanoseconds())/float64(each*clients), "cpu-ns/op")
+	b.ReportMetric(float64((cpuTime(b)-before).Nanoseconds())/float64(each*clients), "cpu-ns/op")
 }
 
-// runClient sends requests on one connection, with ids from firstID on.
-func (way *benchWay) runClient(b *testing.B, firstID, requests int) {
+// runClient sends requests one after the other on one connection, with ids from firstID on.
+func (target *benchTarget) runClient(b *testing.B, firstID, requests int) {
 	b.Helper()
-	conn, err := net.Dial("tcp", way.addr)
+	conn, err := net.Dial("tcp", target.addr)
 	if err != nil {
 		b.Error(err)
 		return
@@ -99,17 +99,17 @@
 	r := http1.NewReader(conn)
 	for i := range requests {
 		fields := ""
-		if way.fields != "" {
-			fields = fmt.Sprintf(way.fields, firstID+i)
+		if target.fields != "" {
+			fields = fmt.Sprintf(target.fields, firstID+i)
 		}
-		write(conn, "GET "+way.path+" HTTP/1.1\r\nHost: x\r\n"+fields+"\r\n")
+		write(conn, "GET "+target.path+" HTTP/1.1\r\nHost: x\r\n"+fields+"\r\n")
 		h, err := r.Response()
 		if err != nil || h.Status != 200 {
 			b.Error(err, h)
 			return
 		}
 		n, err := io.Copy(io.Discard, r.StreamBody(h.Length, h.Chunked))
-		if err != nil || way.path == "/page?large" && n != largeResponse {
+		if err != nil || target.path == "/page?large" && n != largeResponse {
 			b.Error(n, err)
 			return
 		}
@@ -126,7 +126,7 @@
 
 const largeResponse = 8 << 20 // bytes
 
-// benchServer responds at once, at /page?large with many bytes.
+// benchServer starts a server that responds at once, to /page?large with largeResponse bytes, and returns its address.
 func benchServer(b *testing.B) string {
 	b.Helper()
 	ln := benchListen(b)
@@ -163,8 +163,8 @@
 	return ln.Addr().String()
 }
 
-// processor is the processor time that this process has used.
-func processor(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -17,21 +17,21 @@
 	"lockloom/limits"
 )
 
-// Config is an operator file ready for use; see internal/config.
+// Config is a parsed and validated operator file; see internal/config.
 type Config = config.Config
 
-// ReadConfig reads an operator file; the errors are all its faults, a line each.
+// ReadConfig reads an operator file. The errors are all that is wrong with it, each in one line.
 func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
 
-// idempotencyOrder is the order of a class's entries in an operator's pool: one for each way in which a request may be
-// sent again.
+// idempotencyOrder is the order in which a pool of the operator file has a class: once for each RetrySafety of its
+// requests, see classIndex.
 var idempotencyOrder = [...]balance.Idempotency{
 	limits.RetryNever:  balance.NonIdempotent,
 	limits.RetryKeyed:  balance.Keyed,
 	limits.RetryAlways: balance.Idempotent,
 }
 
-// dedupScopes are the spellings of the operator file.
+// dedupScopes maps the values of the operator file's scope key.
 var dedupScopes = map[string]balance.DedupScope{
 	"":     balance.DedupAll,
 	"none": balance.DedupAll,
@@ -40,23 +40,23 @@
 	"pod":  balance.DedupPod,
 }
 
-// Why an operator file can't be reloaded.
+// Errors of ReloadConfig.
 var (
 	errEnded            = errors.New("the proxy has ended")
-	errNoConfig         = errors.New("it was started without an operator file")
-	errListenersChanged = errors.New("listeners change with the next start")
+	errNoConfig         = errors.New("the proxy was started without an operator file")
+	errListenersChanged = errors.New("listeners cannot be changed by a reload, only by a restart")
 )
 
-// routingConfig is what an operator file amounts to. It never changes: a reload puts another in its place. Clients'
-// goroutines read the routes and classes; what pools and limits hold is the owner's.
+// routingConfig is an operator file with its pools. It is immutable: a reload replaces it. Connection goroutines read
+// its routes and classes; the state of the pools and limits belongs to the owner.
 type routingConfig struct {
 	config       *Config
 	pools        map[string]*serverPool
-	classIndexes map[string]int // in the operator file
-	limitIndexes map[string]int // in the operator file
+	classIndexes map[string]int // class name to index in the operator file
+	limitIndexes map[string]int // limit name to index in the operator file
 }
 
-// Configure has the proxy serve an operator file's routes on further listeners. Call it before Serve.
+// Configure makes the proxy serve an operator file's routes on HTTP listeners. Call it before Serve.
 func (p *Proxy) Configure(cfg *Config, listeners ...net.Listener) error {
 	for i := range cfg.Classes {
 		p.maxDeadline = max(p.maxDeadline, seconds(cfg.Classes[i].Deadline))
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// ReloadConfig serves by another operator file from now on, all of it or, with an error, nothing. Requests in flight
-// end as they were begun; pools that are unchanged keep what they have learned, and unchanged limits their counts.
-// Listeners, and deadlines longer than any before, change with the next start. Any goroutine may call it while the
-// proxy serves.
+// ReloadConfig replaces the operator file. With an error nothing changes. Requests in flight end by the previous file;
+// unchanged pools keep their estimates and server states, and unchanged limits their counts. A file is rejected if it
+// changes the listeners or has a deadline longer than the longest one at the start: both need a restart. It is safe for
+// concurrent use while the proxy serves.
 func (p *Proxy) ReloadConfig(cfg *Config) error {
 	done := make(chan error, 1)
 	p.post(func() { done <- p.applyConfig(cfg) })
@@ -85,7 +85,7 @@
 	}
 }
 
-// applyConfig replaces the present operator file.
+// applyConfig replaces the operator file in force. It is called by the owner.
 func (p *Proxy) applyConfig(cfg *Config) error {
 	previous := p.routing.Load()
 	if previous == nil {
@@ -96,7 +96,7 @@
 	}
 	for i := range cfg.Classes {
 		if class := &cfg.Classes[i]; seconds(class.Deadline) > p.maxDeadline {
-			return fmt.Errorf("tariff %q: a hard stop longer than %v counts from the next start", class.Name, p.maxDeadline)
+			return fmt.Errorf("tariff %q: hard_stop longer than %v takes effect only after a restart", class.Name, p.maxDeadline)
 		}
 	}
 	routing, err := p.buildRouting(cfg, previous)
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// buildRouting makes what an operator file needs, with those pools and limits of a previous one that are unchanged.
+// buildRouting makes the routing configuration of an operator file. It reuses pools and limits of the previous one that
+// are unchanged; nil stands for no previous one.
 func (p *Proxy) buildRouting(cfg *Config, previous *routingConfig) (*routingConfig, error) {
 	routing := &routingConfig{
 		config:       cfg,
@@ -148,12 +149,12 @@
 	return routing, nil
 }
 
-// poolDeployment is the deployment of an operator's pools, but for the seed: the platform's, with the operator file's
-// classes.
+// poolDeployment returns the deployment of the operator file's pools, without their seeds: the platform's, with the
+// operator file's classes.
 func (p *Proxy) poolDeployment(cfg *Config) balance.Deployment {
 	deployment := p.bootstrap.Deployment
 	deployment.Classes, deployment.Tenants = nil, nil
-	deployment.Gossip = false // messages number the platform's classes; a pool's would be taken for those
+	deployment.Gossip = false // gossip messages index the platform's classes; a pool's indexes differ
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
 		for _, idempotency := range idempotencyOrder {
@@ -171,14 +172,14 @@
 	return deployment
 }
 
-// unchangedPool is the pool that another operator file leaves as it is; nil: it does not, or there is none.
+// unchangedPool returns the pool that a new operator file defines in the same way, or nil if there is none.
 func (rc *routingConfig) unchangedPool(cfg *Config, poolConfig *config.Pool) *serverPool {
 	if rc == nil || !reflect.DeepEqual(rc.config.Classes, cfg.Classes) {
 		return nil
 	}
 	for i := range rc.config.Pools {
-		if own := &rc.config.Pools[i]; own.Name == poolConfig.Name && poolConfig.Same(own) {
-			return rc.pools[own.Name]
+		if current := &rc.config.Pools[i]; current.Name == poolConfig.Name && poolConfig.Same(current) {
+			return rc.pools[current.Name]
 		}
 	}
 	return nil
@@ -202,7 +203,7 @@
 	}, nil
 }
 
-// installRouting puts a routing configuration in force, and tells its new pools the list as it is.
+// installRouting puts a routing configuration in force and adds its new pools.
 func (p *Proxy) installRouting(routing *routingConfig) {
 	for i := range routing.config.Pools {
 		poolConfig := &routing.config.Pools[i]
@@ -215,7 +216,7 @@
 	p.routing.Store(routing)
 }
 
-// configurePool sets what a reload may change of a pool that it keeps.
+// configurePool sets the properties of a pool that a reload may change while it keeps the pool.
 func (rc *routingConfig) configurePool(pool *serverPool, poolConfig *config.Pool) {
 	pool.backup = rc.pools[poolConfig.Backup]
 	pool.failover.ActivateAfter, pool.failover.RecoverAfter = poolConfig.BackupAfter, poolConfig.BackupUntil
@@ -234,7 +235,7 @@
 	pool.routeNumbers = numbers
 }
 
-// numberRoutes numbers the routes that go to a pool.
+// numberRoutes numbers the routes that forward to a pool, nested ones included, by name.
 func (rc *routingConfig) numberRoutes(numbers map[string]int, pool string, routes []config.Route) {
 	toPool := func(weighted config.WeightedPool) bool { return weighted.Pool == pool }
 	for i := range routes {
@@ -246,7 +247,7 @@
 	}
 }
 
-// addPool adds a new pool, with the addresses of its own servers if it has any.
+// addPool adds a new pool. If servers are given, the pool has these, else those of the endpoint list.
 func (p *Proxy) addPool(pool *serverPool, servers []string) {
 	p.pools.all = append(p.pools.all, pool)
 	pool.decisions.SetBudgetShare(p.resourceShare())
@@ -260,7 +261,7 @@
 	}
 }
 
-// addStaticServers gives a pool its own servers, which no list changes.
+// addStaticServers adds the configured servers of a pool, which no endpoint list changes.
 func (p *Proxy) addStaticServers(pool *serverPool, addrs []string) {
 	var endpoints []balance.Endpoint
 	for i, addr := range addrs {
@@ -276,7 +277,7 @@
 	pool.staticEndpoints = endpoints
 }
 
-// classIndex is the index, in every pool, of an operator file's class for requests that may be sent again so far.
+// classIndex returns the index that a class of the operator file has in every pool for requests of a RetrySafety.
 func (rc *routingConfig) classIndex(class string, safety limits.RetrySafety) int {
 	return rc.classIndexes[class]*len(idempotencyOrder) + int(safety)
 }
--- a/proxy/operatorenv_test.go
+++ b/proxy/operatorenv_test.go
@@ -113,7 +113,7 @@
 answer = { status = 200, type = "text/plain", body = "none" }
 `
 
-// startOperatorEnv serves the operator file, with servers that all behave alike.
+// startOperatorEnv starts a proxy with the operator file and with servers of the given behaviors, by address.
 func startOperatorEnv(t *testing.T, behaviors map[string][]string) *testEnv {
 	t.Helper()
 	env := newEnv(t, behaviors, nil)
@@ -125,7 +125,7 @@
 	return env
 }
 
-// operatorListener is the operator's listener of a testEnv.
+// operatorListener is the HTTP listener of a testEnv. It accepts the connections of operatorConns.
 type operatorListener struct{ env *testEnv }
 
 func (l operatorListener) Accept() (net.Conn, error) {
@@ -141,14 +141,14 @@
 
 func (s operatorListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// operatorRoundTrip sends a request to the operator's listener and returns the status, the named fields and the body of
-// its response.
+// operatorRoundTrip sends a request to the HTTP listener and returns the status, the named fields and the body of its
+// response.
 func (env *testEnv) operatorRoundTrip(request string, fields ...string) string {
-	ours, theirs := net.Pipe()
-	env.operatorConns <- theirs
-	defer ours.Close()
-	go write(ours, request)
-	status, h, body, err := readResponse(ours)
+	clientEnd, proxyEnd := net.Pipe()
+	env.operatorConns <- proxyEnd
+	defer clientEnd.Close()
+	go write(clientEnd, request)
+	status, h, body, err := readResponse(clientEnd)
 	if err != nil {
 		return err.Error()
 	}
@@ -160,12 +160,14 @@
 	return strings.TrimSpace(text + " " + body)
 }
 
-func plainRequest(method, target, more string) string {
-	return method + " " + target + " HTTP/1.1\r\nHost: example.org\r\n" + more + "\r\n"
+// plainRequest returns a request to an HTTP listener. rest is what follows the field Host: fields, or fields, an empty
+// line and a body.
+func plainRequest(method, target, rest string) string {
+	return method + " " + target + " HTTP/1.1\r\nHost: example.org\r\n" + rest + "\r\n"
 }
 
-// writeLargeBody writes a response with a body of so many bytes, with a length or in chunks, and ends the connection in
-// the middle if it is to.
+// writeLargeBody writes a response with a body of the given size, chunked or with Content-Length, and adds to written
+// what it has written of the body. With cutHalfway it closes the connection after half of the body.
 func writeLargeBody(end net.Conn, bytes int, chunked, cutHalfway bool, written *atomic.Int64) {
 	piece := strings.Repeat("x", 10_000)
 	if chunked {
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -17,36 +17,37 @@
 	"lockloom/routes"
 )
 
-// An operator's listener serves HTTP/1.1 as clients send it, without the platform's own fields. A route gives a request
-// its pool, its class and its limits; whether it may be sent again follows from its method and its idempotency key.
+// An HTTP listener of the operator file serves plain HTTP/1.1, without the platform's own fields. A route gives a
+// request its pool, its class and its limits; whether it may be retried follows from its method and idempotency key.
 
-// replacedFields are forwarded as this proxy sets them, not as the client does.
+// replacedFields are header fields that are not forwarded as the client sent them: this proxy sets or drops them.
 var replacedFields = []string{
 	"X-Expires-In", "Forwarded", "X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "Via", "X-Never-Ran",
 }
 
-// operatorSingletonFields must not be repeated: a server may go by another occurrence than this proxy.
+// operatorSingletonFields are header fields that must not be repeated: a server might use another occurrence than this
+// proxy does.
 var operatorSingletonFields = []string{"Host", "Idempotency-Key", "X-Expires-In"}
 
-// headerFields are a head's, for the conditions of routes.
+// headerFields gives the conditions of routes access to a head's fields.
 type headerFields struct{ *http1.Head }
 
-// Get returns a field's value and whether it is there.
+// Get returns a field's value and whether the head has the field.
 func (f headerFields) Get(name string) (string, bool) {
 	value := f.Head.Get(name)
 	return string(value), value != nil
 }
 
-// routeTarget is what a request is for.
+// routeTarget is the target of a request and the client's address.
 type routeTarget struct {
-	host       string // as the target has it, else Host
-	hostField  string // Host; empty: there is none
+	host       string // of an absolute target, else the field Host
+	hostField  string // the field Host; empty: there is none
 	path       string // normalized
 	query      string
 	clientAddr string // without the port
 }
 
-// interpretOperatorHead routes a request by the operator file.
+// interpretOperatorHead routes a request of an HTTP listener by the operator file.
 func (r *requestReader) interpretOperatorHead() error {
 	routing := r.conn.proxy.routing.Load()
 	r.info = balance.RequestInfo{Tenant: noTenant}
@@ -75,7 +76,7 @@
 	return r.forwardByRoute(routing, &match, &target)
 }
 
-// checkOperatorHead rejects what is not served, or what a server could read differently.
+// checkOperatorHead rejects methods that are not served and heads that a server could interpret differently.
 func checkOperatorHead(head *http1.Head) error {
 	if method := string(head.Method); method == http1.MethodConnect || method == http1.MethodTrace {
 		return &http1.Error{Status: http1.StatusNotImplemented, Text: "method not served"}
@@ -103,13 +104,13 @@
 	} else if hostField != "" && routes.NormalizeHost(host) != routes.NormalizeHost(hostField) {
 		return routeTarget{}, badRequest("the target is for another host than Host")
 	}
-	if strings.ContainsAny(host, "/?#@\\\"<> ") { // it is forwarded, and a server may read an authority or a path in it
+	if strings.ContainsAny(host, "/?#@\\\"<> ") { // a server could parse an authority or a path from it
 		return routeTarget{}, badRequest("malformed Host")
 	}
 	return routeTarget{host: host, hostField: hostField, path: path, query: query}, nil
 }
 
-// routeResponse is the response of a route that answers itself.
+// routeResponse returns the response of a route that redirects or has a fixed response, and whether it does.
 func routeResponse(match *routes.Match, query string) (response, bool) {
 	action := &match.Route.Action
 	if action.Redirect != nil {
@@ -126,7 +127,8 @@
 	return resp, true
 }
 
-// forwardByRoute makes the request that a route sends to one of its pools.
+// forwardByRoute makes the request that a route forwards to one of its pools. A request without a body waits here for
+// its admission to this core.
 func (r *requestReader) forwardByRoute(routing *routingConfig, match *routes.Match, target *routeTarget) error {
 	p, head, cfg := r.conn.proxy, r.head, routing.config
 	upstreamPath, err := match.UpstreamPath()
@@ -176,7 +178,7 @@
 	return host
 }
 
-// clientWait is how many seconds a client waits: as its class says, or less if the client says so.
+// clientWait returns how many seconds a client waits: its class's deadline, or X-Expires-In if that is less.
 func clientWait(head *http1.Head, classDeadline float64) float64 {
 	field := head.Get("X-Expires-In")
 	if field == nil {
@@ -189,7 +191,7 @@
 	return min(classDeadline, wait)
 }
 
-// selectPool is a route's pool for a client.
+// selectPool returns the pool that a route selects for a client, by the client's address and the pools' weights.
 func (rc *routingConfig) selectPool(match *routes.Match, clientAddr string) *serverPool {
 	weighted := match.Route.Action.Pools
 	key := settings.NameHash(clientAddr)
@@ -199,18 +201,18 @@
 	return rc.pools[weighted[match.SelectPool(key)].Pool]
 }
 
-// requestClass is the index of the class that a request has in every pool: that of its route, by how safe it is to send
-// the request again.
+// requestClass returns the index, in every pool, of a request's class: its route's class with the RetrySafety of the
+// request.
 func (rc *routingConfig) requestClass(route *config.Route, rule *limits.RetryRule, head *http1.Head) int {
 	hasKey := len(head.Get("Idempotency-Key")) > 0
 	safety := rule.SafetyOf(string(head.Method), hasKey)
 	if safety == limits.RetryKeyed && rc.config.Classes[rc.classIndexes[route.Class]].DedupWindow == 0 {
-		safety = limits.RetryNever // no server knows the key
+		safety = limits.RetryNever // servers do not deduplicate by the key
 	}
 	return rc.classIndex(route.Class, safety)
 }
 
-// limitKeys are the limits of a route, with the keys that a request counts under.
+// limitKeys returns the limits of a route, with the key by which each one counts the request.
 func (rc *routingConfig) limitKeys(
 	match *routes.Route, route *config.Route, clientAddr string, head *http1.Head,
 ) []limits.LimitKey {
@@ -235,7 +237,7 @@
 	return keys
 }
 
-// operatorHead is the head that goes to a server, without length and deadline.
+// operatorHead returns the head that is sent to a server, without Content-Length and X-Expires-In.
 func operatorHead(head *http1.Head, upstreamPath string, target *routeTarget, id string) []byte {
 	out := http1.AppendRequest(make([]byte, 0, initialHeadBytes), head.Method, []byte(upstreamPath))
 	out = http1.AppendForwardedFields(out, head, replacedFields...)
@@ -256,15 +258,15 @@
 
 // appendListField appends a field with the client's value, if there is one, followed by this proxy's element.
 func appendListField(out []byte, head *http1.Head, name string, element []byte) []byte {
-	if before := head.Get(name); len(before) > 0 {
-		element = bytes.Join([][]byte{before, element}, []byte(", "))
+	if clientValue := head.Get(name); len(clientValue) > 0 {
+		element = bytes.Join([][]byte{clientValue, element}, []byte(", "))
 	}
 	return http1.AppendField(out, name, element)
 }
 
-// forwardedElement is this proxy's element of the field Forwarded (RFC 7239). All values are quoted, an address of IPv6
-// in brackets; a host's own quotes and backslashes are escaped, or they would end the quoting and let a client write
-// elements of its own.
+// forwardedElement returns this proxy's element of the field Forwarded (RFC 7239). All values are quoted, and an IPv6
+// address is in brackets. Quotes and backslashes in a host are escaped: unescaped, they would end the quoted string and
+// let a client inject elements.
 func forwardedElement(address, host string) []byte {
 	if strings.Contains(address, ":") {
 		address = "[" + address + "]"
@@ -277,7 +279,7 @@
 	return append(out, ";proto=http"...)
 }
 
-// appendQuoted appends a quoted string (RFC 9110).
+// appendQuoted appends text as a quoted string (RFC 9110).
 func appendQuoted(out []byte, text string) []byte {
 	out = append(out, '"')
 	for i := range len(text) {
--- a/proxy/operatorroute_test.go
+++ b/proxy/operatorroute_test.go
@@ -9,35 +9,35 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What a client of the operator's listener is answered, and how often its request is sent, by what the servers do in
-// turn.
+// Checks the response to a client of an HTTP listener, and how often the request is sent. The first attempt gets the
+// given behavior of its server, any further one okResponse.
 func TestOperatorRequests(t *testing.T) {
-	const missing = "HTTP/1.1 404 x\r\nContent-Length: 4\r\n\r\nnone"
-	const found = "HTTP/1.1 302 x\r\nLocation: /there\r\nContent-Length: 0\r\n\r\n"
-	const broke = "HTTP/1.1 500 x\r\nX-From: b\r\nContent-Length: 5\r\n\r\nsorry"
-	const nothing = "HTTP/1.1 204 x\r\n\r\n"
+	const notFound = "HTTP/1.1 404 x\r\nContent-Length: 4\r\n\r\nnone"
+	const redirect = "HTTP/1.1 302 x\r\nLocation: /there\r\nContent-Length: 0\r\n\r\n"
+	const serverError = "HTTP/1.1 500 x\r\nX-From: b\r\nContent-Length: 5\r\n\r\nsorry"
+	const noContent = "HTTP/1.1 204 x\r\n\r\n"
 	post := "Content-Length: 3\r\n\r\nabc"
 	for name, c := range map[string]struct {
-		request, play, field, want string
-		sent                       int
+		request, behavior, field, want string // field: a response field to check; empty: none
+		sent                           int    // requests that servers received
 	}{
 		"page":                    {plainRequest("GET", "/a", ""), okResponse, "X-From", "200 b body", 1},
 		"page, cut":               {plainRequest("GET", "/a", ""), cutConnection, "", "200 body", 2},
 		"page, error":             {plainRequest("GET", "/a", ""), faultResponse, "", "200 body", 2},
-		"not there":               {plainRequest("GET", "/a", ""), missing, "", "404 none", 1},
-		"elsewhere":               {plainRequest("GET", "/a", ""), found, "Location", "302 /there", 1},
-		"nothing to say":          {plainRequest("GET", "/a", ""), nothing, "Content-Length", "204", 1},
+		"not found":               {plainRequest("GET", "/a", ""), notFound, "", "404 none", 1},
+		"redirected":              {plainRequest("GET", "/a", ""), redirect, "Location", "302 /there", 1},
+		"no content":              {plainRequest("GET", "/a", ""), noContent, "Content-Length", "204", 1},
 		"post, cut: may have run": {plainRequest("POST", "/a", post), cutConnection, "", "502 forfeited", 1},
-		"post, error":             {plainRequest("POST", "/a", post), broke, "X-From", "500 b sorry", 1},
+		"post, error":             {plainRequest("POST", "/a", post), serverError, "X-From", "500 b sorry", 1},
 		"post, its own 503":       {plainRequest("POST", "/a", post), own503Response, "", "502", 1},
-		"other, error":            {plainRequest("GET", "/other", ""), broke, "", "500 sorry", 1},
+		"other, error":            {plainRequest("GET", "/other", ""), serverError, "", "500 sorry", 1},
 		"post, never ran":         {plainRequest("POST", "/a", post), neverRanResponse, "", "200 body", 2},
 		"post, no connection":     {plainRequest("POST", "/a", post), refuseConnection, "", "200 body", 1},
-		"keyed, where no server knows keys": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
+		"keyed, not deduplicated": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
 			"502 forfeited", 1},
-		"keyed, where servers know keys": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
+		"keyed, deduplicated": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
 			"", "200 body", 2},
-		"a method that nobody knows": {plainRequest("BREW", "/a", post), cutConnection, "", "502 forfeited", 1},
+		"an unknown method": {plainRequest("BREW", "/a", post), cutConnection, "", "502 forfeited", 1},
 		"moved": {plainRequest("GET", "/moved/x?y", ""), okResponse, "Location",
 			"308 https://example.org/moved/x?y", 0},
 		"fixed": {plainRequest("GET", "/robots.txt", ""), okResponse, "Content-Type",
@@ -49,21 +49,21 @@
 		"the same host": {plainRequest("GET", "http://EXAMPLE.org:80/a", ""), okResponse, "",
 			"200 body", 1},
 		"no host": {"GET /a HTTP/1.1\r\n\r\n", okResponse, "", "400 400: no Host", 0},
-		"no name of a host": {"GET /a HTTP/1.1\r\nHost: a/b@c\r\n\r\n", okResponse, "",
+		"a malformed host": {"GET /a HTTP/1.1\r\nHost: a/b@c\r\n\r\n", okResponse, "",
 			"400 400: malformed Host", 0},
 		"two hosts": {plainRequest("GET", "/a", "Host: x\r\n"), okResponse, "",
 			"400 400: Host twice", 0},
 		"a length and chunks": {plainRequest("POST", "/a",
 			"Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n"), okResponse, "", "400 400: a length with chunks", 0},
-		"a tunnel": {plainRequest("CONNECT", "example.org:80", ""), okResponse, "",
+		"CONNECT": {plainRequest("CONNECT", "example.org:80", ""), okResponse, "",
 			"501 501: method not served", 0},
-		"its client's own patience": {plainRequest("GET", "/a", "X-Expires-In: 0.1\r\n"), noResponse, "",
+		"the client's own deadline": {plainRequest("GET", "/a", "X-Expires-In: 0.1\r\n"), noResponse, "",
 			"503 dismissed", 1},
-		"no response: the class's deadline":  {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
-		"a second server is out of the pool": {plainRequest("GET", "/other", ""), cutConnection, "", "503 dismissed", 1},
+		"no response: the class's deadline": {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
+		"no second server in the pool":      {plainRequest("GET", "/other", ""), cutConnection, "", "503 dismissed", 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			env := startOperatorEnv(t, map[string][]string{"any": {c.play, okResponse}})
+			env := startOperatorEnv(t, map[string][]string{"any": {c.behavior, okResponse}})
 			began := time.Now()
 			var fields []string
 			if c.field != "" {
@@ -77,7 +77,8 @@
 	}
 }
 
-// The path goes on as it was matched, and the client's fields but for those that this proxy sets.
+// Checks that the path is forwarded as it was matched and rewritten, and the client's fields unchanged, but for those
+// that this proxy sets or drops.
 func TestOperatorRequestsAreForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	bodyBytesPerWorkUnit = 32 << 10 // of a body cost this core as much as all else of its request
-	requestsPerCore      = 8        // in a core's work at a time, from reading to sending
+	bodyBytesPerWorkUnit = 32 << 10 // a body of this size costs this core as much as the rest of its request
+	requestsPerCore      = 8        // admitted at a time for each core, from reading to forwarding; more are queued
 	minPriorityWeight    = 1e-3
-	minDelayFactorStep   = 1.1   // the least change of the delay factor that is reported to the decisions
-	minLagStepSeconds    = 0.001 // the least change of the lag that is reported to the decisions
+	minDelayFactorStep   = 1.1   // least ratio between reported delay factors; smaller changes are not reported
+	minLagStepSeconds    = 0.001 // least difference between reported lags; smaller changes are not reported
 )
 
-// overloadMonitor queues requests for this proxy's own cores and measures how far these are behind. All goroutines use
-// it, under its lock; delayFactor and lagSeconds are the owner's.
+// overloadMonitor queues requests while this proxy's own cores are overloaded and measures the delay that this adds to
+// attempts. Any goroutine may use it, under its lock; delayFactor and lagSeconds belong to the owner.
 type overloadMonitor struct {
 	mu sync.Mutex
 	*limits.Overload
-	waiting chan struct{} // holds a value while requests wait for their turn
+	dispatchSignal chan struct{} // holds a value while dispatchWaiting has queued requests to admit
 
-	delayFactor float64 // as reported to the decisions last
-	lagSeconds  float64 // likewise
+	delayFactor float64 // the delay factor reported to the decisions last
+	lagSeconds  float64 // the lag reported to the decisions last
 }
 
-// init is called before the proxy serves.
+// init prepares the monitor for a number of tenants. It is called before the proxy serves.
 func (m *overloadMonitor) init(tenants int) {
-	m.waiting = make(chan struct{}, 1)
+	m.dispatchSignal = make(chan struct{}, 1)
 	m.Overload = limits.NewOverload(requestsPerCore*runtime.GOMAXPROCS(0), tenants)
 	m.delayFactor = 1
 }
 
-// latencyObjective is a class's latency objective in seconds; where none is set, half of its deadline.
+// latencyObjective returns a class's latency objective in seconds; if none is set, half of its deadline.
 func latencyObjective(class *balance.Class) float64 {
 	if class.LatencyObjective > 0 {
 		return class.LatencyObjective
@@ -46,9 +46,9 @@
 	return class.Deadline / 2
 }
 
-// awaitTurn waits for the turn of the request that a connection has received last, and reports whether it is admitted.
-// It is in this core's work then, until requestLeftCore.
-func (m *overloadMonitor) awaitTurn(c *clientConn, class *balance.Class, tenant, bodyBytes int) bool {
+// awaitAdmission waits until the overload queue admits or rejects the request that a connection has received last, and
+// reports whether it is admitted. In both cases the request counts against requestsPerCore until requestLeftCore.
+func (m *overloadMonitor) awaitAdmission(c *clientConn, class *balance.Class, tenant, bodyBytes int) bool {
 	p := c.proxy
 	work := 1 + float64(max(bodyBytes, 0))/bodyBytesPerWorkUnit
 	weight := max(class.PriorityWeight, minPriorityWeight) / work
@@ -59,21 +59,21 @@
 		return admitted
 	}
 	m.wakeDispatcher()
-	return <-c.turn && !c.peerHasGone() // while the request waited nobody read from the client
+	return <-c.admissionResult && !c.peerHasGone() // nothing was read meanwhile that would show a disconnect
 }
 
-// requestLeftCore says that a request is out of this core's work.
+// requestLeftCore records that a request no longer counts against requestsPerCore.
 func (p *Proxy) requestLeftCore() {
 	m := &p.overload
 	m.mu.Lock()
-	waiting := m.RequestDone()
+	queued := m.RequestDone()
 	m.mu.Unlock()
-	if waiting {
+	if queued {
 		m.wakeDispatcher()
 	}
 }
 
-// overloaded reports whether requests wait for this core for longer than a burst.
+// overloaded reports whether the queue of requests for this core has lasted longer than a burst.
 func (p *Proxy) overloaded() bool {
 	m := &p.overload
 	m.mu.Lock()
@@ -82,44 +82,44 @@
 	return overloaded
 }
 
-// wakeDispatcher has requests admitted, if dispatchWaiting waits.
+// wakeDispatcher wakes dispatchWaiting, or makes it check the queue again if it runs.
 func (m *overloadMonitor) wakeDispatcher() {
 	select {
-	case m.waiting <- struct{}{}:
+	case m.dispatchSignal <- struct{}{}:
 	default:
 	}
 }
 
-// dispatchWaiting admits waiting requests, some in each round of the scheduler, until the proxy ends.
+// dispatchWaiting admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
 func (p *Proxy) dispatchWaiting() {
 	m := &p.overload
 	round := poller.NewRound()
 	defer round.Close()
-	notify := func(waiter *limits.Waiter, admitted bool) { waiter.Owner.(*clientConn).turn <- admitted }
+	notify := func(waiter *limits.Waiter, admitted bool) { waiter.Owner.(*clientConn).admissionResult <- admitted }
 	for {
 		select {
-		case <-m.waiting:
+		case <-m.dispatchSignal:
 		case <-p.loop.quit:
 			return
 		}
-		for waiting := true; waiting; {
+		for queued := true; queued; {
 			round.Next()
 			m.mu.Lock()
-			waiting = m.Dispatch(p.now(), notify)
+			queued = m.Dispatch(p.now(), notify)
 			m.mu.Unlock()
 		}
 	}
 }
 
-// attemptMeasured notes how many seconds an attempt was in flight here, and how many of them at its server.
+// attemptMeasured records how many seconds an attempt took at this proxy, and how many of these at its server.
 func (m *overloadMonitor) attemptMeasured(inFlight, atServer float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.AttemptMeasured(inFlight, atServer)
 }
 
-// updateLocalDelay tells the decisions how much longer attempts take here than at their servers, where that has
-// changed.
+// updateLocalDelay reports to the decisions how much longer attempts take at this proxy than at their servers, if that
+// has changed by minDelayFactorStep or minLagStepSeconds. It is called by the owner.
 func (p *Proxy) updateLocalDelay() {
 	m := &p.overload
 	m.mu.Lock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// addFields adds what the line of counts says of overload. The owner calls it.
+// addFields adds the overload fields of the log message with the counts. It is called by the owner.
 func (m *overloadMonitor) addFields(now float64, fields logrus.Fields) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/proxy/overloadmonitor_test.go
+++ b/proxy/overloadmonitor_test.go
@@ -11,7 +11,7 @@
 	"lockloom/limits"
 )
 
-// occupyCore takes n places of the proxy's core; the function that it returns gives them back.
+// occupyCore limits the proxy's core to n requests at a time and fills it. The returned function ends these requests.
 func (env *testEnv) occupyCore(n int) func() {
 	env.overload.mu.Lock()
 	env.overload.Overload = limits.NewOverload(n, 0)
@@ -29,33 +29,33 @@
 func TestOverloadQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-		free := env.occupyCore(1)
-		late, worth := env.connect(), env.connect()
+		releaseCore := env.occupyCore(1)
+		late, inTime := env.connect(), env.connect()
 		go write(late, lookRequest)
-		time.Sleep(210 * time.Millisecond) // of 300 that are its latency objective
-		go write(worth, smsRequest)
+		time.Sleep(210 * time.Millisecond) // of its latency objective of 300 ms
+		go write(inTime, smsRequest)
 		time.Sleep(30 * time.Millisecond)
 		synctest.Wait()
-		assert.Empty(t, env.received, "neither is sent")
-		free()
+		assert.Empty(t, env.received, "both are queued")
+		releaseCore()
 		status, h, _, err := readResponse(late)
 		assert.NoError(t, err)
 		assert.Equal(t, 503, status)
 		assert.Equal(t, "1.000", string(h.Get("Retry-After")))
-		assert.False(t, h.Close, "a connection costs more than the answer")
-		status, _, _, err = readResponse(worth)
+		assert.False(t, h.Close, "a new connection would cost more than the response")
+		status, _, _, err = readResponse(inTime)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		go write(late, strings.Replace(lookRequest, "t1", "t9", 1))
 		status, _, _, err = readResponse(late)
 		assert.NoError(t, err)
-		assert.Equal(t, 200, status, "nobody waits any more")
+		assert.Equal(t, 200, status, "the queue is empty")
 		assert.Equal(t, 1, env.overload.Rejected)
 		env.stopAndWait()
 	})
 }
 
-// A client that writes its head slowly must not be late before its request is complete.
+// Guards against counting the time in which a client sends its head slowly against its deadline.
 func TestSlowHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, nil)
@@ -67,7 +67,7 @@
 		status, _, _, err := readResponse(c)
 		assert.NoError(t, err)
 		assert.NotEqual(t, 200, status)
-		assert.InDelta(t, 0.5, time.Since(began).Seconds(), 0.02, "its time counts from its last byte")
+		assert.InDelta(t, 0.5, time.Since(began).Seconds(), 0.02, "the deadline counts from the last byte")
 		synctest.Wait()
 		assert.Len(t, env.received, 1)
 		env.stopAndWait()
--- a/proxy/platformhead.go
+++ b/proxy/platformhead.go
@@ -11,20 +11,20 @@
 	"lockloom/internal/settings"
 )
 
-// maxClientWaitSeconds bounds how long a client may say that it waits; one that says more is taken to wait so long.
+// maxClientWaitSeconds caps the client wait in X-Expires-In.
 const maxClientWaitSeconds = 60.0
 
-// readinessPath asks whether the proxy wants clients.
+// readinessPath is the path of the readiness check: whether the proxy accepts clients.
 const readinessPath = "/up"
 
-// noTenant is a request's tenant where none is named.
+// noTenant is the tenant of a request without X-Customer.
 const noTenant = -1
 
-// singletonFields say what a request is and how it may be sent again. They must not be repeated: a server may go by
-// another occurrence than this proxy.
+// singletonFields are the header fields that identify a request and decide how it may be retried. They must not be
+// repeated: a server might use another occurrence than this proxy does.
 var singletonFields = []string{"X-Trace-Id", "X-Qos", "X-Expires-In", "Idempotency-Key"}
 
-// interpretPlatformHead reads a request in the platform's own form, or a question of readiness.
+// interpretPlatformHead interprets the head of a request with the platform's own fields, or answers a readiness check.
 func (r *requestReader) interpretPlatformHead() error {
 	p, head := r.conn.proxy, r.head
 	head.Target = originForm(head.Target)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// parseRequestInfo is what the decisions need to know of a request, as its head says it. The error is an *http1.Error.
+// parseRequestInfo parses a request's head into the input of the decisions. The error is an *http1.Error.
 func (p *Proxy) parseRequestInfo(
 	head *http1.Head, path, query []byte, receivedAt time.Time,
 ) (balance.RequestInfo, error) {
@@ -84,14 +84,14 @@
 	return &http1.Error{Status: http1.StatusBadRequest, Text: text}
 }
 
-// firstSegment is a path's first segment.
+// firstSegment returns a path's first segment.
 func firstSegment(path []byte) []byte {
 	first, _, _ := bytes.Cut(bytes.TrimPrefix(path, []byte{'/'}), []byte{'/'})
 	return first
 }
 
-// requestClass is the index of the class that a request names in X-Qos. A path whose first segment is no class does not
-// exist.
+// requestClass returns the index of the class that a request names in X-Qos. A path whose first segment is not the name
+// of a class does not exist.
 func (p *Proxy) requestClass(head *http1.Head, path []byte) (int, error) {
 	named := head.Get("X-Qos")
 	class, known := p.registry.Class(string(named))
@@ -105,8 +105,8 @@
 	return class, nil
 }
 
-// checkPlatformFields checks the fields that a request of a class must have, and returns how many seconds its client
-// waits.
+// checkPlatformFields checks the method and the fields that a request of a class must have, and returns how many
+// seconds its client waits.
 func (p *Proxy) checkPlatformFields(head *http1.Head, path []byte, class int) (wait float64, err error) {
 	for _, name := range singletonFields {
 		if head.HasRepeated(name) {
@@ -117,7 +117,7 @@
 	isGet, idempotency := method == http1.MethodGet, p.bootstrap.Classes[class].Idempotency
 	wait, err = strconv.ParseFloat(string(head.Get("X-Expires-In")), 64)
 	switch {
-	case isGet && (head.Length > 0 || head.Chunked): // a server that expects no body takes it for a request
+	case isGet && (head.Length > 0 || head.Chunked): // a server that expects none would parse it as a request
 		return 0, badRequest("GET with a body")
 	case !bytes.Equal(firstSegment(path), head.Get("X-Qos")):
 		return 0, badRequest("path and X-Qos differ")
@@ -135,7 +135,7 @@
 	return wait, nil
 }
 
-// affinityKey is the hash of the user that a query names last; 0: none.
+// affinityKey returns the hash of the last user parameter of a query; 0: there is none.
 func affinityKey(query []byte) uint64 {
 	key := uint64(0)
 	for part := range bytes.SplitSeq(query, []byte{'&'}) {
@@ -146,7 +146,7 @@
 	return key
 }
 
-// expectedWork is how long a client says that its request takes, in seconds; 0: it does not say.
+// expectedWork returns the expected processing time from X-Props in seconds; 0: there is none.
 func expectedWork(props []byte) float64 {
 	work := 0.0
 	for part := range bytes.SplitSeq(props, []byte{','}) {
--- a/proxy/readrequest.go
+++ b/proxy/readrequest.go
@@ -11,35 +11,35 @@
 )
 
 const (
-	// firstHeadTimeout is from a connection's start to its first head's end: clients that send nothing, or send slowly,
-	// are answered or closed within 3 s.
+	// firstHeadTimeout is from accepting a connection to the end of its first head, so that clients that send nothing, or
+	// send slowly, get a response or are disconnected within 3 s.
 	firstHeadTimeout  = 2700 * time.Millisecond
-	headTimeout       = 2500 * time.Millisecond // for any head: some clients take 2 s
-	maxUploadDuration = 15 * time.Minute        // for a streamed body, until it is complete
-	initialHeadBytes  = 512                     // of a forwarded head; a longer one grows
+	headTimeout       = 2500 * time.Millisecond // from the first byte to the end of any head: some clients take 2 s
+	maxUploadDuration = 15 * time.Minute        // from a request's arrival to the end of its streamed body
+	initialHeadBytes  = 512                     // initial buffer capacity for a forwarded head
 )
 
-// requestReader reads one request of a client connection: its head, what follows from that, and its body, unless that
-// is streamed. It belongs to the connection's goroutine. After read without an error either req and info are set, for
-// the decisions, or direct is the response.
+// requestReader reads one request of a client connection: its head, which it interprets, and its body, unless that is
+// streamed. It belongs to the connection's goroutine. After read has returned nil, either req and info are set for
+// admission, or req is nil and direct is the response.
 type requestReader struct {
 	conn      *clientConn
 	admission *admission
-	first     bool // of its connection
+	first     bool // the request is the first one of its connection
 
 	head       *http1.Head // valid until the body is read
-	receivedAt time.Time   // of the head
-	isHead     bool        // its method is HEAD
-	isGet      bool        // its method is GET or HEAD
-	http10     bool
-	closing    bool // the connection closes with the response
+	receivedAt time.Time   // when the head was received completely
+	isHead     bool        // the method is HEAD
+	isGet      bool        // the method is GET or HEAD
+	http10     bool        // the client speaks HTTP/1.0
+	closing    bool        // the connection closes after the response
 
 	req    *request // nil: direct is the response
 	info   balance.RequestInfo
 	direct response
 }
 
-// read reads the request. An *http1.Error says how to reject it.
+// read reads the request. For an invalid request the error is an *http1.Error with the status to respond with.
 func (r *requestReader) read() error {
 	if err := r.readHead(); err != nil {
 		return err
@@ -64,7 +64,8 @@
 	if err != nil {
 		return err
 	}
-	// It may have waited for this core, and that counts as its time; the time in which its client wrote slowly does not.
+	// Counted from here, the request's latency includes the time in which the received head waited for this core, but not
+	// the time that a slow client took to send it.
 	r.receivedAt = c.receivedAt()
 	r.head = head
 	method := string(head.Method)
@@ -74,10 +75,10 @@
 	return nil
 }
 
-// interpretHead finds out what is asked for: by the operator file, or by the platform's own fields. A request without a
-// body waits here for its admission to this core.
+// interpretHead makes the request, or the direct response, from the head: by the operator file's routes or by the
+// platform's own fields. A request without a body waits here for its admission to this core.
 func (r *requestReader) interpretHead() error {
-	if r.conn.operators {
+	if r.conn.httpListener {
 		return r.interpretOperatorHead()
 	}
 	return r.interpretPlatformHead()
@@ -86,18 +87,18 @@
 // hasBody reports whether a body follows the head.
 func (r *requestReader) hasBody() bool { return r.head.Chunked || r.head.Length != 0 }
 
-// admitNow waits for the admission of a request without a body to this core; one with a body is admitted once that is
-// read.
+// admitNow waits until a request without a body is admitted to this core, and reports whether it is. It returns true
+// for a request with a body, which is admitted after the body is read.
 func (r *requestReader) admitNow(class *balance.Class) bool {
-	return r.hasBody() || r.admission.awaitTurn(class, r.info.Tenant, 0)
+	return r.hasBody() || r.admission.awaitAdmission(class, r.info.Tenant, 0)
 }
 
-// rejectOverload answers a request that this core does not admit.
+// rejectOverload sets the direct response of a request that the overload queue rejected.
 func (r *requestReader) rejectOverload() {
 	r.req, r.direct = nil, r.conn.proxy.overloadResponse()
 }
 
-// overloadResponse is the response to a request that this core does not admit.
+// overloadResponse returns the response to a request that the overload queue rejected.
 func (p *Proxy) overloadResponse() response {
 	return response{
 		status:     http1.StatusServiceUnavailable,
@@ -106,7 +107,8 @@
 	}
 }
 
-// sendContinue tells a client that waits for it to send the body. If that fails, reading the body does too.
+// sendContinue sends 100 Continue to a client that expects it before it sends the body. A write error is ignored, since
+// reading the body then fails too.
 func (r *requestReader) sendContinue() {
 	c := r.conn
 	if r.head.Continue && !c.Buffered() {
@@ -115,15 +117,15 @@
 	}
 }
 
-// readBody reads the body, or has a large one streamed.
+// readBody reads the body, or prepares a large one to be streamed, and completes the request.
 func (r *requestReader) readBody() error {
 	c, length, chunked := r.conn, r.head.Length, r.head.Chunked
-	if length > maxBodyBytes && !c.operators {
+	if length > maxBodyBytes && !c.httpListener {
 		return errBodyTooLarge()
 	}
-	streams := length > http1.DefaultMaxBytes || chunked && c.operators
-	if streams && r.req == nil {
-		// Nobody wants the body: left unread, it would be taken for a request.
+	streamed := length > http1.DefaultMaxBytes || chunked && c.httpListener
+	if streamed && r.req == nil {
+		// The body is not read: its bytes must not be parsed as the next request.
 		r.closing = true
 		return nil
 	}
@@ -135,18 +137,18 @@
 	}
 	body := r.bodyReader(length, chunked)
 	var received []byte
-	if !streams {
+	if !streamed {
 		var err error
 		if received, err = io.ReadAll(io.LimitReader(body, http1.DefaultMaxBytes+1)); err != nil {
 			return err
 		}
-		streams = len(received) > http1.DefaultMaxBytes // chunks that have not ended: what has come goes first
+		streamed = len(received) > http1.DefaultMaxBytes // chunked and too large to buffer
 	}
 	switch {
 	case r.req == nil:
-	case streams:
+	case streamed:
 		r.streamRequest(body, received, length, chunked)
-	case !r.admission.awaitTurn(r.req.class, r.info.Tenant, len(received)):
+	case !r.admission.awaitAdmission(r.req.class, r.info.Tenant, len(received)):
 		r.rejectOverload()
 	default:
 		r.completeRequest(received)
@@ -154,27 +156,28 @@
 	return nil
 }
 
-// bodyReader reads the body at the pace that its client must keep.
+// bodyReader returns a reader of the body that enforces a minimum rate.
 func (r *requestReader) bodyReader(length int, chunked bool) *pacedBodyReader {
 	c := r.conn
-	c.readDeadline = time.Time{} // each read of the body sets its own
+	c.readDeadline = time.Time{} // each read of the body sets a deadline and removes it afterwards
 	body := &pacedBodyReader{
 		conn:       c.conn,
 		source:     c.StreamBody(length, chunked),
-		readNoMore: &c.readNoMore,
+		abortReads: &c.abortReads,
 		grace:      bodyGracePeriod,
 	}
 	if r.first {
 		grace := time.Until(c.acceptedAt.Add(firstBodyGraceDeadline))
 		body.grace = min(max(grace, minBodyGracePeriod), bodyGracePeriod)
 	}
-	if !c.operators {
+	if !c.httpListener {
 		body.maxBytes = maxBodyBytes
 	}
 	return body
 }
 
-// streamRequest has the body forwarded as it comes, after what was received of it.
+// streamRequest prepares a request whose body is forwarded while it is received. received is the part that was read
+// already and is forwarded first. The deadline extends to maxUploadDuration until the body is complete.
 func (r *requestReader) streamRequest(body *pacedBodyReader, received []byte, length int, chunked bool) {
 	req := r.req
 	req.body = received
@@ -184,7 +187,7 @@
 		clientWait: r.info.Deadline - req.arrivedAt,
 	}
 	r.info.Streaming = true
-	r.info.Deadline = req.arrivedAt + maxUploadDuration.Seconds() // until it is complete
+	r.info.Deadline = req.arrivedAt + maxUploadDuration.Seconds() // until bodyCompleted sets it
 	req.deadline = r.info.Deadline
 	if chunked {
 		req.head = http1.AppendField(req.head, "Transfer-Encoding", "chunked")
@@ -193,7 +196,8 @@
 	}
 }
 
-// completeRequest finishes a request whose body is received, or that has none. Its time counts from its last byte.
+// completeRequest completes a request whose body is received, or that has none. Its arrival and its deadline count from
+// its last byte.
 func (r *requestReader) completeRequest(body []byte) {
 	req := r.req
 	req.body = body
@@ -208,7 +212,8 @@
 	req.deadline = r.info.Deadline
 }
 
-// originForm is a request's target without scheme and host, which a client may send too.
+// originForm returns a target in origin form (RFC 9112): an absolute http URI without its scheme and authority, any
+// other target unchanged.
 func originForm(target []byte) []byte {
 	const scheme = "http://"
 	if len(target) < len(scheme) || !bytes.EqualFold(target[:len(scheme)], []byte(scheme)) {
--- a/proxy/readrequest_test.go
+++ b/proxy/readrequest_test.go
@@ -58,13 +58,13 @@
 			assert.Empty(t, env.received, c.in)
 			status, _, _, err = env.roundTrip(lookRequest)
 			assert.NoError(t, err)
-			assert.Equal(t, 200, status, "serves on")
+			assert.Equal(t, 200, status, "the proxy serves the next request")
 			env.stopAndWait()
 		})
 	}
 }
 
-// A panic over what a client sends would cost all requests.
+// Guards against a panic on a client's input, which would fail all requests.
 func FuzzArrival(f *testing.F) {
 	for _, request := range []string{lookRequest, signRequest, smsRequest, "GET ?x HTTP/1.1\r\nX-Qos: none\r\n\r\n"} {
 		f.Add([]byte(request))
@@ -80,14 +80,14 @@
 		}
 		now := time.Now()
 		path, query, _ := strings.Cut(string(h.Target), "?")
-		if a, err := p.parseRequestInfo(h, []byte(path), []byte(query), now); err == nil {
-			assert.LessOrEqual(t, a.Deadline, p.stamp(now)+maxClientWaitSeconds)
-			assert.GreaterOrEqual(t, a.ExpectedWork, 0.0)
+		if info, err := p.parseRequestInfo(h, []byte(path), []byte(query), now); err == nil {
+			assert.LessOrEqual(t, info.Deadline, p.stamp(now)+maxClientWaitSeconds)
+			assert.GreaterOrEqual(t, info.ExpectedWork, 0.0)
 		}
 	})
 }
 
-// Whatever form a target has, the server gets path and query as they were.
+// Checks that the server gets path and query unchanged from a target in absolute form.
 func TestAbsoluteForm(t *testing.T) {
 	for in, want := range map[string]string{"http://x:1/look?user=7": "/look?user=7", "HTTP://x/look": "/look",
 		"/look?u=http://x/": "/look?u=http://x/",
@@ -104,17 +104,19 @@
 	})
 }
 
-// A request may come in pieces that end anywhere: within a name, a number, between the two bytes of a line's end.
+// Checks that a request may be received in two pieces, cut anywhere: within a name, a number or a CRLF.
 func TestRequestSplitAnywhere(t *testing.T) {
-	few, flowing := chunkedRequest("1;x=y\r\na\r\n2\r\nbc\r\n0\r\nX-After: all\r\n\r\n"), chunkedRequest(longBodyChunked)
-	body := len(flowing) - len(longBodyChunked)
+	shortRequest, streamedRequest := chunkedRequest("1;x=y\r\na\r\n2\r\nbc\r\n0\r\nX-After: all\r\n\r\n"),
+		chunkedRequest(longBodyChunked)
+	bodyStart := len(streamedRequest) - len(longBodyChunked)
 	for _, c := range []struct {
 		in       string
 		bytes    int64
-		from, to int // where it is cut
-	}{{few, 3, 1, len(few)}, {flowing, int64(len(longBody)), body - 2, body + 20}, {flowing, int64(len(longBody)),
-		body + 10_010, body + 10_040},
-		{flowing, int64(len(longBody)), len(flowing) - 30, len(flowing)}} {
+		from, to int // range of the offsets at which it is cut
+	}{{shortRequest, 3, 1, len(shortRequest)},
+		{streamedRequest, int64(len(longBody)), bodyStart - 2, bodyStart + 20},
+		{streamedRequest, int64(len(longBody)), bodyStart + 10_010, bodyStart + 10_040},
+		{streamedRequest, int64(len(longBody)), len(streamedRequest) - 30, len(streamedRequest)}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := newEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 			env.streamBodies = true
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -10,55 +10,55 @@
 	"lockloom/limits"
 )
 
-// backstopMarginSeconds is how long before its deadline a request without a response is failed.
+// backstopMarginSeconds is how long before a request's deadline the backstop timer fails it if it has no response yet.
 const backstopMarginSeconds = 0.002
 
-// request is a request from its reading to its end. Its client's goroutine makes it; from its admission on it is the
-// owner's, which sends the one response.
+// request is a client's request. The connection's goroutine makes it; from admit on it belongs to the owner, which
+// sends exactly one response.
 type request struct {
-	pool      *serverPool // of its route; from its admission on the one that serves for that
+	pool      *serverPool // the route's pool; once admitted, the pool that serves the request, which may be a backup
 	class     *balance.Class
 	id        string
-	traceID   string            // that the client and the servers know; empty: id
+	traceID   string            // the X-Trace-Id that the client sent; empty: id serves as the trace id
 	arrivedAt float64           // seconds since 1970
 	deadline  float64           // seconds since 1970
-	client    *clientConn       // nil: none
-	retryRule *limits.RetryRule // nil: the platform's, which the deployment sets
+	client    *clientConn       // set by admission.serve; nil: none
+	retryRule *limits.RetryRule // nil: from the platform listener; the retry rules of the deployment hold
 	quota     requestQuota
-	response  chan response // holds the one response: the owner never waits for the client
+	response  chan response // buffered for the one response, so that the owner never blocks on the client
 
 	forwardedRequest
 	requestState
 }
 
-// forwardedRequest is what goes to a server, the same in all attempts.
+// forwardedRequest is what is sent to a server, the same in all attempts.
 type forwardedRequest struct {
 	head, body  []byte
 	stream      bodyStream
-	passthrough bool // by an operator's listener: a server's response goes on as it is
-	headOnly    bool // it asks for a head only
+	passthrough bool // from an HTTP listener: server responses are relayed unchanged, also those that report a failure
+	headOnly    bool // the method is HEAD: the response has no body
 }
 
-// requestState is the owner's state of a request. The zero value is that of one before its admission.
+// requestState is the owner's state of a request. The zero value is the state before admission.
 type requestState struct {
-	ref           int // in the requestTable
-	handle        RequestHandle
-	timer         timer // for the decisions' wakeups and the backstop
-	attempts      []*attempt
-	serverFailure *response // the last one in which a server reported its own failure; only with passthrough
-	answered      bool      // or its client has gone
-	released      bool
-	endsEarly     bool // its deadline is the end of the process, which the decisions do not know
+	ref             int // index in requestTable.byRef
+	handle          RequestHandle
+	timer           timer // for the decisions' wakeups and the backstop
+	attempts        []*attempt
+	serverFailure   *response // the last response in which a server reported its own failure; only with passthrough
+	answered        bool      // a response was sent, or the client has gone
+	released        bool      // the decisions are done with the request
+	deadlineLimited bool      // limitDeadlines shortened the deadline, which the decisions do not know
 }
 
 // requestTable holds the requests in flight. It belongs to the owner.
 type requestTable struct {
-	byRef    []*request // by balance.RequestInfo.Ref; nil: free
+	byRef    []*request // indexed by balance.RequestInfo.Ref; nil: free
 	freeRefs []int
 	openIDs  map[string]bool
 }
 
-// add gives a request its ref.
+// add adds a request and sets its ref.
 func (t *requestTable) add(req *request) {
 	t.openIDs[req.id] = true
 	if n := len(t.freeRefs); n > 0 {
@@ -76,18 +76,18 @@
 	t.freeRefs = append(t.freeRefs, req.ref)
 }
 
-// clientGone reports whether the client has gone. Any goroutine calls it just before a byte is sent to a server: what
-// the client's own goroutine has seen may not have come to the owner, and that goroutine may not have been able to see
-// anything.
-func (req *request) clientGone(admittedAt time.Time) bool {
+// clientGone reports whether the client has gone. Any goroutine may call it, just before bytes of the request are sent
+// to a server: the event from the connection's goroutine may not have reached the owner yet, and on a busy core that
+// goroutine may not have run. The socket is queried only if more than clientCheckInterval has passed since arrivedAt.
+func (req *request) clientGone(arrivedAt time.Time) bool {
 	if req.client == nil {
 		return false
 	}
-	return req.client.abandoned.Load() || time.Since(admittedAt) > clientCheckInterval && req.client.peerHasGone()
+	return req.client.abandoned.Load() || time.Since(arrivedAt) > clientCheckInterval && req.client.peerHasGone()
 }
 
-// safeToRetry reports whether the request may be sent again at a time, in seconds since 1970: no attempt has run, or
-// running it twice does no harm.
+// safeToRetry reports whether the request may be sent again at a time, in seconds since 1970: no attempt has run, the
+// class is idempotent, or every server still deduplicates the request by its key.
 func (req *request) safeToRetry(at float64) bool {
 	class := req.class
 	for _, att := range req.attempts {
@@ -103,8 +103,9 @@
 	return true
 }
 
-// latency is what an attempt took, in seconds: for a streamed request from its last byte, since the time in which a
-// client sends is none of its server's. The response may come before that byte, or be seen before it is.
+// latency returns how long an attempt took, in seconds. For a streamed request it counts from the body's last byte,
+// since the client's sending time is not the server's latency. It is 0 if the response was received before that byte,
+// or was processed before bodyCompleted.
 func (req *request) latency(sentAt, endedAt float64) float64 {
 	switch {
 	case req.stream.upload == nil:
@@ -115,7 +116,8 @@
 	return max(endedAt-max(sentAt, req.stream.completedAt), 0)
 }
 
-// discardResponses has nothing more sent for an answered request, wherever its attempts are not sent yet.
+// discardResponses makes the attempts of an answered request that are not written to a connection yet end as not sent.
+// Attempts that are in flight continue.
 func (p *Proxy) discardResponses(req *request) {
 	for _, att := range req.attempts {
 		if att.started && !att.ended {
@@ -124,12 +126,12 @@
 	}
 }
 
-// scheduleBackstop has a request answered shortly before its deadline.
+// scheduleBackstop sets the request's timer to fire shortly before its deadline, see requestTimerFired.
 func (p *Proxy) scheduleBackstop(req *request) {
 	p.loop.timers.add(&req.timer, req.deadline-backstopMarginSeconds)
 }
 
-// bodyCompleted notes that a streamed request is complete: its times count from then.
+// bodyCompleted records when a streamed body was received completely. The client's wait counts from then.
 func (p *Proxy) bodyCompleted(req *request, at time.Time) {
 	if req.answered {
 		return
@@ -144,34 +146,35 @@
 	}
 }
 
-// requestTimerFired calls the decisions at the time that they asked for, and answers a request whose time is up.
+// requestTimerFired calls the decisions at the time that they scheduled, and answers a request that has reached its
+// deadline but for backstopMarginSeconds.
 func (p *Proxy) requestTimerFired(req *request) {
-	// While a client still sends, an attempt is not overdue and its server not to blame.
+	// While the client still sends the body, the attempt is not overdue and its server is not at fault.
 	uploading := req.stream.upload != nil && req.stream.upload.Started() && req.stream.completedAt == 0
 	if !req.released && !uploading {
 		p.decideRequest(req, req.handle.TimerFired)
 	}
 	switch {
 	case p.now() < req.deadline-backstopMarginSeconds:
-	case req.endsEarly && !req.answered:
+	case req.deadlineLimited && !req.answered:
 		p.abandonRequest(req)
 	default:
 		p.failUnanswered(req)
 	}
 }
 
-// limitDeadlines has all requests in flight end by a time, in seconds since 1970, at which this process may be killed,
-// however long their clients would wait.
+// limitDeadlines limits the deadlines of all requests in flight to a time, in seconds since 1970, at which this process
+// may be killed.
 func (p *Proxy) limitDeadlines(deadline float64) {
 	for _, req := range p.requests.byRef {
 		if req != nil && !req.answered && req.deadline > deadline {
-			req.deadline, req.endsEarly = deadline, true
+			req.deadline, req.deadlineLimited = deadline, true
 			p.scheduleBackstop(req)
 		}
 	}
 }
 
-// abandonRequest answers a request that its process can't wait for: rejected where a retry is safe, else failed.
+// abandonRequest answers a request that would outlast this process: rejected where a retry is safe, else failed.
 func (p *Proxy) abandonRequest(req *request) {
 	reply := balance.Rejected
 	if !req.safeToRetry(p.now() + p.bootstrap.MaxRetryAfter) {
@@ -181,14 +184,14 @@
 	p.decideRequest(req, req.handle.ClientDisconnected)
 }
 
-// failUnanswered answers a request that the decisions have not answered: rule 1 is that every request gets a response.
+// failUnanswered fails a request that the decisions have not answered in time: every request must get a response.
 func (p *Proxy) failUnanswered(req *request) {
 	if !invariant.Holds(req.answered, "every request is answered before its deadline") {
 		p.respond(req, balance.Failed, 0)
 	}
 }
 
-// clientDisconnected tells the decisions that a client has gone.
+// clientDisconnected reports to the decisions that the client has gone, or drops the response if there is one already.
 func (p *Proxy) clientDisconnected(req *request) {
 	if req.answered {
 		p.dropResponse(req)
@@ -201,7 +204,7 @@
 	}
 }
 
-// dropResponse releases a response that nobody takes any more.
+// dropResponse releases the resources of a response that was sent to a connection's goroutine after it stopped waiting.
 func (p *Proxy) dropResponse(req *request) {
 	select {
 	case resp := <-req.response:
@@ -213,7 +216,7 @@
 	}
 }
 
-// respond gives a request its final response.
+// respond answers a request that has not succeeded.
 func (p *Proxy) respond(req *request, reply balance.Reply, retryAfter float64) {
 	if !invariant.Holds(!req.answered, "a request gets one response") {
 		return
@@ -242,7 +245,7 @@
 	return false
 }
 
-// finalResponse counts and makes the response of a request that has not succeeded.
+// finalResponse counts a request that has not succeeded and returns its response.
 func (p *Proxy) finalResponse(req *request, reply balance.Reply, retryAfter float64) response {
 	last := balance.NotSent
 	if n := len(req.attempts); n > 0 {
@@ -251,7 +254,7 @@
 	switch {
 	case req.serverFailure != nil && last == balance.ServerError:
 		p.counters.Failed++
-		if req.serverFailure.status == http1.StatusServiceUnavailable { // whoever gets it takes a retry to be safe
+		if req.serverFailure.status == http1.StatusServiceUnavailable { // to a client, 503 means that a retry is safe
 			req.serverFailure.status = http1.StatusBadGateway
 		}
 		return *req.serverFailure
@@ -270,7 +273,7 @@
 	return response{status: http1.StatusBadGateway, body: []byte("forfeited\n")}
 }
 
-// closeStream gives up a streamed response whose client has gone; CloseWithError of a pipe never fails.
+// closeStream aborts a streamed response whose client has gone. CloseWithError of a pipe never fails.
 func closeStream(stream interface{ CloseWithError(error) error }) {
 	_ = stream.CloseWithError(upstream.ErrClientGone)
 }
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -14,17 +14,17 @@
 	"lockloom/internal/upstream"
 )
 
-// A request that the decisions have forgotten is failed before its deadline; a call that panics ends no proxy; and
-// whatever the decisions order, no rule is broken.
+// Checks that a request that the decisions never answer is failed before its deadline, that a call that panics does not
+// end the proxy, and that attempts that would break an invariant are not sent.
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
 	env := &Proxy{log: log, clock: clock{startedAt: time.Now()}}
 	env.loop.init(env.clock, log)
 	req := &request{class: &balance.Class{}, response: make(chan response, 1)}
-	forget, panics := func() { env.failUnanswered(req) }, func() { env.loop.runGuarded(func() { panic("x") }) }
+	failRequest, panicInLoop := func() { env.failUnanswered(req) }, func() { env.loop.runGuarded(func() { panic("x") }) }
 	if invariant.Asserted {
-		assert.Panics(t, forget)
-		assert.Panics(t, panics)
+		assert.Panics(t, failRequest)
+		assert.Panics(t, panicInLoop)
 		return
 	}
 	before := brokenInvariants()
@@ -33,23 +33,23 @@
 	for _, id := range []string{"b1", "b2"} {
 		env.registry.Endpoint(listEntry(id, balance.Ready).Entry)
 	}
-	for _, c := range []struct { // whatever the decisions order, no rule is broken
-		l       *request
-		backend int
+	for _, c := range []struct { // attempts that the decisions order, each of which would break an invariant
+		req    *request
+		server int
 	}{
 		{&request{class: &balance.Class{}, requestState: requestState{answered: true}}, 0},
 		{&request{class: &balance.Class{Idempotency: balance.NonIdempotent},
 			requestState: requestState{attempts: []*attempt{{}}}}, 0},
 		{&request{class: &balance.Class{}}, 1},
 	} {
-		env.startAttempt(c.l, c.backend, env.now()+1)
-		assert.False(t, c.l.attempts[len(c.l.attempts)-1].started)
+		env.startAttempt(c.req, c.server, env.now()+1)
+		assert.False(t, c.req.attempts[len(c.req.attempts)-1].started)
 	}
-	assert.Len(t, env.loop.deferred, 3, "each is booked as never sent")
+	assert.Len(t, env.loop.deferred, 3, "each attempt ends as not sent")
 	assert.Equal(t, before+3, brokenInvariants())
 	env.loop.deferred, before = nil, brokenInvariants()
-	forget()
-	panics()
+	failRequest()
+	panicInLoop()
 	assert.Equal(t, 502, (<-req.response).status)
 	assert.Equal(t, before+2, brokenInvariants())
 }
--- a/proxy/requestbody.go
+++ b/proxy/requestbody.go
@@ -14,47 +14,48 @@
 )
 
 const (
-	minBodyBytesPerSecond = 24_000 // that a body must come at while it is waited for
-	// bodyGracePeriod is how far a body may be behind that, in all and at once: some clients pause for 2 s.
+	minBodyBytesPerSecond = 24_000 // minimum mean rate of a body, over the time in which reads wait for the client
+	// bodyGracePeriod is how long reads of a body may wait in addition to the time that minBodyBytesPerSecond allows, and
+	// the longest wait of a single read: some clients pause for 2 s.
 	bodyGracePeriod        = 2300 * time.Millisecond
-	minBodyGracePeriod     = 1200 * time.Millisecond // the same where a connection's first head was slow
-	firstBodyGraceDeadline = 2900 * time.Millisecond // from a connection's start to the end of its first body's grace
-	maxBodyBytes           = 40 << 20                // of a request to the platform's listener
-	streamBufferBytes      = 16 << 10                // between reading and writing what is streamed
+	minBodyGracePeriod     = 1200 * time.Millisecond // least grace period, for a body after a slow first head
+	firstBodyGraceDeadline = 2900 * time.Millisecond // from accepting a connection to the end of its first body's grace
+	maxBodyBytes           = 40 << 20                // largest body of a request to the platform listener
+	streamBufferBytes      = 16 << 10                // copy buffer for streamed bodies
 )
 
 func errBodyTooLarge() error {
 	return &http1.Error{Status: http1.StatusRequestEntityTooLarge, Text: "body too large"}
 }
 
-// pacedBodyReader reads a body from a client that must keep a pace, however its bytes are split. Only time in which the
-// client is waited for counts: a server may take the body slowly. Too slow a client ends it with
-// os.ErrDeadlineExceeded, too large a body with an *http1.Error.
+// pacedBodyReader reads a body and enforces a minimum rate, however the bytes are split. Only the time in which reads
+// wait for the client counts, since a server may accept the body slowly. Read fails with an error that wraps
+// os.ErrDeadlineExceeded if the client is too slow, and with an *http1.Error if the body is too large.
 type pacedBodyReader struct {
 	conn       net.Conn
 	source     io.Reader
-	readNoMore *atomic.Bool // nothing more is waited for; nil: never so
-	grace      time.Duration
-	received   int           // bytes
-	maxBytes   int           // 0: no bound
-	waited     time.Duration // for what was received
+	abortReads *atomic.Bool  // reads do not wait for the client any more; nil: never set
+	grace      time.Duration // allowed wait in addition to the time that minBodyBytesPerSecond allows
+	received   int           // bytes so far
+	maxBytes   int           // 0: no limit
+	waited     time.Duration // time spent in reads so far
 }
 
 // Read implements io.Reader.
-func (b *pacedBodyReader) Read(to []byte) (int, error) {
+func (b *pacedBodyReader) Read(p []byte) (int, error) {
 	allowed := b.grace + time.Duration(b.received)*time.Second/minBodyBytesPerSecond
-	left := min(allowed-b.waited, bodyGracePeriod)
-	if left <= 0 {
+	maxWait := min(allowed-b.waited, bodyGracePeriod)
+	if maxWait <= 0 {
 		return 0, b.tooSlow(os.ErrDeadlineExceeded)
 	}
-	began := time.Now()
-	b.conn.SetReadDeadline(began.Add(left))
-	if b.readNoMore != nil && b.readNoMore.Load() {
+	start := time.Now()
+	b.conn.SetReadDeadline(start.Add(maxWait))
+	if b.abortReads != nil && b.abortReads.Load() {
 		b.conn.SetReadDeadline(pastDeadline)
 	}
-	n, err := b.source.Read(to)
+	n, err := b.source.Read(p)
 	b.conn.SetReadDeadline(time.Time{})
-	b.waited += time.Since(began)
+	b.waited += time.Since(start)
 	b.received += n
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		err = b.tooSlow(err)
@@ -66,19 +67,20 @@
 }
 
 func (b *pacedBodyReader) tooSlow(err error) error {
-	return fmt.Errorf("%d bytes of the body in %v of waiting: %w", b.received, b.waited, err)
+	return fmt.Errorf("request body read timed out: received %d bytes in %v of read time: %w", b.received, b.waited, err)
 }
 
-// bodyStream is a request's body that is forwarded as it comes, to one server and once. The zero value is that of a
-// request whose body is received before it is admitted. The owner owns completedAt; the rest is not changed.
+// bodyStream is a request body that is forwarded while it is received, to one server and only once. The zero value is
+// for a request whose body is received before admission. completedAt belongs to the owner; the other fields do not
+// change.
 type bodyStream struct {
 	upload      *upstream.Upload // nil: the body is not streamed
 	reader      *pacedBodyReader
-	clientWait  float64 // seconds that the client waits from its last byte on
-	completedAt float64 // when that came, in seconds since 1970; 0: it has not
+	clientWait  float64 // seconds that the client waits for a response after the last byte of the body
+	completedAt float64 // when the last byte was received, in seconds since 1970; 0: not yet
 }
 
-// startUpload starts to forward a request's body in a goroutine of its own; uploadDone has its result.
+// startUpload starts a goroutine that forwards a request's body. It sends its result to uploadDone.
 func (c *clientConn) startUpload(req *request) {
 	c.setReadDeadline(time.Time{})
 	done := make(chan error, 1)
@@ -86,8 +88,9 @@
 	go c.forwardBody(req, done)
 }
 
-// forwardBody forwards a body as it comes, at the server's pace, until it ends or the request is answered. The result
-// is sent before the server's side ends: the attempt ends by that too, and what became of the body says more.
+// forwardBody forwards a body while it is received, as fast as the server accepts it, until the body ends or the
+// request is answered. Unless the upload was stopped, the result is sent before the upload is closed: closing it with
+// an error fails the attempt too, but the body's error says more about the cause.
 func (c *clientConn) forwardBody(req *request, done chan<- error) {
 	err := copyBody(req)
 	if err == nil {
@@ -101,13 +104,13 @@
 		return
 	}
 	closeUpload(in, err)
-	discard(req.stream.reader) // so that the client can read its response
+	discard(req.stream.reader) // closing with unread bytes would reset the connection and lose the response
 	done <- err
 }
 
 func copyBody(req *request) error {
 	in := req.stream.upload.In
-	if len(req.body) > 0 { // what was received until it was found too large to be held
+	if len(req.body) > 0 { // the part that was read before the body turned out too large to buffer
 		if _, err := in.Write(req.body); err != nil {
 			return err
 		}
@@ -116,5 +119,5 @@
 	return err
 }
 
-// closeUpload ends the server's side of an upload; CloseWithError of a pipe never fails.
+// closeUpload closes an upload with err; nil stands for the body's end. CloseWithError of a pipe never fails.
 func closeUpload(in *io.PipeWriter, err error) { _ = in.CloseWithError(err) }
--- a/proxy/requestbody_test.go
+++ b/proxy/requestbody_test.go
@@ -12,15 +12,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// chunkedRequest is a request whose body comes in these chunks.
+// chunkedRequest returns a request with a chunked body.
 func chunkedRequest(chunks string) string {
 	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n"+chunks, 1)
 }
 
-// trickle writes so many bytes a second, in pieces that end anywhere.
-func trickle(c net.Conn, text string, pace int) {
+// trickle writes text at a rate, in pieces that do not follow its structure.
+func trickle(c net.Conn, text string, bytesPerSecond int) {
 	for len(text) > 0 {
-		n := min(len(text), pace/7)
+		n := min(len(text), bytesPerSecond/7)
 		if _, err := io.WriteString(c, text[:n]); err != nil {
 			return
 		}
@@ -29,8 +29,8 @@
 	}
 }
 
-// longBody is 320 kB, 5 s at the pace of slow clients; longBodyChunked is the same in chunks with an extension, and
-// with a trailer.
+// longBody is 320 kB, which take 5 s at the 64 kB/s of slow clients. longBodyChunked is the same body in chunks with an
+// extension, and with a trailer.
 var longBody, longBodyChunked = func() (string, string) {
 	body, pieces := strings.Repeat("0123456789abcdef", 20_000), strings.Builder{}
 	for at := 0; at < len(body); at += 10_000 {
@@ -39,23 +39,23 @@
 	return body, pieces.String() + "0\r\nX-After: all\r\n\r\n"
 }()
 
-// withBody is a request that announces a body of n bytes; what follows may be shorter.
-func withBody(n int, body string) string {
+// requestWithLength returns a request with a Content-Length of n; body may be shorter.
+func requestWithLength(n int, body string) string {
 	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body,
 		1)
 }
 
-// A client may take 2 s for a head and send a body at 64 kB/s; its time counts from the last byte. A streamed body is
-// no fault of its server, and is not sent twice.
+// Checks that a client may take 2 s for a head and send a body at 64 kB/s: its deadline counts from the last byte. A
+// slow streamed body must not count as its server's fault, and must not be sent twice.
 func TestSlowRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
 		bytes    int
 		slowHead bool
 	}{
-		{"with a length", withBody(len(longBody), longBody), len(longBody), false},
+		{"with a length", requestWithLength(len(longBody), longBody), len(longBody), false},
 		{"in chunks", chunkedRequest(longBodyChunked), len(longBody), false},
-		{"not streamed", withBody(60_000, longBody[:60_000]), 60_000, true},
+		{"not streamed", requestWithLength(60_000, longBody[:60_000]), 60_000, true},
 		{"a slow head alone", smsRequest, 3, true},
 		{"a few chunks", chunkedRequest("1;x\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 3, true},
 	} {
@@ -65,7 +65,7 @@
 				env.streamBodies = true
 				env.start()
 				conn := env.connect()
-				if !first { // on a connection that was used
+				if !first { // on a connection that has had a request
 					go write(conn, lookRequest)
 					_, _, _, err := readResponse(conn)
 					assert.NoError(t, err)
@@ -92,19 +92,20 @@
 				conn.Close()
 				errors := make(chan int, 1)
 				env.post(func() { errors <- env.pools.platform.decisions.ServerStatuses(env.now())[0].Errors })
-				assert.Zero(t, <-errors, "no backend is blamed for a slow client")
+				assert.Zero(t, <-errors, "a slow client does not count as a server's error")
 				env.stopAndWait()
 			})
 		}
 	}
 }
 
-// A client that stops within a body would hold a connection here and at a server for as long as it likes.
+// Guards against a client that stops within a body and so holds a client connection and a server connection without a
+// time limit.
 func TestUnfinishedBodiesTimeOut(t *testing.T) {
 	for _, c := range []struct {
 		in     string
 		status int
-	}{{withBody(300_000, "abc"), 408}, {withBody(300, "abc"), 408}, {chunkedRequest("100000\r\nabc"),
+	}{{requestWithLength(300_000, "abc"), 408}, {requestWithLength(300, "abc"), 408}, {chunkedRequest("100000\r\nabc"),
 		408}, {chunkedRequest("5\r\nabc"), 408},
 		{chunkedRequest(longBodyChunked[:100_000]), 408}, {chunkedRequest(longBodyChunked[:10*10_019] + "zz\r\n"), 400}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -123,55 +124,56 @@
 	}
 }
 
-// Large bodies are streamed to one server at its pace, and to no other once that has begun.
+// Checks that large bodies are streamed, as fast as the server accepts them, and to no other server once one has
+// received some of it.
 func TestStreamedUploads(t *testing.T) {
 	const size = 3_000_000
 	length := fmt.Sprintf("Content-Length: %d\r\n", size)
 	for name, c := range map[string]struct {
-		method, framing, play, want string
-		sent                        int   // requests whose heads reached a server
-		least                       int64 // bytes that reached one
+		method, framing, behavior, want string
+		sent                            int   // requests whose heads reached a server
+		minBytes                        int64 // least number of body bytes that reached a server
 	}{
 		"with a length":                 {"POST", length, okResponse, "200 body", 1, size},
 		"in chunks":                     {"POST", "Transfer-Encoding: chunked\r\n", okResponse, "200 body", 1, size},
-		"the first server is not there": {"POST", length, refuseConnection, "200 body", 1, size},
+		"the first server refuses":      {"POST", length, refuseConnection, "200 body", 1, size},
 		"idempotent, but streamed: cut": {"GET", length, cutInBody, "503 dismissed", 1, 0},
 		"post: cut in the middle":       {"POST", length, cutInBody, "502 forfeited", 1, 0},
 		"answered before it is read":    {"POST", length, earlyResponse, "400", 1, 0},
 		"its route answers":             {"PUT", length, "moved", "308", 0, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			env := startOperatorEnv(t, map[string][]string{"any": {c.play, okResponse}})
+			env := startOperatorEnv(t, map[string][]string{"any": {c.behavior, okResponse}})
 			env.streamBodies = true
 			target := "/a"
-			if c.play == "moved" {
+			if c.behavior == "moved" {
 				target = "/moved"
 			}
-			ours, theirs := net.Pipe()
-			env.operatorConns <- theirs
+			clientEnd, proxyEnd := net.Pipe()
+			env.operatorConns <- proxyEnd
 			go func() {
-				write(ours, plainRequest(c.method, target, c.framing))
+				write(clientEnd, plainRequest(c.method, target, c.framing))
 				piece := strings.Repeat("x", 10_000)
 				for range size / len(piece) {
 					text := piece
 					if strings.Contains(c.framing, "chunked") {
 						text = fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece)
 					}
-					if _, err := io.WriteString(ours, text); err != nil {
+					if _, err := io.WriteString(clientEnd, text); err != nil {
 						return
 					}
 				}
 				if strings.Contains(c.framing, "chunked") {
-					write(ours, "0\r\n\r\n")
+					write(clientEnd, "0\r\n\r\n")
 				}
 			}()
-			status, _, body, err := readResponse(ours)
+			status, _, body, err := readResponse(clientEnd)
 			assert.NoError(t, err, name)
 			assert.Equal(t, c.want, strings.TrimSpace(fmt.Sprint(status, " ", body)), name)
-			ours.Close()
+			clientEnd.Close()
 			env.stopAndWait()
 			assert.Len(t, env.received, c.sent, name)
-			assert.GreaterOrEqual(t, env.bodyBytes, c.least, name)
+			assert.GreaterOrEqual(t, env.bodyBytes, c.minBytes, name)
 		})
 	}
 }
