--- a/internal/emulator/dedup.go
+++ b/internal/emulator/dedup.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-const dedupRetention = 60.0 // s past its window that a key is kept, to tell a late duplicate from a new job
+const dedupRetention = 60.0 // s that a key is kept after its window has ended, to recognize late duplicates
 
-// DedupGroup holds the keys that a group of servers has seen, by which it drops duplicates of keyed jobs.
+// DedupGroup holds the idempotency keys that a group of servers has seen, and detects duplicates of keyed jobs by them.
 type DedupGroup struct {
-	LateDuplicates int // came after their window, and ran again
-	firstSeen      map[uint64]float64
-	order          []expiringKey
+	LateDuplicates int                // duplicates that arrived after their window and ran again
+	windowStart    map[uint64]float64 // by key: when the job that opened its latest window started, in seconds
+	order          []expiringKey      // in the order in which the windows were opened, from head
 	head           int
 }
 
@@ -17,27 +17,28 @@
 	until float64
 }
 
-// isDuplicate reports whether a key's first job started less than a window ago; if not, this one becomes its first.
+// isDuplicate reports whether the job that opened the key's latest window started at most a window ago. If not, the job
+// that starts now opens a new window. Times are in seconds.
 func (g *DedupGroup) isDuplicate(now float64, key uint64, window float64) bool {
 	for g.head < len(g.order) && g.order[g.head].until < now {
-		if oldest := g.order[g.head]; g.firstSeen[oldest.key] <= now-window { // no later window has begun
-			delete(g.firstSeen, oldest.key)
+		if oldest := g.order[g.head]; g.windowStart[oldest.key] <= now-window { // the key has no newer window
+			delete(g.windowStart, oldest.key)
 		}
 		g.head++
 	}
 	if g.head > compactLength && g.head > len(g.order)/2 {
 		g.order, g.head = slices.Delete(g.order, 0, g.head), 0
 	}
-	if first, seen := g.firstSeen[key]; seen {
-		if now <= first+window {
+	if start, seen := g.windowStart[key]; seen {
+		if now <= start+window {
 			return true
 		}
 		g.LateDuplicates++
 	}
-	if g.firstSeen == nil {
-		g.firstSeen = map[uint64]float64{}
+	if g.windowStart == nil {
+		g.windowStart = map[uint64]float64{}
 	}
-	g.firstSeen[key] = now
+	g.windowStart[key] = now
 	g.order = append(g.order, expiringKey{key, now + window + dedupRetention})
 	return false
 }
--- a/internal/emulator/dedup_test.go
+++ b/internal/emulator/dedup_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDedupGroup compares with a map that forgets nothing: a duplicate is what arrives within the window of the last
-// job that ran.
+// TestDedupGroup compares a DedupGroup with a map that never evicts a key: a job is a duplicate if it arrives within
+// the window of the last job with its key that ran.
 func TestDedupGroup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var group DedupGroup
@@ -16,23 +16,23 @@
 		for range rapid.IntRange(1, 3000).Draw(t, "calls") {
 			now += rapid.SampledFrom([]float64{0, .01, .5, 90}).Draw(t, "gap")
 			key := rapid.Uint64Range(1, 4).Draw(t, "key")
-			first, seen := ran[key]
-			want := seen && now <= first+1
+			start, seen := ran[key]
+			want := seen && now <= start+1
 			if got := group.isDuplicate(now, key, 1); got != want {
-				t.Fatalf("key %d at %v, first %v: duplicate %v", key, now, first, got)
+				t.Fatalf("key %d at %v s, last run at %v s: isDuplicate = %v", key, now, start, got)
 			}
-			if seen && !want && now <= first+1+dedupRetention {
+			if seen && !want && now <= start+1+dedupRetention {
 				late++
 			}
 			if !want {
 				ran[key] = now
 			}
-			if len(group.order)-group.head > 3000 || len(group.firstSeen) > 4 {
-				t.Fatal("the group grows without bound")
+			if len(group.order)-group.head > 3000 || len(group.windowStart) > 4 {
+				t.Fatal("the group does not evict expired keys")
 			}
 		}
 		if group.LateDuplicates != late {
-			t.Fatalf("%d late duplicates, not %d", group.LateDuplicates, late)
+			t.Fatalf("LateDuplicates = %d, want %d", group.LateDuplicates, late)
 		}
 	})
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -7,45 +7,45 @@
 	"lockloom/balance"
 )
 
-// Member is a server with its entry of the endpoint list.
+// Member is a server with its entry in the endpoint list.
 type Member struct {
 	*Server
 	Name, Zone, Model      string
 	Pod                    int
-	Position, AddressIndex int // the position it fills; the address it listens at
+	Position, AddressIndex int // indexes of the position that it fills and of the address that it listens on
 	State                  balance.EndpointState
-	Group                  int // the scenario's number of its group
-	changedVersion         int64
-	listedStart            float64
-	listedCrashes          int
+	Group                  int     // number of its server group in the scenario
+	changedVersion         int64   // list version in which the entry last changed
+	listedStart            float64 // StartedAt at the last Reconcile
+	listedCrashes          int     // Crashes at the last Reconcile
 }
 
 // MemberSpec describes a server that a fleet can start.
 type MemberSpec struct {
 	Name, Zone, Model string
 	Pod               int
-	Group             int // the scenario's number of its group
+	Group             int // number of its server group in the scenario
 	Spec              Spec
 }
 
 // ChangeKind is what a Change does to a server.
 type ChangeKind uint8
 
-// The kinds of changes, with the meaning of Value and whether Class counts.
+// The kinds of changes, with the meaning of Change.Value, and whether Change.Class applies.
 const (
-	ChangeSpeed          ChangeKind = iota // Value: the factor on its speed
-	ChangePause                            // Value: its duration
-	ChangeErrorShare                       // Value: the share; Class
-	ChangeHanging                          // Value: 0 or 1; Class
-	ChangeUnreachable                      // Value: 0 or 1
-	ChangeCrash                            // Value: until it is back; 0: never
-	ChangeDrain                            // Value: until its removal
-	ChangeRemove                           // follows from ChangeDrain and the replacements
-	ChangeReplace                          // a new server takes the position, the old one drains. Value: as ChangeDrain
-	ChangeReplaceInPlace                   // the same at the old server's address, once that is removed
+	ChangeSpeed          ChangeKind = iota // Value: factor by which its speed is multiplied
+	ChangePause                            // Value: duration of the pause
+	ChangeErrorShare                       // Value: share of jobs that fail, from 0 to 1; Class applies
+	ChangeHanging                          // Value: 1 makes jobs hang, 0 ends that; Class applies
+	ChangeUnreachable                      // Value: 1 partitions it from the network, 0 reconnects it
+	ChangeCrash                            // Value: time until the restart; 0: no restart
+	ChangeDrain                            // Value: time until the removal
+	ChangeRemove                           // only as a follow-up of ChangeDrain, ChangeReplace and ChangeReplaceInPlace
+	ChangeReplace                          // a new server takes the position, the old one drains; Value as for ChangeDrain
+	ChangeReplaceInPlace                   // as ChangeReplace, but at the same address, after the removal
 )
 
-// changeKindNames are the kinds in timelines.
+// changeKindNames are the names of the kinds in timelines.
 var changeKindNames = [...]string{
 	"slow",
 	"pause",
@@ -59,7 +59,7 @@
 	"renew at its address",
 }
 
-// String is the name of the kind in timelines.
+// String returns the name of the kind in timelines.
 func (k ChangeKind) String() string { return changeKindNames[k] }
 
 // Change is a fault or a planned change of the server at a position. Times and durations are in seconds.
@@ -67,30 +67,30 @@
 	At       float64
 	Kind     ChangeKind
 	Position int
-	Member   int // for ChangeRemove
-	Class    int // -1: all
+	Member   int // index of the member to remove, for ChangeRemove
+	Class    int // -1: all classes
 	Value    float64
 }
 
 // Effect is the result of a call on one member.
 type Effect struct {
 	Member           int
-	Completions      []Completion // of its jobs, valid until its next call
-	ResetConnections bool         // its connections are to be reset
+	Completions      []Completion // of its jobs, valid until the next call on it
+	ResetConnections bool         // the caller must reset its connections
 	ListChanged      bool         // the endpoint list has changed
 }
 
 // Fleet is a set of servers with their endpoint list. Members are numbered in the order of their start and keep their
-// number once they are removed.
+// number after they have been removed.
 type Fleet struct {
 	Members     []*Member
-	Version     int64               // of the endpoint list
-	Addresses   int                 // given out so far
-	DedupGroups map[int]*DedupGroup // by the caller's numbers
+	Version     int64               // current version of the endpoint list
+	Addresses   int                 // number of addresses allocated so far
+	DedupGroups map[int]*DedupGroup // by number, which the caller chooses
 
-	specs     []MemberSpec // by position
-	positions []int        // by position: the number of the member that fills it
-	seed      uint64
+	specs    []MemberSpec // by position
+	memberAt []int        // by position: the number of the member that fills it
+	seed     uint64
 }
 
 // NewFleet returns an empty fleet; the seed determines which jobs fail.
@@ -98,20 +98,21 @@
 	return &Fleet{seed: seed, Version: 1, DedupGroups: map[int]*DedupGroup{}}
 }
 
-// AddPosition adds a position, filled by a server that has long been up or, if not warm, starts now.
+// AddPosition adds a position and starts a server in it, past its slow start if warm. It returns the index of the
+// position.
 func (f *Fleet) AddPosition(now float64, m MemberSpec, warm bool) int {
 	f.specs = append(f.specs, m)
-	f.positions = append(f.positions, 0)
+	f.memberAt = append(f.memberAt, 0)
 	position := len(f.specs) - 1
 	f.start(now, position, f.newAddress(), warm)
 	return position
 }
 
-// Member is the server at a position.
-func (f *Fleet) Member(position int) *Member { return f.Members[f.positions[position]] }
+// Member returns the server that fills a position.
+func (f *Fleet) Member(position int) *Member { return f.Members[f.memberAt[position]] }
 
-// Index is the number of the member at a position.
-func (f *Fleet) Index(position int) int { return f.positions[position] }
+// Index returns the number of the member that fills a position.
+func (f *Fleet) Index(position int) int { return f.memberAt[position] }
 
 func (f *Fleet) newAddress() int {
 	f.Addresses++
@@ -139,19 +140,21 @@
 	m.Start(now, warm)
 	m.listedStart = m.StartedAt()
 	f.Members = append(f.Members, m)
-	f.positions[position] = number
-	f.touch(m)
+	f.memberAt[position] = number
+	f.markChanged(m)
 }
 
-func (f *Fleet) touch(m *Member) {
+// markChanged records in a new version of the list that the member's entry has changed.
+func (f *Fleet) markChanged(m *Member) {
 	f.Version++
 	m.changedVersion = f.Version
 }
 
-// Apply carries out a change. It returns its effect and the changes that follow from it, all at one later time.
+// Apply carries out a change. It returns its effect and its follow-up changes, which the caller must apply later, in
+// order; all have the same time.
 func (f *Fleet) Apply(now float64, change Change) (Effect, []Change) {
 	version := f.Version
-	number := f.positions[change.Position]
+	number := f.memberAt[change.Position]
 	if change.Kind == ChangeRemove {
 		number = change.Member
 	}
@@ -176,10 +179,10 @@
 	return effect, followUps
 }
 
-// remove takes a member off the list and stops it for good.
+// remove removes a member from the list and stops it permanently.
 func (f *Fleet) remove(now float64, m *Member) []Completion {
 	m.State = balance.Removed
-	f.touch(m)
+	f.markChanged(m)
 	return m.Crash(now, math.Inf(1))
 }
 
@@ -190,11 +193,11 @@
 		return nil
 	}
 	m.State = balance.Draining
-	f.touch(m)
+	f.markChanged(m)
 	return []Change{{At: now + change.Value, Kind: ChangeRemove, Position: change.Position, Member: number}}
 }
 
-// replaceInPlace drains a ready member, and starts its successor when applied again after the removal.
+// replaceInPlace drains a ready member. Applied again after the removal, it starts the replacement at the same address.
 func (f *Fleet) replaceInPlace(now float64, number int, change Change) []Change {
 	m := f.Members[number]
 	if m.State == balance.Removed {
@@ -208,7 +211,7 @@
 	return append(followUps, Change{At: now + change.Value, Kind: ChangeReplaceInPlace, Position: change.Position})
 }
 
-// applyFault carries out a change that leaves the member's entry of the list as it is.
+// applyFault carries out a change that does not change the member's state in the endpoint list.
 func (m *Member) applyFault(now float64, change Change) []Completion {
 	switch change.Kind {
 	case ChangeSpeed:
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// restartTime is when a server that ChangeCrash stops at now is back; +Inf: never.
+// restartTime returns when a server that ChangeCrash stops at now restarts; +Inf: never.
 func (c Change) restartTime(now float64) float64 {
 	if c.Value > 0 {
 		return now + c.Value
@@ -246,14 +249,15 @@
 	return false
 }
 
-// Reconcile updates the endpoint list after a call on a member, which may have crashed or restarted by itself.
+// Reconcile updates the endpoint list after a call on a member, which may have crashed or restarted on its own, and
+// returns the effect of that call.
 func (f *Fleet) Reconcile(member int, completions []Completion) Effect {
 	m := f.Members[member]
 	effect := Effect{Member: member, Completions: completions}
 	if startedAt := m.StartedAt(); startedAt != m.listedStart && m.State != balance.Removed {
 		m.listedStart = startedAt
 		effect.ListChanged = true
-		f.touch(m)
+		f.markChanged(m)
 	}
 	if m.Crashes != m.listedCrashes {
 		m.listedCrashes = m.Crashes
@@ -262,10 +266,10 @@
 	return effect
 }
 
-// ChangedAfter reports whether a member's entry changed after a version of the list.
+// ChangedAfter reports whether the member's entry has changed since the given version of the list.
 func (m *Member) ChangedAfter(after int64) bool { return m.changedVersion > after }
 
-// DedupGroup returns the group of a number and makes it on first use.
+// DedupGroup returns the deduplication group with the given number, and creates it on first use.
 func (f *Fleet) DedupGroup(number int) *DedupGroup {
 	if f.DedupGroups[number] == nil {
 		f.DedupGroups[number] = &DedupGroup{}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -23,26 +23,26 @@
 		t,
 		[]any{balance.Draining, true, 2},
 		[]any{f.Members[0].State, effect.ListChanged, len(followUps)},
-		"drains, and goes on serving",
+		"a server to be replaced drains and keeps serving",
 	)
 	assert.Empty(t, effect.Completions)
 	effect, _ = f.Apply(3, followUps[0])
 	assert.Equal(t, []any{balance.Removed, true}, []any{f.Members[0].State, effect.ResetConnections})
-	assert.Equal(t, []outcome{{1, balance.ConnectionLost, 3}}, outcomes(effect.Completions), "its last job is lost")
+	assert.Equal(t, []outcome{{1, balance.ConnectionLost, 3}}, outcomes(effect.Completions), "the running job is lost")
 	effect, _ = f.Apply(3, followUps[1])
 	m := f.Member(0)
 	assert.Equal(
 		t,
 		[]any{true, 3, 0, 3.0, "s.3"},
 		[]any{effect.ListChanged, len(f.Members) - 1, m.AddressIndex, m.StartedAt(), m.Name},
-		"a new one at the old address",
+		"the replacement listens on the old address",
 	)
 	f.Apply(4, Change{Kind: ChangeReplace, Position: 1, Value: 1})
 	assert.Equal(
 		t,
 		[]any{3, balance.Draining},
 		[]any{f.Member(1).AddressIndex, f.Members[1].State},
-		"at a new address beside the old one",
+		"the replacement has a new address while the old server drains",
 	)
 	f.Apply(5, Change{Kind: ChangeCrash, Position: 2, Value: 1})
 	changed := f.Version
@@ -51,7 +51,7 @@
 		t,
 		[]any{true, 6.0, changed + 1},
 		[]any{effect.ListChanged, f.Members[2].StartedAt(), f.Version},
-		"back, and listed with its new start",
+		"the restarted server is listed with its new start time",
 	)
 	assert.True(t, slices.ContainsFunc(f.Members, func(m *Member) bool { return m.ChangedAfter(version) }))
 }
--- a/internal/emulator/heap.go
+++ b/internal/emulator/heap.go
@@ -1,12 +1,12 @@
 package emulator
 
-// runningJob is a job that runs, and the value of Server.virtualWork at which it ends.
+// runningJob is a running job with the value of Server.virtualWork at which it ends.
 type runningJob struct {
 	job    Job
 	endsAt float64
 }
 
-// runningJobs is a heap by endsAt, driven by container/heap.
+// runningJobs is a min-heap by endsAt, for use with container/heap.
 type runningJobs []runningJob
 
 func (r runningJobs) Len() int           { return len(r) }
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -7,7 +7,8 @@
 	"lockloom/balance"
 )
 
-// advanceTo runs what is due until now, in order of time, and collects the completions of this call.
+// advanceTo carries out the changes that are due until now, in order of time, and collects their completions in a list
+// that it first empties.
 func (s *Server) advanceTo(now float64) {
 	s.completions = s.completions[:0]
 	for {
@@ -21,7 +22,7 @@
 	s.elapse(now)
 }
 
-// nextChange is the next change that happens by itself, and its time.
+// nextChange returns the next change that happens without a call, and its time in seconds; +Inf: there is none.
 func (s *Server) nextChange() (float64, func(*Server)) {
 	at, change := s.nextStepAt, (*Server).updateDegradation
 	if len(s.running) > 0 && s.rate > 0 {
@@ -38,7 +39,7 @@
 	return at, change
 }
 
-// elapse accounts for time in which nothing changes.
+// elapse advances s.now to a time before which no change is due, and accounts for the work done until then.
 func (s *Server) elapse(to float64) {
 	elapsed := to - s.now
 	if elapsed <= 0 {
@@ -53,13 +54,13 @@
 	s.now = to
 }
 
-// updateSpeed sets the speed of a core and the time of its next update.
+// updateSpeed recomputes s.rate, and schedules its next update while it changes gradually.
 func (s *Server) updateSpeed() {
 	s.rate = s.spec.Speed * s.speedFactor * s.slowStartFactor() * (1 - (1-s.spec.DegradedSpeed)*s.degradation)
 	if s.now < s.pausedUntil || !s.up {
 		s.rate = 0
 	}
-	switch { // a call does not postpone the next update, or frequent calls would postpone it for ever
+	switch { // a scheduled update stays, or frequent calls would postpone it indefinitely
 	case !s.up || !s.WarmingUp() && s.degradation == 0 && !s.overDegradeLength():
 		s.nextStepAt = math.Inf(1)
 	case s.nextStepAt <= s.now || s.nextStepAt > s.now+stepInterval:
@@ -75,7 +76,7 @@
 }
 
 func (s *Server) overDegradeLength() bool {
-	return s.spec.DegradeQueueLength > 0 && s.waiting.len() >= s.spec.DegradeQueueLength
+	return s.spec.DegradeQueueLength > 0 && s.queued.len() >= s.spec.DegradeQueueLength
 }
 
 func (s *Server) updateDegradation() {
@@ -91,13 +92,13 @@
 	s.updateSpeed()
 }
 
-// resume ends a pause and accepts the jobs that arrived in it.
+// resume ends a pause and accepts the jobs that arrived during it.
 func (s *Server) resume() {
 	s.updateSpeed()
 	inbox := s.inbox
 	s.inbox = nil
 	for _, j := range inbox {
-		if s.up { // a job before it may have crashed the server
+		if s.up { // accepting an earlier job may have crashed the server
 			s.accept(j)
 		} else {
 			s.complete(j, balance.ConnectionLost)
@@ -105,7 +106,7 @@
 	}
 }
 
-// restart begins to serve in slow start.
+// restart starts the server in slow start.
 func (s *Server) restart() { s.start(false) }
 
 func (s *Server) start(warm bool) {
@@ -122,13 +123,13 @@
 	s.updateSpeed()
 }
 
-// crash loses all jobs and plans the restart.
+// crash completes all jobs as lost and schedules the restart; restartAt +Inf: none.
 func (s *Server) crash(restartAt float64) {
 	for _, r := range s.running {
 		s.complete(r.job, balance.ConnectionLost)
 	}
-	for s.waiting.len() > 0 {
-		s.complete(s.waiting.pop(), balance.ConnectionLost)
+	for s.queued.len() > 0 {
+		s.complete(s.queued.pop(), balance.ConnectionLost)
 	}
 	for _, j := range append(s.hanging, s.inbox...) {
 		s.complete(j, balance.ConnectionLost)
@@ -140,7 +141,7 @@
 	s.updateSpeed()
 }
 
-// accept takes a job into a server that is up and reachable.
+// accept runs, queues, rejects or fails a job that reached a server which is up and not paused.
 func (s *Server) accept(j Job) {
 	s.Received++
 	if s.WarmingUp() && s.spec.CrashWindow > 0 {
@@ -159,23 +160,23 @@
 		s.complete(j, balance.ServerError)
 	case len(s.running) < s.spec.Cores:
 		s.execute(j)
-	case s.waiting.len() >= s.spec.QueueCapacity:
+	case s.queued.len() >= s.spec.QueueCapacity:
 		s.complete(j, balance.ServerRejected)
 	default:
-		s.waiting.push(j)
-		if s.waiting.len() == s.spec.DegradeQueueLength {
+		s.queued.push(j)
+		if s.queued.len() == s.spec.DegradeQueueLength {
 			s.updateSpeed()
 		}
 	}
 }
 
-// failsAt decides whether a job fails by the error share at an index: 0 for all classes, else the class plus 1.
+// failsAt draws whether a job fails, with the error share at an index: 0 for all classes, else the class plus 1.
 func (s *Server) failsAt(index int) bool {
 	share := valueAt(s.errorShares, index)
 	return share > 0 && s.rand.Float64() < share
 }
 
-// execute starts a job, or completes a duplicate at once.
+// execute starts a job, or completes it at once if it is a duplicate.
 func (s *Server) execute(j Job) {
 	if j.DedupKey != 0 && j.DedupGroup != nil && j.DedupGroup.isDuplicate(s.now, j.DedupKey, j.DedupWindow) {
 		s.Duplicates++
@@ -183,22 +184,22 @@
 		return
 	}
 	s.Started++
-	if j.Key != 0 && s.cache.touch(j.Key) {
+	if j.Key != 0 && s.cache.lookupOrAdd(j.Key) {
 		j.Work *= s.spec.CachedWorkFraction
 	}
 	heap.Push(&s.running, runningJob{j, s.virtualWork + j.Work})
 }
 
-// finishNext completes the job that ends first and starts queued ones.
+// finishNext completes the running job that ends first and starts queued ones.
 func (s *Server) finishNext() {
 	r := heap.Pop(&s.running).(runningJob)
 	s.complete(r.job, balance.Succeeded)
-	for len(s.running) < s.spec.Cores && s.waiting.len() > 0 {
-		s.execute(s.waiting.pop())
+	for len(s.running) < s.spec.Cores && s.queued.len() > 0 {
+		s.execute(s.queued.pop())
 	}
 }
 
-// complete counts the outcome of a job and adds its completion to those of this call.
+// complete counts the outcome of a job and appends its completion to those of the current call.
 func (s *Server) complete(j Job, o balance.Outcome) {
 	switch o {
 	case balance.Succeeded:
@@ -213,7 +214,7 @@
 	s.completions = append(s.completions, Completion{Ref: j.Ref, Outcome: o, At: s.now, Work: j.Work})
 }
 
-// valueAt is the element at an index; beyond the end of the list it is zero.
+// valueAt returns the element at an index, or the zero value beyond the end of the list.
 func valueAt[T any](list []T, i int) (zero T) {
 	if i < len(list) {
 		return list[i]
@@ -221,7 +222,7 @@
 	return zero
 }
 
-// withValue sets the element at an index of a list that grows as needed.
+// withValue sets the element at an index and returns the list, extended as needed.
 func withValue[T any](list []T, i int, x T) []T {
 	for len(list) <= i {
 		var zero T
--- a/internal/emulator/properties_test.go
+++ b/internal/emulator/properties_test.go
@@ -9,8 +9,8 @@
 	"lockloom/balance"
 )
 
-// TestProperties makes random calls on a server: each job that was given completes at most once, work is conserved, and
-// no more is done than the cores can do.
+// TestProperties makes random calls on a server and checks that each submitted job completes at most once, that work is
+// conserved, and that no more work is done than the cores are capable of.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newPropertyRun(t)
@@ -23,17 +23,17 @@
 	})
 }
 
-// propertyRun is a server under random calls, with what the calls so far must add up to.
+// propertyRun is a server under random calls, with the totals expected from the calls so far.
 type propertyRun struct {
 	*Server
-	spec      Spec
-	group     *DedupGroup
-	now       float64
-	given     int // jobs; their Ref goes from 1 to this
-	completed map[int]bool
-	work      map[int]float64 // by Ref
-	finished  float64         // work of the jobs that succeeded
-	lost      float64         // work done of jobs that a crash interrupted
+	spec         Spec
+	group        *DedupGroup
+	now          float64
+	submitted    int // number of jobs; their Refs are 1 to submitted
+	completed    map[int]bool
+	work         map[int]float64 // by Ref
+	finishedWork float64         // of the jobs that succeeded
+	lostWork     float64         // done on jobs that a crash then interrupted
 }
 
 func newPropertyRun(t *rapid.T) *propertyRun {
@@ -68,45 +68,45 @@
 func (r *propertyRun) call(t *rapid.T) {
 	switch rapid.IntRange(0, 12).Draw(t, "call") {
 	case 0:
-		r.check(t, r.Advance(r.now))
-		r.lost += r.partialWork()
-		r.check(t, r.Crash(r.now, r.now+rapid.Float64Range(0, 2).Draw(t, "downtime")))
+		r.checkCompletions(t, r.Advance(r.now))
+		r.lostWork += r.partialWork()
+		r.checkCompletions(t, r.Crash(r.now, r.now+rapid.Float64Range(0, 2).Draw(t, "downtime")))
 	case 1:
-		r.check(t, r.Pause(r.now, r.now+rapid.Float64Range(0, 2).Draw(t, "pause")))
+		r.checkCompletions(t, r.Pause(r.now, r.now+rapid.Float64Range(0, 2).Draw(t, "pause")))
 	case 2:
-		r.check(t, r.SetSpeedFactor(r.now, rapid.Float64Range(.1, 2).Draw(t, "factor")))
+		r.checkCompletions(t, r.SetSpeedFactor(r.now, rapid.Float64Range(.1, 2).Draw(t, "factor")))
 	case 3:
-		_, completions := r.Abandon(r.now, rapid.IntRange(0, r.given+1).Draw(t, "abandoned"))
-		r.check(t, completions)
+		_, completions := r.Abandon(r.now, rapid.IntRange(0, r.submitted+1).Draw(t, "abandoned"))
+		r.checkCompletions(t, completions)
 	case 4:
-		r.check(t, r.SetErrorShare(r.now, -1, rapid.SampledFrom([]float64{0, .5}).Draw(t, "share")))
+		r.checkCompletions(t, r.SetErrorShare(r.now, -1, rapid.SampledFrom([]float64{0, .5}).Draw(t, "share")))
 	default:
-		r.given++
+		r.submitted++
 		job := Job{
-			Ref:         r.given,
+			Ref:         r.submitted,
 			Work:        rapid.Float64Range(.01, 1).Draw(t, "work"),
 			DedupKey:    rapid.Uint64Range(0, 3).Draw(t, "key"),
 			DedupWindow: 2,
 			DedupGroup:  r.group,
 		}
-		r.work[r.given] = job.Work
-		r.check(t, r.Receive(r.now, job))
+		r.work[r.submitted] = job.Work
+		r.checkCompletions(t, r.Receive(r.now, job))
 	}
 }
 
-func (r *propertyRun) check(t *rapid.T, completions []Completion) {
+func (r *propertyRun) checkCompletions(t *rapid.T, completions []Completion) {
 	for _, c := range completions {
-		if r.completed[c.Ref] || c.Ref > r.given || c.At > r.now+1e-9 {
-			t.Fatalf("completed twice, never given, or in the future: %+v at %v", c, r.now)
+		if r.completed[c.Ref] || c.Ref > r.submitted || c.At > r.now+1e-9 {
+			t.Fatalf("completed twice, never submitted, or in the future: %+v at %v s", c, r.now)
 		}
 		r.completed[c.Ref] = true
 		if c.Outcome == balance.Succeeded && !c.Duplicate {
-			r.finished += r.work[c.Ref]
+			r.finishedWork += r.work[c.Ref]
 		}
 	}
 }
 
-// partialWork is the work done so far of the jobs that run.
+// partialWork returns the work done so far on running jobs.
 func (r *propertyRun) partialWork() (sum float64) {
 	for _, running := range r.running {
 		sum += running.job.Work - (running.endsAt - r.virtualWork)
@@ -115,25 +115,25 @@
 }
 
 func (r *propertyRun) checkWork(t *rapid.T) {
-	if len(r.running) > r.spec.Cores || r.waiting.len() > r.spec.QueueCapacity {
-		t.Fatalf("%d running on %d cores, %d waiting in %d",
-			len(r.running), r.spec.Cores, r.waiting.len(), r.spec.QueueCapacity)
+	if len(r.running) > r.spec.Cores || r.queued.len() > r.spec.QueueCapacity {
+		t.Fatalf("%d jobs running on %d cores, %d queued with a capacity of %d",
+			len(r.running), r.spec.Cores, r.queued.len(), r.spec.QueueCapacity)
 	}
-	done := r.finished + r.lost + r.partialWork()
+	done := r.finishedWork + r.lostWork + r.partialWork()
 	if r.spec.CrashWindow == 0 && math.Abs(r.Work-done) > 1e-6 {
-		t.Fatalf("%v of work is accounted for of %v", done, r.Work)
+		t.Fatalf("finished, lost and partial work add up to %v s, but Server.Work is %v s", done, r.Work)
 	}
-	const maxSpeedFactor = 2 // that call draws
+	const maxSpeedFactor = 2 // the largest factor that call draws
 	if r.Work > r.now*float64(r.spec.Cores)*maxSpeedFactor+1e-9 {
-		t.Fatalf("%v of work by %v", r.Work, r.now)
+		t.Fatalf("%v s of work by %v s is more than the cores are capable of", r.Work, r.now)
 	}
 }
 
 func (r *propertyRun) checkCounts(t *rapid.T) {
-	if n := len(r.completed) + r.InFlight() + r.Unreceived; n > r.given {
-		t.Fatalf("%d completed or in flight of %d", n, r.given)
+	if n := len(r.completed) + r.InFlight() + r.Unreceived; n > r.submitted {
+		t.Fatalf("%d jobs completed, in flight or unreceived, of %d submitted", n, r.submitted)
 	}
 	if r.Received < r.Started+r.Duplicates || r.Succeeded > r.Started {
-		t.Fatalf("counts: %+v", r.Counts)
+		t.Fatalf("inconsistent counts: %+v", r.Counts)
 	}
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// compactLength is the number of consumed elements from which a slice is moved to its front.
+// compactLength is the number of consumed elements at the front of a slice above which they are removed.
 const compactLength = 1024
 
-// queue holds waiting jobs, first in first out.
+// queue holds queued jobs, first in first out. The elements before head are consumed.
 type queue struct {
 	jobs []Job
 	head int
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -1,7 +1,7 @@
 // Package emulator models the servers that proxies send requests to: queues, slow start, degradation under load, pauses
-// and failures. It has no I/O and no clock: every call takes the present time in seconds and returns the jobs that
-// ended since the call before, so that one model serves a simulation on sockets and one in virtual time. Nothing in it
-// is safe for concurrent use.
+// and failures. It has no I/O and no clock: every call takes the current time in seconds and returns the jobs that have
+// ended since the previous call, so that the same model serves simulations on sockets and in virtual time. Nothing in
+// it is safe for concurrent use.
 package emulator
 
 import (
@@ -12,12 +12,12 @@
 )
 
 const (
-	stepInterval            = 0.1  // s between updates of what changes gradually: slow start and degradation
-	minDegradation          = 0.01 // fraction; less counts as none
-	utilizationTimeConstant = 0.5  // s, of the smoothed use of the cores in load reports
+	stepInterval            = 0.1  // s between updates of a speed that slow start or degradation changes
+	minDegradation          = 0.01 // lower degradation is set to 0
+	utilizationTimeConstant = 0.5  // s, of the smoothed utilization in load reports
 )
 
-// Server is one emulated server.
+// Server is an emulated server. All times are in seconds.
 type Server struct {
 	Counts
 	faults
@@ -25,20 +25,21 @@
 	spec        Spec
 	rand        *rand.Rand
 	now         float64
-	startedAt   float64 // -Inf: long ago
+	startedAt   float64 // -Inf: started warm
 	up          bool
-	restartAt   float64 // +Inf: not planned
-	nextStepAt  float64 // next update of the speed; +Inf: it does not change by itself
-	rate        float64 // work that a core does in a second now
-	virtualWork float64 // work that a core busy since the first start would have done
-	degradation float64 // 0 to 1
+	restartAt   float64 // +Inf: none scheduled
+	nextStepAt  float64 // next call of updateDegradation; +Inf: none scheduled
+	rate        float64 // work that a busy core does per second at present
+	virtualWork float64 // work that a core busy without a break would have done since the first start
+	degradation float64 // 0: none, 1: the speed is down to spec.DegradedSpeed
 	utilization float64 // smoothed fraction of the cores in use
 	recentWork  workWindow
 	cache       keyCache
-	completions []Completion // of the call in progress
+	completions []Completion // of the current call
 }
 
-// faults are the faults injected into a server. Those by class have the class plus 1 as their index, and 0 for all.
+// faults are the faults injected into a server. In the lists by class, index 0 applies to all classes, and any other
+// index to the class index-1.
 type faults struct {
 	unreachable bool
 	pausedUntil float64
@@ -50,23 +51,23 @@
 // jobs are the jobs that a server holds, by their state.
 type jobs struct {
 	running runningJobs
-	waiting queue
-	hanging []Job // accepted, and never completed
+	queued  queue
+	hanging []Job // accepted, but never completed
 	inbox   []Job // arrived while the server was paused
 }
 
-// drop takes away a job that has not begun to run, and reports whether it was held.
+// drop removes a job that has not started to run, and reports whether the server held it.
 func (j *jobs) drop(ref int) bool {
 	match := func(job Job) bool { return job.Ref == ref }
-	return j.waiting.remove(match) || remove(&j.hanging, match) || remove(&j.inbox, match)
+	return j.queued.remove(match) || remove(&j.hanging, match) || remove(&j.inbox, match)
 }
 
-// InFlight is the number of jobs that the server holds in any state.
+// InFlight returns the number of jobs that the server holds in any state.
 func (j *jobs) InFlight() int {
-	return len(j.running) + j.waiting.len() + len(j.hanging) + len(j.inbox)
+	return len(j.running) + j.queued.len() + len(j.hanging) + len(j.inbox)
 }
 
-// New returns a server that has not started. The seed determines which jobs fail where a share of them does.
+// New returns a server that has not started. The seed determines which jobs fail by an error share.
 func New(spec Spec, seed uint64) *Server {
 	return &Server{
 		spec:       spec,
@@ -78,7 +79,7 @@
 	}
 }
 
-// Start begins to serve, warm as if the server had run for long, or in slow start.
+// Start starts the server: past its slow start if warm, else at the beginning of it.
 func (s *Server) Start(now float64, warm bool) []Completion {
 	s.advanceTo(now)
 	s.start(warm)
@@ -92,7 +93,7 @@
 	case !s.up:
 		s.complete(j, balance.ConnectionLost)
 	case s.unreachable:
-		s.Unreceived++ // lost on its way to a server that is partitioned
+		s.Unreceived++ // lost in the network, from which the server is partitioned
 	case now < s.pausedUntil:
 		s.inbox = append(s.inbox, j)
 	default:
@@ -101,21 +102,21 @@
 	return s.completions
 }
 
-// Abandon reports that nobody waits for a job any more. A queued job is dropped, and dropped is true; a running one
-// goes on and completes as usual.
+// Abandon tells the server that the client no longer waits for a job. A job that has not started is dropped, and
+// dropped is true; a running one completes as usual.
 func (s *Server) Abandon(now float64, ref int) (dropped bool, completions []Completion) {
 	s.advanceTo(now)
 	return s.drop(ref), s.completions
 }
 
-// Crash stops the server and loses all its jobs. It restarts in slow start at restartAt; +Inf: not by itself.
+// Crash stops the server and loses all its jobs. It restarts in slow start at restartAt; +Inf: only by Start.
 func (s *Server) Crash(now, restartAt float64) []Completion {
 	s.advanceTo(now)
 	s.crash(restartAt)
 	return s.completions
 }
 
-// Pause freezes the server until a time: jobs that arrive wait, and none completes.
+// Pause freezes the server until a time: it holds the jobs that arrive and completes none.
 func (s *Server) Pause(now, until float64) []Completion {
 	s.advanceTo(now)
 	s.pausedUntil = max(s.pausedUntil, until)
@@ -123,7 +124,7 @@
 	return s.completions
 }
 
-// SetSpeedFactor multiplies the speed of every core; 1 restores it.
+// SetSpeedFactor multiplies the configured speed of every core by a factor; 1 restores it.
 func (s *Server) SetSpeedFactor(now, factor float64) []Completion {
 	s.advanceTo(now)
 	s.speedFactor = factor
@@ -145,26 +146,27 @@
 	return s.completions
 }
 
-// SetUnreachable partitions the server from the network, or reconnects it. The caller resets what had been open.
+// SetUnreachable partitions the server from the network, or reconnects it. After reconnecting it, the caller must reset
+// the connections that had been open before.
 func (s *Server) SetUnreachable(now float64, unreachable bool) []Completion {
 	s.advanceTo(now)
 	s.unreachable = unreachable
 	return s.completions
 }
 
-// Advance moves the time on.
+// Advance advances the server's time to now.
 func (s *Server) Advance(now float64) []Completion {
 	s.advanceTo(now)
 	return s.completions
 }
 
-// NextEvent is the time by which Advance must be called; +Inf: nothing will happen by itself.
+// NextEvent returns the time by which Advance must be called; +Inf: no event is scheduled.
 func (s *Server) NextEvent() float64 {
 	at, _ := s.nextChange()
 	return at
 }
 
-// Reachability is what happens to a client that connects now.
+// Reachability returns what happens to a client that connects now.
 func (s *Server) Reachability() Reachability {
 	switch {
 	case s.unreachable:
@@ -175,18 +177,18 @@
 	return Accepting
 }
 
-// StartedAt is the time of the last start; 0: long ago.
+// StartedAt returns the time of the last start; 0: the server started warm.
 func (s *Server) StartedAt() float64 { return max(s.startedAt, 0) }
 
 // WarmingUp reports whether the server is in slow start.
 func (s *Server) WarmingUp() bool { return s.up && s.now < s.startedAt+s.spec.SlowStartDuration }
 
-// Degradation is how far long queues slow the server down, from 0 to 1.
+// Degradation returns how far long queues have slowed the server down, from 0 to 1.
 func (s *Server) Degradation() float64 { return s.degradation }
 
-// Load is the content of a load report: jobs running and queued, and the smoothed fraction of the cores in use.
+// Load returns the content of a load report: jobs running and queued, and the smoothed fraction of the cores in use.
 func (s *Server) Load() (running, queued int, utilization float64) {
-	return len(s.running), s.waiting.len(), s.utilization
+	return len(s.running), s.queued.len(), s.utilization
 }
 
 // Paused reports whether the server is frozen by Pause.
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -13,11 +13,11 @@
 // plainSpec is a server with one core of speed 1 and none of the optional mechanisms.
 func plainSpec() Spec { return Spec{Cores: 1, Speed: 1, QueueCapacity: 100, DegradedSpeed: 1} }
 
-// outcome is how a job ended and when, to a hundredth of a second.
+// outcome is how a job ended and when, rounded to a hundredth of a second.
 type outcome struct {
-	ref int
-	how balance.Outcome
-	at  float64
+	ref     int
+	outcome balance.Outcome
+	at      float64
 }
 
 func outcomes(completions []Completion) []outcome {
@@ -38,7 +38,7 @@
 	return func(s *Server, now float64) []Completion { return s.Receive(now, Job{Ref: ref, Work: work}) }
 }
 
-// TestServer makes the calls of each case on a server and lists what completed by 60 s.
+// TestServer makes the calls of each case on a server and compares the jobs that have completed by 60 s.
 func TestServer(t *testing.T) {
 	group := &DedupGroup{}
 	deduplicated := func(ref int) func(*Server, float64) []Completion {
@@ -169,7 +169,7 @@
 				assert.Equal(t, []int{1, 2, 1}, []int{s.Duplicates, s.Started, group.LateDuplicates})
 			},
 		},
-		"an abandoned job is dropped while it waits, and completes once it runs": {
+		"an abandoned job is dropped if it is queued, and completes if it runs": {
 			calls: []call{{0, job(1, 1)}, {0, job(2, 1)}, {0, job(3, 1)}, {.5, abandon(2)}, {.5, abandon(1)}},
 			want:  []outcome{{1, ok, 1}, {3, ok, 2}},
 		},
@@ -225,7 +225,7 @@
 	}
 }
 
-// degradingSpec is a server that slows down to a quarter of its speed when five jobs wait.
+// degradingSpec is a server that slows down to a quarter of its speed while at least five jobs are queued.
 func degradingSpec() Spec {
 	spec := plainSpec()
 	spec.DegradeQueueLength = 5
@@ -247,35 +247,36 @@
 	for at := 0.0; s.InFlight() > 0; at += .1 {
 		s.Advance(at)
 	}
-	assert.Less(t, s.now, 16.0, "a quarter of its speed at the worst")
+	assert.Less(t, s.now, 16.0, "its speed never falls below a quarter")
 	assert.Greater(t, s.now, 8.0, "without degradation it would take 4 s")
 	idleSince := s.now
-	took := func(at float64) float64 {
+	responseTime := func(at float64) float64 {
 		s.Receive(at, Job{Work: .1})
 		return s.Advance(at + 5)[0].At - at
 	}
-	assert.Greater(t, took(idleSince+5), .2, "five idle seconds later it is still slow")
-	assert.InDelta(t, .1, took(idleSince+120), .005, "two minutes later it is not")
+	assert.Greater(t, responseTime(idleSince+5), .2, "the server is still slow after five idle seconds")
+	assert.InDelta(t, .1, responseTime(idleSince+120), .005, "the server has recovered after two idle minutes")
 }
 
-// TestDegradesWhileQueueLengthOscillates lets the queue cross DegradeQueueLength more often than the speed is updated:
-// if work arrival postponed the update, the server would never degrade.
+// TestDegradesWhileQueueLengthOscillates guards against arrivals that postpone the next update of the speed: a server
+// whose queue crosses DegradeQueueLength more often than the speed is updated would then never degrade.
 func TestDegradesWhileQueueLengthOscillates(t *testing.T) {
 	spec := degradingSpec()
 	spec.QueueCapacity = 10
 	s := New(spec, 1)
 	s.Start(0, true)
-	const work = .0101 // s; no divisor of stepInterval
-	for i := range 5 { // one running, four waiting
+	const work = .0101 // s; does not divide stepInterval
+	for i := range 5 { // one running, four queued
 		s.Receive(0, Job{Ref: i, Work: work})
 	}
-	for i := range 300 { // one arrives just after one has completed
+	for i := range 300 { // each arrives just after another has completed
 		s.Receive(float64(i)*work+.001, Job{Ref: 5 + i, Work: work})
 	}
 	assert.Greater(t, s.Degradation(), .5)
 }
 
-// TestQueueingTheory compares the mean response time with that of M/M/1 and, by Erlang's C formula, of M/M/c.
+// TestQueueingTheory compares the mean response time with that of an M/M/1 queue and, by the Erlang C formula, of an
+// M/M/c queue.
 func TestQueueingTheory(t *testing.T) {
 	for _, c := range []struct {
 		cores int
@@ -302,7 +303,7 @@
 			count(s.Receive(now, Job{Ref: i, Work: rng.ExpFloat64()}))
 		}
 		count(s.Advance(now + 1000))
-		traffic := c.load * float64(c.cores) // in Erlang
+		traffic := c.load * float64(c.cores) // offered traffic in erlangs
 		term, sum := 1.0, 0.0
 		for k := range c.cores {
 			sum += term
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -6,29 +6,29 @@
 type Spec struct {
 	Cores               int
 	Speed               float64 // work that a core does in a second
-	QueueCapacity       int     // jobs that may wait; a further one is rejected without being run
-	SlowStartFraction   float64 // fraction of its speed just after its start
-	SlowStartDuration   float64 // from its start to its full speed
-	CrashFactor         float64 // in slow start it crashes if more than this multiple of what it can do arrives ...
-	CrashWindow         float64 // ... within this duration; 0: never
-	CrashDowntime       float64 // from such a crash to the restart
-	DegradeQueueLength  int     // waiting jobs from which it slows down; 0: never
-	DegradedSpeed       float64 // fraction of its speed that is left in the end
-	DegradeTimeConstant float64 // of slowing down
-	RecoverTimeConstant float64 // of recovering once fewer jobs wait
+	QueueCapacity       int     // jobs that may be queued; a further one is rejected without being run
+	SlowStartFraction   float64 // fraction of Speed just after the start
+	SlowStartDuration   float64 // from the start to full speed
+	CrashFactor         float64 // in slow start it crashes if more work than this multiple of its capacity arrives ...
+	CrashWindow         float64 // ... within this duration; 0: it never crashes
+	CrashDowntime       float64 // from a crash in slow start to the restart
+	DegradeQueueLength  int     // queued jobs from which it slows down; 0: it never does
+	DegradedSpeed       float64 // fraction of Speed that it falls to while the queue stays that long
+	DegradeTimeConstant float64 // of the exponential slowdown
+	RecoverTimeConstant float64 // of the exponential recovery once fewer jobs are queued
 	CacheSize           int     // keys; 0: no cache
 	CachedWorkFraction  float64 // fraction of its work that a job with a cached key takes
 }
 
 // Job is a request as a server receives it.
 type Job struct {
-	Ref         int // the caller's, returned in its Completion
+	Ref         int // chosen by the caller, and returned in the Completion
 	Class       int
 	Work        float64
-	Key         uint64 // cache-affine key; 0: none
-	DedupKey    uint64 // idempotency key; 0: none
-	DedupWindow float64
-	DedupGroup  *DedupGroup // of the server; nil: none
+	Key         uint64      // affinity key, by which servers cache; 0: none
+	DedupKey    uint64      // idempotency key; 0: none
+	DedupWindow float64     // s
+	DedupGroup  *DedupGroup // of the server; nil: duplicates run
 }
 
 // Completion is how a job ended: succeeded, server error, rejected (it never ran) or connection lost (by a crash).
@@ -36,21 +36,21 @@
 	Ref       int
 	Outcome   balance.Outcome
 	At        float64
-	Work      float64 // that it took; 0 for a duplicate
-	Duplicate bool    // answered, not run
+	Work      float64 // of the job, less if its key was cached; 0 for a duplicate
+	Duplicate bool    // answered without being run
 }
 
 // Reachability is what happens to clients that connect to a server.
 type Reachability uint8
 
-// What a new connection meets, and those that are open.
+// The values of Reachability, with what happens to new and to open connections.
 const (
 	Accepting   Reachability = iota
 	Refusing                 // new ones are refused, open ones are reset
 	Unreachable              // new ones are never established, open ones are silent
 )
 
-// Counts are a server's totals since it was made.
+// Counts are a server's totals since it was created.
 type Counts struct {
 	Received   int // jobs that reached the server while it was up
 	Started    int
@@ -61,5 +61,5 @@
 	Lost       int
 	Unreceived int // jobs sent to it while it was unreachable
 	Crashes    int
-	Work       float64 // done, of succeeded jobs and of others
+	Work       float64 // done, also on jobs that did not succeed
 }
--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// Below the ports that the system gives to outgoing connections, so that none takes a server's port while that is
-	// down.
+	// The range is below the ephemeral ports, so that no outgoing connection takes the port of a server that is down.
 	firstPort = 20000
 	lastPort  = 32000
-	// portStride is the distance between the ports at which processes with successive ids begin their search: two that
-	// began at one place would take from each other the ports that they found free for their proxies.
+	// portStride is the distance between the ports at which processes with successive ids start to search. Two
+	// processes that started at the same port would take ports that the other one had found to be free for its proxies.
 	portStride = 211
 
 	relistenTimeout  = 2 * time.Second
 	relistenInterval = 5 * time.Millisecond
-	fillTimeout      = 30 * time.Millisecond // for a connection to come up that fills the backlog
-	fillConnections  = 4                     // one is enough, unless it is accepted at that moment
+	fillTimeout      = 30 * time.Millisecond // for dialing a connection that fills the backlog
+	fillConnections  = 4                     // one fills the backlog, unless the listener accepts it at that moment
 )
 
 // portFinder finds free ports on loopback.
@@ -33,7 +32,7 @@
 	return portFinder{last: firstPort + os.Getpid()*portStride%(lastPort-firstPort)}
 }
 
-// listen takes the next free port.
+// listen listens on the next free port.
 func (p *portFinder) listen() (*net.TCPListener, error) {
 	for range lastPort - firstPort {
 		p.last++
@@ -48,7 +47,7 @@
 	return nil, fmt.Errorf("no port from %d to %d is free", firstPort, lastPort)
 }
 
-// FreeAddrs finds n addresses that nobody listens at now.
+// FreeAddrs returns n addresses on which nothing listens at present.
 func (g *ServerGroup) FreeAddrs(n int) ([]string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,15 +63,15 @@
 	return list, nil
 }
 
-// address is where a server listens: at one listener for each proxy, so that servers can tell who sends.
+// address is where a server listens. It has one listener per proxy, which identifies the proxy that sends a request.
 type address struct {
 	listeners    []*listener // by proxy
-	member       int         // the last that has listened here
+	member       int         // index of the last member that has listened here
 	reachability emulator.Reachability
 	conns        map[*conn]bool
 }
 
-// reset resets a member's connections.
+// reset resets the connections of a member.
 func (a *address) reset(member int) {
 	for c := range a.conns {
 		if c.member == member {
@@ -90,15 +89,16 @@
 	}
 }
 
-// listener is one listener of an address.
+// listener is the listener of an address for one proxy.
 type listener struct {
 	ln        *net.TCPListener
 	addr      string
 	fillers   []net.Conn    // fill the backlog while the server is unreachable
-	reachable chan struct{} // closed when it may accept again; nil: it may
+	reachable chan struct{} // closed when accepting resumes; nil: not partitioned
 }
 
-// addMembers gives new members their addresses. Here and below the caller holds the group's lock.
+// addMembers opens the addresses of new members. The caller of this method and of those below, except fillBacklog,
+// holds g.mu.
 func (g *ServerGroup) addMembers() error {
 	for member := g.members; member < len(g.Fleet.Members); member++ {
 		index := g.Fleet.Members[member].AddressIndex
@@ -127,13 +127,13 @@
 		}
 		l := &listener{ln: ln, addr: ln.Addr().String()}
 		a.listeners = append(a.listeners, l)
-		g.work.Add(1)
+		g.wg.Add(1)
 		go g.accept(a, l, ln, proxy)
 	}
 	return a, nil
 }
 
-// updateReachability brings an address's listeners to what its server's state is now.
+// updateReachability adapts the listeners of an address to the current reachability of its server.
 func (g *ServerGroup) updateReachability(index int) error {
 	a := g.addresses[index]
 	before, now := a.reachability, g.Fleet.Members[a.member].Reachability()
@@ -159,13 +159,13 @@
 	return nil
 }
 
-// relisten listens again at a listener's address.
+// relisten opens a closed listener again at its address.
 func (g *ServerGroup) relisten(a *address, l *listener, proxy int) error {
 	for start := time.Now(); ; time.Sleep(relistenInterval) {
 		ln, err := net.Listen("tcp", l.addr)
 		if err == nil {
 			l.ln = ln.(*net.TCPListener)
-			g.work.Add(1)
+			g.wg.Add(1)
 			go g.accept(a, l, l.ln, proxy)
 			return nil
 		}
@@ -180,20 +180,21 @@
 	l.ln.Close()
 }
 
-// partition keeps connections from being established: none is accepted, and the backlog's one place is taken.
+// partition keeps new connections from being established: it stops accepting, and fills the backlog, which it limits to
+// one connection.
 func (g *ServerGroup) partition(l *listener) {
 	reachable := make(chan struct{})
 	l.reachable = reachable
 	l.setAcceptDeadline(time.Unix(1, 0))
 	l.setBacklog(0)
-	g.work.Add(1)
+	g.wg.Add(1)
 	go g.fillBacklog(l, reachable)
 }
 
-// fillBacklog connects until no connection comes up any more. It takes the lock itself, and does not hold it while it
-// waits for a connection.
+// fillBacklog dials until a connection is no longer established. It locks g.mu itself, and does not hold it while it
+// dials.
 func (g *ServerGroup) fillBacklog(l *listener, reachable chan struct{}) {
-	defer g.work.Done()
+	defer g.wg.Done()
 	for range fillConnections {
 		nc, err := net.DialTimeout("tcp", l.addr, fillTimeout)
 		if err != nil {
@@ -224,10 +225,12 @@
 	l.reachable = nil
 }
 
-// setAcceptDeadline ends accepting at a time; zero: never. It fails only on a listener that is closed.
+// setAcceptDeadline makes accepting time out at t; zero: never. Only a closed listener returns an error, which is
+// ignored.
 func (l *listener) setAcceptDeadline(t time.Time) { _ = l.ln.SetDeadline(t) }
 
-// setBacklog sets how many connections wait to be accepted. It fails only on a listener that is closed, and has none.
+// setBacklog sets how many connections may wait to be accepted. Only a closed listener, which has no backlog, returns
+// an error, which is ignored.
 func (l *listener) setBacklog(n int) {
 	raw, err := l.ln.SyscallConn()
 	if err != nil {
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // between empty lines of a watch in which nothing changes
-	// muteNotifiedDelay is from MuteWatches to when what the watches miss counts as notified.
+	keepAliveInterval = 2 * time.Second // between the empty lines sent on a watch while nothing changes
+	// muteNotifiedDelay is the time from MuteWatches until the changes that the muted watches missed count as notified.
 	muteNotifiedDelay = 6 * time.Second
 )
 
@@ -28,14 +28,14 @@
 	ln    net.Listener
 
 	mu          sync.Mutex
-	version     int64
-	notifyAt    time.Time // when the last change may be sent
+	version     int64     // of the endpoint list
+	notifyAt    time.Time // when the latest change may be sent
 	silentUntil time.Time
-	mutedUntil  time.Time // when what muted watches missed counts as notified
-	delay       time.Duration
+	mutedUntil  time.Time     // when changes that muted watches missed count as notified
+	delay       time.Duration // of the notification of changes before delayUntil
 	delayUntil  time.Time
-	changed     chan struct{}     // closed at the next change
-	conns       map[net.Conn]bool // whether the watch is muted
+	changed     chan struct{}     // closed at the next change of the list
+	conns       map[net.Conn]bool // open connections; true: its watch is muted
 	closed      bool
 }
 
@@ -52,12 +52,12 @@
 		conns:   map[net.Conn]bool{},
 		version: g.Fleet.Version,
 	}
-	g.work.Add(1)
+	g.wg.Add(1)
 	go a.accept()
 	return a, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the agent listens on.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
 // Silence makes the agent send nothing for a duration.
@@ -67,7 +67,7 @@
 	a.silentUntil = time.Now().Add(d)
 }
 
-// Delay delays the notification of what changes within a time from now.
+// Delay delays the notification of changes that happen within the given time from now.
 func (a *Agent) Delay(delay, within time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,7 +75,7 @@
 	a.delayUntil = time.Now().Add(within)
 }
 
-// MuteWatches makes every open watch send nothing more, for good.
+// MuteWatches permanently stops sending on every open watch, and keeps their connections open.
 func (a *Agent) MuteWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// CloseWatches ends every watch, as a network does that loses their connections.
+// CloseWatches closes the connections of all watches, as a network failure would.
 func (a *Agent) CloseWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,13 +105,13 @@
 	a.wakeWatches()
 }
 
-// wakeWatches wakes every watch. The caller holds the agent's lock.
+// wakeWatches wakes the goroutines of all watches. The caller holds a.mu.
 func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// listChanged records a change of the list.
+// listChanged records a change of the endpoint list and schedules its notification.
 func (a *Agent) listChanged(version int64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,8 +124,8 @@
 	time.AfterFunc(time.Until(a.notifyAt), func() { a.markNotified(version) })
 }
 
-// markNotified records that the proxy counts as notified of the list at a version, whether or not it watches. While the
-// agent is silent this is put off.
+// markNotified reports to the observer that the proxy counts as notified of the list at a version, whether or not it
+// has a watch. It is postponed while the agent is silent or changes missed by muted watches do not count yet.
 func (a *Agent) markNotified(version int64) {
 	a.mu.Lock()
 	wait := max(time.Until(a.silentUntil), time.Until(a.mutedUntil))
@@ -150,7 +150,7 @@
 }
 
 func (a *Agent) accept() {
-	defer a.group.work.Done()
+	defer a.group.wg.Done()
 	for {
 		nc, err := a.ln.Accept()
 		if err != nil {
@@ -162,13 +162,13 @@
 		}
 		a.conns[nc] = false
 		a.mu.Unlock()
-		a.group.work.Add(1)
+		a.group.wg.Add(1)
 		go a.serve(nc)
 	}
 }
 
 func (a *Agent) serve(nc net.Conn) {
-	defer a.group.work.Done()
+	defer a.group.wg.Done()
 	defer a.end(nc)
 	r := http1.NewReader(nc)
 	head, err := r.Request()
@@ -183,9 +183,9 @@
 	gone := make(chan struct{})
 	go func() { // ends with the connection
 		defer close(gone)
-		_ = r.Wait() // any error means that the proxy has gone
+		_ = r.Wait() // any error means that the proxy has closed the connection
 	}()
-	if !a.waitSilence(gone) {
+	if !a.waitWhileSilent(gone) {
 		return
 	}
 	stream, version := parseQuery(query)
@@ -205,7 +205,8 @@
 	nc.Close()
 }
 
-// parseQuery tells whether a query asks for a stream, and after which version; -1: from the start.
+// parseQuery reports whether a query asks for a stream, and after which list version its changes start; -1: with the
+// complete list.
 func parseQuery(query string) (stream bool, version int64) {
 	version = -1
 	for part := range strings.SplitSeq(query, "&") {
@@ -222,7 +223,8 @@
 	return stream, version
 }
 
-// stream serves a watch: a line for each change after a version, and empty ones between them, until the proxy has gone.
+// stream serves a watch until the proxy closes the connection: a line for each change after a version, and empty lines
+// in between.
 func (a *Agent) stream(nc net.Conn, version int64, gone chan struct{}) {
 	fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for first := true; ; first = false {
@@ -231,11 +233,11 @@
 		a.mu.Unlock()
 		line := "\n"
 		if latest > version || first {
-			if !a.sleep(time.Until(notifyAt), gone) || !a.waitSilence(gone) {
+			if !a.sleep(time.Until(notifyAt), gone) || !a.waitWhileSilent(gone) {
 				return
 			}
-			if text, now := a.listAfter(version); text != "" {
-				line, version = text+"\n", now
+			if text, newVersion := a.listAfter(version); text != "" {
+				line, version = text+"\n", newVersion
 			}
 		}
 		if a.muted(nc) {
@@ -257,7 +259,8 @@
 	return a.conns[nc]
 }
 
-// waitChange waits for a change after a version or for the next keep-alive, and reports false once the proxy has gone.
+// waitChange waits for a change after a version or until the next empty line is due. It reports false if the proxy
+// closes the connection meanwhile.
 func (a *Agent) waitChange(version int64, changed, gone chan struct{}) bool {
 	a.mu.Lock()
 	newer := a.version > version
@@ -271,11 +274,11 @@
 	case <-gone:
 		return false
 	case <-time.After(keepAliveInterval):
-		return a.waitSilence(gone)
+		return a.waitWhileSilent(gone)
 	}
 }
 
-// sleep waits, and reports false if the proxy or the group has gone meanwhile.
+// sleep waits for d. It reports false if the proxy closes the connection or the group is closed meanwhile.
 func (a *Agent) sleep(d time.Duration, gone chan struct{}) bool {
 	if d <= 0 {
 		return true
@@ -289,8 +292,9 @@
 	return false
 }
 
-// waitSilence waits until the agent is not silent, and reports false if the proxy or the group has gone meanwhile.
-func (a *Agent) waitSilence(gone chan struct{}) bool {
+// waitWhileSilent waits until the agent is not silent. It reports false if the proxy closes the connection or the group
+// is closed meanwhile.
+func (a *Agent) waitWhileSilent(gone chan struct{}) bool {
 	for {
 		a.mu.Lock()
 		d := time.Until(a.silentUntil)
@@ -304,14 +308,14 @@
 	}
 }
 
-// List is the complete list as the proxy would get it now.
+// List returns the complete list as the agent would send it to its proxy now.
 func (a *Agent) List() json.RawMessage {
 	text, _ := a.listAfter(-1)
 	return json.RawMessage(text)
 }
 
-// listAfter is what changed after a version, all for -1, and the version that this leads to. The proxy counts as
-// notified of it.
+// listAfter returns the entries of the list that changed after a version, or the complete list for -1, and the version
+// of that list; the text is empty if nothing changed. The proxy counts as notified of the result.
 func (a *Agent) listAfter(version int64) (string, int64) {
 	g := a.group
 	g.mu.Lock()
@@ -347,7 +351,7 @@
 		text, err = json.MarshalIndent(json.RawMessage(text), "", "  ")
 	}
 	if err != nil {
-		panic(err) // a list of plain numbers and strings cannot fail
+		panic(err) // marshaling plain numbers and strings cannot fail
 	}
 	return string(text)
 }
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	writeTimeout = 5 * time.Second // of an answer
-	noJob        = -1
+	writeTimeout = 5 * time.Second // of a response
+	noJob        = -1              // in place of a job's Ref
 )
 
-// conn is a proxy's connection to a server. It serves one request at a time.
+// conn is a connection from a proxy to a server. It serves one request at a time.
 type conn struct {
 	group       *ServerGroup
 	nc          *net.TCPConn
 	proxy       int
 	member      int
-	completions chan emulator.Completion // of its jobs
+	completions chan emulator.Completion // of its jobs, for write to answer
 
-	// Under the group's lock.
-	id  string // of the request in work
-	job int    // its Ref, or noJob
+	// Guarded by group.mu.
+	id  string // of the current request
+	job int    // Ref of its job, or noJob
 }
 
-// accept accepts connections of one proxy to the server that is at an address, until the listener is closed.
+// accept accepts connections from one proxy to the server at an address until the listener is closed.
 func (g *ServerGroup) accept(a *address, l *listener, ln *net.TCPListener, proxy int) {
-	defer g.work.Done()
+	defer g.wg.Done()
 	for {
 		nc, err := ln.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// waitReachable waits until a listener may accept again, and reports false at the end of the group.
+// waitReachable waits until a listener may accept again, and reports false if the group is closed.
 func (g *ServerGroup) waitReachable(l *listener) bool {
 	g.mu.Lock()
 	reachable := l.reachable
@@ -82,7 +82,7 @@
 	accepting := a.reachability == emulator.Accepting
 	if accepting {
 		a.conns[c] = true
-		g.work.Add(2)
+		g.wg.Add(2)
 	}
 	g.mu.Unlock()
 	if !accepting {
@@ -93,25 +93,25 @@
 	go c.write()
 }
 
-// reset ends a connection as a host does that knows nothing of it.
+// reset closes the connection with a TCP reset, as a restarted host does that does not know the connection.
 func (c *conn) reset() {
-	_ = c.nc.SetLinger(0) // fails only on a connection that is closed already
+	_ = c.nc.SetLinger(0) // fails only on a closed connection
 	c.close()
 }
 
-// close closes the connection; nobody can act on a failure.
+// close closes the connection. An error is ignored, since the connection is not used any more.
 func (c *conn) close() { _ = c.nc.Close() }
 
-// read receives requests, one at a time, until the proxy has gone.
+// read receives requests, one at a time, until the proxy closes the connection.
 func (c *conn) read(a *address) {
-	defer c.group.work.Done()
+	defer c.group.wg.Done()
 	defer c.end(a)
 	r := http1.NewReader(c.nc)
 	for {
 		if r.Wait() != nil {
 			return
 		}
-		startedAt := c.group.Now() // an attempt counts from its first byte
+		startedAt := c.group.Now() // the attempt starts with its first byte
 		head, err := r.Request()
 		if err != nil {
 			return
@@ -128,7 +128,7 @@
 	}
 }
 
-// end takes the connection out of the group and abandons its job.
+// end removes the connection from its address and abandons its job.
 func (c *conn) end(a *address) {
 	g := c.group
 	g.mu.Lock()
@@ -147,13 +147,13 @@
 	c.close()
 }
 
-// request is what a server reads of a request.
+// request holds what a server uses of a request.
 type request struct {
-	known    bool // its class is known and it has an id
+	known    bool // it has a known class and an id
 	class    RequestClass
 	id       string
-	key      uint64 // cache-affine
-	dedupKey uint64
+	key      uint64 // hash of the affinity key
+	dedupKey uint64 // hash of the idempotency key
 	work     float64
 }
 
@@ -178,7 +178,7 @@
 	return r
 }
 
-// receive gives a complete request to the server.
+// receive hands a completely received request to the emulated server.
 func (c *conn) receive(startedAt float64, r request) {
 	g := c.group
 	g.mu.Lock()
@@ -199,16 +199,16 @@
 		g.observer.AttemptReceived(startedAt, r.id, c.proxy, c.member, dedupGroup)
 	}
 	completions := m.Receive(now, job)
-	if m.Unreceived > unreceived { // lost on its way: it has no completion
+	if m.Unreceived > unreceived { // lost in the network, so it gets no completion
 		g.jobs.release(job.Ref)
 		c.job = noJob
 	}
 	g.reconcile(c.member, completions)
 }
 
-// write sends the answers.
+// write sends a response for each completion.
 func (c *conn) write() {
-	defer c.group.work.Done()
+	defer c.group.wg.Done()
 	for completion := range c.completions {
 		id, answer := c.answer(completion)
 		if answer == "" {
@@ -223,7 +223,7 @@
 	}
 }
 
-// answer is the request's id and the response to it; an empty one resets the connection.
+// answer returns the id of the current request and the response to it; if that is empty, the connection must be reset.
 func (c *conn) answer(completion emulator.Completion) (id, response string) {
 	c.group.mu.Lock()
 	id = c.id
--- a/internal/fakeserver/group.go
+++ b/internal/fakeserver/group.go
@@ -1,6 +1,6 @@
-// Package fakeserver puts emulated servers and their endpoint list on loopback sockets: each server speaks the
-// platform's HTTP/1.1, and a discovery agent for each proxy serves the list in discovery's form. The servers' behavior
-// is the emulator's; this package only translates between bytes and its calls.
+// Package fakeserver serves emulated servers and their endpoint list on loopback sockets: each server speaks the
+// platform's HTTP/1.1, and a discovery agent for each proxy serves the list in the format of package discovery. Package
+// emulator defines how the servers behave; this package only translates between bytes and calls of the emulator.
 package fakeserver
 
 import (
@@ -13,92 +13,92 @@
 )
 
 const (
-	listDelay        = 20 * time.Millisecond // from a change of the list to its notification, as in virtual time
-	maxClockInterval = time.Second           // between looks at the servers when no event of theirs is due
+	listDelay        = 20 * time.Millisecond // from a list change to its notification, as in virtual-time simulations
+	maxClockInterval = time.Second           // between calls of advance while no event of a server is due
 )
 
-// Observer is notified of what servers and agents see as it happens, by several goroutines. An attempt is known by its
-// request's id; times are in seconds since 1970.
+// Observer is notified of events at servers and agents as they happen. Its methods are called concurrently. An attempt
+// is identified by the id of its request; times are in seconds since 1970.
 type Observer interface {
 	AttemptReceived(now float64, id string, proxy, member, dedupGroup int)
 	AttemptRejected(id string)
 	// MemberNotReady is called for each member that is draining or removed whenever the list has changed.
 	MemberNotReady(now float64, member int)
-	// ProxyNotified is called for each such member once its proxy counts as notified.
+	// ProxyNotified is called for each draining or removed member once the proxy counts as notified of that state.
 	ProxyNotified(now float64, proxy, member int)
 	ServerCrashed(now float64, member int)
-	// AttemptServed is called when an attempt's answer has been written.
+	// AttemptServed is called when the response to a successful attempt has been written.
 	AttemptServed(id string, work float64)
 }
 
-// RequestClass is what a server must know of a class's requests.
+// RequestClass describes the requests of a class to a server.
 type RequestClass struct {
 	Number      int
-	Work        float64 // s of a core at speed 1, unless the request says otherwise
+	Work        float64 // s of a core at speed 1, unless the request has an X-Work field
 	DedupWindow float64 // s
-	// DedupGroup is the group by which a member drops duplicates; -1: none.
+	// DedupGroup returns the number of a member's deduplication group; -1: none.
 	DedupGroup func(m *emulator.Member) int
 }
 
-// ServerGroup is a fleet on sockets. Its methods are safe for concurrent use.
+// ServerGroup serves a fleet on loopback sockets. Its methods are safe for concurrent use.
 type ServerGroup struct {
 	Fleet       *emulator.Fleet
-	OnLate      func(seconds float64) // by how much a completion was acted on late
-	IndentLists bool                  // lists are sent over several lines; set before anybody watches
+	OnLate      func(seconds float64) // called with the time from a completion until it was acted on
+	IndentLists bool                  // lists are sent as indented JSON, over several lines; set before a watch is opened
 
 	observer Observer
 	classes  map[string]RequestClass // by name
 	proxies  int
 	clock    clock
-	wake     chan struct{} // an event is due sooner than run knew
+	wake     chan struct{} // makes run call advance
 	quit     chan struct{}
-	work     sync.WaitGroup
+	wg       sync.WaitGroup
 	agents   []*Agent
 
-	mu        sync.Mutex // guards what follows, and Fleet
+	mu        sync.Mutex // guards the fields below, and Fleet
 	ports     portFinder
-	addresses []*address // by the fleet's index of addresses
-	members   int        // those that have an address; the fleet may have more for a moment
+	addresses []*address // by Member.AddressIndex
+	members   int        // number of members with an address; Fleet may briefly have more
 	jobs      jobTable
-	nextEvent float64
-	err       error
+	nextEvent float64 // when run must call advance
+	err       error   // first error, returned by Err
 }
 
-// clock tells the time in seconds since 1970, never stepping back.
+// clock is a monotonic clock in seconds since 1970.
 type clock struct{ start time.Time }
 
 func (c clock) now() float64 { return float64(c.start.UnixMicro())/1e6 + time.Since(c.start).Seconds() }
 
-// jobTable holds the connection that waits for each job; a job's Ref is its index.
+// jobTable maps the Ref of each job to the connection that waits for its completion.
 type jobTable struct {
-	waiting []*conn
-	free    []int
+	conns []*conn // by Ref; nil: none
+	free  []int   // Refs that no job has
 }
 
 func (t *jobTable) add(c *conn) int {
 	n := len(t.free)
 	if n == 0 {
-		t.waiting = append(t.waiting, c)
-		return len(t.waiting) - 1
+		t.conns = append(t.conns, c)
+		return len(t.conns) - 1
 	}
 	ref := t.free[n-1]
 	t.free = t.free[:n-1]
-	t.waiting[ref] = c
+	t.conns[ref] = c
 	return ref
 }
 
-// abandon records that nobody waits for a job that has still to complete.
-func (t *jobTable) abandon(ref int) { t.waiting[ref] = nil }
+// abandon records that no connection waits any longer for a job that has yet to complete.
+func (t *jobTable) abandon(ref int) { t.conns[ref] = nil }
 
-// release frees the Ref of a job that is over, and returns the connection that waited for it; nil: none.
+// release frees the Ref of a job that has ended, and returns the connection that waited for it; nil: none.
 func (t *jobTable) release(ref int) *conn {
-	c := t.waiting[ref]
-	t.waiting[ref] = nil
+	c := t.conns[ref]
+	t.conns[ref] = nil
 	t.free = append(t.free, ref)
 	return c
 }
 
-// Open puts a fleet, whose times are seconds since 1970, on sockets for so many proxies. It serves until Close.
+// Open serves a fleet, whose times are in seconds since 1970, to the given number of proxies until Close.
 func Open(f *emulator.Fleet, proxies int, classes map[string]RequestClass, observer Observer) (*ServerGroup, error) {
 	g := &ServerGroup{
 		Fleet:     f,
@@ -116,7 +116,7 @@
 		g.Close()
 		return nil, err
 	}
-	g.work.Add(1)
+	g.wg.Add(1)
 	go g.run()
 	return g, nil
 }
@@ -134,13 +134,13 @@
 	return g.addMembers()
 }
 
-// Now is the time in seconds since 1970, never stepping back.
+// Now returns the time in seconds since 1970. It never decreases.
 func (g *ServerGroup) Now() float64 { return g.clock.now() }
 
-// Agent is the discovery agent of a proxy.
+// Agent returns the discovery agent of a proxy.
 func (g *ServerGroup) Agent(proxy int) *Agent { return g.agents[proxy] }
 
-// Apply carries out a change, and later the changes that follow from it.
+// Apply carries out a change now, and its follow-up changes when they are due.
 func (g *ServerGroup) Apply(change emulator.Change) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -150,7 +150,7 @@
 	}
 	g.carryOut(effect)
 	if len(followUps) > 0 {
-		// One timer for all: with one each, a new server could ask for an address before the old one has left it.
+		// All share one timer: with one each, a new server could listen on an address before the old one has left it.
 		delay := time.Duration((followUps[0].At - g.Now()) * float64(time.Second))
 		time.AfterFunc(delay, func() { g.applyInOrder(followUps) })
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-// Inspect calls back with the fleet advanced to now, while nothing else happens to it.
+// Inspect advances the fleet to now and calls a function with it, while no other goroutine uses it.
 func (g *ServerGroup) Inspect(call func(f *emulator.Fleet)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,7 +178,8 @@
 	call(g.Fleet)
 }
 
-// Err is the first error that keeps the group from doing what it should; nil: none.
+// Err returns the first error that kept the group from following the fleet, such as a port that could not be opened
+// again; nil: none.
 func (g *ServerGroup) Err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,7 +194,7 @@
 	}
 }
 
-// Close ends everything and waits for it.
+// Close closes all listeners and connections, and waits for the group's goroutines.
 func (g *ServerGroup) Close() {
 	close(g.quit)
 	g.mu.Lock()
@@ -204,12 +205,12 @@
 		a.close()
 	}
 	g.mu.Unlock()
-	g.work.Wait()
+	g.wg.Wait()
 }
 
-// run advances the servers' time with the clock.
+// run calls advance whenever an event of a server is due.
 func (g *ServerGroup) run() {
-	defer g.work.Done()
+	defer g.wg.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -227,7 +228,7 @@
 	}
 }
 
-// advance carries out all that is due. Here and below the caller holds the lock.
+// advance carries out the events of all servers that are due. The caller of this method and of those below holds g.mu.
 func (g *ServerGroup) advance() {
 	now := g.Now()
 	g.nextEvent = math.Inf(1)
@@ -244,7 +245,8 @@
 	g.carryOut(g.Fleet.Reconcile(member, completions))
 }
 
-// carryOut brings the effect of a call on a member to the sockets.
+// carryOut applies the effect of a call on a member to its connections and listeners, and notifies the agents of a
+// changed list.
 func (g *ServerGroup) carryOut(effect emulator.Effect) {
 	now := g.Now()
 	m := g.Fleet.Members[effect.Member]
@@ -280,7 +282,7 @@
 	}
 	c.job = noJob
 	if m.Reachability() != emulator.Unreachable {
-		c.completions <- completion // has capacity: a connection has one job at a time
+		c.completions <- completion // does not block: a connection has one job at a time
 	}
 }
 
@@ -295,7 +297,7 @@
 	}
 }
 
-// scheduleBy makes run look at the servers at a time, if not sooner.
+// scheduleBy makes run call advance at the given time or earlier.
 func (g *ServerGroup) scheduleBy(at float64) {
 	if at >= g.nextEvent {
 		return
--- a/internal/fakeserver/group_test.go
+++ b/internal/fakeserver/group_test.go
@@ -60,13 +60,13 @@
 	return append([]string{}, l.events...)
 }
 
-// waitFor waits until so many events are recorded.
+// waitFor waits until n events have been recorded.
 func (l *eventLog) waitFor(t *testing.T, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool { return len(l.all()) == n }, 5*time.Second, time.Millisecond)
 }
 
-// openGroup opens two servers for two proxies.
+// openGroup opens a group of two servers for two proxies.
 func openGroup(t *testing.T, spec emulator.Spec) (*ServerGroup, *eventLog) {
 	t.Helper()
 	fleet := emulator.NewFleet(1)
@@ -115,7 +115,7 @@
 	return group.addresses[address].listeners[proxy].addr
 }
 
-// do sends a request and returns the answer's status and body, or the error.
+// do sends a request and returns the status and body of the response, or the error.
 func (c *client) do(path, id, fields string) string {
 	c.send(path, id, fields)
 	return c.answer()
@@ -133,12 +133,12 @@
 	case err != nil:
 		return err.Error()
 	}
-	status, never := h.Status, string(h.Get("X-Never-Ran"))
+	status, neverRan := h.Status, string(h.Get("X-Never-Ran"))
 	body, err := c.reader.Body(h.Length, h.Chunked)
 	if err != nil {
 		return err.Error()
 	}
-	return strings.TrimSpace(fmt.Sprintf("%d %s%s", status, strings.TrimSpace(string(body)), never))
+	return strings.TrimSpace(fmt.Sprintf("%d %s%s", status, strings.TrimSpace(string(body)), neverRan))
 }
 
 func TestServersAnswerRequests(t *testing.T) {
@@ -147,12 +147,12 @@
 	b := dial(t, group, 1, 0)
 	assert.Equal(t, "200 7", a.do("page?user=3", "7", ""))
 	assert.Equal(t, "404", a.do("other", "8", ""))
-	assert.Equal(t, "404", a.do("page", "", ""), "no id")
+	assert.Equal(t, "404", a.do("page", "", ""), "a request without an id")
 	a.send("page", "9", "X-Work: 0.5\r\n")
 	events.waitFor(t, 3)
 	assert.Equal(t, "503 1", b.do("page", "10", ""), "the only core is busy, and there is no queue")
 	assert.Equal(t, "200 9", a.answer())
-	// An answer counts as served when it is out: its reader may well be ahead of that.
+	// AttemptServed is called after the response has been written, so the client may receive the response earlier.
 	events.waitFor(t, 6)
 	assert.ElementsMatch(t, []string{
 		"7 from 0 at 0", "7 served",
@@ -160,13 +160,13 @@
 	}, events.all())
 	assert.Equal(t, "200 11", a.do("sign", "11", "Idempotency-Key: k\r\n"))
 	duplicate := dial(t, group, 1, 1).do("sign", "12", "Idempotency-Key: k\r\n")
-	assert.Equal(t, "200 12", duplicate, "answered, and dropped at another server of the group")
+	assert.Equal(t, "200 12", duplicate, "another server of the group answers a duplicate without running it")
 	group.Inspect(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[1].Duplicates) })
 	require.NoError(t, group.Apply(emulator.Change{Kind: emulator.ChangeErrorShare, Position: 1, Class: -1, Value: 1}))
 	assert.Equal(t, "500", dial(t, group, 0, 1).do("page", "13", ""))
 }
 
-// A crashed server resets its connections and refuses new ones; it restarts at the same address.
+// A crashed server resets its connections and refuses new ones until it restarts at the same address.
 func TestCrashedServerRefusesThenRestarts(t *testing.T) {
 	group, _ := openGroup(t, emulator.Spec{QueueCapacity: 9})
 	a := dial(t, group, 0, 0)
@@ -175,7 +175,7 @@
 	assert.Equal(t, "reset", a.answer())
 	_, err := net.DialTimeout("tcp", group.addr(0, 0), time.Second)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	assert.Equal(t, "200 2", dial(t, group, 0, 1).do("page", "2", ""), "the other one serves")
+	assert.Equal(t, "200 2", dial(t, group, 0, 1).do("page", "2", ""), "the other server still serves")
 	require.Eventually(t, func() bool {
 		nc, err := net.Dial("tcp", group.addr(1, 0))
 		if err == nil {
@@ -186,8 +186,8 @@
 	assert.Equal(t, "200 3", dial(t, group, 0, 0).do("page", "3", ""))
 }
 
-// An unreachable server is silent on open connections, and new ones are never established; reachable again, it resets
-// the old ones.
+// An unreachable server sends nothing on open connections, and no new ones are established. When it is reachable again,
+// it resets the old ones.
 func TestUnreachableServerIsSilent(t *testing.T) {
 	group, events := openGroup(t, emulator.Spec{QueueCapacity: 9})
 	a := dial(t, group, 0, 0)
@@ -199,13 +199,13 @@
 		if err == nil {
 			nc.Close()
 		}
-		return os.IsTimeout(err) // of the dial's own clock or the socket's, whichever is first
+		return os.IsTimeout(err) // of the dialer or of the socket, whichever is first
 	}, 10*time.Second, time.Millisecond)
 	b := dial(t, group, 0, 1)
 	assert.Equal(t, "200 2", b.do("page", "2", "X-Work: 0.1\r\n"))
 	a.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err := a.Read(make([]byte, 1))
-	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "completed long ago, and not sent")
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded, "the response is not sent though the job has completed")
 	group.Inspect(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Succeeded) })
 	a.SetReadDeadline(time.Now().Add(10 * time.Second))
 	require.NoError(t, group.Apply(emulator.Change{Kind: emulator.ChangeUnreachable}))
@@ -214,7 +214,7 @@
 	assert.Equal(t, "200 3", dial(t, group, 0, 0).do("page", "3", ""))
 }
 
-// A connection that is closed takes its job out of the queue, but does not stop a running one.
+// Closing a connection drops its job if that is queued, but does not stop it if it is running.
 func TestClosedConnectionDropsQueuedJob(t *testing.T) {
 	group, events := openGroup(t, emulator.Spec{QueueCapacity: 9})
 	a, b := dial(t, group, 0, 0), dial(t, group, 0, 0)
@@ -232,7 +232,7 @@
 	group.Inspect(func(f *emulator.Fleet) { assert.Equal(t, 1, f.Members[0].Started) })
 }
 
-// The agent speaks what the proxy's own watch reads, delayed, silent or muted as it is set.
+// The agent serves lists that the proxy's own watch can read, and obeys Delay, Silence and MuteWatches.
 func TestAgentNotifiesWatch(t *testing.T) {
 	group, events := openGroup(t, emulator.Spec{QueueCapacity: 9})
 	lists := make(chan discovery.List, 100)
@@ -252,8 +252,8 @@
 	go func() { watch.Run(ctx); close(ended) }()
 	defer func() { stop(); <-ended }()
 	first := <-lists
-	assert.Equal(t, 2, len(first.Entries), "after version 0 everything has changed")
-	assert.Equal(t, group.addr(1, 0), first.Entries[0].Addr, "its own address of each server")
+	assert.Equal(t, 2, len(first.Entries), "all entries have changed since version 0")
+	assert.Equal(t, group.addr(1, 0), first.Entries[0].Addr, "each proxy gets its own address of a server")
 	require.NoError(t, group.Apply(emulator.Change{Kind: emulator.ChangeReplaceInPlace, Value: .2}))
 	draining := <-lists
 	assert.Equal(t, balance.Draining, draining.Entries[0].State)
@@ -262,7 +262,7 @@
 		for _, e := range (<-lists).Entries {
 			states[e.Name] = e.State
 			if e.State == balance.Ready {
-				assert.Equal(t, group.addr(1, 0), e.Addr, "the new one is where the old one was")
+				assert.Equal(t, group.addr(1, 0), e.Addr, "the replacement has the address of the old server")
 				assert.Greater(t, e.StartedAt, 1e9)
 			}
 		}
@@ -270,7 +270,7 @@
 	assert.Equal(t, map[string]balance.EndpointState{"s": balance.Removed, "s.2": balance.Ready}, states)
 	assert.Equal(t, "200 5", dial(t, group, 1, 0).do("page", "5", ""))
 	assert.Contains(t, events.all(), "1 notified of 0")
-	assert.Contains(t, events.all(), "0 notified of 0", "a proxy counts as notified though it does not watch")
+	assert.Contains(t, events.all(), "0 notified of 0", "a proxy without a watch counts as notified too")
 
 	group.Agent(1).Delay(300*time.Millisecond, time.Minute)
 	began := time.Now()
@@ -285,8 +285,8 @@
 	require.NoError(t, group.Apply(emulator.Change{Kind: emulator.ChangeReplace, Position: 0, Value: 100}))
 	<-lists
 	assert.Greater(t, time.Since(began), 380*time.Millisecond)
-	assert.Less(t, time.Since(began), 2*time.Second, "the watch is held, and served after the silence")
-	for more := true; more; { // of the same change
+	assert.Less(t, time.Since(began), 2*time.Second, "the watch that connected during the silence is served after it")
+	for more := true; more; { // discard further lists of the same change
 		select {
 		case <-lists:
 		case <-time.After(200 * time.Millisecond):
@@ -309,10 +309,10 @@
 	assert.Equal(t, 200, h.Status)
 	var complete discovery.List
 	require.NoError(t, json.Unmarshal(group.Agent(0).List(), &complete))
-	assert.Equal(t, []any{true, 3}, []any{complete.Full, len(complete.Entries)}, "complete, without removed servers")
+	assert.Equal(t, []any{true, 3}, []any{complete.Full, len(complete.Entries)}, "a complete list without removed servers")
 }
 
-// A watch is chunked as the standard library expects it, and ends without a last chunk when the agent closes it.
+// The standard library can decode the chunks of a watch, and finds no last chunk when the agent closes it.
 func TestWatchIsChunked(t *testing.T) {
 	group, _ := openGroup(t, emulator.Spec{})
 	nc, err := net.Dial("tcp", group.Agent(0).Addr())
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP relay on loopback that plants faults between two programs: bytes that are late or come
-// slowly, connections that are cut or half open, and an address that refuses connections. Tests and simulations use it;
-// it never enters a proxy's program.
+// Package faultproxy provides a TCP relay on loopback that injects faults between two programs: delayed bytes, limited
+// bandwidth, closed or half-open connections, and an address that refuses connections. It is for tests and simulations
+// only and is never linked into the proxy.
 package faultproxy
 
 import (
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Fault is what happens to the bytes of all connections from now on. Those of the zero value pass.
+// Fault describes what a relay does to all its connections. The zero value relays all bytes unchanged.
 type Fault struct {
-	Delay  time.Duration // before each piece is relayed
-	Pace   int           // the most bytes a second, in each direction; 0: no bound
-	Silent bool          // nothing is relayed, and neither side is notified: half open
-	Refuse bool          // connections are closed as soon as they are accepted
+	Delay  time.Duration // before each chunk of bytes is relayed
+	Pace   int           // maximum rate in bytes per second, in each direction; 0: unlimited
+	Silent bool          // nothing is relayed and no connection is closed, as if all were half open
+	Refuse bool          // new connections are closed as soon as they are accepted
 }
 
 const (
-	maxPieceBytes       = 32 << 10 // relayed at once
-	silenceInterval     = 10 * time.Millisecond
-	pacePiecesPerSecond = 100 // while there is a pace
+	maxChunkBytes        = 32 << 10              // read and relayed at once
+	silentPollInterval   = 10 * time.Millisecond // between checks whether Fault.Silent is still set
+	pacedChunksPerSecond = 100                   // full chunks per second while Fault.Pace is set
 )
 
-// Relay is a relay to one address. Its methods are safe for concurrent use.
+// Relay relays TCP connections to one target address. Its methods are safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
 	fault    Fault
-	conns    map[net.Conn]bool // of both sides
+	conns    map[net.Conn]bool // open connections from clients and to the target
 	closed   chan struct{}
-	work     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
 // Open starts a relay from a new address on loopback to a target. Its goroutines end with Close.
@@ -46,21 +46,21 @@
 		conns:    map[net.Conn]bool{},
 		closed:   make(chan struct{}),
 	}
-	relay.work.Go(relay.accept)
+	relay.wg.Go(relay.accept)
 	return relay, nil
 }
 
 // Addr returns the address that the relay accepts connections on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set plants a fault in the place of the one before.
+// Set replaces the fault that applies to all connections from now on.
 func (r *Relay) Set(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = fault
 }
 
-// Cut closes all connections that there are.
+// Cut closes all open connections.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,12 +69,12 @@
 	}
 }
 
-// Close closes the relay and waits for its goroutines. It is to be called once.
+// Close closes the listener and all connections, and waits for the relay's goroutines. It must be called only once.
 func (r *Relay) Close() {
 	close(r.closed)
 	r.listener.Close()
 	r.Cut()
-	r.work.Wait()
+	r.wg.Wait()
 }
 
 func (r *Relay) currentFault() Fault {
@@ -101,17 +101,17 @@
 		r.mu.Lock()
 		r.conns[client], r.conns[server] = true, true
 		r.mu.Unlock()
-		r.work.Go(func() { r.relay(client, server) })
-		r.work.Go(func() { r.relay(server, client) })
+		r.wg.Go(func() { r.relay(client, server) })
+		r.wg.Go(func() { r.relay(server, client) })
 	}
 }
 
-// relay relays bytes one way until either side closes, and closes both.
+// relay copies bytes in one direction until either side closes, then closes both.
 func (r *Relay) relay(from, to net.Conn) {
 	defer r.remove(from, to)
-	buffer := make([]byte, maxPieceBytes)
+	buffer := make([]byte, maxChunkBytes)
 	for {
-		n, err := from.Read(buffer[:r.pieceBytes()])
+		n, err := from.Read(buffer[:r.chunkBytes()])
 		if err != nil {
 			return
 		}
@@ -140,16 +140,17 @@
 	}
 }
 
-// pieceBytes returns how many bytes are read at once.
-func (r *Relay) pieceBytes() int {
+// chunkBytes returns the maximum number of bytes to read at once.
+func (r *Relay) chunkBytes() int {
 	pace := r.currentFault().Pace
 	if pace <= 0 {
-		return maxPieceBytes
+		return maxChunkBytes
 	}
-	return min(max(pace/pacePiecesPerSecond, 1), maxPieceBytes)
+	return min(max(pace/pacedChunksPerSecond, 1), maxChunkBytes)
 }
 
-// waitWhileSilent waits while the fault is Silent and returns the next; false: the relay was closed meanwhile.
+// waitWhileSilent waits until the fault is not Silent and returns it, or reports false if the relay is closed
+// meanwhile.
 func (r *Relay) waitWhileSilent() (Fault, bool) {
 	for {
 		fault := r.currentFault()
@@ -159,7 +160,7 @@
 		select {
 		case <-r.closed:
 			return Fault{}, false
-		case <-time.After(silenceInterval):
+		case <-time.After(silentPollInterval):
 		}
 	}
 }
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -33,7 +33,7 @@
 
 func echo(conn net.Conn) {
 	defer conn.Close()
-	_, _ = io.Copy(conn, conn) // the client sees whether it worked
+	_, _ = io.Copy(conn, conn) // the client fails if its echo does not arrive
 }
 
 func dial(t *testing.T, relay *Relay) net.Conn {
@@ -44,7 +44,7 @@
 	return conn
 }
 
-// roundTrip sends a text and waits for its echo.
+// roundTrip sends a text, waits for its echo and returns how long that took.
 func roundTrip(conn net.Conn, text string, timeout time.Duration) (time.Duration, error) {
 	began := time.Now()
 	conn.SetDeadline(began.Add(timeout))
@@ -67,7 +67,7 @@
 		relay.Set(fault)
 		duration, err := roundTrip(conn, text, testTimeout)
 		assert.NoError(t, err)
-		assert.Greater(t, duration, 90*time.Millisecond, "%+v, both ways", fault)
+		assert.Greater(t, duration, 90*time.Millisecond, "%+v applies in each direction", fault)
 	}
 	relay.Set(Fault{Silent: true})
 	_, err = roundTrip(conn, text, 100*time.Millisecond)
@@ -75,7 +75,7 @@
 	relay.Set(Fault{})
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = io.ReadFull(conn, make([]byte, len(text)))
-	assert.NoError(t, err, "what was held back comes after all")
+	assert.NoError(t, err, "bytes received while silent are relayed afterwards")
 	relay.Cut()
 	_, err = roundTrip(conn, text, testTimeout)
 	assert.Error(t, err)
--- a/internal/histogram/shares.go
+++ b/internal/histogram/shares.go
@@ -1,17 +1,17 @@
 package histogram
 
 const (
-	shareBins      = 1024 // many more than there are keys that matter
-	maxShareWeight = 2000 // keys; from then on all count half, so that the past fades
+	shareBins      = 1024 // far more than there are frequent keys, so that few of those share a bin
+	maxShareWeight = 2000 // keys; when so many are counted, all counts are halved, so that old keys count less
 )
 
-// Shares counts how often each of many keys was seen, in bins that rare keys share.
+// Shares estimates how frequent keys are. It counts them in a fixed number of bins, so that several keys may share one.
 type Shares struct {
 	count [shareBins]float64
 	n     float64
 }
 
-// Add counts a key and returns the share, from 0 to 1, that it had of all keys so far.
+// Add counts a key and returns its share, from 0 to 1, of all keys so far.
 func (s *Shares) Add(key uint64) float64 {
 	bin := &s.count[key%shareBins]
 	earlier := *bin
--- a/internal/histogram/times.go
+++ b/internal/histogram/times.go
@@ -1,18 +1,20 @@
-// Package histogram keeps what was measured in a few coarse bins of fixed size. Its types are not safe for concurrent
-// use, and captures store them: the layout of their fields is published.
+// Package histogram provides histograms with a small, fixed number of coarse bins. Its types are not safe for
+// concurrent use. Captures store them by memory layout, so the order and the types of their fields are part of a
+// published format.
 package histogram
 
 import "math"
 
 const (
-	minTime         = 0.001 // s; what is shorter falls into the first bin
-	binsPerDoubling = 2.0   // a factor of 1.4 tells slow from fast
-	timeBins        = 28    // up to 16 s
-	maxTimesWeight  = 200   // times; from then on all count half, so that the past fades
-	minTimes        = 5     // times; fewer tell nothing
+	minTime         = 0.001 // s; shorter times are counted in the first bin
+	binsPerDoubling = 2.0   // a factor of 1.4 between bins is enough to distinguish slow from fast
+	timeBins        = 28    // the last bin ends at 16 s, and counts longer times too
+	maxTimesWeight  = 200   // times; when so many are counted, all counts are halved, so that old times count less
+	minTimes        = 5     // times; a quantile of fewer is not reliable
 )
 
-// upperEdges are those of the bins, in seconds. They are computed once, since every request asks for quantiles.
+// upperEdges holds the upper edge of each bin in seconds. It is computed once, since quantiles are computed for every
+// request.
 var upperEdges = func() (edges [timeBins]float64) {
 	for i := range edges {
 		edges[i] = minTime * math.Exp2(float64(i+1)/binsPerDoubling)
@@ -20,7 +22,7 @@
 	return edges
 }()
 
-// Times is a histogram of times in seconds, in bins of equal ratio.
+// Times is a histogram of times in seconds. The upper edges of successive bins have a constant ratio.
 type Times struct {
 	count [timeBins]float64
 	n     float64
@@ -39,11 +41,11 @@
 	t.n /= 2
 }
 
-// Quantile returns the upper edge, in seconds, of the bin that holds the quantile q, or the given value while too
-// little is known.
-func (t *Times) Quantile(q, unknown float64) float64 {
+// Quantile returns the upper edge, in seconds, of the bin that contains quantile q (from 0 to 1), or fallback while too
+// few times have been counted.
+func (t *Times) Quantile(q, fallback float64) float64 {
 	if t.n < minTimes {
-		return unknown
+		return fallback
 	}
 	sum := 0.0
 	for i, count := range t.count {
@@ -51,5 +53,5 @@
 			return upperEdges[i]
 		}
 	}
-	return unknown
+	return fallback
 }
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -15,18 +15,19 @@
 type connection struct {
 	nc     net.Conn
 	reader *http1.Reader
-	reused bool // it has been idle, and the proxy may have closed it meanwhile
+	reused bool // it was idle, so the proxy may have closed it meanwhile
 }
 
-// response is what a proxy answered.
+// response is a proxy's response to a request.
 type response struct {
 	status     int
-	close      bool    // the connection is not for another request
+	close      bool    // the connection must not be reused
 	retryAfter float64 // s; 0: not given
 	body       []byte
 }
 
-// roundTrip sends a request and reads its response. A response together with an error has begun and broken off.
+// roundTrip sends a request and reads its response. It returns a response together with an error if the response began
+// and is incomplete.
 func (c *connection) roundTrip(request []byte) (*response, error) {
 	if _, err := c.nc.Write(request); err != nil {
 		return nil, err
@@ -39,13 +40,13 @@
 		return &response{}, err
 	}
 	answer := &response{status: head.Status, close: head.Close}
-	// Before the body, whose reading overwrites the head. A proxy that gives no number asks for no delay.
+	// Parsed before the body is read, which overwrites the head. A field that is not a number asks for no delay.
 	answer.retryAfter, _ = strconv.ParseFloat(string(head.Get("Retry-After")), 64)
 	answer.body, err = c.reader.Body(head.Length, head.Chunked)
 	return answer, err
 }
 
-// appendRequest appends a request in HTTP/1.1. The client stops waiting for it after so many seconds.
+// appendRequest appends an HTTP/1.1 request whose deadline is wait seconds from now.
 func (d *Driver) appendRequest(b []byte, r *request, wait float64) []byte {
 	method := http.MethodPost
 	if r.class.Idempotency == balance.Idempotent {
--- a/internal/loadgen/driver.go
+++ b/internal/loadgen/driver.go
@@ -15,46 +15,47 @@
 )
 
 const (
-	lateListenDuration = 300 * time.Millisecond // past the deadline, to tell a late response from none
-	drainTimeout       = 30 * time.Second       // for what is in flight when the plan has ended
+	lateResponseWait = 300 * time.Millisecond // past the deadline, to distinguish a late response from none
+	drainTimeout     = 30 * time.Second       // for requests in flight when the plan has ended
 )
 
-// Observer is notified of what clients do and see, by many goroutines. RequestSent returns the id by which the request
-// is known from then on.
+// Observer is notified of the clients' requests and their results. Its methods are called concurrently. RequestSent
+// returns the id that identifies the request in later calls.
 type Observer interface {
 	IntentDue(intent *Intent)
-	// RequestSent is called just before the request is written, late by so many seconds.
+	// RequestSent is called just before the request is written, late seconds after it was due.
 	RequestSent(intent *Intent, late float64) (id int)
 	// RequestSucceeded gives the seconds since the request and since the intent were due.
 	RequestSucceeded(id int, intent *Intent, sinceRequest, sinceIntent float64)
-	// RequestFailed is called for rejected requests too; clientFault: the status blames the client.
+	// RequestFailed is called for rejected requests too; clientFault: the status is 4xx, other than 429.
 	RequestFailed(id int, reply balance.Reply, clientFault bool)
-	ResponseCorrupt(id int)             // successful, with a body that no server made for this request
-	RequestLost(id int, withProxy bool) // ended without a response; withProxy: its proxy had been killed or none was left
-	RequestTimedOut(id int)             // no response by the deadline and lateListenDuration
-	ClientGone(id int)                  // the client went away first
+	ResponseCorrupt(id int)             // status 200 with a body that is not the one for this request
+	RequestLost(id int, withProxy bool) // no complete response; withProxy: its proxy was killed or none was left
+	RequestTimedOut(id int)             // no response by the deadline and lateResponseWait
+	ClientGone(id int)                  // the client closed the connection before a response
 	NoProxy()                           // no proxy accepted a connection in time
 }
 
-// Driver has clients send what a plan draws, on sockets and at the times planned (an open loop).
+// Driver sends the requests of a plan's intents to proxies at the planned times, however late responses are (an open
+// loop).
 type Driver struct {
 	Plan      *Plan
 	Classes   []balance.Class
 	Tenants   []string // names
-	PlainHTTP bool     // of the platform's fields clients send only the id by which requests are counted
+	PlainHTTP bool     // requests have no X-Qos and X-Expires-In fields
 	Clients   Clients
 	Proxies   *RoundRobin
 	Observer  Observer
 	Seed      uint64
 }
 
-// Run sends requests until the plan or the context ends, and returns when all are over. The times of the plan count
-// from start.
+// Run sends requests until the plan or the context ends, and returns when all requests have ended. The plan's times are
+// relative to start.
 func (d *Driver) Run(ctx context.Context, start time.Time) {
 	var intents sync.WaitGroup
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	draining, stop := context.WithCancel(ctx)
+	intentCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	end := start.Add(seconds(d.Plan.workload.Duration))
 	for intent, ok := d.Plan.Next(); ok; intent, ok = d.Plan.Next() {
@@ -70,7 +71,7 @@
 			break
 		}
 		d.Observer.IntentDue(&intent)
-		intents.Go(func() { d.runIntent(draining, intent, due, end) })
+		intents.Go(func() { d.runIntent(intentCtx, intent, due, end) })
 	}
 	defer time.AfterFunc(drainTimeout, stop).Stop()
 	intents.Wait()
@@ -78,7 +79,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// runIntent sends requests until one succeeds or no retry is allowed; none begins after end.
+// runIntent sends requests for an intent until one succeeds or no retry is allowed. No retry is due after end.
 func (d *Driver) runIntent(ctx context.Context, intent Intent, intentDue, end time.Time) {
 	random := rand.New(rand.NewPCG(d.Seed, uint64(intent.Number)+5))
 	due := intentDue
@@ -97,16 +98,16 @@
 	}
 }
 
-// request is one request for an intent.
+// request is one of the requests for an intent.
 type request struct {
 	intent    *Intent
 	class     *balance.Class
-	id        int // the Observer's; -1: not sent yet
+	id        int // from Observer.RequestSent; -1: not sent yet
 	retry     bool
 	intentDue time.Time
 	due       time.Time
 	deadline  time.Time
-	leavesAt  time.Time // when the client's patience ends
+	abandonAt time.Time // when the client stops waiting
 }
 
 func (d *Driver) newRequest(intent *Intent, n int, due, intentDue time.Time) *request {
@@ -119,25 +120,25 @@
 		intentDue: intentDue,
 		due:       due,
 		deadline:  due.Add(seconds(class.Deadline)),
-		leavesAt:  due.Add(seconds(class.Deadline * d.Clients.Patience)),
+		abandonAt: due.Add(seconds(class.Deadline * d.Clients.Patience)),
 	}
 }
 
-// listenUntil is when the client closes the connection.
-func (r *request) listenUntil() time.Time {
-	if r.leavesBeforeDeadline() {
-		return r.leavesAt
+// connDeadline returns when the client closes the connection if no complete response has been received.
+func (r *request) connDeadline() time.Time {
+	if r.abandonsBeforeDeadline() {
+		return r.abandonAt
 	}
-	return r.deadline.Add(lateListenDuration)
+	return r.deadline.Add(lateResponseWait)
 }
 
-func (r *request) leavesBeforeDeadline() bool { return r.leavesAt.Before(r.deadline) }
+func (r *request) abandonsBeforeDeadline() bool { return r.abandonAt.Before(r.deadline) }
 
-// request sends one request and returns its reply, with the Retry-After in seconds; NoReply where a retry makes no
-// sense. A connection that had been idle and was closed before a response began is replaced once by a fresh one.
+// request sends one request and returns its reply and its Retry-After in seconds; NoReply if there is no reason to
+// retry. If the proxy closed a reused connection before a response began, the request is sent once more on a fresh one.
 func (d *Driver) request(ctx context.Context, r *request) (balance.Reply, float64) {
 	for fresh := false; ; fresh = true {
-		target, c := d.Proxies.connect(ctx, r.leavesAt, fresh)
+		target, c := d.Proxies.connect(ctx, r.abandonAt, fresh)
 		if c == nil {
 			d.reportUnconnected(r)
 			return balance.NoReply, 0
@@ -146,7 +147,7 @@
 			r.id = d.Observer.RequestSent(r.intent, time.Since(r.due).Seconds())
 		}
 		sentAt := time.Now()
-		c.nc.SetDeadline(r.listenUntil())
+		c.nc.SetDeadline(r.connDeadline())
 		wait := max(time.Until(r.deadline), time.Millisecond)
 		answer, err := c.roundTrip(d.appendRequest(make([]byte, 0, headCapacity), r, wait.Seconds()))
 		if err == nil {
@@ -175,23 +176,23 @@
 	d.Observer.RequestLost(r.id, true)
 }
 
-// reportError reports a request without a complete response, and returns what that means for a retry.
+// reportError reports a request without a complete response, and returns the reply that decides on a retry.
 func (d *Driver) reportError(ctx context.Context, r *request, err error, proxyKilled bool) balance.Reply {
 	switch {
 	case ctx.Err() != nil:
 		d.Observer.ClientGone(r.id)
-	case errors.Is(err, os.ErrDeadlineExceeded) && r.leavesBeforeDeadline():
+	case errors.Is(err, os.ErrDeadlineExceeded) && r.abandonsBeforeDeadline():
 		d.Observer.ClientGone(r.id)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		d.Observer.RequestTimedOut(r.id)
 	default:
 		d.Observer.RequestLost(r.id, proxyKilled)
-		return balance.Failed // it may have run
+		return balance.Failed // the request may have run
 	}
 	return balance.NoReply
 }
 
-// reportResponse reports a response, and returns what it means for a retry.
+// reportResponse reports a response, and returns the reply and the Retry-After that decide on a retry.
 func (d *Driver) reportResponse(r *request, answer *response, answeredAt time.Time) (balance.Reply, float64) {
 	switch status := answer.status; {
 	case status == http.StatusOK && string(bytes.TrimRight(answer.body, "\n")) != strconv.Itoa(r.id):
--- a/internal/loadgen/proxies.go
+++ b/internal/loadgen/proxies.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	dialTimeout        = time.Second            // of a connection to a proxy
+	dialTimeout        = time.Second            // for connecting to a proxy
 	readyInterval      = 100 * time.Millisecond // between the checks whether a proxy is ready
-	readyTimeout       = 2 * time.Second        // of such a check
-	reconnectDelay     = 50 * time.Millisecond  // until a client that found no proxy looks again
-	maxIdleConnections = 4096                   // to each proxy
+	readyTimeout       = 2 * time.Second        // of one readiness check
+	reconnectDelay     = 50 * time.Millisecond  // before a client that could not connect to any proxy tries again
+	maxIdleConnections = 4096                   // kept to each proxy
 )
 
-// Target is a proxy as clients know it. Its methods are safe for concurrent use.
+// Target is a proxy that clients send requests to. Its methods are safe for concurrent use.
 type Target struct {
 	Addr      string
-	ReadyAddr string // where it says whether it is ready
+	ReadyAddr string // where it answers GET /up
 	ready     atomic.Bool
 	killed    atomic.Int64 // ns since 1970; 0: not killed
 	mu        sync.Mutex
 	idle      []*connection
 }
 
-// MarkKilled records that the proxy has been killed: the requests that it held are lost with it.
+// MarkKilled records that the proxy has been killed, so that its requests in flight count as lost with it.
 func (t *Target) MarkKilled() {
 	t.killed.Store(time.Now().UnixNano())
 	t.ready.Store(false)
@@ -39,7 +39,7 @@
 // MarkReady records that the proxy is ready.
 func (t *Target) MarkReady() { t.ready.Store(true) }
 
-// killedSince reports whether the proxy has been killed at a time or later.
+// killedSince reports whether the proxy was killed at the given time or later.
 func (t *Target) killedSince(since time.Time) bool {
 	killed := t.killed.Load()
 	return killed != 0 && killed >= since.UnixNano()
@@ -57,7 +57,7 @@
 	return c
 }
 
-// keepIdle keeps a connection for a later request, or closes it if the proxy is not ready or there are enough.
+// keepIdle keeps a connection for reuse, or closes it if the proxy is not ready or has maxIdleConnections.
 func (t *Target) keepIdle(c *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,13 +78,13 @@
 	t.idle = nil
 }
 
-// RoundRobin sends requests to the proxies that are ready, in turn. It is safe for concurrent use.
+// RoundRobin selects proxies that are ready, in turn. It is safe for concurrent use.
 type RoundRobin struct {
 	Targets []*Target
 	picks   atomic.Uint64
 }
 
-// NewRoundRobin returns the proxies at these addresses; none is ready until Watch has found it so.
+// NewRoundRobin returns a RoundRobin of the proxies at addrs. They are not ready until Watch or MarkReady sets them so.
 func NewRoundRobin(addrs []string) *RoundRobin {
 	r := &RoundRobin{}
 	for _, addr := range addrs {
@@ -93,7 +93,7 @@
 	return r
 }
 
-// Watch checks again and again whether each proxy is ready, until the context ends.
+// Watch periodically checks whether each proxy is ready, until the context ends.
 func (r *RoundRobin) Watch(ctx context.Context) {
 	var checks sync.WaitGroup
 	for _, target := range r.Targets {
@@ -110,7 +110,8 @@
 	checks.Wait()
 }
 
-// CheckReady returns nil if a proxy says within the timeout that it accepts requests.
+// CheckReady returns nil if a proxy answers GET /up with status 200. The timeout applies to connecting, and again to
+// the response.
 func CheckReady(addr string, timeout time.Duration) error {
 	nc, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -123,12 +124,12 @@
 	}
 	head, err := http1.NewReader(nc).Response()
 	if err == nil && head.Status != http.StatusOK {
-		err = fmt.Errorf("%s: status %d", addr, head.Status)
+		err = fmt.Errorf("GET /up on %s: status %d, not 200", addr, head.Status)
 	}
 	return err
 }
 
-// pick is the next proxy that is ready; nil without one.
+// pick returns the next proxy that is ready; nil: none is.
 func (r *RoundRobin) pick() *Target {
 	for range r.Targets {
 		if t := r.Targets[r.picks.Add(1)%uint64(len(r.Targets))]; t.ready.Load() {
@@ -138,7 +139,8 @@
 	return nil
 }
 
-// connect returns a connection to a proxy that is ready, a new one if fresh; nil if there is none by the time until.
+// connect returns a ready proxy and a connection to it, a new one if fresh; nil if it could not connect by the time
+// until.
 func (r *RoundRobin) connect(ctx context.Context, until time.Time, fresh bool) (*Target, *connection) {
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for range r.Targets {
@@ -159,7 +161,7 @@
 }
 
 // connect returns an idle connection or dials one; nil if that fails. If fresh, an idle connection is closed instead: a
-// proxy that stops closes all that are idle, so the next one would be as stale as the one before.
+// proxy that stops closes all its idle connections, so after one stale connection the next would be stale too.
 func (t *Target) connect(ctx context.Context, until time.Time, fresh bool) *connection {
 	if c := t.takeIdle(); c != nil {
 		if !fresh {
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -1,6 +1,6 @@
 // Package loadgen generates the load of a simulation's clients: a workload in the form of a plan of intents, the
-// clients' retries, and an open-loop driver, which sends requests on sockets at the times planned, however late the
-// answers are.
+// clients' retries, and an open-loop driver, which sends requests on sockets at the planned times, however late the
+// responses are.
 package loadgen
 
 import (
@@ -11,7 +11,7 @@
 	"lockloom/balance"
 )
 
-// Intent is one thing that a client wants answered, by one request or, with retries, by several.
+// Intent is an operation that a client wants to succeed, with one request or, with retries, several.
 type Intent struct {
 	Number        int
 	At            float64 // s since the start
@@ -20,21 +20,21 @@
 	Work          float64 // s of a core at speed 1
 }
 
-// ClassLoad is the part of a workload that falls to one class.
+// ClassLoad is the part of a workload that belongs to one class.
 type ClassLoad struct {
-	Weight        float64 // of its intents among those of all classes
+	Weight        float64 // of its intents, relative to the weights of the other classes
 	Work          float64 // mean, in s of a core at speed 1
-	WorkVariation float64 // standard deviation of the work over its mean; 0: all alike
+	WorkVariation float64 // coefficient of variation: standard deviation over mean; 0: constant work
 	KeyedFraction float64 // fraction of the intents that have a key
 }
 
-// Phase changes the rate for a time. Times and durations are in seconds.
+// Phase changes the rate during an interval. Times and durations are in seconds.
 type Phase struct {
 	At, Duration  float64
 	Shape         Shape
-	Factor        float64 // on the rate
-	BurstInterval float64 // of Bursts: from one to the next
-	BurstDuration float64 // of Bursts: of each
+	Factor        float64 // by which the rate is multiplied
+	BurstInterval float64 // for Bursts: from the start of one to the start of the next
+	BurstDuration float64 // for Bursts: of each burst
 }
 
 // Shape is how a phase changes the rate.
@@ -45,23 +45,23 @@
 	Steady       Shape = iota // Factor throughout
 	Ramp                      // from 1 to Factor, linearly
 	Bursts                    // Factor in each burst, 1 between them
-	DeadlineRush              // exponentially up to Factor at its end, then nothing for as long again
+	DeadlineRush              // exponentially up to Factor at its end, then rate 0 for another Duration
 )
 
-// Workload is all that clients want of an installation.
+// Workload describes the load from all clients.
 type Workload struct {
-	Rate          float64 // intents a second, outside of phases
+	Rate          float64 // intents per second, outside of phases
 	Duration      float64 // s
 	Phases        []Phase
 	Classes       []ClassLoad
 	TenantWeights []float64
 	KeyCount      int
-	ZipfExponent  float64 // of the keys' popularity; 0: all alike
+	ZipfExponent  float64 // of the Zipf distribution of keys; 0: uniform
 }
 
-const deadlineSteepness = 5.0 // the rate of a DeadlineRush grows by e in 1/5 of its duration
+const deadlineSteepness = 5.0 // the rate of a DeadlineRush grows by a factor of e in 1/5 of its duration
 
-// RateAt is the rate at a time, in intents a second.
+// RateAt returns the rate at a time, in intents per second.
 func (w *Workload) RateAt(t float64) float64 {
 	rate := w.Rate
 	for i := range w.Phases {
@@ -70,7 +70,7 @@
 	return rate
 }
 
-// factorAt is the phase's factor on the rate at a time; 1 outside the phase.
+// factorAt returns the phase's factor on the rate at a time; 1 outside the phase.
 func (p *Phase) factorAt(t float64) float64 {
 	x := (t - p.At) / p.Duration
 	switch {
@@ -92,7 +92,8 @@
 	return 1
 }
 
-// maxRate is an upper bound of the rate. The phases' factors are largest together at the start of one of them.
+// maxRate returns an upper bound of the rate. The product of the factors of concurrent phases is largest at the start
+// of one of them.
 func (w *Workload) maxRate() float64 {
 	maxFactor := 1.0
 	for _, start := range w.Phases {
@@ -107,19 +108,19 @@
 	return w.Rate * maxFactor
 }
 
-// Plan draws a workload's intents in order of time, the same ones for the same seed.
+// Plan draws the intents of a workload in order of time. The same seed draws the same intents.
 type Plan struct {
 	workload   Workload
 	rand       *rand.Rand
 	now        float64
 	number     int
 	maxRate    float64
-	classSums  []float64 // cumulative weights
-	tenantSums []float64
-	keySums    []float64
+	classSums  []float64 // cumulative weights of the classes
+	tenantSums []float64 // cumulative weights of the tenants
+	keySums    []float64 // cumulative weights of the keys
 }
 
-// NewPlan returns the plan of a workload, at its start.
+// NewPlan returns the plan of a workload, before its first intent.
 func NewPlan(w Workload, seed uint64) *Plan {
 	p := &Plan{workload: w, maxRate: w.maxRate(), rand: rand.New(rand.NewPCG(seed, 2))}
 	for _, class := range w.Classes {
@@ -134,7 +135,7 @@
 	return p
 }
 
-// appendSum appends the sum up to a further weight.
+// appendSum appends a weight to a list of cumulative weights.
 func appendSum(sums []float64, weight float64) []float64 {
 	if n := len(sums); n > 0 {
 		weight += sums[n-1]
@@ -142,7 +143,7 @@
 	return append(sums, weight)
 }
 
-// draw is an index drawn by its weight; -1 without weights.
+// draw returns an index drawn in proportion to its weight, from cumulative weights; -1 if there are none.
 func (p *Plan) draw(sums []float64) int {
 	if len(sums) == 0 {
 		return -1
@@ -150,7 +151,7 @@
 	return sort.SearchFloat64s(sums, p.rand.Float64()*sums[len(sums)-1])
 }
 
-// Next is the next intent; false after the last.
+// Next returns the next intent; false after the last.
 func (p *Plan) Next() (Intent, bool) {
 	if !p.advance() {
 		return Intent{}, false
@@ -191,7 +192,7 @@
 // Source returns intents in order of time: a Plan, or a recorded list.
 type Source interface{ Next() (Intent, bool) }
 
-// SourceOf returns the intents of a list.
+// SourceOf returns a Source of the intents in a list.
 func SourceOf(list []Intent) Source { return &intentList{list} }
 
 type intentList struct{ rest []Intent }
@@ -205,21 +206,22 @@
 	return next, true
 }
 
-// Clients is how clients retry and how long they wait.
+// Clients describes how clients retry and how long they wait.
 type Clients struct {
-	MaxRequests  int     // for one intent
-	Backoff      float64 // s before the first retry; it doubles with each further one
-	Patience     float64 // fraction of the deadline that they wait
-	MarksRetries bool    // retries say that they are retries
+	MaxRequests  int     // for one intent, including the first
+	Backoff      float64 // s before the first retry; doubled for each further one, up to maxBackoffFactor
+	Patience     float64 // fraction of the deadline after which they abandon a request
+	MarksRetries bool    // retries have the field X-Second-Try
 }
 
 const (
-	minJitter        = 0.5 // a backoff is multiplied by a random factor from this to 1 more than this
+	minJitter        = 0.5 // a backoff is multiplied by a random factor from minJitter to minJitter + 1
 	maxBackoffFactor = 8.0 // multiple of the first backoff
 )
 
-// RetryDelay reports whether a client retries after its n-th request, from 1, and after how many seconds. A rejected
-// request may always be retried, though not before retryAfter; a failed one only if the class is idempotent.
+// RetryDelay reports whether a client retries after its n-th request, counted from 1, and after how many seconds. A
+// rejected request may always be retried, though not before retryAfter seconds; a failed one only if the class is
+// idempotent.
 func (c *Clients) RetryDelay(
 	n int, idempotency balance.Idempotency, reply balance.Reply, retryAfter float64, random *rand.Rand,
 ) (float64, bool) {
--- a/internal/loadgen/workload_test.go
+++ b/internal/loadgen/workload_test.go
@@ -36,7 +36,7 @@
 		return all
 	}
 	all := list(1)
-	assert.True(t, slices.Equal(all, list(1)), "the same seed, the same intents")
+	assert.True(t, slices.Equal(all, list(1)), "the same seed draws the same intents")
 	assert.NotEqual(t, all[:10], list(2)[:10])
 	var byTenSeconds [5]float64
 	var byClass [2]float64
@@ -44,7 +44,7 @@
 	work, previous := 0.0, -1.0
 	for i, intent := range all {
 		if intent.At < previous || intent.Number != i {
-			t.Fatal("out of order")
+			t.Fatal("intents are out of order by time or number")
 		}
 		previous = intent.At
 		byTenSeconds[int(intent.At/10)]++
@@ -55,13 +55,13 @@
 		}
 	}
 	for i, want := range []float64{10_000, 20_000, 20_000, 17_500} {
-		assert.InEpsilon(t, want, byTenSeconds[i], .05, "from %d s", 10*i)
+		assert.InEpsilon(t, want, byTenSeconds[i], .05, "intents in the 10 s from %d s", 10*i)
 	}
 	assert.InEpsilon(t, 3, byClass[0]/byClass[1], .05)
-	assert.InEpsilon(t, .01, work/byClass[0], .05, "the mean is the class's whatever its variation")
+	assert.InEpsilon(t, .01, work/byClass[0], .05, "the variation of the work does not change its mean")
 	assert.InEpsilon(t, .5, (byClass[0]-byKey[0])/byClass[0], .05)
 	assert.InEpsilon(t, 2, byKey[1]/byKey[2], .15, "Zipf: the second key is half as frequent")
-	assert.Equal(t, 0.0, workload.RateAt(45), "nothing after a rush to a deadline")
+	assert.Equal(t, 0.0, workload.RateAt(45), "the rate after a DeadlineRush is 0")
 	assert.InDelta(t, 8000, workload.RateAt(43.999), 20)
 }
 
