--- a/internal/emulator/dedup.go
+++ b/internal/emulator/dedup.go
@@ -8,19 +8,19 @@
 type DedupGroup struct {
 	LateDuplicates int                // duplicates that arrived after their window and ran again
 	windowStart    map[uint64]float64 // by key: when the job that opened its latest window started, in seconds
-	order          []expiringKey      // in the order in which the windows were opened, from head
+	order          []expiringKey      // in the order of their windows' starts; those before head have expired
 	head           int
 }
 
 type expiringKey struct {
-	key   uint64
-	until float64
+	key       uint64
+	expiresAt float64
 }
 
 // isDuplicate reports whether the job that opened the key's latest window started at most a window ago. If not, the job
 // that starts now opens a new window. Times are in seconds.
 func (g *DedupGroup) isDuplicate(now float64, key uint64, window float64) bool {
-	for g.head < len(g.order) && g.order[g.head].until < now {
+	for g.head < len(g.order) && g.order[g.head].expiresAt < now {
 		if oldest := g.order[g.head]; g.windowStart[oldest.key] <= now-window { // the key has no newer window
 			delete(g.windowStart, oldest.key)
 		}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -31,7 +31,7 @@
 // ChangeKind is what a Change does to a server.
 type ChangeKind uint8
 
-// The kinds of changes, with the meaning of Change.Value, and whether Change.Class applies.
+// The kinds of changes, with the meaning of Change.Value and whether Change.Class applies.
 const (
 	ChangeSpeed          ChangeKind = iota // Value: factor by which its speed is multiplied
 	ChangePause                            // Value: duration of the pause
@@ -75,8 +75,8 @@
 // Effect is the result of a call on one member.
 type Effect struct {
 	Member           int
-	Completions      []Completion // of its jobs, valid until the next call on it
-	ResetConnections bool         // the caller must reset its connections
+	Completions      []Completion // of the member's jobs, valid until the next call on it
+	ResetConnections bool         // the caller must reset the member's connections
 	ListChanged      bool         // the endpoint list has changed
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -14,7 +14,7 @@
 const (
 	stepInterval            = 0.1  // s between updates of a speed that slow start or degradation changes
 	minDegradation          = 0.01 // lower degradation is set to 0
-	utilizationTimeConstant = 0.5  // s, of the smoothed utilization in load reports
+	utilizationTimeConstant = 0.5  // s; smooths the utilization in load reports
 )
 
 // Server is an emulated server. All times are in seconds.
@@ -35,7 +35,7 @@
 	utilization float64 // smoothed fraction of the cores in use
 	recentWork  workWindow
 	cache       keyCache
-	completions []Completion // of the current call
+	completions []Completion // collected by the current call
 }
 
 // faults are the faults injected into a server. In the lists by class, index 0 applies to all classes, and any other
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -8,14 +8,14 @@
 	Speed               float64 // work that a core does in a second
 	QueueCapacity       int     // jobs that may be queued; a further one is rejected without being run
 	SlowStartFraction   float64 // fraction of Speed just after the start
-	SlowStartDuration   float64 // from the start to full speed
-	CrashFactor         float64 // in slow start it crashes if more work than this multiple of its capacity arrives ...
-	CrashWindow         float64 // ... within this duration; 0: it never crashes
-	CrashDowntime       float64 // from a crash in slow start to the restart
+	SlowStartDuration   float64 // time from the start to full speed
+	CrashFactor         float64 // in slow start, arriving work above this multiple of the capacity crashes it
+	CrashWindow         float64 // time over which arriving work is summed; 0: arriving work never crashes it
+	CrashDowntime       float64 // time from a crash in slow start to the restart
 	DegradeQueueLength  int     // queued jobs from which it slows down; 0: it never does
-	DegradedSpeed       float64 // fraction of Speed that it falls to while the queue stays that long
-	DegradeTimeConstant float64 // of the exponential slowdown
-	RecoverTimeConstant float64 // of the exponential recovery once fewer jobs are queued
+	DegradedSpeed       float64 // fraction of Speed that is left at full degradation
+	DegradeTimeConstant float64 // time constant of the exponential slowdown
+	RecoverTimeConstant float64 // time constant of the exponential recovery once fewer jobs are queued
 	CacheSize           int     // keys; 0: no cache
 	CachedWorkFraction  float64 // fraction of its work that a job with a cached key takes
 }
@@ -27,8 +27,8 @@
 	Work        float64
 	Key         uint64      // affinity key, by which servers cache; 0: none
 	DedupKey    uint64      // idempotency key; 0: none
-	DedupWindow float64     // s
-	DedupGroup  *DedupGroup // of the server; nil: duplicates run
+	DedupWindow float64     // in seconds
+	DedupGroup  *DedupGroup // deduplication group of the server; nil: duplicates run too
 }
 
 // Completion is how a job ended: succeeded, server error, rejected (it never ran) or connection lost (by a crash).
@@ -36,7 +36,7 @@
 	Ref       int
 	Outcome   balance.Outcome
 	At        float64
-	Work      float64 // of the job, less if its key was cached; 0 for a duplicate
+	Work      float64 // work of the job, reduced if its key was cached; 0 for a duplicate
 	Duplicate bool    // answered without being run
 }
 
@@ -61,5 +61,5 @@
 	Lost       int
 	Unreceived int // jobs sent to it while it was unreachable
 	Crashes    int
-	Work       float64 // done, also on jobs that did not succeed
+	Work       float64 // work done, also on jobs that did not succeed
 }
--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -21,7 +21,7 @@
 
 	relistenTimeout  = 2 * time.Second
 	relistenInterval = 5 * time.Millisecond
-	fillTimeout      = 30 * time.Millisecond // for dialing a connection that fills the backlog
+	fillTimeout      = 30 * time.Millisecond // timeout for dialing a connection that fills the backlog
 	fillConnections  = 4                     // one fills the backlog, unless the listener accepts it at that moment
 )
 
@@ -93,8 +93,8 @@
 type listener struct {
 	ln        *net.TCPListener
 	addr      string
-	fillers   []net.Conn    // fill the backlog while the server is unreachable
-	reachable chan struct{} // closed when accepting resumes; nil: not partitioned
+	fillers   []net.Conn    // connections that fill the backlog while the server is unreachable
+	reachable chan struct{} // closed when the partition ends; nil: not partitioned
 }
 
 // addMembers opens the addresses of new members. The caller of this method and of those below, except fillBacklog,
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -28,11 +28,11 @@
 	ln    net.Listener
 
 	mu          sync.Mutex
-	version     int64     // of the endpoint list
+	version     int64     // version of the endpoint list
 	notifyAt    time.Time // when the latest change may be sent
 	silentUntil time.Time
 	mutedUntil  time.Time     // when changes that muted watches missed count as notified
-	delay       time.Duration // of the notification of changes before delayUntil
+	delay       time.Duration // additional delay of the notification of changes before delayUntil
 	delayUntil  time.Time
 	changed     chan struct{}     // closed at the next change of the list
 	conns       map[net.Conn]bool // open connections; true: its watch is muted
@@ -125,7 +125,7 @@
 }
 
 // markNotified reports to the observer that the proxy counts as notified of the list at a version, whether or not it
-// has a watch. It is postponed while the agent is silent or changes missed by muted watches do not count yet.
+// has a watch. It is postponed until silentUntil and mutedUntil have passed.
 func (a *Agent) markNotified(version int64) {
 	a.mu.Lock()
 	wait := max(time.Until(a.silentUntil), time.Until(a.mutedUntil))
@@ -180,17 +180,17 @@
 		fmt.Fprint(nc, "HTTP/1.1 404 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 		return
 	}
-	gone := make(chan struct{})
-	go func() { // ends with the connection
-		defer close(gone)
+	disconnected := make(chan struct{}) // closed when the proxy closes the connection
+	go func() {                         // ends with the connection
+		defer close(disconnected)
 		_ = r.Wait() // any error means that the proxy has closed the connection
 	}()
-	if !a.waitWhileSilent(gone) {
+	if !a.waitWhileSilent(disconnected) {
 		return
 	}
 	stream, version := parseQuery(query)
 	if stream {
-		a.stream(nc, version, gone)
+		a.stream(nc, version, disconnected)
 		return
 	}
 	text, _ := a.listAfter(-1)
@@ -205,7 +205,7 @@
 	nc.Close()
 }
 
-// parseQuery reports whether a query asks for a stream, and after which list version its changes start; -1: with the
+// parseQuery reports whether a query asks for a stream, and after which list version it asks for changes; -1: for the
 // complete list.
 func parseQuery(query string) (stream bool, version int64) {
 	version = -1
@@ -225,7 +225,7 @@
 
 // stream serves a watch until the proxy closes the connection: a line for each change after a version, and empty lines
 // in between.
-func (a *Agent) stream(nc net.Conn, version int64, gone chan struct{}) {
+func (a *Agent) stream(nc net.Conn, version int64, disconnected chan struct{}) {
 	fmt.Fprint(nc, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for first := true; ; first = false {
 		a.mu.Lock()
@@ -233,7 +233,7 @@
 		a.mu.Unlock()
 		line := "\n"
 		if latest > version || first {
-			if !a.sleep(time.Until(notifyAt), gone) || !a.waitWhileSilent(gone) {
+			if !a.sleep(time.Until(notifyAt), disconnected) || !a.waitWhileSilent(disconnected) {
 				return
 			}
 			if text, newVersion := a.listAfter(version); text != "" {
@@ -241,13 +241,13 @@
 			}
 		}
 		if a.muted(nc) {
-			<-gone
+			<-disconnected
 			return
 		}
 		if _, err := fmt.Fprintf(nc, "%x\r\n%s\r\n", len(line), line); err != nil {
 			return
 		}
-		if !a.waitChange(version, changed, gone) {
+		if !a.waitChange(version, changed, disconnected) {
 			return
 		}
 	}
@@ -261,7 +261,7 @@
 
 // waitChange waits for a change after a version or until the next empty line is due. It reports false if the proxy
 // closes the connection meanwhile.
-func (a *Agent) waitChange(version int64, changed, gone chan struct{}) bool {
+func (a *Agent) waitChange(version int64, changed, disconnected chan struct{}) bool {
 	a.mu.Lock()
 	newer := a.version > version
 	a.mu.Unlock()
@@ -271,22 +271,22 @@
 	select {
 	case <-changed:
 		return true
-	case <-gone:
+	case <-disconnected:
 		return false
 	case <-time.After(keepAliveInterval):
-		return a.waitWhileSilent(gone)
+		return a.waitWhileSilent(disconnected)
 	}
 }
 
 // sleep waits for d. It reports false if the proxy closes the connection or the group is closed meanwhile.
-func (a *Agent) sleep(d time.Duration, gone chan struct{}) bool {
+func (a *Agent) sleep(d time.Duration, disconnected chan struct{}) bool {
 	if d <= 0 {
 		return true
 	}
 	select {
 	case <-time.After(d):
 		return true
-	case <-gone:
+	case <-disconnected:
 	case <-a.group.quit:
 	}
 	return false
@@ -294,7 +294,7 @@
 
 // waitWhileSilent waits until the agent is not silent. It reports false if the proxy closes the connection or the group
 // is closed meanwhile.
-func (a *Agent) waitWhileSilent(gone chan struct{}) bool {
+func (a *Agent) waitWhileSilent(disconnected chan struct{}) bool {
 	for {
 		a.mu.Lock()
 		d := time.Until(a.silentUntil)
@@ -302,7 +302,7 @@
 		if d <= 0 {
 			return true
 		}
-		if !a.sleep(d, gone) {
+		if !a.sleep(d, disconnected) {
 			return false
 		}
 	}
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	writeTimeout = 5 * time.Second // of a response
-	noJob        = -1              // in place of a job's Ref
+	writeTimeout = 5 * time.Second // timeout for writing a response
+	noJob        = -1              // Ref of a connection without a job
 )
 
 // conn is a connection from a proxy to a server. It serves one request at a time.
@@ -27,7 +27,7 @@
 	nc          *net.TCPConn
 	proxy       int
 	member      int
-	completions chan emulator.Completion // of its jobs, for write to answer
+	completions chan emulator.Completion // of the connection's jobs, answered by write
 
 	// Guarded by group.mu.
 	id  string // of the current request
@@ -93,7 +93,7 @@
 	go c.write()
 }
 
-// reset closes the connection with a TCP reset, as a restarted host does that does not know the connection.
+// reset closes the connection with a TCP reset, as a host does that has lost the state of the connection.
 func (c *conn) reset() {
 	_ = c.nc.SetLinger(0) // fails only on a closed connection
 	c.close()
--- a/internal/fakeserver/group.go
+++ b/internal/fakeserver/group.go
@@ -17,14 +17,14 @@
 	maxClockInterval = time.Second           // between calls of advance while no event of a server is due
 )
 
-// Observer is notified of events at servers and agents as they happen. Its methods are called concurrently. An attempt
-// is identified by the id of its request; times are in seconds since 1970.
+// Observer is notified of events at servers and agents as they happen. Its methods may be called concurrently. An
+// attempt is identified by the id of its request; times are in seconds since 1970.
 type Observer interface {
 	AttemptReceived(now float64, id string, proxy, member, dedupGroup int)
 	AttemptRejected(id string)
 	// MemberNotReady is called for each member that is draining or removed whenever the list has changed.
 	MemberNotReady(now float64, member int)
-	// ProxyNotified is called for each draining or removed member once the proxy counts as notified of that state.
+	// ProxyNotified is called for each draining or removed member once a proxy counts as notified of that state.
 	ProxyNotified(now float64, proxy, member int)
 	ServerCrashed(now float64, member int)
 	// AttemptServed is called when the response to a successful attempt has been written.
@@ -43,7 +43,7 @@
 // ServerGroup serves a fleet on loopback sockets. Its methods are safe for concurrent use.
 type ServerGroup struct {
 	Fleet       *emulator.Fleet
-	OnLate      func(seconds float64) // called with the time from a completion until it was acted on
+	OnLate      func(seconds float64) // called for each completion with the time by which it was processed late
 	IndentLists bool                  // lists are sent as indented JSON, over several lines; set before a watch is opened
 
 	observer Observer
@@ -60,7 +60,7 @@
 	addresses []*address // by Member.AddressIndex
 	members   int        // number of members with an address; Fleet may briefly have more
 	jobs      jobTable
-	nextEvent float64 // when run must call advance
+	nextEvent float64 // time of the next server event that is due
 	err       error   // first error, returned by Err
 }
 
@@ -170,12 +170,12 @@
 	}
 }
 
-// Inspect advances the fleet to now and calls a function with it, while no other goroutine uses it.
-func (g *ServerGroup) Inspect(call func(f *emulator.Fleet)) {
+// Inspect advances the fleet to now and calls fn with it while no other goroutine uses it.
+func (g *ServerGroup) Inspect(fn func(f *emulator.Fleet)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance()
-	call(g.Fleet)
+	fn(g.Fleet)
 }
 
 // Err returns the first error that kept the group from following the fleet, such as a port that could not be opened
@@ -228,7 +228,7 @@
 	}
 }
 
-// advance carries out the events of all servers that are due. The caller of this method and of those below holds g.mu.
+// advance carries out all server events that are due. The caller of this method and of those below holds g.mu.
 func (g *ServerGroup) advance() {
 	now := g.Now()
 	g.nextEvent = math.Inf(1)
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -11,7 +11,7 @@
 
 // Fault describes what a relay does to all its connections. The zero value relays all bytes unchanged.
 type Fault struct {
-	Delay  time.Duration // before each chunk of bytes is relayed
+	Delay  time.Duration // delay before each chunk of bytes is relayed
 	Pace   int           // maximum rate in bytes per second, in each direction; 0: unlimited
 	Silent bool          // nothing is relayed and no connection is closed, as if all were half open
 	Refuse bool          // new connections are closed as soon as they are accepted
--- a/internal/loadgen/driver.go
+++ b/internal/loadgen/driver.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	lateResponseWait = 300 * time.Millisecond // past the deadline, to distinguish a late response from none
-	drainTimeout     = 30 * time.Second       // for requests in flight when the plan has ended
+	lateResponseWait = 300 * time.Millisecond // wait past the deadline, to distinguish a late response from none
+	drainTimeout     = 30 * time.Second       // timeout for requests in flight when the plan has ended
 )
 
-// Observer is notified of the clients' requests and their results. Its methods are called concurrently. RequestSent
+// Observer is notified of the clients' requests and their results. Its methods may be called concurrently. RequestSent
 // returns the id that identifies the request in later calls.
 type Observer interface {
 	IntentDue(intent *Intent)
 	// RequestSent is called just before the request is written, late seconds after it was due.
 	RequestSent(intent *Intent, late float64) (id int)
-	// RequestSucceeded gives the seconds since the request and since the intent were due.
+	// RequestSucceeded is called with the seconds since the request and since the intent were due.
 	RequestSucceeded(id int, intent *Intent, sinceRequest, sinceIntent float64)
 	// RequestFailed is called for rejected requests too; clientFault: the status is 4xx, other than 429.
 	RequestFailed(id int, reply balance.Reply, clientFault bool)
@@ -42,7 +42,7 @@
 	Plan      *Plan
 	Classes   []balance.Class
 	Tenants   []string // names
-	PlainHTTP bool     // requests have no X-Qos and X-Expires-In fields
+	PlainHTTP bool     // requests omit X-Qos and X-Expires-In, but not X-Trace-Id, by which they are counted
 	Clients   Clients
 	Proxies   *RoundRobin
 	Observer  Observer
--- a/internal/loadgen/proxies.go
+++ b/internal/loadgen/proxies.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	dialTimeout        = time.Second            // for connecting to a proxy
+	dialTimeout        = time.Second            // timeout for connecting to a proxy
 	readyInterval      = 100 * time.Millisecond // between the checks whether a proxy is ready
-	readyTimeout       = 2 * time.Second        // of one readiness check
-	reconnectDelay     = 50 * time.Millisecond  // before a client that could not connect to any proxy tries again
-	maxIdleConnections = 4096                   // kept to each proxy
+	readyTimeout       = 2 * time.Second        // timeout of one readiness check
+	reconnectDelay     = 50 * time.Millisecond  // delay before a client that could not connect to any proxy tries again
+	maxIdleConnections = 4096                   // idle connections kept per proxy
 )
 
 // Target is a proxy that clients send requests to. Its methods are safe for concurrent use.
 type Target struct {
 	Addr      string
-	ReadyAddr string // where it answers GET /up
+	ReadyAddr string // address on which the proxy answers GET /up
 	ready     atomic.Bool
 	killed    atomic.Int64 // ns since 1970; 0: not killed
 	mu        sync.Mutex
@@ -129,7 +129,7 @@
 	return err
 }
 
-// pick returns the next proxy that is ready; nil: none is.
+// pick returns the next proxy that is ready, or nil if none is.
 func (r *RoundRobin) pick() *Target {
 	for range r.Targets {
 		if t := r.Targets[r.picks.Add(1)%uint64(len(r.Targets))]; t.ready.Load() {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// connect returns a ready proxy and a connection to it, a new one if fresh; nil if it could not connect by the time
+// connect returns a ready proxy and a connection to it, a new one if fresh, or nil if none could be established before
 // until.
 func (r *RoundRobin) connect(ctx context.Context, until time.Time, fresh bool) (*Target, *connection) {
 	for ctx.Err() == nil && time.Now().Before(until) {
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -22,7 +22,7 @@
 
 // ClassLoad is the part of a workload that belongs to one class.
 type ClassLoad struct {
-	Weight        float64 // of its intents, relative to the weights of the other classes
+	Weight        float64 // of the class's intents, relative to the weights of the other classes
 	Work          float64 // mean, in s of a core at speed 1
 	WorkVariation float64 // coefficient of variation: standard deviation over mean; 0: constant work
 	KeyedFraction float64 // fraction of the intents that have a key
@@ -56,7 +56,7 @@
 	Classes       []ClassLoad
 	TenantWeights []float64
 	KeyCount      int
-	ZipfExponent  float64 // of the Zipf distribution of keys; 0: uniform
+	ZipfExponent  float64 // exponent of the Zipf distribution of keys; 0: uniform
 }
 
 const deadlineSteepness = 5.0 // the rate of a DeadlineRush grows by a factor of e in 1/5 of its duration
@@ -151,7 +151,7 @@
 	return sort.SearchFloat64s(sums, p.rand.Float64()*sums[len(sums)-1])
 }
 
-// Next returns the next intent; false after the last.
+// Next returns the next intent, or false after the last one.
 func (p *Plan) Next() (Intent, bool) {
 	if !p.advance() {
 		return Intent{}, false
