--- a/internal/simulation/agenda.go
+++ b/internal/simulation/agenda.go
@@ -1,28 +1,29 @@
 package simulation
 
-// eventKind is what happens at an event of the agenda.
+// eventKind is the kind of an event of the agenda.
 type eventKind uint8
 
-// The kinds, with the meaning of target and detail.
+// The kinds of events, with the meaning of target and detail.
 const (
 	eventIntentDue      eventKind = iota
-	eventConnect                  // try
-	eventClientLeaves             // try
-	eventRequestTimer             // try
-	eventDeciderTimer             // proxy, pool; generation: its incarnation
-	eventAttemptArrives           // attempt, at its server
-	eventAttemptEnds              // attempt, outcome; at its proxy
-	eventServerDue                // member that changes by itself
-	eventTimelineEntry            // index in the timeline
-	eventProxyNotified            // proxy
-	eventProxyStarts              // proxy
+	eventConnect                  // target: try
+	eventClientLeaves             // target: try
+	eventRequestTimer             // target: try
+	eventDeciderTimer             // target: proxy; detail: pool; generation: incarnation of the proxy
+	eventAttemptArrives           // at its server; target: attempt
+	eventAttemptEnds              // at its proxy; target: attempt; detail: outcome
+	eventServerDue                // target: member whose state changes by itself
+	eventTimelineEntry            // target: index in the timeline
+	eventProxyNotified            // target: proxy
+	eventProxyStarts              // target: proxy
 	eventSecondEnds
 )
 
-// event is an event of the agenda. One whose target has another generation by then is void.
+// event is a scheduled event of a run in virtual time. It is dropped if its target has another generation when it is
+// due: the target was freed or restarted meanwhile.
 type event struct {
 	at         float64
-	sequence   uint64 // orders the events of one time as they were added
+	sequence   uint64 // order of insertion, which decides between events of the same time
 	generation uint32
 	target     int32
 	detail     int32
@@ -32,7 +33,7 @@
 // arity is the number of children of a node of the agenda's heap.
 const arity = 4
 
-// agenda is a heap of events.
+// agenda is a priority queue of events, ordered by time.
 type agenda struct {
 	list     []event
 	sequence uint64
@@ -59,7 +60,7 @@
 	}
 }
 
-// next takes the first event.
+// next removes and returns the earliest event. The agenda must not be empty.
 func (g *agenda) next() event {
 	first, last := g.list[0], len(g.list)-1
 	g.list[0] = g.list[last]
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -6,15 +6,22 @@
 	"lockloom/balance"
 )
 
-// Audit checks the four rules by what the servers and the clients saw, whatever proxies report. Times are in seconds of
-// one clock. It is not safe for concurrent use.
+// Audit checks that proxies keep four rules, by what servers and clients observe and independently of what proxies
+// report. A breach counts against a rule by its number:
+//
+//  1. A request is answered once and before its deadline, successfully only by a server. No attempt is sent afterwards.
+//  2. A request that may have run is sent again, or rejected, only if the idempotency of its class permits it.
+//  3. No attempt is sent to a draining, removed or disabled server past the grace.
+//  4. No server crashes from overload in its slow start.
+//
+// A try is one request of a client. Times are in seconds of one clock. An Audit is not safe for concurrent use.
 type Audit struct {
-	Slack                float64 // past each limit, for the wire and the rig's own clock
-	Grace                float64
-	NotificationDeadline float64 // from a change of the list to when it counts as notified
-	ClientsOnly          bool    // no server reports attempts
-	RulesBroken          [5]int  // by rule, from 1
-	FirstBreaches        []string
+	Slack                float64  // tolerance past each limit, for network delay and the accuracy of the clock
+	Grace                float64  // maximum time from the notification of a drain to the last attempt
+	NotificationDeadline float64  // time from a change of the endpoint list until every proxy counts as notified
+	ClientsOnly          bool     // servers are not observed, so no attempts are recorded
+	RulesBroken          [5]int   // number of breaches by rule; index 0 is unused
+	FirstBreaches        []string // descriptions; at most maxBreachTexts
 
 	classes       []balance.Class
 	tries         []auditedTry
@@ -23,10 +30,10 @@
 	disabledAt    map[proxyMember]float64
 }
 
-// proxyMember is a member as seen from a proxy.
+// proxyMember is a member in the view of a proxy.
 type proxyMember struct{ proxy, member int }
 
-// auditedTry is what is known of one try.
+// auditedTry holds the observations of one try.
 type auditedTry struct {
 	class          uint16
 	attemptsRun    uint8 // attempts that reached a server and were not rejected
@@ -35,10 +42,10 @@
 	deadline       float64
 	answeredAt     float64
 	firstAttemptAt float64
-	dedupGroup     int // of the first attempt
+	dedupGroup     int // deduplication group of the server that received the first attempt
 }
 
-// The rules that a breach counts against.
+// The numbers of the rules; see Audit.
 const (
 	ruleAnswers    = 1
 	ruleEffects    = 2
@@ -46,9 +53,10 @@
 	ruleSlowStarts = 4
 )
 
-const maxBreachTexts = 20 // breaches that are described; further ones are counted
+const maxBreachTexts = 20 // further breaches are counted, but not described
 
-// NewAudit returns an audit of tries of these classes.
+// NewAudit returns an Audit of tries of these classes; see the fields of Audit for slack, grace and
+// notificationDeadline.
 func NewAudit(classes []balance.Class, slack, grace, notificationDeadline float64) *Audit {
 	return &Audit{
 		Slack:                slack,
@@ -69,14 +77,15 @@
 	}
 }
 
-// RequestSent records a try that a proxy accepted, and returns its number.
+// RequestSent records a try that a proxy accepted, and returns its number. class is an index into the classes of
+// NewAudit.
 func (a *Audit) RequestSent(class int, deadline float64) int {
 	a.tries = append(a.tries, auditedTry{class: uint16(class), deadline: deadline})
 	return len(a.tries) - 1
 }
 
-// AttemptReceived records an attempt that reached a server completely, from a proxy (-1: not known). group is the dedup
-// group of the server.
+// AttemptReceived records that a member has completely received an attempt from a proxy (-1: unknown). group is the
+// deduplication group of the member for the class of the try.
 func (a *Audit) AttemptReceived(now float64, try, proxy, member, group int) {
 	a.checkDrain(now, proxyMember{proxy, member})
 	if try < 0 || try >= len(a.tries) {
@@ -97,7 +106,7 @@
 	t.attemptsRun++
 }
 
-// checkDrain checks that a proxy may still send to a member.
+// checkDrain checks that a proxy may send to a member, which may be draining, removed or disabled.
 func (a *Audit) checkDrain(now float64, key proxyMember) {
 	if since, notReady := a.notReadySince[key.member]; notReady {
 		since += a.NotificationDeadline
@@ -115,7 +124,7 @@
 	}
 }
 
-// checkRepeat checks that a try may run again at a server of a dedup group.
+// checkRepeat checks that a try that may have run may be sent again, to a server of a deduplication group.
 func (a *Audit) checkRepeat(now float64, try, group int) {
 	t := &a.tries[try]
 	class := &a.classes[t.class]
@@ -131,14 +140,14 @@
 	}
 }
 
-// AttemptRejected records that a server rejected an attempt: it never ran.
+// AttemptRejected records that a server rejected an attempt without running it.
 func (a *Audit) AttemptRejected(try int) {
 	if try >= 0 && try < len(a.tries) && a.tries[try].attemptsRun > 0 {
 		a.tries[try].attemptsRun--
 	}
 }
 
-// RequestAnswered records a try's final answer at its client; NoReply: it succeeded.
+// RequestAnswered records the final answer that the client of a try received; NoReply stands for a successful one.
 func (a *Audit) RequestAnswered(now float64, try int, reply balance.Reply) {
 	t := &a.tries[try]
 	class := &a.classes[t.class]
@@ -161,7 +170,7 @@
 	}
 }
 
-// ClientGone records that no answer is due any more: the client has gone, or the proxy was killed.
+// ClientGone records that a try needs no answer any more, because its client has gone or its proxy was killed.
 func (a *Audit) ClientGone(now float64, try int) {
 	t := &a.tries[try]
 	if t.answered {
@@ -172,7 +181,7 @@
 	t.answeredAt = now
 }
 
-// RequestLost records that a proxy ended a try without an answer.
+// RequestLost records that a proxy ended a try without a valid answer.
 func (a *Audit) RequestLost(now float64, try int) {
 	t := &a.tries[try]
 	a.breach(ruleAnswers, now, "try %d of %s: lost", try, a.classes[t.class].Name)
@@ -180,14 +189,14 @@
 	t.answeredAt = now
 }
 
-// MemberNotReady records that a member is listed as draining or removed; the first time counts.
+// MemberNotReady records that a member is listed as draining or removed. Only the first call for a member counts.
 func (a *Audit) MemberNotReady(now float64, member int) {
 	if _, ok := a.notReadySince[member]; !ok {
 		a.notReadySince[member] = now
 	}
 }
 
-// ProxyNotified records that a proxy counts as notified of that; the first time counts.
+// ProxyNotified records that a proxy was notified that a member is draining or removed. Only the first call counts.
 func (a *Audit) ProxyNotified(now float64, proxy, member int) {
 	key := proxyMember{proxy, member}
 	if _, ok := a.notifiedAt[key]; !ok {
@@ -195,7 +204,7 @@
 	}
 }
 
-// ServerDisabled records that a proxy's operators have disabled a member, or enabled it.
+// ServerDisabled records that a member was disabled at a proxy by an admin call, or enabled again.
 func (a *Audit) ServerDisabled(now float64, proxy, member int, disabled bool) {
 	key := proxyMember{proxy, member}
 	if !disabled {
@@ -207,12 +216,12 @@
 	}
 }
 
-// ServerCrashed records that a server crashed under too much load in its slow start.
+// ServerCrashed records that a member crashed from overload in its slow start.
 func (a *Audit) ServerCrashed(now float64, member int) {
 	a.breach(ruleSlowStarts, now, "member %d crashed in slow start", member)
 }
 
-// Close checks for tries that were never answered.
+// Close records a breach for each try that is unanswered although its deadline has passed.
 func (a *Audit) Close(now float64) {
 	for i := range a.tries {
 		if t := &a.tries[i]; !t.answered && now > t.deadline+a.Slack {
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -7,25 +7,26 @@
 	"lockloom/balance"
 )
 
-// baselineReplyMargin is how many seconds before the deadline a baseline replies.
+// baselineReplyMargin is the time before the deadline, in seconds, at which a baseline ends an unanswered request.
 const baselineReplyMargin = 0.01
 
-// never is a time that never comes.
+// never is the time of an event that is not scheduled.
 var never = math.Inf(1)
 
-// baseline is a proxy as most are set up: all listed servers alike, an attempt at once, a retry after what never ran or
-// is idempotent, and no limits, pauses or slow start. It keeps rules 1 to 3.
+// baseline is a load balancer in a common configuration: it treats all listed servers alike, sends an attempt at once,
+// and retries if the attempt never ran or the class of the request permits it. It has no limits, pauses or slow start,
+// and keeps rules 1 to 3 of Audit.
 type baseline struct {
 	d          balance.Deployment
 	rand       *rand.Rand
-	choose     func(*baseline, []int) int // of candidates; -1: none
-	list       []balance.Endpoint         // by index
-	inFlight   []int                      // attempts, by index
-	picks      int                        // of roundRobin
-	candidates []int
-	actions    balance.Actions
+	choose     func(*baseline, []int) int // returns one of the candidates; -1: none
+	list       []balance.Endpoint         // by endpoint index
+	inFlight   []int                      // attempts, by endpoint index
+	picks      int                        // number of picks by roundRobin
+	candidates []int                      // reused by next
+	actions    balance.Actions            // returned by the last call
 
-	controller *steeringController // nil: it is not steered
+	controller *steeringController // nil: the baseline is not steered
 }
 
 func newBaseline(choose func(*baseline, []int) int) Policy {
@@ -38,13 +39,13 @@
 	return candidates[b.rand.IntN(len(candidates))]
 }
 
-// roundRobin counts picks over all servers, whichever are candidates.
+// roundRobin picks the candidates in turn. One counter serves all requests, whichever servers are candidates for each.
 func roundRobin(b *baseline, candidates []int) int {
 	b.picks++
 	return candidates[b.picks%len(candidates)]
 }
 
-// leastInFlight picks the candidate with the fewest attempts of this proxy, at random among equals.
+// leastInFlight picks the candidate with the fewest attempts in flight from this proxy, at random among equals.
 func leastInFlight(b *baseline, candidates []int) int {
 	best, ties := candidates[0], 0
 	for _, c := range candidates {
@@ -61,8 +62,8 @@
 	return best
 }
 
-// begin starts the actions of a call.
-func (b *baseline) begin() *balance.Actions {
+// resetActions clears the actions at the start of a call and returns them.
+func (b *baseline) resetActions() *balance.Actions {
 	b.actions = balance.Actions{Requests: b.actions.Requests[:0]}
 	return &b.actions
 }
@@ -84,20 +85,20 @@
 	if b.controller != nil {
 		b.controller.listUpdated(now, b.list)
 	}
-	return b.begin()
+	return b.resetActions()
 }
 
 // TimerFired implements Decider.
-func (b *baseline) TimerFired(float64) *balance.Actions { return b.begin() }
+func (b *baseline) TimerFired(float64) *balance.Actions { return b.resetActions() }
 
 // RequestArrived implements Decider.
 func (b *baseline) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
-	b.begin()
+	b.resetActions()
 	if b.controller != nil {
 		b.controller.update(now)
 	}
 	request := &baselineRequest{baseline: b, RequestInfo: info, class: &b.d.Classes[info.Class]}
-	request.act(balance.RequestAction{Ref: info.Ref, WakeAt: info.Deadline - baselineReplyMargin})
+	request.addAction(balance.RequestAction{Ref: info.Ref, WakeAt: info.Deadline - baselineReplyMargin})
 	request.next(now)
 	return request, &b.actions
 }
@@ -108,8 +109,8 @@
 	baseline *baseline
 	class    *balance.Class
 	attempts []baselineAttempt
-	over     bool
-	inFlight bool // the last attempt
+	over     bool // answered, or its client has gone
+	inFlight bool // the last attempt is in flight
 }
 
 type baselineAttempt struct {
@@ -118,7 +119,7 @@
 	neverRan bool
 }
 
-// next sends the next attempt, or replies if there is none to send.
+// next sends the next attempt, or replies if no attempt may be sent any more.
 func (r *baselineRequest) next(now float64) {
 	b := r.baseline
 	b.candidates = b.candidates[:0]
@@ -139,14 +140,15 @@
 	r.attempts = append(r.attempts, baselineAttempt{endpoint: endpoint, sentAt: now})
 	b.inFlight[endpoint]++
 	r.inFlight = true
-	r.act(balance.RequestAction{Ref: r.Ref, Send: true, Endpoint: endpoint, Deadline: r.Deadline})
+	r.addAction(balance.RequestAction{Ref: r.Ref, Send: true, Endpoint: endpoint, Deadline: r.Deadline})
 }
 
-func (r *baselineRequest) act(action balance.RequestAction) {
+func (r *baselineRequest) addAction(action balance.RequestAction) {
 	r.baseline.actions.Requests = append(r.baseline.actions.Requests, action)
 }
 
-// allowed reports whether an attempt at an endpoint cannot repeat the effect of one before.
+// allowed reports whether an attempt may be sent to an endpoint: there was none to it before, and the request cannot
+// take effect twice.
 func (r *baselineRequest) allowed(now float64, endpoint balance.Endpoint) bool {
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
@@ -160,7 +162,7 @@
 	return true
 }
 
-// mayFollow reports whether the request may run at an endpoint although an attempt may have run.
+// mayFollow reports whether the request may be sent to an endpoint although an earlier attempt may have run.
 func (r *baselineRequest) mayFollow(now float64, attempt *baselineAttempt, endpoint balance.Endpoint) bool {
 	switch r.class.Idempotency {
 	case balance.NonIdempotent:
@@ -169,18 +171,18 @@
 		if now > attempt.sentAt+r.class.DedupWindow-baselineReplyMargin {
 			return false
 		}
-		before := r.baseline.list[attempt.endpoint]
+		previous := r.baseline.list[attempt.endpoint]
 		switch r.class.DedupScope {
 		case balance.DedupZone:
-			return before.Zone == endpoint.Zone
+			return previous.Zone == endpoint.Zone
 		case balance.DedupPod:
-			return before.Pod == endpoint.Pod
+			return previous.Pod == endpoint.Pod
 		}
 	}
 	return true
 }
 
-// giveUp replies that the request failed, or that it was rejected if a retry by the client is harmless.
+// giveUp replies that the request failed or, if the client may retry it, that it was rejected.
 func (r *baselineRequest) giveUp() {
 	reply := balance.Rejected
 	for _, attempt := range r.attempts {
@@ -190,11 +192,11 @@
 	}
 	r.over = true
 	retryAfter := min(r.class.LatencyObjective, r.baseline.d.MaxRetryAfter)
-	r.act(balance.RequestAction{Ref: r.Ref, Reply: reply, RetryAfter: retryAfter})
+	r.addAction(balance.RequestAction{Ref: r.Ref, Reply: reply, RetryAfter: retryAfter})
 	r.cancel()
 }
 
-// clientMayRetry reports whether a request that may have run may be sent again through any proxy.
+// clientMayRetry reports whether a client may send a request that may have run again, through any proxy.
 func (r *baselineRequest) clientMayRetry() bool {
 	return r.class.Idempotency == balance.Idempotent ||
 		r.class.Idempotency == balance.Keyed && r.class.DedupScope == balance.DedupAll
@@ -202,7 +204,7 @@
 
 func (r *baselineRequest) cancel() {
 	if r.inFlight && r.baseline.d.CancelAllowed {
-		r.act(balance.RequestAction{Ref: r.Ref, CancelAttempt: len(r.attempts)})
+		r.addAction(balance.RequestAction{Ref: r.Ref, CancelAttempt: len(r.attempts)})
 	}
 }
 
@@ -211,7 +213,7 @@
 	now float64, attempt int, outcome balance.Outcome, _ float64, over bool,
 ) *balance.Actions {
 	b := r.baseline
-	b.begin()
+	b.resetActions()
 	ended := &r.attempts[attempt]
 	b.inFlight[ended.endpoint]--
 	if b.controller != nil {
@@ -228,7 +230,7 @@
 
 // ClientDisconnected implements RequestHandle.
 func (r *baselineRequest) ClientDisconnected(float64) *balance.Actions {
-	r.baseline.begin()
+	r.baseline.resetActions()
 	r.over = true
 	r.cancel()
 	return &r.baseline.actions
@@ -236,7 +238,7 @@
 
 // TimerFired implements RequestHandle.
 func (r *baselineRequest) TimerFired(now float64) *balance.Actions {
-	r.baseline.begin()
+	r.baseline.resetActions()
 	if !r.over && now >= r.Deadline-baselineReplyMargin-1e-9 {
 		r.giveUp()
 	}
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -14,55 +14,56 @@
 	"lockloom/internal/settings"
 )
 
-// pools are the numbers of the server groups that are pools; -1 alone: all groups are one pool.
+// pools returns the indexes of the server groups that are pools, or only -1 if all groups together are one pool.
 func (s *Scenario) pools() []int {
 	if !s.PlainHTTP() {
 		return []int{-1}
 	}
 	var list []int
 	for i, g := range s.Servers {
-		if slices.ContainsFunc(s.Classes, func(t Class) bool { return t.Pool == g.Name }) {
+		if slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Pool == g.Name }) {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
-// Operator is the operator file of a proxy with plain HTTP clients: a route for each class, a pool for each group.
+// Operator returns the operator file of a proxy that listens for plain HTTP clients: a route for each class and a pool
+// for each group of servers that serves one.
 func (s *Scenario) Operator(listen string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# of the scenario %s\n[[listener]]\naddress = %q\n", s.Name, listen)
 	for _, g := range s.pools() {
 		fmt.Fprintf(&b, "[[pool]]\nname = %q\nkinds = [%q]\n", s.Servers[g].Name, s.Servers[g].Model)
 	}
-	for _, t := range s.Classes {
+	for _, c := range s.Classes {
 		fmt.Fprintf(
 			&b,
 			"[[tariff]]\nname = %q\ndue = %v\nhard_stop = %v\nvalue = %v\n",
-			t.Name,
-			t.LatencyObjective,
-			t.Deadline,
-			t.PriorityWeight,
+			c.Name,
+			c.LatencyObjective,
+			c.Deadline,
+			c.PriorityWeight,
 		)
-		if t.DedupWindow > 0 {
-			fmt.Fprintf(&b, "scope = %q\nwindow = %v\n", t.DedupScope, t.DedupWindow)
+		if c.DedupWindow > 0 {
+			fmt.Fprintf(&b, "scope = %q\nwindow = %v\n", c.DedupScope, c.DedupWindow)
 		}
-		fmt.Fprintf(&b, "[[route]]\nname = %q\nunder = %q\npool = %q\ntariff = %q\n", t.Name, "/"+t.Name, t.Pool, t.Name)
+		fmt.Fprintf(&b, "[[route]]\nname = %q\nunder = %q\npool = %q\ntariff = %q\n", c.Name, "/"+c.Name, c.Pool, c.Name)
 	}
 	return []byte(b.String())
 }
 
-// Workload is what the scenario's clients want.
+// Workload returns the workload that the scenario's clients generate.
 func (s *Scenario) Workload() loadgen.Workload {
-	m := loadgen.Workload{
+	w := loadgen.Workload{
 		Rate:         s.Arrivals.Rate,
 		Duration:     s.Seconds,
 		KeyCount:     s.Keys.Count,
 		ZipfExponent: s.Keys.ZipfExponent,
 	}
 	for _, p := range s.Arrivals.Phases {
-		m.Phases = append(
-			m.Phases,
+		w.Phases = append(
+			w.Phases,
 			loadgen.Phase{
 				At:            p.At,
 				Duration:      p.Duration,
@@ -73,19 +74,19 @@
 			},
 		)
 	}
-	for _, t := range s.Classes {
-		m.Classes = append(
-			m.Classes,
-			loadgen.ClassLoad{Weight: t.Weight, Work: t.Work, WorkVariation: t.WorkVariation, KeyedFraction: t.KeyedFraction},
+	for _, c := range s.Classes {
+		w.Classes = append(
+			w.Classes,
+			loadgen.ClassLoad{Weight: c.Weight, Work: c.Work, WorkVariation: c.WorkVariation, KeyedFraction: c.KeyedFraction},
 		)
 	}
-	for _, c := range s.Tenants {
-		m.TenantWeights = append(m.TenantWeights, c.Weight)
+	for _, t := range s.Tenants {
+		w.TenantWeights = append(w.TenantWeights, t.Weight)
 	}
-	return m
+	return w
 }
 
-// Settings are the settings of each proxy.
+// Settings returns the settings of a proxy, with the seed of its random decisions.
 func (s *Scenario) Settings(seed uint64) settings.Settings {
 	d := &s.Deployment
 	f := settings.Settings{ConnectTimeout: d.ConnectTimeout, DrainGrace: d.DrainGrace, Zones: s.zones()}
@@ -103,22 +104,22 @@
 		NotificationDeadline: d.NotificationDeadline,
 		ServerIdleTimeout:    d.IdleTimeout,
 	}
-	for _, t := range s.Classes {
+	for _, c := range s.Classes {
 		f.Classes = append(
 			f.Classes,
 			balance.Class{
-				Name:             t.Name,
-				Idempotency:      idempotencies[t.Idempotency],
-				DedupScope:       scopes[t.DedupScope],
-				DedupWindow:      t.DedupWindow,
-				LatencyObjective: t.LatencyObjective,
-				Deadline:         t.Deadline,
-				PriorityWeight:   t.PriorityWeight,
+				Name:             c.Name,
+				Idempotency:      idempotencies[c.Idempotency],
+				DedupScope:       scopes[c.DedupScope],
+				DedupWindow:      c.DedupWindow,
+				LatencyObjective: c.LatencyObjective,
+				Deadline:         c.Deadline,
+				PriorityWeight:   c.PriorityWeight,
 			},
 		)
 	}
-	for _, c := range s.Tenants {
-		f.Tenants = append(f.Tenants, balance.Tenant{Name: c.Name, Quota: c.Quota})
+	for _, t := range s.Tenants {
+		f.Tenants = append(f.Tenants, balance.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	for _, g := range s.Servers {
 		f.CacheAffinity = f.CacheAffinity || g.CacheSize > 0
@@ -126,7 +127,7 @@
 	return f
 }
 
-// zones are the zones of the servers, in the order of their first use.
+// zones returns the zones of the servers in the order of their first use.
 func (s *Scenario) zones() []string {
 	var zones []string
 	seen := map[string]bool{}
@@ -140,13 +141,13 @@
 	return zones
 }
 
-// Fleet returns the servers as they are at the start, now.
+// Fleet returns the scenario's servers in their state at the start of a run. now is the time of the start.
 func (s *Scenario) Fleet(seed uint64, now float64) *emulator.Fleet {
 	f := emulator.NewFleet(seed)
 	d := &s.Deployment
 	position := 0
 	for n, g := range s.Servers {
-		b := emulator.Spec{
+		spec := emulator.Spec{
 			Cores:               g.Cores,
 			Speed:               g.Speed,
 			QueueCapacity:       g.QueueCapacity,
@@ -166,7 +167,7 @@
 			f.AddPosition(
 				now,
 				emulator.MemberSpec{Name: fmt.Sprintf("%s-%d", g.Name, i), Zone: g.Zones[i%len(g.Zones)], Model: g.Model,
-					Pod: position / g.Pod, Group: n, Spec: b},
+					Pod: position / g.Pod, Group: n, Spec: spec},
 				!g.StartsCold,
 			)
 			position++
@@ -175,33 +176,35 @@
 	return f
 }
 
-// RequestClasses is what servers need to know of each class's requests.
+// RequestClasses returns, by class name, the parameters by which servers handle the requests of each class.
 func (s *Scenario) RequestClasses() map[string]fakeserver.RequestClass {
 	zones := map[string]int{}
 	for i, z := range s.zones() {
 		zones[z] = i
 	}
-	all := map[string]fakeserver.RequestClass{}
-	for i, t := range s.Settings(0).Classes {
-		all[t.Name] = fakeserver.RequestClass{Number: i, Work: s.Classes[i].Work, DedupWindow: t.DedupWindow,
-			DedupGroup: func(m *emulator.Member) int { return dedupGroup(t, i, m, zones[m.Zone]) }}
+	classes := map[string]fakeserver.RequestClass{}
+	for i, c := range s.Settings(0).Classes {
+		classes[c.Name] = fakeserver.RequestClass{Number: i, Work: s.Classes[i].Work, DedupWindow: c.DedupWindow,
+			DedupGroup: func(m *emulator.Member) int { return dedupGroup(c, i, m, zones[m.Zone]) }}
 	}
-	return all
+	return classes
 }
 
-// Variables are the environment variables that a proxy's program reads.
-func Variables(name, listen, discovery, file string) []string {
+// Variables returns the environment variables, as NAME=value, that a proxy program reads: its name, its own address,
+// the address of its discovery agent, and the path of its launch file.
+func Variables(name, listen, discovery, launchFile string) []string {
 	return []string{
 		"ROUTER_NAME=" + name,
 		"ROUTER_LISTEN=" + listen,
 		"ROUTER_DISCOVERY=" + discovery,
-		"ROUTER_CONFIG=" + file,
+		"ROUTER_CONFIG=" + launchFile,
 	}
 }
 
 // object is a JSON object of the launch file.
 type object map[string]any
 
+// Values of the launch file's fields Effect and DedupScope.
 var (
 	launchEffects = map[balance.Idempotency]string{
 		balance.Idempotent:    "retryable",
@@ -217,7 +220,8 @@
 
 func milliseconds(seconds float64) float64 { return seconds * 1000 }
 
-// Launch is the launch file of one proxy, in the platform's form.
+// Launch returns the launch file of a proxy in the platform's format. known is the endpoint list that the proxy starts
+// with, in JSON.
 func (s *Scenario) Launch(name, listen, discovery string, seed uint64, known json.RawMessage) ([]byte, error) {
 	launch := object{
 		"name":      name,
@@ -235,22 +239,22 @@
 	return json.MarshalIndent(launch, "", " ")
 }
 
-// launchSettings are the settings of a launch file.
+// launchSettings returns the settings object of a launch file.
 func (s *Scenario) launchSettings(seed uint64) object {
 	d := &s.Deployment
-	figures := s.Settings(seed)
+	proxySettings := s.Settings(seed)
 	var profiles, realms []object
-	for _, class := range figures.Classes {
+	for _, class := range proxySettings.Classes {
 		profiles = append(profiles, launchProfile(class))
 	}
-	for _, tenant := range figures.Tenants {
+	for _, tenant := range proxySettings.Tenants {
 		realms = append(realms, object{"Name": tenant.Name, "QuotaPerS": tenant.Quota})
 	}
 	return object{
 		"ReplicasOfMe": s.ProxyFleet.Count,
-		"Zones":        figures.Zones,
+		"Zones":        proxySettings.Zones,
 		"Discovery":    "push",
-		"FamilyInfo":   object{"WarmKeys": figures.CacheAffinity},
+		"FamilyInfo":   object{"WarmKeys": proxySettings.CacheAffinity},
 		"Ceilings": object{
 			"MaxLegs":          d.MaxAttempts,
 			"Cancel":           d.CancelAllowed,
@@ -288,17 +292,18 @@
 	return profile
 }
 
-// dedupGroup is the group by which a member drops duplicates of a class's requests; -1: none.
-func dedupGroup(t balance.Class, class int, m *emulator.Member, zone int) int {
-	const maxGroups = maxServers + 2 // of one class: all servers, or zones, or pods
-	if t.Idempotency != balance.Keyed {
+// dedupGroup returns the number of the deduplication group in which a member drops duplicates of a class's requests, or
+// -1 if it drops none.
+func dedupGroup(class balance.Class, classIndex int, m *emulator.Member, zone int) int {
+	const maxGroups = maxServers + 2 // group numbers per class: one for all servers, then one for each zone or pod
+	if class.Idempotency != balance.Keyed {
 		return -1
 	}
-	switch t.DedupScope {
+	switch class.DedupScope {
 	case balance.DedupZone:
-		return class*maxGroups + 1 + zone
+		return classIndex*maxGroups + 1 + zone
 	case balance.DedupPod:
-		return class*maxGroups + 1 + m.Pod
+		return classIndex*maxGroups + 1 + m.Pod
 	}
-	return class * maxGroups
+	return classIndex * maxGroups
 }
--- a/internal/simulation/fixture_test.go
+++ b/internal/simulation/fixture_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Scripts read results: the JSON in testdata was written by build f83df88 with another value in each field, and comes
-// out the same when the present build reads and writes it: no field has another name or place.
+// Guards against a renamed or moved field in the JSON of results, which scripts read. Build f83df88 wrote the file in
+// testdata with a different value in each field; decoding and encoding it must reproduce it.
 func TestResultOfF83df88(t *testing.T) {
 	old, err := os.ReadFile("testdata/f83df88-result.json")
 	assert.NoError(t, err)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -11,16 +11,16 @@
 	"lockloom/internal/loadgen"
 )
 
-// What operators may expect, as they see it from outside.
+// Time limits and delays of admin calls, measured from outside of the proxy.
 const (
-	adminTimeout       = time.Second            // of an admin call
-	upgradeTimeout     = 6 * time.Second        // for a second process to be ready
-	drainCheckDelay    = 4 * time.Second        // until a drained proxy is checked again
-	resumeTimeout      = 2 * time.Second        // for it to be ready again
-	drainNoticeTimeout = 500 * time.Millisecond // for it to say that it is not ready
+	adminTimeout       = time.Second            // limit for one admin call
+	upgradeTimeout     = 6 * time.Second        // from the start of the successor until it is ready
+	drainCheckDelay    = 4 * time.Second        // from a drain call until the proxy is checked again
+	resumeTimeout      = 2 * time.Second        // from a resume call until the proxy is ready
+	drainNoticeTimeout = 500 * time.Millisecond // from a drain call until the proxy is not ready
 )
 
-// call makes an admin call at a proxy; any status but success is an error.
+// call sends an admin call to a proxy. A status other than 2xx is an error.
 func (r *rig) call(i int, c admin.Call) error {
 	p := r.process(i)
 	p.mu.Lock()
@@ -28,15 +28,15 @@
 	p.mu.Unlock()
 	status, text, err := admin.Send(addr, c, adminTimeout)
 	if err != nil {
-		return fmt.Errorf("proxy %d: %s: %w", i+1, c.Path(), err)
+		return fmt.Errorf("proxy %d: admin call %s: %w", i+1, c.Path(), err)
 	}
 	if status < 200 || status > 299 {
-		return fmt.Errorf("proxy %d: %s: %d: %s", i+1, c.Path(), status, text)
+		return fmt.Errorf("proxy %d: admin call %s: status %d: %s", i+1, c.Path(), status, text)
 	}
 	return nil
 }
 
-// upgrade starts a second process beside a proxy's, and has the first end once the second serves.
+// upgrade starts a successor beside the process of a proxy, and stops the predecessor once the successor is ready.
 func (r *rig) upgrade(ctx context.Context, i int) error {
 	r.mu.Lock()
 	old := r.processes[i]
@@ -51,7 +51,7 @@
 			break
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("upgrade: %w", err)
+			return fmt.Errorf("upgrade: the successor is not ready: %w", err)
 		}
 	}
 	r.end(old, syscall.SIGTERM)
@@ -62,28 +62,29 @@
 	return nil
 }
 
-// drain drains a proxy for a duration, and checks that it says so.
+// drain drains a proxy for a duration, and checks that it is not ready until it is resumed.
 func (r *rig) drain(ctx context.Context, i int, duration time.Duration) error {
-	up := func(want bool, within time.Duration) error {
+	// expectReady waits until the readiness of the proxy is the wanted one.
+	expectReady := func(want bool, within time.Duration) error {
 		for end := time.Now().Add(within); ; time.Sleep(readyInterval) {
 			if (loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) == nil) == want {
 				return nil
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("proxy %d: up is not %t %v after the call", i+1, want, within)
+				return fmt.Errorf("proxy %d: expected ready to be %t, waited for %v", i+1, want, within)
 			}
 		}
 	}
 	if err := r.call(i, admin.Call{Action: admin.Drain}); err != nil {
 		return err
 	}
-	if err := up(false, drainNoticeTimeout); err != nil {
+	if err := expectReady(false, drainNoticeTimeout); err != nil {
 		return err
 	}
 	resumed := time.After(duration)
 	if duration > drainCheckDelay {
 		time.Sleep(drainCheckDelay)
-		if err := up(false, 0); err != nil {
+		if err := expectReady(false, 0); err != nil {
 			return err
 		}
 	}
@@ -95,11 +96,11 @@
 	if err := r.call(i, admin.Call{Action: admin.Resume}); err != nil {
 		return err
 	}
-	return up(true, resumeTimeout)
+	return expectReady(true, resumeTimeout)
 }
 
-// disableServer disables the server at a position at a proxy for a duration. The audit holds the proxy to it from the
-// call's success on.
+// disableServer disables the server at a position at a proxy for a duration. From the success of the call on, the audit
+// checks that the proxy stops sending to it.
 func (r *rig) disableServer(ctx context.Context, i, position int, duration time.Duration) error {
 	var id string
 	var member int
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -4,25 +4,26 @@
 	"lockloom/balance"
 )
 
-// Decider is what decides at one proxy: the decision module, or a baseline to compare it with.
+// Decider makes the load-balancing decisions of one proxy for one pool: the decision module, or a baseline to compare
+// with it. Its methods, and those of RequestHandle, return actions that are valid until the next call.
 type Decider interface {
 	EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions
-	RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions)
+	RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
 }
 
-// RequestHandle is a request that a Decider was given.
+// RequestHandle is a request that has arrived at a Decider.
 type RequestHandle interface {
-	AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions
+	AttemptEnded(now float64, attempt int, outcome balance.Outcome, latency float64, over bool) *balance.Actions
 	ClientDisconnected(now float64) *balance.Actions
 	TimerFired(now float64) *balance.Actions
 }
 
-// Policy makes a decider.
+// Policy returns the Decider of a proxy that starts at now.
 type Policy func(d balance.Deployment, now float64) (Decider, error)
 
-// Policies are those that can be asked for, each made anew for a run; all but lockloom and steered are plain baselines,
-// kept for comparison only.
+// Policies holds a constructor for each policy by name. Each run needs a policy of its own, since the deciders of a
+// policy may share state. All but lockloom and steered are plain baselines, kept for comparison only.
 var Policies = map[string]func() Policy{
 	"lockloom": func() Policy {
 		return func(d balance.Deployment, now float64) (Decider, error) {
@@ -36,12 +37,12 @@
 	"least":       func() Policy { return newBaseline(leastInFlight) },
 }
 
-// module is the decision module as a Decider.
+// module adapts the decision module to Decider.
 type module struct{ *balance.Balancer }
 
-func (m module) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
-	return m.Balancer.RequestArrived(now, a)
+func (m module) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
+	return m.Balancer.RequestArrived(now, info)
 }
 
-// PolicyNames are those of Policies, in order.
+// PolicyNames returns the names of Policies in alphabetical order.
 func PolicyNames() []string { return sortedNames(Policies) }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -5,39 +5,40 @@
 	"io"
 )
 
-// Result is what a run came to. Times are in seconds.
+// Result holds the figures of a run. An intent is one thing that a client wants answered; a try is one request for it.
+// Times are in seconds.
 type Result struct {
 	Scenario    string  `json:"scenario"`
 	Policy      string  `json:"policy"`
 	Clock       string  `json:"clock"`
 	Seed        uint64  `json:"seed"`
-	Intents     int     `json:"lookups"` // that somebody wanted
-	InTime      int     `json:"in_time"` // successful within the latency objective, counted from the first try
-	Late        int     `json:"late"`    // successful after it
-	Unserved    int     `json:"unserved"`
-	Value       float64 `json:"value"`
-	ValueInTime float64 `json:"value_in_time"` // of all value
+	Intents     int     `json:"lookups"`
+	InTime      int     `json:"in_time"`       // intents that succeeded within the latency objective
+	Late        int     `json:"late"`          // intents that succeeded later
+	Unserved    int     `json:"unserved"`      // intents that did not succeed
+	Value       float64 `json:"value"`         // total priority weight of the intents in InTime
+	ValueInTime float64 `json:"value_in_time"` // Value as a share of the priority weight of all intents
 
 	Tries         int `json:"tries"`
 	Succeeded     int `json:"honoured"` //nolint:misspell // published spelling
 	Rejected      int `json:"dismissed"`
 	Failed        int `json:"forfeited"`
-	Lost          int `json:"lost"`
-	LostWithProxy int `json:"lost_with_their_proxy"`
-	ClientGone    int `json:"gone"` // their clients left first
-	NoProxy       int `json:"found_no_proxy"`
-	ClientFaults  int `json:"told_wrong"` // 4xx: the client's own fault, so the rig's
-	Mismatched    int `json:"mismatched"` // successful with another request's answer
+	Lost          int `json:"lost"`                  // ended without an answer
+	LostWithProxy int `json:"lost_with_their_proxy"` // lost because their proxy was killed
+	ClientGone    int `json:"gone"`                  // their clients left before they were answered
+	NoProxy       int `json:"found_no_proxy"`        // requests that no proxy accepted; they are not counted in Tries
+	ClientFaults  int `json:"told_wrong"`            // failed with a 4xx status other than 429: a fault of the rig
+	Mismatched    int `json:"mismatched"`            // successful, but with an answer to another request
 
 	Attempts          int      `json:"legs"`
-	Work              float64  `json:"work"`
-	WastedFraction    float64  `json:"waste"` // of the work, done for nobody
+	Work              float64  `json:"work"`  // s of a core at speed 1, done by all servers
+	WastedFraction    float64  `json:"waste"` // share of the work whose answer reached no client
 	DuplicatesDropped int      `json:"repeats_dropped"`
 	Crashes           int      `json:"falls"`
-	RulesBroken       [5]int   `json:"rules_broken"` // by rule, from 1
+	RulesBroken       [5]int   `json:"rules_broken"` // number of breaches by rule, see Audit; index 0 is unused
 	FirstBreaches     []string `json:"first_breaches,omitempty"`
 
-	P50     float64       `json:"P50"` // of successful tries, from when they were meant to be sent
+	P50     float64       `json:"P50"` // percentiles of the latency of successful tries, from when they were due
 	P90     float64       `json:"P90"`
 	P99     float64       `json:"P99"`
 	P999    float64       `json:"P999"`
@@ -45,14 +46,14 @@
 	Seconds []Second      `json:"seconds"`
 	Events  []Event       `json:"events"`
 
-	RigLateP99    float64 `json:"rig_late_p99"` // how late tries were sent
-	RigLateMax    float64 `json:"rig_late_most"`
-	Void          string  `json:"void,omitempty"` // why the figures count for nothing
-	WallTime      float64 `json:"took"`           // s of wall time
+	RigLateP99    float64 `json:"rig_late_p99"`   // how late tries were sent, at the 99th percentile
+	RigLateMax    float64 `json:"rig_late_most"`  // how late tries were sent, at most
+	Void          string  `json:"void,omitempty"` // why the figures must not be used; empty: they are valid
+	WallTime      float64 `json:"took"`           // wall time of the run
 	ProxyMemoryMB float64 `json:"proxy_memory_mb,omitempty"`
 }
 
-// ClassResult is what became of one class's requests.
+// ClassResult holds the figures of one class; see Result.
 type ClassResult struct {
 	Name        string  `json:"name"`
 	Intents     int     `json:"lookups"`
@@ -62,9 +63,10 @@
 	P99         float64 `json:"p99"`
 }
 
-// Second is one second of a run.
+// Second holds the figures of one second of a run. The fields from Ready to Draining are the numbers of servers in each
+// state at its end.
 type Second struct {
-	At          int     `json:"At"`
+	At          int     `json:"At"` // number of the second, from 0
 	Intents     int     `json:"Asked"`
 	InTime      int     `json:"InTime"`
 	Late        int     `json:"Late"`
@@ -74,17 +76,17 @@
 	Attempts    int     `json:"Legs"`
 	P50         float64 `json:"P50"`
 	P99         float64 `json:"P99"`
-	Ready       int     `json:"Ready"` // servers; requests waiting at them
+	Ready       int     `json:"Ready"`
 	WarmingUp   int     `json:"Cold"`
 	Degraded    int     `json:"Choked"`
 	Paused      int     `json:"Still"`
 	Down        int     `json:"Down"`
 	Unreachable int     `json:"Silent"`
 	Draining    int     `json:"Draining"`
-	Waiting     int     `json:"Waiting"`
+	Waiting     int     `json:"Waiting"` // requests queued at the servers
 }
 
-// Event is something that happened at a stated time.
+// Event is an event of a run: a scripted one, or a crash of a server in slow start, whose text begins with "!".
 type Event struct {
 	At   float64 `json:"at"`
 	Text string  `json:"what"`
@@ -93,11 +95,12 @@
 // Passed reports whether no rule was broken and no answer was mismatched.
 func (r *Result) Passed() bool { return r.RulesBroken == [5]int{} && r.Mismatched == 0 }
 
-// secondColumns are the columns of a timeline's lines.
+// secondColumns is the header of the timeline's lines, one per second; see Second.line.
 const secondColumns = "s\tasked\tin_time\tlate\tdismissed\tforfeited\tlost\tlegs\tp50_ms\tp99_ms\t" +
 	"ready\tcold\tchoked\tstill\tdown\tsilent\tdraining\twaiting"
 
-// Write writes a run's timeline: its events and a line a second, alike for the same seed in virtual time.
+// Write writes the timeline of a run: its events, then one line per second. In virtual time, the same seed yields the
+// same text.
 func (r *Result) Write(w io.Writer) error {
 	fmt.Fprintf(w, "# %s, %s, %s clock, seed %d\n", r.Scenario, r.Policy, r.Clock, r.Seed)
 	for _, e := range r.Events {
@@ -110,6 +113,7 @@
 	return err
 }
 
+// line formats the second in the columns of secondColumns.
 func (s *Second) line() string {
 	requests := fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f",
 		s.At, s.Intents, s.InTime, s.Late, s.Rejected, s.Failed, s.Lost, s.Attempts, s.P50*1000, s.P99*1000)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,5 +1,5 @@
-// Package simulation plays scenarios: emulated servers, clients and faults around proxies, in virtual time with the
-// decisions alone, or on loopback sockets with whole programs.
+// Package simulation plays scenarios: emulated servers, clients and faults around proxies. A run is either in virtual
+// time, where each proxy is only its decision module, or on loopback sockets, where each proxy is a process.
 package simulation
 
 import (
@@ -8,23 +8,23 @@
 	"lockloom/internal/tomlfile"
 )
 
-// Bounds of a scenario: above them a run outgrows the machine, or the value is more likely a typing error.
+// Upper limits of a scenario's values. A larger value exceeds what the machine can run, or is likely a typing error.
 const (
-	maxFileSize  = 1 << 20
+	maxFileSize  = 1 << 20 // bytes
 	maxSeconds   = 3600.0
-	maxRate      = 200_000.0
+	maxRate      = 200_000.0 // intents per second
 	maxIntents   = 50_000_000.0
 	maxServers   = 5000
 	maxProxies   = 1024
-	maxPrograms  = 64 // proxies on sockets: each is a program
+	maxPrograms  = 64 // proxies on sockets, where each is a process
 	maxKeys      = 1_000_000
 	maxFaults    = 1000
 	maxClasses   = 64
 	defaultSpeed = 1.0
 )
 
-// Scenario is a scenario as its file describes it; the tags are the file's keys. Times are in seconds, work in seconds
-// of a core at speed 1.
+// Scenario holds the contents of a scenario file; the struct tags are the keys of the file. Times and durations are in
+// seconds, work is in seconds of a core at speed 1.
 type Scenario struct {
 	Name       string     `toml:"name"`
 	About      string     `toml:"about"`
@@ -43,7 +43,7 @@
 	file *tomlfile.File
 }
 
-// ProxyFleet is the proxies and what each of their machines has.
+// ProxyFleet is the number of proxies and the resources of the machine of each.
 type ProxyFleet struct {
 	Count    int     `toml:"proxies"`
 	Cores    float64 `toml:"cores"`
@@ -51,7 +51,7 @@
 	Sockets  int     `toml:"sockets"`
 }
 
-// Deployment is what the proxies' settings say of the deployment.
+// Deployment holds the deployment settings that all proxies share; see balance.Deployment.
 type Deployment struct {
 	MaxAttempts          int     `toml:"max_legs"`
 	CancelAllowed        bool    `toml:"call_off"`
@@ -59,7 +59,7 @@
 	MaxRetryAfter        float64 `toml:"max_advice"`
 	DrainGrace           float64 `toml:"grace"`
 	NotificationDeadline float64 `toml:"counts_as_told_after"`
-	IndentedLists        bool    `toml:"indented"` // lists come over several lines
+	IndentedLists        bool    `toml:"indented"` // endpoint lists are sent as indented JSON
 	ConnectTimeout       float64 `toml:"connect_for"`
 	IdleTimeout          float64 `toml:"idle_for"`
 	SlowStartFraction    float64 `toml:"cold_share"`
@@ -68,7 +68,7 @@
 	CrashDuration        float64 `toml:"fall_for"`
 }
 
-// Class is a class of requests and its part of the workload.
+// Class describes a class of requests and its share of the workload.
 type Class struct {
 	Name             string  `toml:"name"`
 	Idempotency      string  `toml:"kind"`
@@ -77,38 +77,38 @@
 	LatencyObjective float64 `toml:"due"`
 	Deadline         float64 `toml:"hard_stop"`
 	PriorityWeight   float64 `toml:"value"`
-	Weight           float64 `toml:"share"`
-	Work             float64 `toml:"work"`
-	WorkVariation    float64 `toml:"spread"`
-	KeyedFraction    float64 `toml:"keyed"`
-	Pool             string  `toml:"pool"` // the group of servers that an ordinary client's requests go to
+	Weight           float64 `toml:"share"`  // relative to the other classes
+	Work             float64 `toml:"work"`   // mean per request
+	WorkVariation    float64 `toml:"spread"` // standard deviation of the work divided by its mean
+	KeyedFraction    float64 `toml:"keyed"`  // fraction of the requests that have an affinity key
+	Pool             string  `toml:"pool"`   // group of servers that serves the class; only with plain HTTP clients
 }
 
-// Tenant is a tenant and its part of the workload.
+// Tenant describes a tenant and its share of the workload.
 type Tenant struct {
 	Name   string  `toml:"name"`
-	Quota  float64 `toml:"quota"`
-	Weight float64 `toml:"share"`
+	Quota  float64 `toml:"quota"` // requests per second; 0: no limit
+	Weight float64 `toml:"share"` // relative to the other tenants
 }
 
-// Keys are the cache-affine keys of requests.
+// Keys describes the affinity keys of requests.
 type Keys struct {
 	Count        int     `toml:"count"`
 	ZipfExponent float64 `toml:"skew"`
 }
 
-// Servers is a group of like servers.
+// Servers describes a group of identical servers; see emulator.Spec.
 type Servers struct {
 	Name                string   `toml:"name"`
 	Count               int      `toml:"count"`
-	Zones               []string `toml:"zones"` // in turn
-	Pod                 int      `toml:"pod"`   // servers to a pod
+	Zones               []string `toml:"zones"` // assigned to the servers in turn
+	Pod                 int      `toml:"pod"`   // servers per pod
 	Model               string   `toml:"model"`
 	StartsCold          bool     `toml:"cold"`
 	Cores               int      `toml:"cores"`
 	Speed               float64  `toml:"speed"`
 	QueueCapacity       int      `toml:"room"`
-	CrashDowntime       float64  `toml:"down_for"` // after it fell over
+	CrashDowntime       float64  `toml:"down_for"` // time from a crash in slow start to the restart
 	DegradeQueueLength  int      `toml:"choke_at"`
 	DegradedSpeed       float64  `toml:"choke_to"`
 	DegradeTimeConstant float64  `toml:"choke_in"`
@@ -117,13 +117,13 @@
 	CachedWorkFraction  float64  `toml:"warm_work"`
 }
 
-// Arrivals is the rate of the clients' intents.
+// Arrivals describes the arrival rate of the clients' intents, in intents per second.
 type Arrivals struct {
 	Rate   float64 `toml:"rate"`
 	Phases []Phase `toml:"phase"`
 }
 
-// Phase changes the rate for a time.
+// Phase changes the arrival rate for a duration; see loadgen.Phase.
 type Phase struct {
 	At            float64 `toml:"at"`
 	Duration      float64 `toml:"for"`
@@ -133,7 +133,7 @@
 	BurstDuration float64 `toml:"lasts"`
 }
 
-// Clients is how clients retry and how long they wait; see loadgen.Clients.
+// Clients describes how clients retry and how long they wait for a response; see loadgen.Clients.
 type Clients struct {
 	MaxRequests  int     `toml:"tries"`
 	Backoff      float64 `toml:"backoff"`
@@ -141,29 +141,29 @@
 	MarksRetries bool    `toml:"marked"`
 }
 
-// Fault is something that happens to servers, proxies or the list.
+// Fault describes a fault or a planned change of servers, proxies or endpoint lists.
 type Fault struct {
 	At       float64 `toml:"at"`
 	Duration float64 `toml:"for"`
 	Kind     string  `toml:"kind"`
-	Servers  string  `toml:"servers"` // the group; empty: all
-	From     int     `toml:"from"`    // the first of them
+	Servers  string  `toml:"servers"` // name of the group; empty: all groups
+	From     int     `toml:"from"`    // index of the first affected server in the group
 	Count    int     `toml:"count"`
-	Share    float64 `toml:"share"`  // instead of a count
-	Within   float64 `toml:"within"` // one after the other, over this long
-	Factor   float64 `toml:"factor"`
+	Share    float64 `toml:"share"`  // affected share of the group, instead of Count
+	Within   float64 `toml:"within"` // spreads the fault over this duration, one server or proxy after the other
+	Factor   float64 `toml:"factor"` // factor on the speed, share of errors or seconds of delay, by Kind
 	Class    string  `toml:"tariff"`
-	Drain    float64 `toml:"drain"` // from draining to gone
-	Proxy    int     `toml:"proxy"` // from 1; 0: all
+	Drain    float64 `toml:"drain"` // time from draining to removal
+	Proxy    int     `toml:"proxy"` // number of the proxy, from 1; 0: all proxies
 }
 
-// Match is the tolerance between a run on sockets and the virtual one.
+// Match is the tolerance for differences between a run on sockets and the same run in virtual time.
 type Match struct {
-	Seconds float64 `toml:"seconds"` // events and servers' states
-	Share   float64 `toml:"share"`   // of the value in time
+	Seconds float64 `toml:"seconds"` // tolerated difference in the times of events and of servers' states
+	Share   float64 `toml:"share"`   // tolerated difference in Result.ValueInTime
 }
 
-// Open reads a scenario's file.
+// Open reads and validates a scenario file.
 func Open(name string) (*Scenario, error) {
 	text, err := tomlfile.Load(name, maxFileSize)
 	if err != nil {
@@ -172,22 +172,23 @@
 	return Read(name, text)
 }
 
-// Read reads a scenario; unknown keys are errors. The error is one line that names the place.
+// Read parses and validates the text of a scenario file; name appears in errors. An unknown key is an error. The error
+// is one line that starts with the file's name and, if known, line and column.
 func Read(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
-	file, faults := tomlfile.Decode(name, text, s)
-	if len(faults) > 0 {
-		return nil, faults[0]
+	file, errs := tomlfile.Decode(name, text, s)
+	if len(errs) > 0 {
+		return nil, errs[0]
 	}
 	s.file = file
-	s.fill()
+	s.setDefaults()
 	if err := s.check(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// count is how many servers a group has, or all groups by an empty name.
+// count returns the number of servers in a group, or in all groups if the name is empty.
 func (s *Scenario) count(group string) (n int) {
 	for _, g := range s.Servers {
 		if group == "" || g.Name == group {
@@ -197,28 +198,29 @@
 	return n
 }
 
-// affected is how many servers a fault happens to.
-func (s *Scenario) affected(t Fault) int {
+// affected returns the number of servers that a fault affects.
+func (s *Scenario) affected(f Fault) int {
 	switch {
-	case t.Count > 0:
-		return t.Count
-	case t.Share > 0:
-		return max(int(t.Share*float64(s.count(t.Servers))), 1)
+	case f.Count > 0:
+		return f.Count
+	case f.Share > 0:
+		return max(int(f.Share*float64(s.count(f.Servers))), 1)
 	}
-	return s.count(t.Servers) - t.From
+	return s.count(f.Servers) - f.From
 }
 
+// class returns the index of the class with this name, or -1 and false if there is none.
 func (s *Scenario) class(name string) (int, bool) {
-	for i, t := range s.Classes {
-		if t.Name == name {
+	for i, c := range s.Classes {
+		if c.Name == name {
 			return i, true
 		}
 	}
 	return -1, false
 }
 
-// PlainHTTP reports whether clients speak plain HTTP, and routes send their requests to pools.
+// PlainHTTP reports whether clients send plain HTTP requests, which proxies assign to pools by routes.
 func (s *Scenario) PlainHTTP() bool { return len(s.Classes) > 0 && s.Classes[0].Pool != "" }
 
-// WholeSeconds is how many whole seconds a scenario lasts.
+// WholeSeconds returns the duration of the scenario in seconds, rounded up.
 func (s *Scenario) WholeSeconds() int { return int(math.Ceil(s.Seconds)) }
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	minLatencyMicros = 1           // what a histogram can tell from 0
-	maxLatencyMicros = 120_000_000 // more than any try takes
-	totalDigits      = 3           // significant digits of the times of a run
-	secondDigits     = 2           // and of those of one second
-	degradedFrom     = 0.1         // degradation above which a server counts as degraded
+	minLatencyMicros = 1           // smallest latency that a histogram distinguishes from 0
+	maxLatencyMicros = 120_000_000 // no try takes as long
+	totalDigits      = 3           // significant digits of the latencies of a run
+	secondDigits     = 2           // significant digits of the latencies of one second
+	degradedFrom     = 0.1         // degradation, from 0 to 1, above which a server counts as degraded
 )
 
-// tally counts for a Result while a run goes on.
+// tally accumulates the Result of a run.
 type tally struct {
 	Result
-	classes     []balance.Class
-	times       *hdrhistogram.Histogram
-	byClass     []*hdrhistogram.Histogram
-	rigLate     *hdrhistogram.Histogram
-	secondTimes *hdrhistogram.Histogram
-	offered     []float64 // priority weight of the intents, by class
-	inTime      []float64 // priority weight of those that succeeded in time, by class
-	usefulWork  float64   // of attempts whose answer reached a client
+	classes          []balance.Class
+	latencies        *hdrhistogram.Histogram   // of successful tries
+	latenciesByClass []*hdrhistogram.Histogram // of successful tries
+	rigLate          *hdrhistogram.Histogram   // how late tries were sent
+	secondLatencies  *hdrhistogram.Histogram   // of tries that succeeded in the current second
+	offered          []float64                 // total priority weight of the intents, by class
+	inTime           []float64                 // total priority weight of those that succeeded in time, by class
+	usefulWork       float64                   // work of the attempts whose answer reached a client
 }
 
 func newTally(s *Scenario, classes []balance.Class, seed uint64, policy, clock string) *tally {
-	hist := func(figures int) *hdrhistogram.Histogram {
-		return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, figures)
+	hist := func(digits int) *hdrhistogram.Histogram {
+		return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, digits)
 	}
-	t := &tally{classes: classes, times: hist(totalDigits), rigLate: hist(totalDigits), secondTimes: hist(secondDigits),
-		offered: make([]float64, len(classes)), inTime: make([]float64, len(classes))}
+	t := &tally{classes: classes, latencies: hist(totalDigits), rigLate: hist(totalDigits),
+		secondLatencies: hist(secondDigits), offered: make([]float64, len(classes)), inTime: make([]float64, len(classes))}
 	t.Scenario, t.Seed, t.Policy, t.Clock = s.Name, seed, policy, clock
-	for _, row := range classes {
-		t.Classes = append(t.Classes, ClassResult{Name: row.Name})
-		t.byClass = append(t.byClass, hist(totalDigits))
+	for _, class := range classes {
+		t.Classes = append(t.Classes, ClassResult{Name: class.Name})
+		t.latenciesByClass = append(t.latenciesByClass, hist(totalDigits))
 	}
 	return t
 }
 
-// second is the row of a second.
+// second returns the entry of the second that contains a time, in seconds since the start of the run.
 func (t *tally) second(at float64) *Second {
 	for i := len(t.Seconds); i <= int(at); i++ {
 		t.Seconds = append(t.Seconds, Second{At: i})
@@ -60,10 +60,10 @@
 	t.second(at).Intents++
 }
 
-// succeeded counts a try that succeeded, by the seconds since it and since its intent were due.
+// succeeded counts a try that succeeded sinceTry seconds after it was due and sinceIntent seconds after its intent was.
 func (t *tally) succeeded(at float64, in *loadgen.Intent, sinceTry, sinceIntent float64) {
 	t.Succeeded++
-	for _, histogram := range []*hdrhistogram.Histogram{t.times, t.byClass[in.Class], t.secondTimes} {
+	for _, histogram := range []*hdrhistogram.Histogram{t.latencies, t.latenciesByClass[in.Class], t.secondLatencies} {
 		record(histogram, sinceTry)
 	}
 	class := &t.classes[in.Class]
@@ -97,18 +97,18 @@
 	t.second(at).Lost++
 }
 
-// endSecond records the servers' states at the end of a second.
+// endSecond records the attempts and latencies of a second, and the servers' states at its end.
 func (t *tally) endSecond(at float64, f *emulator.Fleet, attempts int) {
 	s := t.second(at)
 	s.Attempts = attempts
-	s.P50, s.P99 = float64(t.secondTimes.ValueAtQuantile(50))/1e6, float64(t.secondTimes.ValueAtQuantile(99))/1e6
-	t.secondTimes.Reset()
+	s.P50, s.P99 = float64(t.secondLatencies.ValueAtQuantile(50))/1e6, float64(t.secondLatencies.ValueAtQuantile(99))/1e6
+	t.secondLatencies.Reset()
 	for _, m := range f.Members {
 		if m.State == balance.Removed {
 			continue
 		}
-		_, waiting, _ := m.Load()
-		s.Waiting += waiting
+		_, queued, _ := m.Load()
+		s.Waiting += queued
 		switch {
 		case m.Reachability() == emulator.Unreachable:
 			s.Unreachable++
@@ -128,7 +128,7 @@
 	}
 }
 
-// result sums up the run.
+// result completes the Result when the run has ended, and returns it.
 func (t *tally) result(f *emulator.Fleet, a *Audit) *Result {
 	r := &t.Result
 	offered, inTime := 0.0, 0.0
@@ -136,12 +136,13 @@
 		offered += t.offered[i]
 		inTime += t.inTime[i]
 		t.Classes[i].ValueInTime = share(t.inTime[i], t.offered[i])
-		t.Classes[i].P50, t.Classes[i].P99 = at(t.byClass[i], 50), at(t.byClass[i], 99)
+		t.Classes[i].P50, t.Classes[i].P99 = quantile(t.latenciesByClass[i], 50), quantile(t.latenciesByClass[i], 99)
 	}
 	r.Value = inTime
 	r.ValueInTime = share(inTime, offered)
 	r.Unserved = r.Intents - r.InTime - r.Late
-	r.P50, r.P90, r.P99, r.P999 = at(t.times, 50), at(t.times, 90), at(t.times, 99), at(t.times, 99.9)
+	r.P50, r.P90, r.P99, r.P999 = quantile(t.latencies, 50), quantile(t.latencies, 90),
+		quantile(t.latencies, 99), quantile(t.latencies, 99.9)
 	for _, m := range f.Members {
 		r.Work += m.Work
 		r.DuplicatesDropped += m.Duplicates
@@ -149,15 +150,19 @@
 	}
 	r.WastedFraction = max(1-share(t.usefulWork, r.Work), 0)
 	r.RulesBroken, r.FirstBreaches = a.RulesBroken, a.FirstBreaches
-	r.RigLateP99, r.RigLateMax = at(t.rigLate, 99), float64(t.rigLate.Max())/1e6
+	r.RigLateP99, r.RigLateMax = quantile(t.rigLate, 99), float64(t.rigLate.Max())/1e6
 	return r
 }
 
-func at(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
+// quantile returns the latency in seconds at a quantile in percent.
+func quantile(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1e6
+}
 
-// record records a time in seconds. What is out of the histogram's range is left out, as no try takes so long.
+// record records a latency in seconds. One that is out of the histogram's range is dropped: no try takes so long.
 func record(h *hdrhistogram.Histogram, seconds float64) { _ = h.RecordValue(int64(seconds * 1e6)) }
 
+// share returns part divided by whole; 0 if whole is 0.
 func share(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -29,16 +29,16 @@
 	}
 )
 
-// bounds are the values that a field may have.
+// bounds are a field's value and the smallest and largest valid one.
 type bounds struct {
 	field    string
 	value    float64
 	min, max float64
 }
 
-// within returns an error that names the first field out of its bounds; n is the table's number from 1, 0 where there
-// is only one.
-func (s *Scenario) within(table string, n int, fields ...bounds) error {
+// checkBounds returns an error for the first field whose value is out of its bounds. n is the number of the table, from
+// 1, among those of its name, or 0 if there is only one.
+func (s *Scenario) checkBounds(table string, n int, fields ...bounds) error {
 	for _, b := range fields {
 		if !(b.value >= b.min && b.value <= b.max) {
 			return s.file.At(table, n, b.field, "%v: it is from %v to %v", b.value, b.min, b.max)
@@ -47,9 +47,9 @@
 	return nil
 }
 
-const minPositive = 1e-6 // the least that counts as more than nothing
+const minPositive = 1e-6 // smallest valid value of a field that must be greater than 0
 
-// check returns the first contradiction in the scenario, or what this machine cannot run.
+// check validates the scenario and returns the first error: a contradiction, or a value that exceeds the limits.
 func (s *Scenario) check() error {
 	for _, check := range []func() error{
 		s.checkFleet,
@@ -70,11 +70,11 @@
 }
 
 func (s *Scenario) checkFleet() error {
-	if err := s.within("", 0, bounds{"seconds", s.Seconds, minPositive, maxSeconds}); err != nil {
+	if err := s.checkBounds("", 0, bounds{"seconds", s.Seconds, minPositive, maxSeconds}); err != nil {
 		return err
 	}
 	f := &s.ProxyFleet
-	return s.within("bank", 0,
+	return s.checkBounds("bank", 0,
 		bounds{"proxies", float64(f.Count), 1, maxProxies},
 		bounds{"cores", f.Cores, .01, 256},
 		bounds{"memory_mb", f.MemoryMB, 8, 1 << 20},
@@ -83,7 +83,7 @@
 
 func (s *Scenario) checkDeployment() error {
 	d := &s.Deployment
-	return s.within("deployment", 0,
+	return s.checkBounds("deployment", 0,
 		bounds{"max_legs", float64(d.MaxAttempts), 1, 16},
 		bounds{"max_advice", d.MaxRetryAfter, 0, 3600},
 		bounds{"grace", d.DrainGrace, 0, 60},
@@ -97,36 +97,37 @@
 }
 
 func (s *Scenario) checkLoad() error {
-	err := s.within("keys", 0,
+	err := s.checkBounds("keys", 0,
 		bounds{"count", float64(s.Keys.Count), 0, maxKeys},
 		bounds{"skew", s.Keys.ZipfExponent, 0, 5})
 	if err != nil {
 		return err
 	}
-	if err := s.within("arrivals", 0, bounds{"rate", s.Arrivals.Rate, minPositive, maxRate}); err != nil {
+	if err := s.checkBounds("arrivals", 0, bounds{"rate", s.Arrivals.Rate, minPositive, maxRate}); err != nil {
 		return err
 	}
-	err = s.within("clients", 0,
+	err = s.checkBounds("clients", 0,
 		bounds{"tries", float64(s.Clients.MaxRequests), 1, 100},
 		bounds{"backoff", s.Clients.Backoff, 0, 600},
 		bounds{"patience", s.Clients.Patience, .01, 1})
 	if err != nil {
 		return err
 	}
-	return s.within("match", 0,
+	return s.checkBounds("match", 0,
 		bounds{"seconds", s.Match.Seconds, 0, 60},
 		bounds{"share", s.Match.Share, 0, 1})
 }
 
 func (s *Scenario) checkClasses() error {
 	if len(s.Classes) == 0 || len(s.Classes) > maxClasses {
-		return s.file.At("tariff", 0, "", "%d of them: there are 1 to %d", len(s.Classes), maxClasses)
+		return s.file.At("tariff", 0, "", "%d of them defined, expected 1 to %d", len(s.Classes), maxClasses)
 	}
 	names := map[string]bool{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if !plainName(class.Name) || names[class.Name] || class.Name == "up" {
-			return s.file.At("tariff", i+1, "name", "%q: a name of its own, of letters, digits and dashes", class.Name)
+			return s.file.At("tariff", i+1, "name",
+				`%q: expected a unique name of 1 to 64 letters, digits and dashes, other than "up"`, class.Name)
 		}
 		names[class.Name] = true
 		if err := s.checkClass(i+1, class); err != nil {
@@ -144,17 +145,17 @@
 	case !known:
 		return s.file.At(table, n, "kind", "%q: it is replayable, referenced or single-use", c.Idempotency)
 	case !scoped || idempotency != balance.Keyed && c.DedupScope != "":
-		return s.file.At(table, n, "scope", "%q: it is all, zone or pod, of a referenced tariff", c.DedupScope)
+		return s.file.At(table, n, "scope", "%q: expected all, zone or pod, and only in a referenced tariff", c.DedupScope)
 	case idempotency == balance.Keyed && c.DedupWindow <= 0:
-		return s.file.At(table, n, "window", "a referenced tariff has one")
+		return s.file.At(table, n, "window", "a referenced tariff has one, of more than 0 seconds")
 	case c.LatencyObjective > c.Deadline:
 		return s.file.At(table, n, "due", "%v is past the hard stop of %v", c.LatencyObjective, c.Deadline)
 	case (c.Pool != "") != s.PlainHTTP() || c.Pool != "" && s.count(c.Pool) == 0:
-		return s.file.At(table, n, "pool", "%q: a group of servers, for every tariff or for none", c.Pool)
+		return s.file.At(table, n, "pool", "%q: expected the name of a group of servers, in every tariff or in none", c.Pool)
 	case c.KeyedFraction > 0 && s.Keys.Count == 0:
-		return s.file.At(table, n, "keyed", "there are no keys")
+		return s.file.At(table, n, "keyed", "there are no keys: keys.count is 0")
 	}
-	return s.within(table, n,
+	return s.checkBounds(table, n,
 		bounds{"hard_stop", c.Deadline, .01, 60},
 		bounds{"due", c.LatencyObjective, 0, 60},
 		bounds{"window", c.DedupWindow, 0, 600},
@@ -168,9 +169,9 @@
 func (s *Scenario) checkTenants() error {
 	for i, t := range s.Tenants {
 		if !plainName(t.Name) {
-			return s.file.At("customer", i+1, "name", "%q: of letters, digits and dashes", t.Name)
+			return s.file.At("customer", i+1, "name", "%q: expected 1 to 64 letters, digits and dashes", t.Name)
 		}
-		err := s.within("customer", i+1,
+		err := s.checkBounds("customer", i+1,
 			bounds{"quota", t.Quota, 0, maxRate},
 			bounds{"share", t.Weight, minPositive, 1e6})
 		if err != nil {
@@ -188,7 +189,8 @@
 	for i := range s.Servers {
 		group := &s.Servers[i]
 		if !plainName(group.Name) || names[group.Name] {
-			return s.file.At("servers", i+1, "name", "%q: a name of its own, of letters, digits and dashes", group.Name)
+			return s.file.At("servers", i+1, "name",
+				"%q: expected a unique name of 1 to 64 letters, digits and dashes", group.Name)
 		}
 		names[group.Name] = true
 		total += group.Count
@@ -197,13 +199,13 @@
 		}
 	}
 	if total < 1 || total > maxServers {
-		return s.file.At("servers", 0, "", "%d in all: there are 1 to %d", total, maxServers)
+		return s.file.At("servers", 0, "", "%d servers in total, expected 1 to %d", total, maxServers)
 	}
 	return nil
 }
 
 func (s *Scenario) checkServerGroup(n int, g *Servers) error {
-	return s.within("servers", n,
+	return s.checkBounds("servers", n,
 		bounds{"count", float64(g.Count), 1, maxServers},
 		bounds{"pod", float64(g.Pod), 1, maxServers},
 		bounds{"cores", float64(g.Cores), 1, 1024},
@@ -226,9 +228,9 @@
 		}
 		if shape == loadgen.Bursts && !(p.BurstDuration > 0 && p.BurstDuration < p.BurstInterval) {
 			return s.file.At("arrivals.phase", i+1, "lasts",
-				"%v: each burst lasts less than from one to the next, %v", p.BurstDuration, p.BurstInterval)
+				"%v: expected more than 0 and less than the interval between bursts, %v", p.BurstDuration, p.BurstInterval)
 		}
-		err := s.within("arrivals.phase", i+1,
+		err := s.checkBounds("arrivals.phase", i+1,
 			bounds{"at", p.At, 0, s.Seconds},
 			bounds{"for", p.Duration, minPositive, maxSeconds},
 			bounds{"times", p.Factor, 0, 1000})
@@ -239,34 +241,34 @@
 	return nil
 }
 
-const rateSamples = 1000 // times at which the rate is looked at
+const rateSamples = 1000 // number of times at which checkRate evaluates the rate
 
-// checkRate checks what rate and phases make together.
+// checkRate checks the arrival rate that the phases result in, and the total number of intents.
 func (s *Scenario) checkRate() error {
 	workload := s.Workload()
 	total := 0.0
 	for t := 0.0; t < s.Seconds; t += s.Seconds / rateSamples {
 		rate := workload.RateAt(t)
 		if rate > maxRate {
-			return s.file.At("arrivals", 0, "rate", "%v a second at %v s: %v at most", rate, t, maxRate)
+			return s.file.At("arrivals", 0, "rate", "%v lookups per second at %v s, expected at most %v", rate, t, maxRate)
 		}
 		total += rate * s.Seconds / rateSamples
 		if total > maxIntents {
-			return s.file.At("arrivals", 0, "rate", "more than %v lookups in all", maxIntents)
+			return s.file.At("arrivals", 0, "rate", "more than %v lookups in total", maxIntents)
 		}
 	}
 	return nil
 }
 
-// faultKind is what a kind of fault needs, and what it does.
+// faultKind describes a kind of fault: what it affects and which fields it takes.
 type faultKind struct {
-	change      emulator.ChangeKind // of servers
+	change      emulator.ChangeKind // change of each affected server; unused if ofProxies, ofLists or disables is set
 	needsFactor bool
-	reverts     bool // its end is a change too
+	reverts     bool // a second change ends it after its duration
 	ofProxies   bool
 	ofLists     bool
-	disables    bool // servers, at proxies
-	instant     bool // has no duration, or one that may be left out
+	disables    bool // admin calls at proxies disable servers
+	instant     bool // its duration is unused or may be left out
 }
 
 var faultKinds = map[string]faultKind{
@@ -292,7 +294,7 @@
 
 func (s *Scenario) checkFaults() error {
 	if len(s.Faults) > maxFaults {
-		return s.file.At("trouble", 0, "", "%d of them: %d at most", len(s.Faults), maxFaults)
+		return s.file.At("trouble", 0, "", "%d of them defined, expected at most %d", len(s.Faults), maxFaults)
 	}
 	for i := range s.Faults {
 		fault := &s.Faults[i]
@@ -311,7 +313,7 @@
 	return nil
 }
 
-// checkFaultServers checks which servers or proxies a fault happens to.
+// checkFaultServers checks the fields that select the servers or proxies that a fault affects.
 func (s *Scenario) checkFaultServers(n int, f *Fault, kind faultKind) error {
 	const table = "trouble"
 	ofServers := !kind.ofProxies && !kind.ofLists
@@ -320,13 +322,14 @@
 	case ofServers && group == 0:
 		return s.file.At(table, n, "servers", "%q: no such group", f.Servers)
 	case !ofServers && (f.Servers != "" || f.Count != 0 || f.Share != 0 || f.From != 0):
-		return s.file.At(table, n, "kind", "%s happens to no servers", f.Kind)
+		return s.file.At(table, n, "kind", "%s happens to no servers: omit servers, from, count and share", f.Kind)
 	case ofServers && !kind.disables && f.Proxy != 0:
-		return s.file.At(table, n, "proxy", "%s happens to servers", f.Kind)
+		return s.file.At(table, n, "proxy", "%s happens to servers: omit proxy", f.Kind)
 	case f.Count != 0 && f.Share != 0:
 		return s.file.At(table, n, "share", "a count or a share, not both")
 	case f.From < 0 || f.Count < 0 || ofServers && f.From+s.affected(*f) > group:
-		return s.file.At(table, n, "count", "servers %d to %d of %d", f.From, f.From+s.affected(*f), group)
+		return s.file.At(table, n, "count", "servers %d to %d of %d: outside of the group",
+			f.From, f.From+s.affected(*f), group)
 	}
 	return nil
 }
@@ -339,15 +342,15 @@
 	case f.Class != "" && !classKnown:
 		return s.file.At(table, n, "tariff", "%q: no such tariff", f.Class)
 	case f.Class != "" && f.Kind != "errors" && f.Kind != "hang":
-		return s.file.At(table, n, "tariff", "%s is of no one tariff", f.Kind)
+		return s.file.At(table, n, "tariff", "%s cannot be limited to one tariff", f.Kind)
 	case kind.needsFactor && f.Factor <= 0:
-		return s.file.At(table, n, "factor", "%v: more than nothing", f.Factor)
+		return s.file.At(table, n, "factor", "%v: expected more than 0", f.Factor)
 	case !kind.needsFactor && f.Factor != 0:
-		return s.file.At(table, n, "factor", "%v: not of %s", f.Factor, f.Kind)
+		return s.file.At(table, n, "factor", "%v: not of %s, which takes no factor", f.Factor, f.Kind)
 	case f.Duration <= 0 && !kind.instant:
-		return s.file.At(table, n, "for", "%s lasts for a time", f.Kind)
+		return s.file.At(table, n, "for", "%s lasts for a time: expected more than 0 seconds", f.Kind)
 	}
-	return s.within(table, n,
+	return s.checkBounds(table, n,
 		bounds{"at", f.At, 0, s.Seconds},
 		bounds{"for", f.Duration, 0, maxSeconds},
 		bounds{"within", f.Within, 0, maxSeconds},
