--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -9,23 +9,23 @@
 	"sync"
 )
 
-// Row is what a policy came to over the seeds of an experiment.
+// Row summarizes the runs of one policy in one scenario over all seeds of an experiment.
 type Row struct {
 	Scenario, Policy, Clock                     string
 	Seeds                                       int
-	ValueInTime, MinValueInTime, MaxValueInTime float64 // value in time: mean, worst and best seed
-	ValueStdDev                                 float64 // its standard deviation over the seeds
-	InTime, Late, Unserved                      float64 // of the requests wanted
-	Rejected, Failed                            float64 // of the tries
-	Lost                                        int
-	AttemptsPerTry                              float64 // a try
-	WastedFraction                              float64
+	ValueInTime, MinValueInTime, MaxValueInTime float64 // fraction of all value; mean, worst and best seed
+	ValueStdDev                                 float64 // standard deviation of the value in time over the seeds
+	InTime, Late, Unserved                      float64 // fractions of the intents
+	Rejected, Failed                            float64 // fractions of the tries
+	Lost                                        int     // tries without a reply, summed
+	AttemptsPerTry                              float64
+	WastedFraction                              float64 // of the work of servers; mean over the seeds
 	P50, P99                                    float64 // s; means over the seeds
-	RulesBroken                                 [5]int  // summed
-	VoidSeeds                                   int     // seeds whose figures count for nothing, left out of all others
+	RulesBroken                                 [5]int  // by rule, from 1; summed
+	VoidSeeds                                   int     // seeds with a void run, which no other field counts
 }
 
-// Summarize returns the row of a policy's results. Void runs are only counted.
+// Summarize returns the row of a policy's results. Void runs are counted in VoidSeeds and otherwise left out.
 func Summarize(all []*Result) Row {
 	row := Row{MinValueInTime: math.Inf(1)}
 	var values []float64
@@ -53,7 +53,7 @@
 	return row
 }
 
-// add adds a run's counts and sums.
+// add adds a run's counts and figures, which divide then turns into fractions and means.
 func (w *Row) add(r *Result) {
 	w.MinValueInTime = min(w.MinValueInTime, r.ValueInTime)
 	w.MaxValueInTime = max(w.MaxValueInTime, r.ValueInTime)
@@ -72,7 +72,7 @@
 	}
 }
 
-// divide turns sums over the seeds into fractions and means.
+// divide turns the sums over the seeds into fractions of the intents and tries, and means over the seeds.
 func (w *Row) divide(intents, tries float64) {
 	for _, sum := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
 		*sum = share(*sum, intents)
@@ -97,7 +97,7 @@
 	return mean, math.Sqrt(variance)
 }
 
-// Seeds returns n seeds from the first one on.
+// Seeds returns n consecutive seeds, starting with first.
 func Seeds(first uint64, n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
@@ -106,24 +106,24 @@
 	return list
 }
 
-// Experiment plays a scenario in virtual time with each policy and seed, as many at once as there are cores. The
-// results come by policy in the order asked for, then by seed, whichever ends first.
+// Experiment plays a scenario in virtual time with each policy and seed, at most GOMAXPROCS runs at a time. The results
+// are indexed by policy, then by seed, in the order of the arguments.
 func (s *Scenario) Experiment(ctx context.Context, policies []string, seeds []uint64) ([][]*Result, error) {
 	if err := CheckPolicies(policies); err != nil {
 		return nil, err
 	}
 	results := make([][]*Result, len(policies))
-	var work sync.WaitGroup
+	var runs sync.WaitGroup
 	var mu sync.Mutex
-	var fault error
-	turns := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var runErr error
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i, name := range policies {
 		policy := Policies[name]
 		results[i] = make([]*Result, len(seeds))
 		for k, seed := range seeds {
-			work.Go(func() {
-				turns <- struct{}{}
-				defer func() { <-turns }()
+			runs.Go(func() {
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				if ctx.Err() != nil {
 					return
 				}
@@ -131,17 +131,17 @@
 				if err != nil {
 					mu.Lock()
 					defer mu.Unlock()
-					fault = fmt.Errorf("%s, %s, seed %d: %w", s.Name, name, seed, err)
+					runErr = fmt.Errorf("scenario %s, policy %s, seed %d: %w", s.Name, name, seed, err)
 				}
 				results[i][k] = r
 			})
 		}
 	}
-	work.Wait()
+	runs.Wait()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return results, fault
+	return results, runErr
 }
 
 // CheckPolicies returns an error that names the first policy that does not exist.
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -10,8 +10,8 @@
 	"lockloom/internal/loadgen"
 )
 
-// OverrideLoad sets another rate, without phases, and another duration in seconds, and drops all faults; 0 leaves
-// either as it is.
+// OverrideLoad sets a constant arrival rate per second and the duration in seconds, and removes all faults. A rate or
+// duration of 0 keeps the scenario's own.
 func (s *Scenario) OverrideLoad(rate, duration float64) error {
 	if rate != 0 {
 		s.Arrivals = Arrivals{Rate: rate}
@@ -23,11 +23,12 @@
 	return s.check()
 }
 
-// Load sends the workload to proxies that run already. Their servers are not seen: only what clients see is checked.
+// Load sends the workload to proxies that already run. Their servers are not observed, so the audit checks only what
+// clients see.
 func (s *Scenario) Load(ctx context.Context, addrs []string, seed uint64) (*Result, error) {
-	sc := newScore(s, seed, "as it runs", wallClock())
-	sc.setStart(sc.now() + settleDuration.Seconds())
-	sc.audit.ClientsOnly = true
+	recorder := newRecorder(s, seed, "as it runs", wallClock())
+	recorder.setStart(recorder.now() + settleDuration.Seconds())
+	recorder.audit.ClientsOnly = true
 	proxies := loadgen.NewRoundRobin(addrs)
 	defer proxies.Close()
 	for _, target := range proxies.Targets {
@@ -36,18 +37,18 @@
 		}
 		target.MarkReady()
 	}
-	watching, stop := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	defer watch.Wait()
+	watchCtx, stop := context.WithCancel(ctx)
+	var watcher sync.WaitGroup
+	defer watcher.Wait()
 	defer stop()
-	watch.Go(func() { proxies.Watch(watching) })
+	watcher.Go(func() { proxies.Watch(watchCtx) })
 	driver := &loadgen.Driver{
 		Plan:     loadgen.NewPlan(s.Workload(), seed),
-		Classes:  sc.tally.classes,
+		Classes:  recorder.tally.classes,
 		Tenants:  s.tenantNames(),
 		Clients:  loadgen.Clients(s.Clients),
 		Proxies:  proxies,
-		Observer: sc,
+		Observer: recorder,
 		Seed:     seed,
 	}
 	startedAt := time.Now()
@@ -55,8 +56,8 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	sc.audit.Close(sc.now())
-	r := sc.tally.result(emulator.NewFleet(0), sc.audit)
+	recorder.audit.Close(recorder.now())
+	r := recorder.tally.result(emulator.NewFleet(0), recorder.audit)
 	r.WallTime = time.Since(startedAt).Seconds()
 	if r.RigLateP99 > maxLateness {
 		r.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile", r.RigLateP99*1000)
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -10,24 +10,24 @@
 	"lockloom/internal/loadgen"
 )
 
-// score keeps tally and audit of a run on sockets: it observes clients (loadgen.Observer) and servers
-// (fakeserver.Observer).
-type score struct {
+// recorder feeds the tally and the audit of a run on sockets with the events of clients and servers. It implements
+// loadgen.Observer and fakeserver.Observer, and is safe for concurrent use.
+type recorder struct {
 	mu             sync.Mutex
 	now            func() float64 // s since 1970
-	start          float64
+	start          float64        // of the run, on the clock of now; +Inf until setStart
 	tally          *tally
 	audit          *Audit
 	clockLateness  *lateness
-	attemptsBefore int // attempts, as of the last second
+	attemptsBefore int // attempts up to the end of the previous second
 }
 
-// lateness is how late the servers' clock acted.
+// lateness counts by how many seconds the fake servers' clock acted late.
 type lateness struct {
 	mu    sync.Mutex
-	worst float64
-	over  int
-	all   int
+	worst float64 // s
+	over  int     // actions later than maxLateness
+	all   int     // actions
 }
 
 func (l *lateness) record(s float64) {
@@ -40,129 +40,130 @@
 	}
 }
 
-// locked runs a call with the score to itself; at is the run's time in seconds.
-func (s *score) locked(call func(now, at float64)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	call(now, now-s.start)
+// locked runs a function with the lock held. now is in seconds since 1970, at in seconds since the start of the run.
+func (r *recorder) locked(call func(now, at float64)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.now()
+	call(now, now-r.start)
 }
 
-func (s *score) IntentDue(in *loadgen.Intent) {
-	s.locked(func(_, _ float64) { s.tally.intentDue(in.At, in) })
+func (r *recorder) IntentDue(intent *loadgen.Intent) {
+	r.locked(func(_, _ float64) { r.tally.intentDue(intent.At, intent) })
 }
 
-func (s *score) RequestSent(in *loadgen.Intent, late float64) (try int) {
-	s.locked(func(now, _ float64) {
-		s.tally.Tries++
-		record(s.tally.rigLate, max(late, 0))
-		try = s.audit.RequestSent(in.Class, now+s.tally.classes[in.Class].Deadline)
+func (r *recorder) RequestSent(intent *loadgen.Intent, late float64) (try int) {
+	r.locked(func(now, _ float64) {
+		r.tally.Tries++
+		record(r.tally.rigLate, max(late, 0))
+		try = r.audit.RequestSent(intent.Class, now+r.tally.classes[intent.Class].Deadline)
 	})
 	return try
 }
 
-func (s *score) RequestSucceeded(try int, in *loadgen.Intent, took, whole float64) {
-	s.locked(func(now, at float64) {
-		s.audit.RequestAnswered(now, try, balance.NoReply)
-		s.tally.succeeded(at, in, took, whole)
+func (r *recorder) RequestSucceeded(try int, intent *loadgen.Intent, sinceRequest, sinceIntent float64) {
+	r.locked(func(now, at float64) {
+		r.audit.RequestAnswered(now, try, balance.NoReply)
+		r.tally.succeeded(at, intent, sinceRequest, sinceIntent)
 	})
 }
 
-func (s *score) RequestFailed(try int, answer balance.Reply, wrong bool) {
-	s.locked(func(now, at float64) {
-		s.audit.RequestAnswered(now, try, answer)
-		s.tally.failed(at, answer)
-		if wrong {
-			s.tally.ClientFaults++
+func (r *recorder) RequestFailed(try int, reply balance.Reply, clientFault bool) {
+	r.locked(func(now, at float64) {
+		r.audit.RequestAnswered(now, try, reply)
+		r.tally.failed(at, reply)
+		if clientFault {
+			r.tally.ClientFaults++
 		}
 	})
 }
 
-func (s *score) ResponseCorrupt(try int) {
-	s.locked(func(now, _ float64) {
-		s.audit.RequestLost(now, try)
-		s.tally.Mismatched++
+func (r *recorder) ResponseCorrupt(try int) {
+	r.locked(func(now, _ float64) {
+		r.audit.RequestLost(now, try)
+		r.tally.Mismatched++
 	})
 }
 
-func (s *score) RequestLost(try int, withProxy bool) {
-	s.locked(func(now, at float64) {
-		s.tally.second(at).Lost++
+func (r *recorder) RequestLost(try int, withProxy bool) {
+	r.locked(func(now, at float64) {
+		r.tally.second(at).Lost++
 		if withProxy {
-			s.audit.ClientGone(now, try)
-			s.tally.LostWithProxy++
+			r.audit.ClientGone(now, try)
+			r.tally.LostWithProxy++
 			return
 		}
-		s.audit.RequestLost(now, try)
-		s.tally.Lost++
+		r.audit.RequestLost(now, try)
+		r.tally.Lost++
 	})
 }
 
-func (s *score) RequestTimedOut(try int) { s.RequestLost(try, false) }
+func (r *recorder) RequestTimedOut(try int) { r.RequestLost(try, false) }
 
-func (s *score) ClientGone(try int) {
-	s.locked(func(now, _ float64) {
-		s.audit.ClientGone(now, try)
-		s.tally.ClientGone++
+func (r *recorder) ClientGone(try int) {
+	r.locked(func(now, _ float64) {
+		r.audit.ClientGone(now, try)
+		r.tally.ClientGone++
 	})
 }
 
-func (s *score) NoProxy() { s.locked(func(_, _ float64) { s.tally.NoProxy++ }) }
+func (r *recorder) NoProxy() { r.locked(func(_, _ float64) { r.tally.NoProxy++ }) }
 
-func (s *score) AttemptReceived(now float64, id string, proxy, member, group int) {
+func (r *recorder) AttemptReceived(now float64, id string, proxy, member, group int) {
 	try, err := strconv.Atoi(id)
 	if err != nil {
 		try = -1
 	}
-	s.locked(func(_, at float64) {
-		s.tally.Attempts++
-		s.audit.AttemptReceived(now, try, proxy, member, group)
+	r.locked(func(_, at float64) {
+		r.tally.Attempts++
+		r.audit.AttemptReceived(now, try, proxy, member, group)
 	})
 }
 
-func (s *score) AttemptRejected(id string) {
+func (r *recorder) AttemptRejected(id string) {
 	if try, err := strconv.Atoi(id); err == nil {
-		s.locked(func(_, _ float64) { s.audit.AttemptRejected(try) })
+		r.locked(func(_, _ float64) { r.audit.AttemptRejected(try) })
 	}
 }
 
-func (s *score) MemberNotReady(now float64, member int) {
-	s.locked(func(_, _ float64) { s.audit.MemberNotReady(now, member) })
+func (r *recorder) MemberNotReady(now float64, member int) {
+	r.locked(func(_, _ float64) { r.audit.MemberNotReady(now, member) })
 }
 
-func (s *score) ProxyNotified(now float64, proxy, member int) {
-	s.locked(func(_, _ float64) { s.audit.ProxyNotified(now, proxy, member) })
+func (r *recorder) ProxyNotified(now float64, proxy, member int) {
+	r.locked(func(_, _ float64) { r.audit.ProxyNotified(now, proxy, member) })
 }
 
-func (s *score) ServerCrashed(now float64, member int) {
-	s.locked(func(_, at float64) {
-		s.audit.ServerCrashed(now, member)
-		s.tally.event(at, "!member "+strconv.Itoa(member)+" fell over")
+func (r *recorder) ServerCrashed(now float64, member int) {
+	r.locked(func(_, at float64) {
+		r.audit.ServerCrashed(now, member)
+		r.tally.event(at, "!member "+strconv.Itoa(member)+" fell over")
 	})
 }
 
-// Served counts an answer's work as useful unless its client had been answered or had gone: only then does it reach
-// one.
-func (s *score) AttemptServed(id string, work float64) {
+// AttemptServed counts the work of a response as useful if the response reaches the client, that is, if the request has
+// not been answered before and the client has not gone.
+func (r *recorder) AttemptServed(id string, work float64) {
 	if try, err := strconv.Atoi(id); err == nil {
-		s.locked(func(now, _ float64) {
-			if try < len(s.audit.tries) && !s.audit.tries[try].answered {
-				s.tally.usefulWork += work
+		r.locked(func(now, _ float64) {
+			if try < len(r.audit.tries) && !r.audit.tries[try].answered {
+				r.tally.usefulWork += work
 			}
 		})
 	}
 }
 
-// endSecond notes a second's end.
-func (s *score) endSecond(at float64, f *emulator.Fleet) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tally.endSecond(at, f, s.tally.Attempts-s.attemptsBefore)
-	s.attemptsBefore = s.tally.Attempts
+// endSecond records the servers' states and the attempts of the second that begins at a time.
+func (r *recorder) endSecond(at float64, f *emulator.Fleet) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tally.endSecond(at, f, r.tally.Attempts-r.attemptsBefore)
+	r.attemptsBefore = r.tally.Attempts
 }
 
-func (s *score) event(what string) {
-	s.locked(func(_, at float64) { s.tally.event(at, what) })
+func (r *recorder) event(text string) {
+	r.locked(func(_, at float64) { r.tally.event(at, text) })
 }
 
+// seconds converts seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -15,27 +15,29 @@
 	"time"
 )
 
-const killDelay = 2 * time.Second // past the time that a proxy has to end once told to stop
+// killDelay is added to the time that a signaled proxy has to exit, the longest deadline and killMargin, before it is
+// killed.
+const killDelay = 2 * time.Second
 
-// process is one process of a proxy.
+// process is one process of a proxy. A proxy that is upgraded has two for a while.
 type process struct {
 	mu           sync.Mutex
 	cmd          *exec.Cmd
-	ended        chan struct{}
-	stopping     bool // it was told to end
+	ended        chan struct{} // closed once the process has exited
+	stopping     bool          // it was signaled to stop, so that its exit is no error
 	adminAddr    string
 	peakMemoryMB float64
 	lastLogLine  string
 }
 
-// process is the process of a proxy that was started last.
+// process returns the process of a proxy that was started last.
 func (r *rig) process(i int) *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.processes[i]
 }
 
-// start starts a proxy's program.
+// start starts a process of a proxy.
 func (r *rig) start(ctx context.Context, i int) error {
 	p := r.process(i)
 	p.mu.Lock()
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// command writes a proxy's files and returns the command that starts it.
+// command writes a proxy's launch file, and its operator file if it has one, and returns the command that starts it.
 func (r *rig) command(i int, name, adminAddr string) (*exec.Cmd, error) {
 	tempDir := filepath.Join(r.dir, name+".tmp")
 	if err := os.MkdirAll(tempDir, 0o700); err != nil {
@@ -99,12 +101,12 @@
 	cmd := exec.Command(r.options.Proxy, args...)
 	cmd.Env = append(os.Environ(), Variables(name, r.proxyAddrs[i], agent.Addr(), launchFile)...)
 	cmd.Env = append(cmd.Env, "ROUTER_OPERATOR="+adminAddr, "TMPDIR="+tempDir)
-	// In a group of its own, so that Ctrl-C reaches only this program, which ends the proxies.
+	// The proxy gets its own process group, so that Ctrl-C reaches only this program, which then stops the proxies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd, nil
 }
 
-// openLog opens the file for a proxy's log; nil if it is dropped.
+// openLog opens the file for a proxy's log. It returns nil if logs are discarded.
 func (r *rig) openLog(name string) (*os.File, error) {
 	if r.options.Logs == "" {
 		return nil, nil
@@ -113,14 +115,15 @@
 	return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 }
 
-// closeLog closes a log that may be dropped. A failure loses lines at most, and no result depends on them.
+// closeLog closes a log file, which is nil if logs are discarded. Errors are ignored: they can only lose log lines, and
+// no result depends on those.
 func closeLog(file *os.File) {
 	if file != nil {
 		_ = file.Close()
 	}
 }
 
-// supervise copies a process's log until it ends, and fails the run if it was not told to.
+// supervise copies the log of a process until it exits, and fails the run if it was not signaled to stop.
 func (r *rig) supervise(ctx context.Context, i int, p *process, stderr io.Reader, logFile *os.File) {
 	p.mu.Lock()
 	cmd, ended := p.cmd, p.ended
@@ -141,11 +144,12 @@
 	stopping := p.stopping
 	p.mu.Unlock()
 	if !stopping && ctx.Err() == nil {
-		how := fmt.Sprint(err) // nil: with status 0
-		r.fail(fmt.Errorf("proxy %d ended by itself (%s): %s", i+1, how, p.lastLog()))
+		reason := fmt.Sprint(err) // <nil>: it exited with status 0
+		r.fail(fmt.Errorf("proxy %d exited unexpectedly (%s): %s", i+1, reason, p.lastLog()))
 	}
 }
 
+// lastLog returns the last line that the process logged.
 func (p *process) lastLog() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -155,9 +159,10 @@
 	return p.lastLogLine
 }
 
-// stop signals a proxy and waits until it has ended; one that does not end in time is killed.
+// stop signals the newest process of a proxy, and waits until it has exited; see end.
 func (r *rig) stop(i int, signal syscall.Signal) { r.end(r.process(i), signal) }
 
+// end signals a process, and waits until it has exited. A process that does not exit in time is killed.
 func (r *rig) end(p *process, signal syscall.Signal) {
 	cmd, ended := p.signal(signal)
 	if cmd == nil {
@@ -166,12 +171,13 @@
 	select {
 	case <-ended:
 	case <-time.After(seconds(r.scenario.longestDeadline()+killMargin) + killDelay):
-		_ = cmd.Process.Kill() // fails only if it has ended
+		_ = cmd.Process.Kill() // fails only if it has exited
 		<-ended
 	}
 }
 
-// signal records that a process is to end and signals it; a nil command: it was never started.
+// signal marks a process as stopping and signals it. It returns a nil command if the process was never
+// started.
 func (p *process) signal(signal syscall.Signal) (cmd *exec.Cmd, ended chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,7 +189,7 @@
 	select {
 	case <-p.ended:
 	default:
-		_ = p.cmd.Process.Signal(signal) // fails only if it has ended
+		_ = p.cmd.Process.Signal(signal) // fails only if it has exited
 	}
 	return p.cmd, p.ended
 }
@@ -196,7 +202,7 @@
 	stops.Wait()
 }
 
-// peakMemoryMB is the most memory that a program has used, in MB; 0: not known.
+// peakMemoryMB returns the peak resident memory of a process in MB; 0 if it cannot be read.
 func peakMemoryMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -204,7 +210,7 @@
 	}
 	for line := range strings.SplitSeq(string(text), "\n") {
 		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmHWM:" {
-			kilobytes, _ := strconv.ParseFloat(fields[1], 64) // 0 if the system writes no number
+			kilobytes, _ := strconv.ParseFloat(fields[1], 64) // 0 if it is not a number
 			return kilobytes / 1024
 		}
 	}
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	readyTimeout      = 15 * time.Second       // for a proxy to be ready after its start
-	readyInterval     = 20 * time.Millisecond  // between the checks
-	readyCheckTimeout = 5 * readyInterval      // of one check
-	settleDuration    = 500 * time.Millisecond // from all being ready to the first request
-	auditSlack        = 0.05                   // s past each limit of the rules, for clock readings and the wire
-	maxLateness       = 0.01                   // s by which the rig may be late ...
-	maxLateFraction   = 0.01                   // ... in this fraction of what it does; above that the run is void
+	readyTimeout      = 15 * time.Second       // for a proxy to become ready after its start
+	readyInterval     = 20 * time.Millisecond  // between readiness checks
+	readyCheckTimeout = 5 * readyInterval      // of one readiness check
+	settleDuration    = 500 * time.Millisecond // from when all proxies are ready to the start of the workload
+	auditSlack        = 0.05                   // s; tolerance of the audit for clock error and network delay
+	maxLateness       = 0.01                   // s; for server actions, and for the 99th percentile of the sends
+	maxLateFraction   = 0.01                   // a run with a larger fraction of late server actions is void
 )
 
-// Sockets is how to play a scenario with whole programs.
+// Sockets are the options of a run on sockets, with a process for each proxy.
 type Sockets struct {
-	Proxy    string // the program, run as PROXY serve
-	Name     string // of the policy, in results
+	Proxy    string // path of the proxy program, which is run with the argument serve
+	Name     string // name of the policy in results
 	Seed     uint64
-	Ready    time.Duration        // for a proxy to be ready after its start; 0: 15 s
-	Logs     string               // folder for the proxies' logs; empty: they are dropped
+	Ready    time.Duration        // timeout for a proxy to become ready after its start; 0: 15 s
+	Logs     string               // folder for the proxies' logs; empty: they are discarded
 	Progress func(second, of int) // called each second; may be nil
-	Dir      string               // for launch files; empty: a temporary one
+	Dir      string               // folder for launch files; empty: a temporary one
 }
 
-// rig is a run on sockets.
+// rig is a run on sockets: the proxy processes, and the fake servers and clients around them.
 type rig struct {
 	scenario     *Scenario
 	options      *Sockets
-	score        *score
+	score        *recorder
 	servers      *fakeserver.ServerGroup
 	proxyTargets *loadgen.RoundRobin
-	abort        context.CancelFunc
-	dir          string // for launch files
+	abort        context.CancelFunc // ends the run
+	dir          string             // for launch files
 	rigAddrs
 
-	mu        sync.Mutex // guards what follows
-	processes []*process // by proxy, the one that was started last
-	starts    int        // of processes, so far
-	err       error      // the first
+	mu        sync.Mutex // guards the fields below
+	processes []*process // by proxy: the process that was started last
+	starts    int        // number of processes started so far
+	err       error      // the first error of the run
 }
 
 // rigAddrs are the proxies' addresses.
 type rigAddrs struct {
 	proxyAddrs  []string   // platform listeners
-	clientAddrs []string   // where clients connect: the same, or the HTTP listeners
-	adminAddrs  [][]string // two a proxy, since two processes of one never share an admin endpoint
+	clientAddrs []string   // where clients connect: the platform listeners, or the HTTP listeners
+	adminAddrs  [][]string // two for each proxy, since a second process cannot share the admin endpoint of the first
 }
 
-// Sockets plays a scenario on loopback sockets with a program for each proxy. Whatever happens, nothing is left
-// running.
+// Sockets plays a scenario on loopback sockets with a process for each proxy. It stops all processes before it returns,
+// also after an error.
 func (s *Scenario) Sockets(ctx context.Context, options Sockets) (*Result, error) {
 	if _, err := exec.LookPath(options.Proxy); err != nil {
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
 	if s.ProxyFleet.Count > maxPrograms {
 		return nil, s.file.At("bank", 0, "proxies",
-			"%d: on sockets each is a program, and %d are the most", s.ProxyFleet.Count, maxPrograms)
+			"%d: at most %d on sockets, where each proxy is a process", s.ProxyFleet.Count, maxPrograms)
 	}
 	startedAt := time.Now()
 	ctx, abort := context.WithCancel(ctx)
@@ -79,7 +79,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: the system removes what is left
+		defer func() { _ = os.RemoveAll(dir) }() // ignored: the system removes temporary folders
 		r.dir = dir
 	}
 	result, err := r.play(ctx)
@@ -90,8 +90,9 @@
 	return result, nil
 }
 
+// play starts the servers and the proxies, runs the scenario, and stops them all.
 func (r *rig) play(ctx context.Context) (*Result, error) {
-	r.score = newScore(r.scenario, r.options.Seed, r.options.Name, wallClock())
+	r.score = newRecorder(r.scenario, r.options.Seed, r.options.Name, wallClock())
 	fleet := r.scenario.Fleet(r.options.Seed, r.score.now())
 	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.score)
 	if err != nil {
@@ -120,7 +121,7 @@
 	if err == nil {
 		r.run(ctx)
 	}
-	// The cause first: it ended the others.
+	// The first error of the run comes first: it canceled the context, which made the others fail.
 	for _, err := range []error{r.firstError(), servers.Err(), err, ctx.Err()} {
 		if err != nil {
 			return nil, err
@@ -130,7 +131,7 @@
 	return r.result(), nil
 }
 
-// findAddrs finds free addresses for the proxies.
+// findAddrs finds free loopback addresses for the proxies' listeners and admin endpoints.
 func (r *rig) findAddrs() (err error) {
 	n := r.scenario.ProxyFleet.Count
 	if r.proxyAddrs, err = r.servers.FreeAddrs(n); err != nil {
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// result is the result of a run whose proxies have ended.
+// result returns the result of a run whose proxies have exited. The run is void if the rig was late too often.
 func (r *rig) result() *Result {
 	r.score.audit.Close(r.score.now())
 	var result *Result
@@ -175,7 +176,7 @@
 	return r.err
 }
 
-// fail ends the run with an error; the first one counts.
+// fail aborts the run with an error. Only the first error is kept.
 func (r *rig) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,7 +186,7 @@
 	r.abort()
 }
 
-// failOn ends the run with an error, if there is one and the run is not over.
+// failOn aborts the run if err is not nil and the context is not done.
 func (r *rig) failOn(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
 		r.fail(err)
@@ -198,17 +199,17 @@
 	if timeout == 0 {
 		timeout = readyTimeout
 	}
-	end := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	for i, p := range r.processes {
 		for loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) != nil {
 			select {
 			case <-p.ended:
-				return fmt.Errorf("proxy %d ended before it was up: %s", i+1, p.lastLog())
+				return fmt.Errorf("proxy %d exited before it was ready: %s", i+1, p.lastLog())
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-time.After(readyInterval):
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("proxy %d is not up after %v: %s", i+1, timeout, p.lastLog())
 			}
 		}
@@ -221,13 +222,13 @@
 func (r *rig) run(ctx context.Context) {
 	start := time.Now().Add(settleDuration)
 	r.score.setStart(r.score.now() + settleDuration.Seconds())
-	watching, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	work.Go(func() { r.proxyTargets.Watch(watching) })
-	work.Go(func() { r.playTimeline(ctx, watching, &work, start) })
-	work.Go(func() { r.recordSeconds(watching, start) })
+	work.Go(func() { r.proxyTargets.Watch(watchCtx) })
+	work.Go(func() { r.playTimeline(ctx, watchCtx, &work, start) })
+	work.Go(func() { r.recordSeconds(watchCtx, start) })
 	driver := &loadgen.Driver{
 		Plan:      loadgen.NewPlan(r.scenario.Workload(), r.options.Seed),
 		Classes:   r.score.tally.classes,
@@ -241,12 +242,13 @@
 	driver.Run(ctx, start)
 }
 
-// playTimeline plays the timeline until watching ends; what it began goes on in work until ctx ends.
-func (r *rig) playTimeline(ctx, watching context.Context, work *sync.WaitGroup, start time.Time) {
+// playTimeline carries out the entries of the timeline until watchCtx is done. Events that take longer continue in work
+// until ctx is done.
+func (r *rig) playTimeline(ctx, watchCtx context.Context, work *sync.WaitGroup, start time.Time) {
 	for _, entry := range r.scenario.Timeline() {
 		select {
 		case <-time.After(time.Until(start.Add(seconds(entry.At)))):
-		case <-watching.Done():
+		case <-watchCtx.Done():
 			return
 		}
 		r.score.event(entry.String())
@@ -285,6 +287,7 @@
 	}
 }
 
+// applyProxyEvent carries out an event at one proxy. Events that take longer run in work.
 func (r *rig) applyProxyEvent(ctx context.Context, work *sync.WaitGroup, i int, entry TimelineEntry) {
 	duration := seconds(entry.Duration)
 	switch entry.ProxyEvent {
@@ -311,6 +314,7 @@
 	}
 }
 
+// startAgain starts a new process of a proxy that has exited, unless the run is over.
 func (r *rig) startAgain(ctx context.Context, i int) {
 	if ctx.Err() != nil {
 		return
@@ -320,7 +324,7 @@
 	}
 }
 
-// applyToList carries out an event of a proxy's endpoint list.
+// applyToList carries out an event at a proxy's endpoint list through its discovery agent, and ignores other events.
 func (e TimelineEntry) applyToList(agent *fakeserver.Agent) {
 	switch e.ProxyEvent {
 	case ListLate:
@@ -340,10 +344,10 @@
 	return func() float64 { return float64(start.UnixMicro())/1e6 + time.Since(start).Seconds() }
 }
 
-// newScore returns the score of a run on sockets; its requests count from setStart on.
-func newScore(s *Scenario, seed uint64, policy string, now func() float64) *score {
+// newRecorder returns the recorder of a run on sockets. Call setStart before the first request.
+func newRecorder(s *Scenario, seed uint64, policy string, now func() float64) *recorder {
 	classes := s.Settings(seed).Classes
-	return &score{
+	return &recorder{
 		tally:         newTally(s, classes, seed, policy, "sockets"),
 		clockLateness: &lateness{},
 		start:         math.Inf(1),
@@ -352,10 +356,11 @@
 	}
 }
 
-func (s *score) setStart(at float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.start = at
+// setStart sets when the run starts, in seconds since 1970.
+func (r *recorder) setStart(at float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.start = at
 }
 
 func (s *Scenario) tenantNames() []string {
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -11,15 +11,15 @@
 	"lockloom/internal/fakeserver"
 )
 
-// StandaloneServers are a scenario's servers and discovery agents on sockets, without proxies or clients.
+// StandaloneServers are the servers and discovery agents of a scenario on sockets, without its proxies and clients.
 type StandaloneServers struct {
-	Variables [][]string // by proxy: what it needs in its environment
+	Variables [][]string // by proxy: its environment variables, as NAME=VALUE
 
 	scenario *Scenario
 	servers  *fakeserver.ServerGroup
 }
 
-// noObserver is a fakeserver.Observer that ignores everything.
+// noObserver is a fakeserver.Observer that discards all events.
 type noObserver struct{}
 
 func (noObserver) AttemptReceived(float64, string, int, int, int) {}
@@ -34,7 +34,8 @@
 
 func (noObserver) AttemptServed(string, float64) {}
 
-// StartServers starts them, and writes a launch file and an environment file for each proxy into a folder.
+// StartServers starts the servers and discovery agents of a scenario, and writes a launch file and an environment file
+// for each proxy to a folder.
 func (s *Scenario) StartServers(folder string, seed uint64) (*StandaloneServers, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -53,6 +54,7 @@
 	return st, nil
 }
 
+// writeFiles writes the launch file and the environment file of each proxy.
 func (st *StandaloneServers) writeFiles(folder string, seed uint64) error {
 	addrs, err := st.servers.FreeAddrs(st.scenario.ProxyFleet.Count)
 	if err != nil {
@@ -70,7 +72,7 @@
 			return err
 		}
 		variables := Variables(name, addr, agent.Addr(), launchFile)
-		environment := strings.Join(variables, "\n") + "\n" // for a shell
+		environment := strings.Join(variables, "\n") + "\n" // lines that a shell can source
 		if err := os.WriteFile(filepath.Join(folder, name+".env"), []byte(environment), 0o644); err != nil {
 			return err
 		}
@@ -79,7 +81,8 @@
 	return nil
 }
 
-// Run serves until the context ends, and plays the faults if asked to. Faults of proxies have no effect here.
+// Run serves until the context is done or a server fails. With play it also carries out the scenario's faults, except
+// those of proxies.
 func (st *StandaloneServers) Run(ctx context.Context, play bool) error {
 	if play {
 		if finished, err := st.playTimeline(ctx); !finished {
@@ -98,7 +101,7 @@
 	}
 }
 
-// playTimeline plays the timeline, and reports whether it came to the end.
+// playTimeline carries out the entries of the timeline, and reports whether it reached the last one.
 func (st *StandaloneServers) playTimeline(ctx context.Context) (finished bool, err error) {
 	start := time.Now()
 	for _, entry := range st.scenario.Timeline() {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -13,8 +13,8 @@
 	"lockloom/balance"
 )
 
-// small is a scenario that every test may add to.
-const small = `name = "small"
+// smallScenario is the scenario that most tests extend by faults.
+const smallScenario = `name = "small"
 seconds = 4.0
 [bank]
 proxies = 2
@@ -53,9 +53,10 @@
 tries = 2
 `
 
-func scenario(tb testing.TB, more string) *Scenario {
+// scenario reads smallScenario with extra tables at its end.
+func scenario(tb testing.TB, extra string) *Scenario {
 	tb.Helper()
-	s, err := Read("small.toml", []byte(small+more))
+	s, err := Read("small.toml", []byte(smallScenario+extra))
 	require.NoError(tb, err)
 	return s
 }
@@ -67,30 +68,30 @@
 		s, err := Open(file)
 		require.NoError(t, err)
 		assert.Equal(t, filepath.Base(file), s.Name+".toml")
-		s.Seconds /= 3 // CI plays a part of each
+		s.Seconds /= 3 // keeps the test short
 		var lines [2]bytes.Buffer
 		for i := range lines {
 			r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
 			require.NoError(t, err)
 			assert.True(t, r.Passed(), "%s: rules broken: %v", s.Name, r.FirstBreaches)
 			assert.Zero(t, r.Lost)
-			assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.LostWithProxy, "each try has one end")
+			assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.LostWithProxy, "each try has exactly one outcome")
 			assert.Greater(t, r.ValueInTime, .8)
 			assert.NoError(t, r.Write(&lines[i]))
 		}
-		assert.Equal(t, lines[0].String(), lines[1].String(), "the same seed, the same timeline, byte for byte")
+		assert.Equal(t, lines[0].String(), lines[1].String(), "the same seed gives the same timeline")
 	}
 }
 
-// A fleet of hundreds over a list of a thousand, whose discovery is down as servers are replaced and most proxies are
-// killed at once.
+// Plays 350 proxies and 1024 servers, where discovery fails while servers are replaced, and all proxies are killed at
+// once.
 func TestLargeScenario(t *testing.T) {
 	text := strings.NewReplacer(
 		"proxies = 2", "proxies = 350",
 		"count = 6", "count = 1024",
 		"seconds = 4.0", "seconds = 2.0",
 		"cores = 2", "cores = 1",
-	).Replace(small)
+	).Replace(smallScenario)
 	s, err := Read("large.toml", []byte(text+"[[trouble]]\nat = 0.2\nkind = \"list-silent\"\nfor = 0.6\n"+
 		"[[trouble]]\nat = 0.6\nkind = \"replace\"\nservers = \"s\"\ncount = 100\ndrain = 0.5\n"+
 		"[[trouble]]\nat = 0.9\nkind = \"proxy-kill\"\nfor = 0.2\n"))
@@ -102,63 +103,69 @@
 		assert.True(t, r.Passed(), "%v", r.FirstBreaches)
 		assert.NoError(t, r.Write(&lines[i]))
 	}
-	assert.Equal(t, lines[0].String(), lines[1].String(), "byte for byte")
+	assert.Equal(t, lines[0].String(), lines[1].String(), "the same seed gives the same timeline")
 	_, err = s.Sockets(t.Context(), Sockets{Proxy: "true"})
-	assert.ErrorContains(t, err, "large.toml:4:1: bank: proxies: 350: on sockets each is a program")
+	assert.ErrorContains(t, err,
+		"large.toml:4:1: bank: proxies: 350: at most 64 on sockets, where each proxy is a process")
 }
 
 func TestReadRefuses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"empty":            {"", "seconds: 0: it is from"},
-		"not TOML":         {"name = ", "f.toml:1:"},
-		"unknown field":    {small + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field: count?"},
-		"wrong type":       {strings.Replace(small, "= 4.0", `= "long"`, 1), "f.toml:2:"},
-		"unknown table":    {small + "[proxy]\n", "no such field"},
-		"no tariff":        {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
-		"too long":         {strings.Replace(small, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: it is from"},
-		"not a number":     {strings.Replace(small, "4.0", "nan", 1), "f.toml:2:1: seconds: NaN"},
-		"too many lookups": {strings.Replace(small, "200.0", "1e300", 1), "arrivals: rate"},
-		"due after the stop": {
-			strings.Replace(small, "due = 0.3", "due = 3.0", 1), "f.toml:11:1: tariff: due: 3 is past the hard stop of 1",
+		"empty":                 {"", "seconds: 0: it is from"},
+		"not TOML":              {"name = ", "f.toml:1:"},
+		"unknown field":         {smallScenario + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field: count?"},
+		"wrong type":            {strings.Replace(smallScenario, "= 4.0", `= "long"`, 1), "f.toml:2:"},
+		"unknown table":         {smallScenario + "[proxy]\n", "no such field"},
+		"no tariff":             {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
+		"seconds out of range":  {strings.Replace(smallScenario, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: it is from"},
+		"not a number":          {strings.Replace(smallScenario, "4.0", "nan", 1), "f.toml:2:1: seconds: NaN"},
+		"arrival rate too high": {strings.Replace(smallScenario, "200.0", "1e300", 1), "arrivals: rate"},
+		"due after hard_stop": {
+			strings.Replace(smallScenario, "due = 0.3", "due = 3.0", 1),
+			"f.toml:11:1: tariff: due: 3 is past the hard stop of 1",
 		},
-		"no window": {
-			strings.Replace(small, "window = 0.4", "", 1), "tariff: window: a referenced tariff has one",
+		"referenced tariff without window": {
+			strings.Replace(smallScenario, "window = 0.4", "", 1), "tariff: window: a referenced tariff has one",
+		},
+		"scope of a replayable tariff": {
+			strings.Replace(smallScenario, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope",
 		},
-		"a scope too many": {strings.Replace(small, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope"},
 		"kind": {
-			strings.Replace(small, "single-use", "unsafe", 1),
+			strings.Replace(smallScenario, "single-use", "unsafe", 1),
 			`f.toml:25:1: tariff: kind: "unsafe": it is replayable, referenced or single-use`,
 		},
-		"the same name":       {strings.Replace(small, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
-		"keys of nothing":     {strings.Replace(small, "spread = 0.5", "keyed = 1.0", 1), "there are no keys"},
-		"a name with a slash": {strings.Replace(small, `"s"`, `"s/1"`, 1), "servers: name"},
-		"no such group": {
-			small + "[[trouble]]\nkind = \"crash\"\nservers = \"x\"\n", `trouble: servers: "x": no such group`,
+		"duplicate tariff name":     {strings.Replace(smallScenario, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
+		"keyed tariff without keys": {strings.Replace(smallScenario, "spread = 0.5", "keyed = 1.0", 1), "there are no keys"},
+		"a name with a slash":       {strings.Replace(smallScenario, `"s"`, `"s/1"`, 1), "servers: name"},
+		"unknown server group": {
+			smallScenario + "[[trouble]]\nkind = \"crash\"\nservers = \"x\"\n", `trouble: servers: "x": no such group`,
 		},
-		"more than there are": {
-			small + "[[trouble]]\nkind = \"crash\"\ncount = 7\n", "trouble: count: servers 0 to 7 of 6",
+		"more servers than the group has": {
+			smallScenario + "[[trouble]]\nkind = \"crash\"\ncount = 7\n", "trouble: count: servers 0 to 7 of 6",
 		},
-		"count and share": {small + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "a count or a share"},
-		"unknown trouble": {
-			small + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": it is ban, crash, drain`,
+		"count and share": {smallScenario + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "a count or a share"},
+		"unknown kind of trouble": {
+			smallScenario + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": it is ban, crash, drain`,
 		},
-		"the second trouble": {
-			small + "[[trouble]]\nkind = \"crash\"\n[[trouble]]\nkind = \"pause\"\n",
+		"error in the second trouble": {
+			smallScenario + "[[trouble]]\nkind = \"crash\"\n[[trouble]]\nkind = \"pause\"\n",
 			"f.toml:40:1: trouble: for: pause lasts for a time",
 		},
-		"a factor too many": {small + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "not of crash"},
-		"proxies have no group": {
-			small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "happens to no servers",
+		"factor of a crash": {smallScenario + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "not of crash"},
+		"servers of a proxy fault": {
+			smallScenario + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "happens to no servers",
+		},
+		"proxy out of range": {
+			smallScenario + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nproxy = 3\n", "trouble: proxy: 3",
 		},
-		"a proxy too many": {small + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nproxy = 3\n", "trouble: proxy: 3"},
-		"a burst without end": {
-			small + "[[arrivals.phase]]\nfor = 1.0\ntimes = 2.0\nshape = \"bursts\"\n", "arrivals.phase: lasts",
+		"bursts without lasts": {
+			smallScenario + "[[arrivals.phase]]\nfor = 1.0\ntimes = 2.0\nshape = \"bursts\"\n", "arrivals.phase: lasts",
 		},
 	} {
 		_, err := Read("f.toml", []byte(c.text))
 		if assert.Error(t, err, name) {
 			assert.Contains(t, err.Error(), c.want, name)
-			assert.NotContains(t, err.Error(), "\n", "%s: one line", name)
+			assert.NotContains(t, err.Error(), "\n", "%s: the message has one line", name)
 		}
 	}
 	_, err := Open("no/such.toml")
@@ -166,7 +173,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallScenario))
 	files, _ := filepath.Glob("../../deploy/rehearsals/*.toml")
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -177,90 +184,94 @@
 		s, err := Read("f.toml", text)
 		if err != nil {
 			if strings.Contains(err.Error(), "\n") {
-				t.Fatalf("more than one line: %q", err)
+				t.Fatalf("error message has more than one line: %q", err)
 			}
 			return
 		}
-		s.Timeline() // what is read can be laid out
+		s.Timeline() // must not panic for a scenario that Read accepts
 	})
 }
 
-// rogue breaks one rule and is lockloom in all else.
-type rogue struct {
+// ruleBreaker is a Decider that breaks one of the audit's rules and otherwise decides as the Decider that it wraps.
+type ruleBreaker struct {
 	Decider
-	rule int
-	d    balance.Deployment
-	cold int // the server that started last
-	used bool
+	rule         int // 0: it breaks none
+	deployment   balance.Deployment
+	newestServer int  // a server that started during the run; 0: none
+	done         bool // rules 1 and 2 are broken once
 }
 
-func (r *rogue) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
+func (r *ruleBreaker) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	if r.rule == 3 {
 		for i := range list {
 			if list[i].State == balance.Draining {
-				list[i].State = balance.Ready // it does not listen
+				list[i].State = balance.Ready // draining servers still get requests
 			}
 		}
 	}
 	for _, b := range list {
 		if b.StartedAt > 0 {
-			r.cold = b.Index
+			r.newestServer = b.Index
 		}
 	}
 	return r.Decider.EndpointsUpdated(now, full, first, list)
 }
 
-func (r *rogue) RequestArrived(now float64, a balance.RequestInfo) (RequestHandle, *balance.Actions) {
-	h, o := r.Decider.RequestArrived(now, a)
-	for i := range o.Requests {
-		s := &o.Requests[i]
-		single := r.d.Classes[a.Class].Idempotency == balance.NonIdempotent && s.Ref == a.Ref && s.Send && !r.used
+func (r *ruleBreaker) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
+	handle, actions := r.Decider.RequestArrived(now, info)
+	for i := range actions.Requests {
+		action := &actions.Requests[i]
+		sendsOnce := r.deployment.Classes[info.Class].Idempotency == balance.NonIdempotent &&
+			action.Ref == info.Ref && action.Send && !r.done
 		switch {
-		case r.rule == 4 && s.Send && r.cold > 0 && a.Class == 0: // whatever it bears
-			s.Endpoint = r.cold
-		case r.rule == 1 && s.Send && !r.used:
-			r.used, s.Send, s.WakeAt = true, false, 0
-			return mute{}, o
-		case r.rule == 2 && single: // two attempts at once
-			r.used = true
-			o.Requests = append(o.Requests, balance.RequestAction{Ref: a.Ref, Send: true, Endpoint: (s.Endpoint + 1) % 6})
-			return twice{RequestHandle: h}, o
+		case r.rule == 4 && action.Send && r.newestServer > 0 && info.Class == 0: // beyond the server's capacity
+			action.Endpoint = r.newestServer
+		case r.rule == 1 && action.Send && !r.done:
+			r.done, action.Send, action.WakeAt = true, false, 0
+			return unansweredRequest{}, actions
+		case r.rule == 2 && sendsOnce: // two attempts at once
+			r.done = true
+			actions.Requests = append(actions.Requests,
+				balance.RequestAction{Ref: info.Ref, Send: true, Endpoint: (action.Endpoint + 1) % 6})
+			return duplicatedRequest{RequestHandle: handle}, actions
 		}
 	}
-	return h, o
+	return handle, actions
 }
 
-// mute never answers.
-type mute struct{}
+// unansweredRequest is the handle of a request that never gets a reply.
+type unansweredRequest struct{}
 
-func (mute) AttemptEnded(float64, int, balance.Outcome, float64, bool) *balance.Actions {
+func (unansweredRequest) AttemptEnded(float64, int, balance.Outcome, float64, bool) *balance.Actions {
 	return &balance.Actions{}
 }
-func (mute) ClientDisconnected(float64) *balance.Actions { return &balance.Actions{} }
-func (mute) TimerFired(float64) *balance.Actions         { return &balance.Actions{} }
+func (unansweredRequest) ClientDisconnected(float64) *balance.Actions { return &balance.Actions{} }
+func (unansweredRequest) TimerFired(float64) *balance.Actions         { return &balance.Actions{} }
 
-// twice hides the second attempt from the decisions, which do not know of it.
-type twice struct{ RequestHandle }
+// duplicatedRequest hides the second attempt from the wrapped handle, which did not send it.
+type duplicatedRequest struct{ RequestHandle }
 
-func (t twice) AttemptEnded(now float64, attempt int, o balance.Outcome, latency float64, over bool) *balance.Actions {
+func (r duplicatedRequest) AttemptEnded(
+	now float64, attempt int, outcome balance.Outcome, latency float64, over bool,
+) *balance.Actions {
 	if attempt > 0 {
 		return &balance.Actions{}
 	}
-	return t.RequestHandle.AttemptEnded(now, attempt, o, latency, over)
+	return r.RequestHandle.AttemptEnded(now, attempt, outcome, latency, over)
 }
 
-// deaf receives its first list only.
-type deaf struct{ Decider }
+// firstListOnly applies its first endpoint list and ignores all updates.
+type firstListOnly struct{ Decider }
 
-func (d deaf) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
+func (d firstListOnly) EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions {
 	if !first {
 		list = nil
 	}
 	return d.Decider.EndpointsUpdated(now, first, first, list)
 }
 
-// What the agent has once discovery answers again counts as notified, even to a proxy that ignores it; one that does
-// not ignore it breaks no rule.
+// Once discovery answers again, the changes that were lost meanwhile count as notified. A proxy that ignores them
+// breaks the rule of draining; one that applies them breaks no rule.
 func TestLostListCountsAsNotified(t *testing.T) {
 	s := scenario(t, `
 [[trouble]]
@@ -276,19 +287,19 @@
 `)
 	s.Deployment.DrainGrace = 0.5
 	for name, wrap := range map[string]func(Decider) Decider{
-		"hears": func(d Decider) Decider { return d },
-		"deaf":  func(d Decider) Decider { return deaf{d} },
+		"applies updates": func(d Decider) Decider { return d },
+		"ignores updates": func(d Decider) Decider { return firstListOnly{d} },
 	} {
 		r, err := s.Virtual(name, func(d balance.Deployment, now float64) (Decider, error) {
 			b, err := Policies["lockloom"]()(d, now)
 			return wrap(b), err
 		}, 3)
 		require.NoError(t, err)
-		assert.Equal(t, name == "deaf", r.RulesBroken[3] > 0, "%s: %v", name, r.FirstBreaches)
+		assert.Equal(t, name == "ignores updates", r.RulesBroken[3] > 0, "%s: %v", name, r.FirstBreaches)
 	}
 }
 
-// Each rule's check sees a proxy that breaks it, and no other rule's does.
+// The check of each rule detects a proxy that breaks the rule, and the checks of the other rules do not.
 func TestPlantedDefectsAreFound(t *testing.T) {
 	s := scenario(t, `
 [[trouble]]
@@ -299,29 +310,30 @@
 `)
 	for rule := range 5 {
 		policy := func(d balance.Deployment, now float64) (Decider, error) {
-			under := "lockloom"
+			base := "lockloom"
 			if rule == 4 {
-				under = "random" // lockloom's limits would keep it from doing much harm
+				base = "random" // lockloom's concurrency limits would prevent the crash
 			}
-			b, err := Policies[under]()(d, now)
-			return &rogue{Decider: b, rule: rule, d: d}, err
+			b, err := Policies[base]()(d, now)
+			return &ruleBreaker{Decider: b, rule: rule, deployment: d}, err
 		}
 		if rule == 4 {
 			s.Arrivals.Rate = 500
 		}
-		r, err := s.Virtual("rogue", policy, 3)
+		r, err := s.Virtual("rule breaker", policy, 3)
 		require.NoError(t, err)
 		for i := 1; i <= 4; i++ {
-			assert.Equal(t, i == rule, r.RulesBroken[i] > 0, "rule %d planted, rule %d: %v", rule, i, r.FirstBreaches)
+			assert.Equal(t, i == rule, r.RulesBroken[i] > 0,
+				"proxy that breaks rule %d: breaches of rule %d: %v", rule, i, r.FirstBreaches)
 		}
 		assert.Equal(t, rule == 0, r.Passed())
 	}
 }
 
-// The kinds of faults show in the servers' states and in the baselines' results.
+// Each kind of fault changes the states of 3 servers, and no policy breaks rules 1 to 3 under it.
 func TestFaults(t *testing.T) {
 	for kind, c := range map[string]struct {
-		more  string
+		table string
 		state func(Second) int
 	}{
 		"pause":         {"for = 2.0\ncount = 3", func(s Second) int { return s.Paused }},
@@ -331,7 +343,7 @@
 		"replace":       {"drain = 2.0\ncount = 3", func(s Second) int { return s.WarmingUp }},
 		"replace-there": {"drain = 0.5\ncount = 3", func(s Second) int { return s.WarmingUp }},
 	} {
-		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 0.5\n"+c.more+"\n")
+		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 0.5\n"+c.table+"\n")
 		for name, policy := range Policies {
 			r, err := s.Virtual(name, policy(), 3)
 			require.NoError(t, err)
@@ -349,7 +361,7 @@
 	}
 }
 
-// A killed proxy loses the requests in flight and no others; one that is restarted in order loses none.
+// A killed proxy loses the requests in flight and no others. A proxy that is restarted with SIGTERM loses none.
 func TestProxyFaults(t *testing.T) {
 	for kind, lost := range map[string]bool{"proxy-kill": true, "proxy-restart": false} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 1.0\nfor = 1.0\nproxy = 1\n")
@@ -362,7 +374,7 @@
 	s := scenario(t, "[[trouble]]\nkind = \"proxy-kill\"\nat = 1.0\nfor = 1.5\n")
 	r, err := s.Virtual("lockloom", Policies["lockloom"](), 3)
 	require.NoError(t, err)
-	assert.Greater(t, r.NoProxy, 0, "with none up there is nobody to take them")
+	assert.Greater(t, r.NoProxy, 0, "requests find no proxy while all are down")
 	assert.True(t, r.Passed(), r.FirstBreaches)
 }
 
@@ -382,7 +394,8 @@
 	}
 }
 
-// BenchmarkExperiment is the same with a run on each core.
+// BenchmarkExperiment plays the scenario of BenchmarkVirtual with many seeds, with as many runs at a time as Experiment
+// allows.
 func BenchmarkExperiment(b *testing.B) {
 	s, err := Open("../../deploy/rehearsals/deadline-night.toml")
 	require.NoError(b, err)
--- a/internal/simulation/steering.go
+++ b/internal/simulation/steering.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	reportInterval = 1.0 // s between the reports of the steered proxies
-	updateInterval = 0.1 // s between assignments, and at most until one takes effect
+	reportInterval = 1.0 // s between the reports of outcomes by the steered proxies
+	updateInterval = 0.1 // s between assignments; a change of the estimates takes effect at most this much later
 )
 
-// steeringController is a control plane in virtual time: a Balancer that sends nothing itself and learns from the
-// reports of the proxies that it steers, and the assignment made of its estimates.
+// steeringController is a control plane in virtual time. Its Balancer sends no requests: it estimates the servers from
+// the outcomes that the steered proxies report. Assignments are made from these estimates.
 type steeringController struct {
 	balancer    *balance.Balancer
 	pool        *assignment.Pool
-	proxies     map[uint64]*baseline       // by number
-	list        []balance.Endpoint         // by index, the newest that any proxy was notified of
-	results     []balance.ReportedOutcomes // since the last report, by index
-	assignments []assignment.Server        // by index; Weight 0: nothing is to be sent there
-	drop        float64                    // fraction of requests
-	rate        float64                    // attempts a second
-	reportAt    float64
-	updateAt    float64
+	proxies     map[uint64]*baseline       // by number of the proxy
+	list        []balance.Endpoint         // by index: the newest entry that any proxy was notified of
+	results     []balance.ReportedOutcomes // by index: outcomes since the last report
+	assignments []assignment.Server        // by index; Weight 0: no requests are sent to the server
+	drop        float64                    // fraction of requests to reject
+	rate        float64                    // attempts per second, as of the last report
+	reportAt    float64                    // when the next report is due
+	updateAt    float64                    // when the next assignment is due
 }
 
 func newSteeringController(d balance.Deployment, now float64) (*steeringController, error) {
@@ -41,8 +41,9 @@
 	return &steeringController{balancer: balancer, pool: pool, proxies: map[uint64]*baseline{}}, nil
 }
 
-// steered makes proxies with weighted random choice, which one controller for each pool steers, as in installations
-// that do not run lockloom's proxies. A seed holds the number of the proxy and of the pool; see virtualRun.start.
+// steered returns a policy of proxies that choose servers at random by assigned weights, as in installations that do
+// not run lockloom's proxies. One controller for each pool assigns the weights. The seed of a proxy contains its number
+// and that of the pool; see virtualRun.startProxy.
 func steered() Policy {
 	controllers := map[uint64]*steeringController{}
 	return func(d balance.Deployment, now float64) (Decider, error) {
@@ -61,13 +62,13 @@
 		}
 		proxy := decider.(*baseline)
 		proxy.controller = controller
-		controller.proxies[number] = proxy // in place of one that was killed
+		controller.proxies[number] = proxy // replaces a proxy that was killed
 		return proxy, nil
 	}
 }
 
-// listUpdated merges the list of one proxy. Since a proxy may be notified late, a server that is draining or removed
-// stays so until its next start.
+// listUpdated merges the endpoint list of one proxy. Proxies are notified at different times, so an older entry never
+// replaces a newer one: a server that is draining or removed stays so until its next start.
 func (s *steeringController) listUpdated(now float64, list []balance.Endpoint) {
 	for _, b := range list {
 		for len(s.list) <= b.Index {
@@ -75,7 +76,7 @@
 			s.results = append(s.results, balance.ReportedOutcomes{Endpoint: len(s.results)})
 			s.assignments = append(s.assignments, assignment.Server{})
 		}
-		if was := s.list[b.Index]; b.StartedAt > was.StartedAt || b.StartedAt == was.StartedAt && b.State > was.State {
+		if old := s.list[b.Index]; b.StartedAt > old.StartedAt || b.StartedAt == old.StartedAt && b.State > old.State {
 			s.list[b.Index] = b
 		}
 	}
@@ -84,7 +85,7 @@
 	s.update(now)
 }
 
-// attemptEnded counts how an attempt ended, as its sender would see it.
+// attemptEnded counts the outcome of an attempt. Outcomes that say nothing about the server are left out.
 func (s *steeringController) attemptEnded(to int, o balance.Outcome) {
 	switch o {
 	case balance.Succeeded:
@@ -95,7 +96,7 @@
 	}
 }
 
-// update learns from the reports and makes a new assignment, each when it is time.
+// update processes the reports and makes a new assignment, each if it is due.
 func (s *steeringController) update(now float64) {
 	if now >= s.reportAt {
 		s.reportAt = now + reportInterval
@@ -107,6 +108,7 @@
 	}
 }
 
+// report updates the estimates and the rate from the outcomes since the last report.
 func (s *steeringController) report(now float64) {
 	s.balancer.OutcomesReported(now, s.results)
 	s.rate = 0
@@ -118,22 +120,24 @@
 	}
 }
 
+// assign makes a new assignment and takes over the weights of its healthy servers.
 func (s *steeringController) assign(now float64) {
 	s.pool.Update(now, s.observe(now))
 	view := s.pool.AssignmentFor("")
 	s.drop = view.Drop
 	clear(s.assignments)
 	for _, server := range view.Servers {
-		// The name is an index: observe made it.
+		// observe names each server by its index, so Atoi cannot fail.
 		if i, _ := strconv.Atoi(server.Name); server.Health == assignment.Healthy {
 			s.assignments[i] = server
 		}
 	}
 }
 
+// observe returns what the assignment is made from: the estimates, the rate and the load of all steered proxies.
 func (s *steeringController) observe(now float64) assignment.Observation {
 	observation := assignment.Observation{Rate: s.rate}
-	for _, proxy := range s.proxies { // sums of integers, so the order does not matter
+	for _, proxy := range s.proxies { // sums of integers, exact in any map order
 		for _, n := range proxy.inFlight {
 			observation.Load += float64(n)
 		}
@@ -158,8 +162,8 @@
 	return observation
 }
 
-// choose draws a server by the assigned weights, as gRPC's clients do; -1: the request is dropped, or none may be sent
-// to.
+// choose draws a server by the assigned weights, as gRPC clients do. It returns -1 if the request is to be rejected or
+// no candidate has a weight.
 func (s *steeringController) choose(p *baseline, candidates []int) int {
 	if p.rand.Float64() < s.drop {
 		return -1
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -8,35 +8,35 @@
 	"lockloom/internal/emulator"
 )
 
-// TimelineEntry is one event of a scenario's timeline: at a server, at a proxy, or at a proxy's endpoint list.
+// TimelineEntry is one event of a scenario's timeline, at a server, a proxy or a proxy's endpoint list.
 type TimelineEntry struct {
-	At         float64
-	Change     emulator.Change // where ProxyEvent is NoProxyEvent
-	FollowUp   bool            // it follows from another entry, and is not scripted
+	At         float64         // s since the start of the run
+	Change     emulator.Change // of a server, if ProxyEvent is NoProxyEvent; DisableServer uses only the Position
+	FollowUp   bool            // caused by another entry, not by the scenario
 	ProxyEvent ProxyEvent
 	ProxyIndex int     // from 0; -1: all proxies
 	Duration   float64 // s
-	Delay      float64 // s; of ListLate
+	Delay      float64 // s by which ListLate delays notifications
 }
 
 // ProxyEvent is what happens to a proxy or to its endpoint list.
 type ProxyEvent uint8
 
-// The events. Duration and Delay are those of the entry.
+// The kinds of proxy events. Duration and Delay are fields of the entry.
 const (
 	NoProxyEvent  ProxyEvent = iota
-	ProxyKill                // SIGKILL; it is started again after Duration
-	ProxyRestart             // SIGTERM; it is started again when it has ended
-	ListLate                 // for Duration, notifications come Delay later
-	ListSilent               // for Duration, discovery sends nothing and the agent learns nothing
-	ListReset                // every open watch is closed
-	ListMute                 // every open watch is silent for good
-	ProxyUpgrade             // a second process starts, and the first gets SIGTERM once the second serves
-	ProxyDrain               // by an admin call; resumed after Duration
-	DisableServer            // by an admin call, the server at Change.Position; enabled after Duration
+	ProxyKill                // the proxy gets SIGKILL, and is started again after Duration
+	ProxyRestart             // the proxy gets SIGTERM, and is started again once it has exited
+	ListLate                 // for Duration, the agent's notifications are delayed by Delay
+	ListSilent               // for Duration, discovery answers nothing, and changes do not count as notified
+	ListReset                // the agent closes every open watch
+	ListMute                 // every open watch stays open, but the agent sends nothing more on it
+	ProxyUpgrade             // a second process starts; once it is ready, the first gets SIGTERM
+	ProxyDrain               // an admin call drains the proxy, and another resumes it after Duration
+	DisableServer            // an admin call disables the server at Change.Position, and another enables it after Duration
 )
 
-// proxyEventNames are the events in timelines.
+// proxyEventNames are the names of the events in timelines.
 var proxyEventNames = [...]string{
 	"",
 	"killed",
@@ -50,10 +50,10 @@
 	"bans",
 }
 
-// String is the name of the event in timelines.
+// String returns the name of the event in timelines.
 func (e ProxyEvent) String() string { return proxyEventNames[e] }
 
-// String is the entry's line in a timeline.
+// String returns the text of the entry in a timeline.
 func (e TimelineEntry) String() string {
 	if e.ProxyEvent == NoProxyEvent {
 		return fmt.Sprintf("seat %d %s %g", e.Change.Position, e.Change.Kind, e.Change.Value)
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("proxy %d %s %g", e.ProxyIndex+1, e.ProxyEvent, e.Duration)
 }
 
-// proxyFaults are the kinds of faults of proxies and their lists.
+// proxyFaults maps the kinds of faults of proxies and their endpoint lists to events.
 var proxyFaults = map[string]ProxyEvent{
 	"proxy-kill":    ProxyKill,
 	"proxy-restart": ProxyRestart,
@@ -79,7 +79,7 @@
 	"proxy-drain":   ProxyDrain,
 }
 
-// Timeline is all that the scenario's faults do, in order of time.
+// Timeline returns the events of all faults of the scenario, sorted by time.
 func (s *Scenario) Timeline() []TimelineEntry {
 	var all []TimelineEntry
 	for _, fault := range s.Faults {
@@ -87,7 +87,7 @@
 		case event != NoProxyEvent:
 			all = append(all, s.proxyEvents(fault, event)...)
 		case faultKinds[fault.Kind].disables:
-			all = append(all, s.disablings(fault)...)
+			all = append(all, s.disableEvents(fault)...)
 		default:
 			all = append(all, s.serverChanges(fault)...)
 		}
@@ -96,7 +96,8 @@
 	return all
 }
 
-// proxyEvents are what a fault does to proxies, one after the other.
+// proxyEvents returns the events of a fault of proxies. Without a given proxy, they are spread over the fault's Within
+// for all proxies; a fault of endpoint lists is then one event for all.
 func (s *Scenario) proxyEvents(fault Fault, event ProxyEvent) []TimelineEntry {
 	entry := TimelineEntry{
 		At:         fault.At,
@@ -117,8 +118,8 @@
 	return all
 }
 
-// disablings are the disabling of servers at proxies, one server after the other.
-func (s *Scenario) disablings(fault Fault) []TimelineEntry {
+// disableEvents returns the events of a fault that disables servers at proxies, spread over the fault's Within.
+func (s *Scenario) disableEvents(fault Fault) []TimelineEntry {
 	var all []TimelineEntry
 	first, n := s.firstPosition(fault.Servers)+fault.From, s.affected(fault)
 	for i := range n {
@@ -133,7 +134,8 @@
 	return all
 }
 
-// serverChanges are what a fault does to servers, one after the other, each with its end if that is a change too.
+// serverChanges returns the events of a fault of servers, spread over the fault's Within. Where the end of the fault is
+// a change too, it is included.
 func (s *Scenario) serverChanges(fault Fault) []TimelineEntry {
 	var all []TimelineEntry
 	kind := faultKinds[fault.Kind]
@@ -157,7 +159,7 @@
 	return all
 }
 
-// changeValue is the Value of the change that the fault makes.
+// changeValue returns the Value of the change that starts the fault.
 func (f *Fault) changeValue(kind emulator.ChangeKind) float64 {
 	switch kind {
 	case emulator.ChangePause, emulator.ChangeCrash:
@@ -170,7 +172,7 @@
 	return f.Factor
 }
 
-// revertValue is the Value of the change that ends a fault.
+// revertValue returns the Value of the change that ends a fault.
 func revertValue(kind emulator.ChangeKind) float64 {
 	if kind == emulator.ChangeSpeed {
 		return 1
@@ -178,7 +180,7 @@
 	return 0
 }
 
-// firstPosition is the first position of a group of servers.
+// firstPosition returns the position of the first server of a group; an empty group stands for all servers.
 func (s *Scenario) firstPosition(group string) int {
 	position := 0
 	for _, g := range s.Servers {
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -12,16 +12,16 @@
 	"lockloom/internal/settings"
 )
 
-// Times of the virtual world, in seconds.
+// Delays and durations in virtual time, in seconds.
 const (
-	epoch          = 1000.0 // start of a run: a server that starts then has not been up for long
-	wireDelay      = 0.0001 // one way between proxy and server, or client
-	listDelay      = 0.02   // from a change of the list to a proxy's notification
-	muteDuration   = 3.1    // until a proxy has replaced a watch that fell silent
-	reconnectDelay = 0.05   // until a client that found no proxy looks again
-	killMargin     = 0.7    // past the longest deadline, until a proxy that was told to stop is killed
-	startDuration  = 0.2    // until a started proxy serves
-	clockTolerance = 1e-6   // of the audit, for rounding
+	epoch          = 1000.0 // start of a run; not 0, which as a StartedAt means long ago
+	wireDelay      = 0.0001 // network delay, one way, between proxy and server or client
+	listDelay      = 0.02   // from a change of the endpoint list to the notification of a proxy
+	muteDuration   = 3.1    // until a proxy has replaced a watch on which nothing is sent any more
+	reconnectDelay = 0.05   // until a client that found no proxy up connects again
+	killMargin     = 0.7    // past the longest deadline, after which a proxy that got SIGTERM and still runs is killed
+	startDuration  = 0.2    // from the start of a proxy until it serves
+	clockTolerance = 1e-6   // that the audit allows for rounding
 )
 
 // virtualRun is a run in virtual time.
@@ -33,33 +33,34 @@
 	now                float64
 	agenda             agenda
 	plan               loadgen.Source
-	nextIntent         loadgen.Intent
+	nextIntent         loadgen.Intent // its event is in the agenda
 	clients            loadgen.Clients
 	rand               *rand.Rand
 	fleet              *emulator.Fleet
-	nextEventAt        []float64 // by member: when an eventServerDue is due
-	silentAttempts     [][]int32 // by member: attempts that were lost on their way, until its connections are reset
+	nextEventAt        []float64 // by member: time of its valid eventServerDue; never: none
+	silentAttempts     [][]int32 // by member: attempts without a response, which end when the connections are reset
 	timeline           []TimelineEntry
 	proxies            []*virtualProxy
-	nextProxy          int
+	nextProxy          int // of the round robin of all clients
 	tries              []try
-	freeTries          []int32
+	freeTries          []int32 // unused indices of tries
 	attempts           []attempt
-	freeAttempts       []int32
-	zones              map[string]int
-	models             map[string]int
+	freeAttempts       []int32        // unused indices of attempts
+	zones              map[string]int // number by name
+	models             map[string]int // number by name, in order of appearance
 	audit              *Audit
 	tally              *tally
 	attemptsThisSecond int
 	err                error
 }
 
-// Virtual plays a scenario in virtual time with one of the policies. The same seed gives the same run.
+// Virtual plays a scenario in virtual time with a policy; the name is used in the result. The same seed gives the same
+// run.
 func (s *Scenario) Virtual(name string, policy Policy, seed uint64) (*Result, error) {
 	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
 }
 
-// VirtualOf plays it with other intents than those of its own workload.
+// VirtualOf is like Virtual, but takes the intents from a source instead of the scenario's workload.
 func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
 	startedAt := time.Now()
 	v := newVirtualRun(s, name, policy, seed, intents)
@@ -70,7 +71,7 @@
 	for len(v.agenda.list) > 0 && v.agenda.list[0].at <= end && v.err == nil {
 		e := v.agenda.next()
 		v.now = e.at
-		v.play(e)
+		v.handle(e)
 	}
 	v.audit.Close(end + 1)
 	r := v.tally.result(v.fleet, v.audit)
@@ -79,10 +80,10 @@
 }
 
 func newVirtualRun(s *Scenario, name string, policy Policy, seed uint64, intents loadgen.Source) *virtualRun {
-	figures := s.Settings(seed)
+	runSettings := s.Settings(seed)
 	v := &virtualRun{
 		scenario: s,
-		settings: figures,
+		settings: runSettings,
 		policy:   policy,
 		seed:     seed,
 		now:      epoch,
@@ -92,11 +93,11 @@
 		fleet:    s.Fleet(seed, epoch),
 		zones:    map[string]int{},
 		models:   map[string]int{},
-		tally:    newTally(s, figures.Classes, seed, name, "virtual"),
+		tally:    newTally(s, runSettings.Classes, seed, name, "virtual"),
 	}
 	slack := 2*wireDelay + clockTolerance
-	v.audit = NewAudit(figures.Classes, slack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)
-	for i, zone := range figures.Zones {
+	v.audit = NewAudit(runSettings.Classes, slack, s.Deployment.DrainGrace, s.Deployment.NotificationDeadline)
+	for i, zone := range runSettings.Zones {
 		v.zones[zone] = i
 	}
 	for range s.ProxyFleet.Count {
@@ -105,10 +106,10 @@
 	return v
 }
 
-// begin starts the proxies and fills the agenda.
+// begin starts the proxies and schedules the timeline, the ends of all seconds and the first intent.
 func (v *virtualRun) begin() error {
 	for i := range v.proxies {
-		v.start(i)
+		v.startProxy(i)
 		if v.err != nil {
 			return v.err
 		}
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// longestDeadline is the longest deadline of a class.
+// longestDeadline returns the longest deadline of any class, in seconds.
 func (s *Scenario) longestDeadline() float64 {
 	longest := 0.0
 	for _, t := range s.Classes {
@@ -133,14 +134,14 @@
 	return longest
 }
 
-// play carries out an event.
-func (v *virtualRun) play(e event) {
+// handle processes an event. Events of an earlier generation of their target are ignored.
+func (v *virtualRun) handle(e event) {
 	switch e.kind {
 	case eventIntentDue:
-		in := v.nextIntent
+		intent := v.nextIntent
 		v.scheduleIntent()
-		v.tally.intentDue(v.now-epoch, &in)
-		v.connect(v.newTry(in, 1, v.now))
+		v.tally.intentDue(v.now-epoch, &intent)
+		v.connect(v.newTry(intent, 1, v.now))
 	case eventConnect:
 		v.connect(e.target)
 	case eventClientLeaves:
@@ -172,12 +173,13 @@
 	case eventProxyNotified:
 		v.notifyProxy(int(e.target))
 	case eventProxyStarts:
-		v.start(int(e.target))
+		v.startProxy(int(e.target))
 	case eventSecondEnds:
 		v.endSecond()
 	}
 }
 
+// endSecond records the servers' states at the end of a second.
 func (v *virtualRun) endSecond() {
 	for i, m := range v.fleet.Members {
 		v.reconcile(i, m.Advance(v.now))
@@ -186,20 +188,20 @@
 	v.attemptsThisSecond = 0
 }
 
-// scheduleIntent schedules the next intent.
+// scheduleIntent takes the next intent of the source, if there is one, and schedules it.
 func (v *virtualRun) scheduleIntent() {
-	if in, ok := v.plan.Next(); ok {
-		v.nextIntent = in
-		v.agenda.add(event{at: epoch + in.At, kind: eventIntentDue})
+	if intent, ok := v.plan.Next(); ok {
+		v.nextIntent = intent
+		v.agenda.add(event{at: epoch + intent.At, kind: eventIntentDue})
 	}
 }
 
-func (v *virtualRun) schedule(h TimelineEntry) {
-	v.timeline = append(v.timeline, h)
-	v.agenda.add(event{at: epoch + h.At, kind: eventTimelineEntry, target: int32(len(v.timeline) - 1)})
+func (v *virtualRun) schedule(entry TimelineEntry) {
+	v.timeline = append(v.timeline, entry)
+	v.agenda.add(event{at: epoch + entry.At, kind: eventTimelineEntry, target: int32(len(v.timeline) - 1)})
 }
 
-// reconcile carries out what followed from a call on a member.
+// reconcile updates the endpoint list after a call on a member, and carries out the effects of the call.
 func (v *virtualRun) reconcile(member int, completions []emulator.Completion) {
 	v.carryOutEffect(v.fleet.Reconcile(member, completions))
 }
@@ -211,7 +213,7 @@
 		v.complete(e.Member, completion)
 	}
 	if e.ResetConnections {
-		v.reset(e.Member)
+		v.resetConnections(e.Member)
 	}
 	if e.ListChanged {
 		v.listChanged()
@@ -222,17 +224,18 @@
 	}
 }
 
-// complete sends a completion to the proxy that waits for it.
+// complete sends the response of a completed attempt to its proxy, unless the proxy has closed the attempt or the
+// server is unreachable.
 func (v *virtualRun) complete(member int, completion emulator.Completion) {
 	ref := int32(completion.Ref)
 	a := &v.attempts[ref]
 	a.received = false
 	if completion.Outcome == balance.ServerRejected {
-		v.audit.AttemptRejected(v.tries[a.try].id)
+		v.audit.AttemptRejected(v.tries[a.try].auditID)
 	}
 	switch {
-	case a.closed: // no proxy waits for it
-		v.freed(ref)
+	case a.closed: // no proxy waits for the response
+		v.freeAttempt(ref)
 	case v.fleet.Members[member].Reachability() == emulator.Unreachable:
 		v.silentAttempts[member] = append(v.silentAttempts[member], ref)
 	default:
@@ -241,7 +244,7 @@
 	}
 }
 
-// scheduleEnd schedules the end of an attempt at its proxy.
+// scheduleEnd schedules when a proxy observes the end of an attempt.
 func (v *virtualRun) scheduleEnd(ref int32, at float64, outcome balance.Outcome) {
 	v.agenda.add(event{
 		at:         at,
@@ -252,7 +255,7 @@
 	})
 }
 
-// addMembers follows the fleet where it has new members.
+// addMembers extends the state by member to servers that have joined the fleet, and schedules their first events.
 func (v *virtualRun) addMembers() {
 	for len(v.nextEventAt) < len(v.fleet.Members) {
 		v.nextEventAt = append(v.nextEventAt, never)
@@ -265,15 +268,16 @@
 	}
 }
 
-// reset resets all connections to a member.
-func (v *virtualRun) reset(member int) {
+// resetConnections resets all connections to a member: idle ones are closed, and attempts without a response fail. If
+// the member has crashed, it also records the crash.
+func (v *virtualRun) resetConnections(member int) {
 	m := v.fleet.Members[member]
 	if m.Crashes > 0 && m.Reachability() == emulator.Refusing && m.State != balance.Removed {
 		v.tally.event(v.now-epoch, fmt.Sprintf("!%s fell over", m.Name))
 		v.audit.ServerCrashed(v.now, member)
 	}
 	for _, p := range v.proxies {
-		*v.idle(p, member) = 0
+		*v.idleConnections(p, member) = 0
 	}
 	lost := v.silentAttempts[member]
 	v.silentAttempts[member] = nil
--- a/internal/simulation/virtual_proxies.go
+++ b/internal/simulation/virtual_proxies.go
@@ -6,17 +6,17 @@
 	"lockloom/internal/settings"
 )
 
-// virtualProxy is one proxy.
+// virtualProxy is a proxy in virtual time.
 type virtualProxy struct {
-	pools            []Decider // one, or one for each pool of a scenario with plain HTTP clients
-	incarnation      uint32
-	up               bool // accepts requests
-	alive            bool
-	open             int   // tries
-	version          int64 // of the list that it has
-	idle             []int // connections, by member
-	silentUntil      float64
-	listExtraDelay   float64
+	pools            []Decider // one decider, or one for each pool of a scenario with plain HTTP clients
+	incarnation      uint32    // counts starts and kills; outdated timers are ignored by it
+	up               bool      // it accepts requests
+	alive            bool      // its process runs
+	openTries        int
+	version          int64   // of the endpoint list at its last notification
+	idleConnections  []int   // by member
+	silentUntil      float64 // when its agent sends notifications again
+	listExtraDelay   float64 // s by which ListLate delays notifications until listDelayedUntil
 	listDelayedUntil float64
 }
 
@@ -39,6 +39,7 @@
 	}
 }
 
+// carryOutRequest carries out the action for one try.
 func (v *virtualRun) carryOutRequest(action *balance.RequestAction) {
 	i := int32(action.Ref)
 	t := &v.tries[i]
@@ -47,13 +48,13 @@
 	}
 	if action.CancelAttempt > 0 {
 		if ref := t.attempts[action.CancelAttempt-1]; v.attempts[ref].used && !v.attempts[ref].closed {
-			v.drop(ref)
+			v.abandon(ref)
 			v.scheduleEnd(ref, v.now, balance.Canceled)
 		}
 	}
 	if action.Reply != balance.NoReply && !t.over {
 		t.over = true
-		v.answered(t, action.Reply, action.RetryAfter)
+		v.reply(t, action.Reply, action.RetryAfter)
 	}
 	if action.WakeAt > 0 {
 		at := max(action.WakeAt, v.now)
@@ -77,6 +78,7 @@
 	}
 }
 
+// applyChange carries out a change of a server, and schedules the changes that follow from it.
 func (v *virtualRun) applyChange(change emulator.Change) {
 	effect, followUps := v.fleet.Apply(v.now, change)
 	v.addMembers()
@@ -86,6 +88,8 @@
 	}
 }
 
+// applyProxyEvent carries out an event at one proxy. ListReset, ProxyUpgrade, ProxyDrain and DisableServer have no
+// effect in virtual time.
 func (v *virtualRun) applyProxyEvent(i int, entry TimelineEntry) {
 	p := v.proxies[i]
 	switch entry.ProxyEvent {
@@ -97,7 +101,7 @@
 	case ListMute:
 		p.silentUntil = max(p.silentUntil, v.now+muteDuration)
 	case ProxyKill:
-		v.kill(i)
+		v.killProxy(i)
 		v.agenda.add(event{at: v.now + entry.Duration, kind: eventProxyStarts, target: int32(i)})
 	case ProxyRestart:
 		p.up = false
@@ -106,8 +110,8 @@
 	}
 }
 
-// kill ends a proxy and loses all tries that it holds.
-func (v *virtualRun) kill(i int) {
+// killProxy kills a proxy. All its open tries are lost.
+func (v *virtualRun) killProxy(i int) {
 	p := v.proxies[i]
 	p.up = false
 	p.alive = false
@@ -117,32 +121,32 @@
 			v.loseTry(int32(k))
 		}
 	}
-	p.open = 0
+	p.openTries = 0
 }
 
-// loseTry ends a try whose proxy has been killed.
+// loseTry ends a try whose proxy has been killed. Its client may retry.
 func (v *virtualRun) loseTry(i int32) {
 	if t := &v.tries[i]; !t.over {
 		t.over = true
-		v.audit.ClientGone(v.now, t.id)
+		v.audit.ClientGone(v.now, t.auditID)
 		v.tally.LostWithProxy++
 		v.tally.second(v.now-epoch).Lost++
 		v.retry(t, balance.Failed, 0)
 	}
 	for _, ref := range v.tries[i].attempts {
-		if v.waitedFor(ref, i) {
-			v.drop(ref)
-			v.freed(ref)
+		if v.isPending(ref, i) {
+			v.abandon(ref)
+			v.freeAttempt(ref)
 		}
 	}
-	v.free(i)
+	v.freeTry(i)
 }
 
-// start starts a proxy that has learned nothing but the list.
-func (v *virtualRun) start(i int) {
+// startProxy starts a proxy with no state but the endpoint list. One that still has open tries is killed first.
+func (v *virtualRun) startProxy(i int) {
 	p := v.proxies[i]
-	if p.alive && p.open > 0 { // it was told to stop and has not ended: it is killed
-		v.kill(i)
+	if p.alive && p.openTries > 0 { // it got SIGTERM and has not exited by now
+		v.killProxy(i)
 	}
 	d := v.settings.Deployment
 	var pools []Decider
@@ -167,16 +171,16 @@
 	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Removed {
-			list = append(list, v.entry(k))
-			v.notified(i, k)
+			list = append(list, v.endpointOf(k))
+			v.recordNotified(i, k)
 		}
 	}
 	p.version = v.fleet.Version
-	v.list(i, true, list)
+	v.updateEndpoints(i, true, list)
 }
 
-// entry is a member as the list has it.
-func (v *virtualRun) entry(i int) balance.Endpoint {
+// endpointOf returns the entry of a member in the endpoint list.
+func (v *virtualRun) endpointOf(i int) balance.Endpoint {
 	m := v.fleet.Members[i]
 	model, ok := v.models[m.Model]
 	if !ok {
@@ -194,14 +198,14 @@
 	}
 }
 
-// notified records that a proxy is notified of a member that is not ready.
-func (v *virtualRun) notified(proxy, member int) {
+// recordNotified records in the audit that a proxy is notified of a member that is not ready.
+func (v *virtualRun) recordNotified(proxy, member int) {
 	if v.fleet.Members[member].State != balance.Ready {
 		v.audit.ProxyNotified(v.now, proxy, member)
 	}
 }
 
-// listChanged schedules the notification of all proxies.
+// listChanged records the members that are not ready in the audit, and schedules the notification of all proxies.
 func (v *virtualRun) listChanged() {
 	for k, m := range v.fleet.Members {
 		if m.State != balance.Ready {
@@ -217,8 +221,8 @@
 	}
 }
 
-// list gives each pool of a proxy its part of a list.
-func (v *virtualRun) list(i int, first bool, list []balance.Endpoint) {
+// updateEndpoints passes a list to each pool of a proxy, reduced to the servers of the pool.
+func (v *virtualRun) updateEndpoints(i int, first bool, list []balance.Endpoint) {
 	for k, group := range v.scenario.pools() {
 		own := list
 		if group >= 0 {
@@ -233,8 +237,8 @@
 	}
 }
 
-// pool is the number of the pool that a class's requests go to.
-func (v *virtualRun) pool(class int) int32 {
+// poolOf returns the number of the pool that serves a class.
+func (v *virtualRun) poolOf(class int) int32 {
 	if v.scenario.PlainHTTP() {
 		for k, group := range v.scenario.pools() {
 			if v.scenario.Servers[group].Name == v.scenario.Classes[class].Pool {
@@ -254,12 +258,12 @@
 	var list []balance.Endpoint
 	for k, m := range v.fleet.Members {
 		if m.ChangedAfter(p.version) {
-			list = append(list, v.entry(k))
-			v.notified(i, k)
+			list = append(list, v.endpointOf(k))
+			v.recordNotified(i, k)
 		}
 	}
 	p.version = v.fleet.Version
 	if len(list) > 0 {
-		v.list(i, false, list)
+		v.updateEndpoints(i, false, list)
 	}
 }
--- a/internal/simulation/virtual_requests.go
+++ b/internal/simulation/virtual_requests.go
@@ -9,41 +9,41 @@
 	"lockloom/internal/settings"
 )
 
-// try is one request of a client for an intent.
+// try is one request that a client sends for an intent. Elements of the list of tries are reused.
 type try struct {
-	in         loadgen.Intent
-	n          int // from 1
-	id         int // the audit's
-	generation uint32
-	proxy      int32 // -1: none has accepted it yet
-	pool       int32
-	sent       float64
-	deadline   float64
-	leavesAt   float64
-	handle     RequestHandle
-	attempts   []int32
-	open       int // attempts
-	over       bool
-	used       bool
+	intent       loadgen.Intent
+	number       int    // of the tries for the intent, from 1
+	auditID      int    // number of the try in the audit
+	generation   uint32 // grows when the element is used or freed, so that events of earlier uses are ignored
+	proxy        int32  // -1: no proxy has accepted it yet
+	pool         int32
+	sent         float64
+	deadline     float64
+	leavesAt     float64 // when the client stops waiting for a reply
+	handle       RequestHandle
+	attempts     []int32 // indices, in the order of sending
+	openAttempts int
+	over         bool // it has been answered, its client has left, or its proxy was killed
+	used         bool
 }
 
-// attempt is one attempt of a try.
+// attempt is one attempt of a try. Elements of the list of attempts are reused.
 type attempt struct {
 	try              int32
 	proxy            int32
 	member           int32
-	index            int32 // among the attempts of the try
-	generation       uint32
+	index            int32  // in the attempts of the try
+	generation       uint32 // as for a try
 	sent             float64
-	work             float64
+	work             float64 // s of a core at speed 1
 	reusedConnection bool
-	closed           bool // the proxy does not wait for it any more, and has been notified or is about to be
-	received         bool // the server holds it
+	closed           bool // its proxy no longer waits for it: its end is processed or scheduled, or the proxy was killed
+	received         bool // its server has it queued or running
 	used             bool
 }
 
-// slot returns the index of an unused element of a list, which grows if there is none.
-func slot[T any](list *[]T, free *[]int32) int32 {
+// allocate returns the index of a free element of a list, which it extends if there is none.
+func allocate[T any](list *[]T, free *[]int32) int32 {
 	if n := len(*free); n > 0 {
 		i := (*free)[n-1]
 		*free = (*free)[:n-1]
@@ -54,14 +54,14 @@
 	return int32(len(*list) - 1)
 }
 
-// newTry makes a client's n-th try for an intent, sent at a time.
+// newTry returns the index of a new try, a client's n-th for an intent, which is sent at a time.
 func (v *virtualRun) newTry(intent loadgen.Intent, n int, at float64) int32 {
-	i := slot(&v.tries, &v.freeTries)
+	i := allocate(&v.tries, &v.freeTries)
 	t := &v.tries[i]
 	class := &v.settings.Classes[intent.Class]
 	*t = try{
-		in:         intent,
-		n:          n,
+		intent:     intent,
+		number:     n,
 		generation: t.generation + 1,
 		attempts:   t.attempts[:0],
 		sent:       at,
@@ -73,7 +73,8 @@
 	return i
 }
 
-// connect brings a try to the next proxy that is up.
+// connect passes a try to the next proxy that is up, in round-robin order. If none is, the client connects again later,
+// until it stops waiting.
 func (v *virtualRun) connect(i int32) {
 	t := &v.tries[i]
 	for range v.proxies {
@@ -88,61 +89,61 @@
 			v.agenda.add(event{at: v.now + reconnectDelay, kind: eventConnect, target: i})
 		} else {
 			v.tally.NoProxy++
-			v.free(i)
+			v.freeTry(i)
 		}
 		return
 	}
-	v.arrive(i)
+	v.tryArrives(i)
 }
 
-// arrive is a try's arrival at its proxy.
-func (v *virtualRun) arrive(i int32) {
+// tryArrives processes the arrival of a try at its proxy.
+func (v *virtualRun) tryArrives(i int32) {
 	t := &v.tries[i]
 	p := v.proxies[t.proxy]
-	p.open++
-	t.id = v.audit.RequestSent(t.in.Class, t.deadline)
+	p.openTries++
+	t.auditID = v.audit.RequestSent(t.intent.Class, t.deadline)
 	v.tally.Tries++
 	v.agenda.add(event{at: t.leavesAt, kind: eventClientLeaves, target: i, generation: t.generation})
 	info := balance.RequestInfo{
 		Ref:         int(i),
-		Class:       t.in.Class,
-		Tenant:      t.in.Tenant,
+		Class:       t.intent.Class,
+		Tenant:      t.intent.Tenant,
 		Deadline:    t.deadline,
-		ClientRetry: t.n > 1 && v.clients.MarksRetries,
+		ClientRetry: t.number > 1 && v.clients.MarksRetries,
 	}
-	if t.in.Key > 0 {
-		info.Key = settings.NameHash(strconv.FormatUint(t.in.Key, 10))
+	if t.intent.Key > 0 {
+		info.Key = settings.NameHash(strconv.FormatUint(t.intent.Key, 10))
 	}
-	t.pool = v.pool(t.in.Class)
+	t.pool = v.poolOf(t.intent.Class)
 	handle, actions := p.pools[t.pool].RequestArrived(v.now, info)
 	v.tries[i].handle = handle
 	v.carryOut(t.proxy, t.pool, actions)
 	v.release(i)
 }
 
-// answered answers a client that its try was rejected or failed.
-func (v *virtualRun) answered(t *try, reply balance.Reply, retryAfter float64) {
+// reply sends a client the reply that its try was rejected or has failed.
+func (v *virtualRun) reply(t *try, reply balance.Reply, retryAfter float64) {
 	at := v.now + wireDelay
-	v.audit.RequestAnswered(at, t.id, reply)
+	v.audit.RequestAnswered(at, t.auditID, reply)
 	v.tally.failed(at-epoch, reply)
 	v.retry(t, reply, retryAfter)
 }
 
-// retry schedules a client's retry, if it makes one.
+// retry schedules the client's next try, if it retries and the workload has not ended by then.
 func (v *virtualRun) retry(t *try, reply balance.Reply, retryAfter float64) {
-	idempotency := v.settings.Classes[t.in.Class].Idempotency
-	delay, ok := v.clients.RetryDelay(t.n, idempotency, reply, retryAfter, v.rand)
+	idempotency := v.settings.Classes[t.intent.Class].Idempotency
+	delay, ok := v.clients.RetryDelay(t.number, idempotency, reply, retryAfter, v.rand)
 	if !ok || v.now+delay > epoch+v.scenario.Seconds {
 		return
 	}
 	at := v.now + wireDelay + delay
-	i := v.newTry(t.in, t.n+1, at)
+	i := v.newTry(t.intent, t.number+1, at)
 	v.agenda.add(event{at: at, kind: eventConnect, target: i})
 }
 
-// send sends an attempt of a try.
+// send sends an attempt of a try to a member, on an idle connection if there is one.
 func (v *virtualRun) send(i int32, member int) {
-	ref := slot(&v.attempts, &v.freeAttempts)
+	ref := allocate(&v.attempts, &v.freeAttempts)
 	t, a := &v.tries[i], &v.attempts[ref]
 	*a = attempt{
 		try:        i,
@@ -151,33 +152,34 @@
 		index:      int32(len(t.attempts)),
 		generation: a.generation + 1,
 		sent:       v.now,
-		work:       t.in.Work,
+		work:       t.intent.Work,
 		used:       true,
 	}
 	t.attempts = append(t.attempts, ref)
-	t.open++
+	t.openAttempts++
 	v.tally.Attempts++
 	v.attemptsThisSecond++
 	delay := wireDelay
-	idle := v.idle(v.proxies[t.proxy], member)
+	idle := v.idleConnections(v.proxies[t.proxy], member)
 	a.reusedConnection = *idle > 0
 	if a.reusedConnection {
 		*idle--
 	} else {
-		delay = 3 * wireDelay // the handshake there and back, then the request
+		delay = 3 * wireDelay // a round trip for the TCP handshake, then the request
 	}
 	v.agenda.add(event{at: v.now + delay, kind: eventAttemptArrives, target: ref, generation: a.generation})
 }
 
-// idle is the number of a proxy's idle connections to a member.
-func (v *virtualRun) idle(p *virtualProxy, member int) *int {
-	for len(p.idle) <= member {
-		p.idle = append(p.idle, 0)
+// idleConnections returns a pointer to the number of a proxy's idle connections to a member. It is valid until the next
+// call.
+func (v *virtualRun) idleConnections(p *virtualProxy, member int) *int {
+	for len(p.idleConnections) <= member {
+		p.idleConnections = append(p.idleConnections, 0)
 	}
-	return &p.idle[member]
+	return &p.idleConnections[member]
 }
 
-// attemptArrives is an attempt's arrival at its server.
+// attemptArrives processes the arrival of an attempt at its server.
 func (v *virtualRun) attemptArrives(ref int32) {
 	a := &v.attempts[ref]
 	if a.closed {
@@ -197,24 +199,24 @@
 	}
 }
 
-// receive gives an attempt to its server.
+// receive passes an attempt to its server, which queues, runs or rejects it.
 func (v *virtualRun) receive(ref int32, m *emulator.Member) {
 	a := &v.attempts[ref]
 	t := &v.tries[a.try]
-	class := &v.settings.Classes[t.in.Class]
-	job := emulator.Job{Ref: int(ref), Class: t.in.Class, Work: a.work, Key: t.in.Key}
-	group := dedupGroup(*class, t.in.Class, m, v.zones[m.Zone])
+	class := &v.settings.Classes[t.intent.Class]
+	job := emulator.Job{Ref: int(ref), Class: t.intent.Class, Work: a.work, Key: t.intent.Key}
+	group := dedupGroup(*class, t.intent.Class, m, v.zones[m.Zone])
 	if group >= 0 {
-		job.DedupKey = uint64(t.in.Number) + 1
+		job.DedupKey = uint64(t.intent.Number) + 1
 		job.DedupWindow = class.DedupWindow
 		job.DedupGroup = v.fleet.DedupGroup(group)
 	}
 	a.received = true
-	v.audit.AttemptReceived(v.now, t.id, int(a.proxy), int(a.member), group)
+	v.audit.AttemptReceived(v.now, t.auditID, int(a.proxy), int(a.member), group)
 	v.reconcile(int(a.member), m.Receive(v.now, job))
 }
 
-// attemptEnds is an attempt's end at its proxy.
+// attemptEnds processes the end of an attempt at its proxy.
 func (v *virtualRun) attemptEnds(ref int32, outcome balance.Outcome) {
 	a := &v.attempts[ref]
 	t := &v.tries[a.try]
@@ -224,24 +226,24 @@
 	a.closed = true
 	i, p := a.try, v.proxies[a.proxy]
 	if outcome == balance.Succeeded || outcome == balance.ServerError || outcome == balance.ServerRejected {
-		*v.idle(p, int(a.member))++
+		*v.idleConnections(p, int(a.member))++
 	}
 	if outcome == balance.Succeeded && !t.over {
 		t.over = true
 		v.tally.usefulWork += a.work
 		at := v.now + wireDelay
-		v.audit.RequestAnswered(at, t.id, balance.NoReply)
-		v.tally.succeeded(at-epoch, &t.in, at-t.sent, at-epoch-t.in.At)
+		v.audit.RequestAnswered(at, t.auditID, balance.NoReply)
+		v.tally.succeeded(at-epoch, &t.intent, at-t.sent, at-epoch-t.intent.At)
 	}
 	over, index, latency := t.over, int(a.index), v.now-a.sent
-	t.open--
-	v.freed(ref)
+	t.openAttempts--
+	v.freeAttempt(ref)
 	v.carryOut(t.proxy, t.pool, t.handle.AttemptEnded(v.now, index, outcome, latency, over))
 	v.release(i)
 }
 
-// drop closes an attempt's connection, which its server notices.
-func (v *virtualRun) drop(ref int32) {
+// abandon closes the connection of an attempt. Its server drops the attempt if it is still queued.
+func (v *virtualRun) abandon(ref int32) {
 	a := &v.attempts[ref]
 	a.closed = true
 	if a.received {
@@ -251,14 +253,14 @@
 	}
 }
 
-// waitedFor reports whether a proxy waits for an attempt of a try.
-func (v *virtualRun) waitedFor(ref, try int32) bool {
+// isPending reports whether an attempt belongs to a try and its proxy still waits for it.
+func (v *virtualRun) isPending(ref, try int32) bool {
 	a := &v.attempts[ref]
 	return a.used && a.try == try && !a.closed
 }
 
-// freed frees an attempt once neither its proxy nor its server holds it.
-func (v *virtualRun) freed(ref int32) {
+// freeAttempt frees an attempt if its proxy no longer waits for it and its server no longer has it.
+func (v *virtualRun) freeAttempt(ref int32) {
 	if a := &v.attempts[ref]; a.used && a.closed && !a.received {
 		a.used = false
 		a.generation++
@@ -266,7 +268,7 @@
 	}
 }
 
-// clientLeaves is when a client stops waiting.
+// clientLeaves processes that a client stops waiting for a reply to a try.
 func (v *virtualRun) clientLeaves(i int32, generation uint32) {
 	t := &v.tries[i]
 	if t.generation != generation || !t.used {
@@ -275,17 +277,17 @@
 	if !t.over {
 		t.over = true
 		if t.leavesAt < t.deadline {
-			v.audit.ClientGone(v.now, t.id)
+			v.audit.ClientGone(v.now, t.auditID)
 		} else {
-			v.audit.RequestLost(v.now, t.id)
+			v.audit.RequestLost(v.now, t.auditID)
 			v.tally.lost(v.now - epoch)
 		}
 		v.carryOut(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
 	}
-	// The list of attempts may grow, or the try end with one of them.
+	// attemptEnds may add an attempt to the list, or free the try, which then has another generation.
 	for k := 0; v.tries[i].generation == generation && k < len(v.tries[i].attempts); k++ {
-		if ref := v.tries[i].attempts[k]; v.waitedFor(ref, i) {
-			v.drop(ref)
+		if ref := v.tries[i].attempts[k]; v.isPending(ref, i) {
+			v.abandon(ref)
 			v.attemptEnds(ref, balance.TimedOut)
 		}
 	}
@@ -294,17 +296,18 @@
 	}
 }
 
-// release frees a try to which nothing more will happen.
+// release frees a try that is over and has no open attempts.
 func (v *virtualRun) release(i int32) {
-	if t := &v.tries[i]; t.used && t.over && t.open == 0 {
-		if p := v.proxies[t.proxy]; p.open > 0 {
-			p.open--
+	if t := &v.tries[i]; t.used && t.over && t.openAttempts == 0 {
+		if p := v.proxies[t.proxy]; p.openTries > 0 {
+			p.openTries--
 		}
-		v.free(i)
+		v.freeTry(i)
 	}
 }
 
-func (v *virtualRun) free(i int32) {
+// freeTry makes the element of a try available for reuse.
+func (v *virtualRun) freeTry(i int32) {
 	t := &v.tries[i]
 	t.used = false
 	t.handle = nil
