--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -15,7 +15,7 @@
 type recorder struct {
 	mu             sync.Mutex
 	now            func() float64 // s since 1970
-	start          float64        // of the run, on the clock of now; +Inf until setStart
+	start          float64        // when the run starts, on the clock of now; +Inf until setStart
 	tally          *tally
 	audit          *Audit
 	clockLateness  *lateness
@@ -25,7 +25,7 @@
 // lateness counts by how many seconds the fake servers' clock acted late.
 type lateness struct {
 	mu    sync.Mutex
-	worst float64 // s
+	worst float64 // the greatest lateness, in s
 	over  int     // actions later than maxLateness
 	all   int     // actions
 }
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -145,7 +145,7 @@
 	p.mu.Unlock()
 	if !stopping && ctx.Err() == nil {
 		reason := fmt.Sprint(err) // <nil>: it exited with status 0
-		r.fail(fmt.Errorf("proxy %d exited unexpectedly (%s): %s", i+1, reason, p.lastLog()))
+		r.fail(fmt.Errorf("proxy %d ended unexpectedly (%s): %s", i+1, reason, p.lastLog()))
 	}
 }
 
@@ -176,8 +176,7 @@
 	}
 }
 
-// signal marks a process as stopping and signals it. It returns a nil command if the process was never
-// started.
+// signal marks a process as stopping and signals it. It returns a nil command if the process was never started.
 func (p *process) signal(signal syscall.Signal) (cmd *exec.Cmd, ended chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -21,7 +21,7 @@
 	readyCheckTimeout = 5 * readyInterval      // of one readiness check
 	settleDuration    = 500 * time.Millisecond // from when all proxies are ready to the start of the workload
 	auditSlack        = 0.05                   // s; tolerance of the audit for clock error and network delay
-	maxLateness       = 0.01                   // s; for server actions, and for the 99th percentile of the sends
+	maxLateness       = 0.01                   // s; limit for server actions, and for the 99th percentile of the sends
 	maxLateFraction   = 0.01                   // a run with a larger fraction of late server actions is void
 )
 
@@ -204,7 +204,7 @@
 		for loadgen.CheckReady(r.proxyAddrs[i], readyCheckTimeout) != nil {
 			select {
 			case <-p.ended:
-				return fmt.Errorf("proxy %d exited before it was ready: %s", i+1, p.lastLog())
+				return fmt.Errorf("proxy %d ended before it was ready: %s", i+1, p.lastLog())
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-time.After(readyInterval):
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -68,7 +68,7 @@
 		s, err := Open(file)
 		require.NoError(t, err)
 		assert.Equal(t, filepath.Base(file), s.Name+".toml")
-		s.Seconds /= 3 // keeps the test short
+		s.Seconds /= 3 // a third of each keeps CI short
 		var lines [2]bytes.Buffer
 		for i := range lines {
 			r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
@@ -130,7 +130,7 @@
 		"scope of a replayable tariff": {
 			strings.Replace(smallScenario, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope",
 		},
-		"kind": {
+		"unknown kind of tariff": {
 			strings.Replace(smallScenario, "single-use", "unsafe", 1),
 			`f.toml:25:1: tariff: kind: "unsafe": it is replayable, referenced or single-use`,
 		},
@@ -221,7 +221,7 @@
 	handle, actions := r.Decider.RequestArrived(now, info)
 	for i := range actions.Requests {
 		action := &actions.Requests[i]
-		sendsOnce := r.deployment.Classes[info.Class].Idempotency == balance.NonIdempotent &&
+		nonIdempotentSend := r.deployment.Classes[info.Class].Idempotency == balance.NonIdempotent &&
 			action.Ref == info.Ref && action.Send && !r.done
 		switch {
 		case r.rule == 4 && action.Send && r.newestServer > 0 && info.Class == 0: // beyond the server's capacity
@@ -229,7 +229,7 @@
 		case r.rule == 1 && action.Send && !r.done:
 			r.done, action.Send, action.WakeAt = true, false, 0
 			return unansweredRequest{}, actions
-		case r.rule == 2 && sendsOnce: // two attempts at once
+		case r.rule == 2 && nonIdempotentSend: // two attempts at once
 			r.done = true
 			actions.Requests = append(actions.Requests,
 				balance.RequestAction{Ref: info.Ref, Send: true, Endpoint: (action.Endpoint + 1) % 6})
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -19,12 +19,12 @@
 	listDelay      = 0.02   // from a change of the endpoint list to the notification of a proxy
 	muteDuration   = 3.1    // until a proxy has replaced a watch on which nothing is sent any more
 	reconnectDelay = 0.05   // until a client that found no proxy up connects again
-	killMargin     = 0.7    // past the longest deadline, after which a proxy that got SIGTERM and still runs is killed
+	killMargin     = 0.7    // past the longest deadline, after which a proxy that got SIGTERM is killed
 	startDuration  = 0.2    // from the start of a proxy until it serves
-	clockTolerance = 1e-6   // that the audit allows for rounding
+	clockTolerance = 1e-6   // tolerance of the audit for rounding
 )
 
-// virtualRun is a run in virtual time.
+// virtualRun is a run in virtual time: a discrete-event simulation of the servers, proxies and clients.
 type virtualRun struct {
 	scenario           *Scenario
 	settings           settings.Settings
@@ -196,6 +196,7 @@
 	}
 }
 
+// schedule adds an entry to the timeline and the agenda.
 func (v *virtualRun) schedule(entry TimelineEntry) {
 	v.timeline = append(v.timeline, entry)
 	v.agenda.add(event{at: epoch + entry.At, kind: eventTimelineEntry, target: int32(len(v.timeline) - 1)})
@@ -206,6 +207,7 @@
 	v.carryOutEffect(v.fleet.Reconcile(member, completions))
 }
 
+// carryOutEffect carries out the effect of a call on a member, and schedules the next event of the member.
 func (v *virtualRun) carryOutEffect(e emulator.Effect) {
 	v.addMembers()
 	m := v.fleet.Members[e.Member]
--- a/internal/simulation/virtual_proxies.go
+++ b/internal/simulation/virtual_proxies.go
@@ -9,14 +9,14 @@
 // virtualProxy is a proxy in virtual time.
 type virtualProxy struct {
 	pools            []Decider // one decider, or one for each pool of a scenario with plain HTTP clients
-	incarnation      uint32    // counts starts and kills; outdated timers are ignored by it
+	incarnation      uint32    // counts starts and kills; timers of an earlier incarnation are ignored
 	up               bool      // it accepts requests
 	alive            bool      // its process runs
 	openTries        int
 	version          int64   // of the endpoint list at its last notification
 	idleConnections  []int   // by member
 	silentUntil      float64 // when its agent sends notifications again
-	listExtraDelay   float64 // s by which ListLate delays notifications until listDelayedUntil
+	listExtraDelay   float64 // s; added to the delay of notifications until listDelayedUntil
 	listDelayedUntil float64
 }
 
--- a/internal/simulation/virtual_requests.go
+++ b/internal/simulation/virtual_requests.go
@@ -32,7 +32,7 @@
 	try              int32
 	proxy            int32
 	member           int32
-	index            int32  // in the attempts of the try
+	index            int32  // position in the attempts of the try
 	generation       uint32 // as for a try
 	sent             float64
 	work             float64 // s of a core at speed 1
