--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -12,9 +12,9 @@
 	"lockloom/lifecycle"
 )
 
-// Administer carries out an admin call and returns the status and body of its response. The call is in force when it
-// returns, although the owner applies it a little later, within the grace of a drain. Any goroutine may call it; it
-// does not wait for the owner.
+// Administer carries out an admin call and returns the status and body of its response. A change is recorded, with the
+// current time, before Administer returns. The owner applies it a little later, within the grace of a drain; Administer
+// does not wait for this. Any goroutine may call it.
 func (p *Proxy) Administer(call admin.Call) (status int, text string) {
 	s, now := p.process, p.now()
 	s.mu.Lock()
@@ -47,8 +47,8 @@
 	return state.Clone()
 }
 
-// applyAdminState passes servers that were disabled or enabled since its last call to the decisions. The owner calls
-// it.
+// applyAdminState passes the servers that were disabled or enabled since its last call to the balancers. The owner
+// calls it.
 func (p *Proxy) applyAdminState() {
 	state := readLifecycle(p.process, cloneAdminState)
 	previous := p.endpoints.adminState
@@ -78,7 +78,7 @@
 	}
 }
 
-// updateStaticPools updates the pools that have a server of the operator file, given by its index.
+// updateStaticPools updates every pool with configured servers that has the server with the given index.
 func (p *Proxy) updateStaticPools(index int) {
 	hasIndex := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
 	for _, pool := range p.pools.all {
@@ -88,8 +88,8 @@
 	}
 }
 
-// withAdminState returns an entry of the list with the admin state applied, and since when its server is disabled, in
-// seconds since 1970 (0: it is enabled).
+// withAdminState returns an entry of the endpoint list with the admin state applied, and the time at which its server
+// was disabled, in seconds since 1970 (0 if it is enabled).
 func (p *Proxy) withAdminState(entry discovery.Entry) (discovery.Entry, float64) {
 	state := &p.endpoints.adminState
 	disabled, startedAt := state.Disabled(entry.Name, entry.StartedAt)
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -20,11 +20,11 @@
 	clientCheckInterval = 50 * time.Millisecond
 )
 
-// admission admits one request: first to this core (overload queue), then to the decisions. It belongs to the
-// connection's goroutine. Only conn must be set.
+// admission admits one request: first to this core (overload queue), then to the balancer. It belongs to the
+// connection's goroutine. The zero value with conn set is ready for use.
 type admission struct {
 	conn         *clientConn
-	occupiesCore bool  // the request counts against requestsPerCore and end is to release that, not the owner
+	occupiesCore bool  // the request counts against requestsPerCore, and end, not the owner, calls requestLeftCore
 	reserved     int64 // bytes of the memory budget, released by end
 }
 
@@ -36,8 +36,8 @@
 	return admitted
 }
 
-// serve passes a request to the owner, which admits it to the decisions, and waits for the response. It returns an
-// error if the client has gone or the rest of a streamed body cannot be read.
+// serve passes a request to the owner, which passes it to the balancer, and waits for the response. It returns an error
+// if the client has gone or the rest of a streamed body cannot be read.
 func (a *admission) serve(req *request, info balance.RequestInfo) (response, error) {
 	c := a.conn
 	p := c.proxy
@@ -53,7 +53,7 @@
 	})
 	resp, err := c.awaitResponse(req)
 	if err != nil {
-		c.abandoned.Store(true) // at once, since the owner may process the event late
+		c.abandoned.Store(true) // set directly, since the owner may run clientDisconnected late
 		p.post(func() { p.clientDisconnected(req) })
 	}
 	return resp, err
@@ -68,7 +68,8 @@
 	return true
 }
 
-// end releases the memory and, if the owner never had the request, its place in requestsPerCore.
+// end releases the reserved memory. If the request was not passed to the owner, it also stops counting against
+// requestsPerCore.
 func (a *admission) end() {
 	if a.reserved > 0 {
 		a.conn.proxy.memory.release(a.reserved)
@@ -141,8 +142,8 @@
 	return errors.Is(err, upstream.ErrUploadStopped) || errors.Is(err, io.ErrClosedPipe)
 }
 
-// admit passes a request to the decisions. With shed it is rejected without them: its connection is over maxServed, the
-// memory budget is used up, or the process admits no more requests. It is called by the owner.
+// admit passes a request to the balancer. With shed set, it rejects the request without the balancer: its connection is
+// over maxServed, the memory budget is used up, or the process admits no more requests. It is called by the owner.
 func (p *Proxy) admit(req *request, info balance.RequestInfo, shed bool) {
 	if shed {
 		p.counters.Requests++
@@ -184,7 +185,7 @@
 	keys        []limits.LimitKey
 	permit      limits.Permit       // acquired from limits for keys
 	route       string              // name
-	routeNumber int                 // in the pool's fair limiter
+	routeNumber int                 // number of the route in the pool's fair limiter
 	fairLimiter *limits.FairLimiter // the limiter that counts the request; nil: none
 }
 
@@ -192,7 +193,7 @@
 // backup. If one of them is exceeded, it rejects the request at once, with Retry-After where that is known, and returns
 // false.
 func (p *Proxy) acquireQuota(req *request) bool {
-	if req.retryRule == nil { // from the platform listener, which has neither
+	if req.retryRule == nil { // the platform listener has neither
 		return true
 	}
 	if req.pool.retired { // it may no longer receive endpoint updates such as drains
@@ -225,7 +226,7 @@
 	return true
 }
 
-// rejectBeforeDecision rejects a request that was not passed to the decisions.
+// rejectBeforeDecision rejects a request that was not passed to the balancer.
 func (p *Proxy) rejectBeforeDecision(req *request, resp response) {
 	p.counters.Requests++
 	p.counters.Rejected++
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -9,10 +9,11 @@
 	"lockloom/internal/upstream"
 )
 
-// uploadResponseMargin is how long before its deadline the attempt of a streamed request is given up.
+// uploadResponseMargin is how long before the client's deadline an attempt with a streamed body times out.
 const uploadResponseMargin = 15 * time.Millisecond
 
-// minForwardedWaitSeconds is the least time to a deadline that is forwarded to a server.
+// minForwardedWaitSeconds is the minimum of the time to the deadline that is sent to a server in X-Expires-In: a
+// shorter or negative time is raised to it.
 const minForwardedWaitSeconds = 0.001
 
 // attempt is the sending of a request to one server. It belongs to the owner, its exchange to the upstream pool.
@@ -45,7 +46,7 @@
 	}
 }
 
-// mayStartAttempt checks the rules that hold regardless of the decisions.
+// mayStartAttempt checks the rules that hold whatever the balancer decides.
 func (p *Proxy) mayStartAttempt(req *request, server int, now float64) bool {
 	sendEnd := p.endpoints.stopSendAt[server] + p.bootstrap.DrainGrace
 	return invariant.Holds(!req.answered, "nothing is sent for an answered request") &&
@@ -99,8 +100,8 @@
 	att.exchange.Tail = append(http1.AppendField(nil, "X-Expires-In", wait), "\r\n"...)
 }
 
-// retryDenied reports whether a request's retry rule denies another attempt. The decisions choose each attempt; the
-// rule only restricts them further.
+// retryDenied reports whether a request's retry rule denies another attempt. The balancer chooses each attempt; the
+// rule only restricts it further.
 func (p *Proxy) retryDenied(req *request) bool {
 	rule := req.retryRule
 	if rule == nil {
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -12,8 +12,8 @@
 	"lockloom/internal/http1"
 )
 
-// Guards against a keyed retry that is sent past the deduplication window of 0.3 s, after which servers no longer know
-// its key, because its connection was slow to open.
+// Guards against sending a keyed retry after the deduplication window of 0.3 s, when servers no longer know its
+// idempotency key. This happens if its connection is slow to open.
 func TestKeyedRetryWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		dial   time.Duration
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -83,7 +83,7 @@
 	return n, err
 }
 
-// closeQueued closes all connections that are in a queue, as evict does with one.
+// closeQueued closes all connections that are in one of the table's queues, in the way that evict closes one.
 func (t *connTable) closeQueued() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clock converts between times of this process and the time of the decisions, which is in seconds since 1970, as are
-// the start times that servers report. It is monotonic. Any goroutine may use it.
+// clock converts between time.Time and the time that the balancers use, in seconds since 1970. The start times that
+// servers report are in the same unit. The clock is monotonic. Any goroutine may use it.
 type clock struct {
 	startedAt time.Time
 }
--- a/proxy/conntable.go
+++ b/proxy/conntable.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	overflowFraction   = 0.2                     // share of all client connections that is over maxServed
+	overflowFraction   = 0.2                     // share of all client connections that are accepted over maxServed
 	maxIdleFraction    = 0.25                    // share of maxServed that may stay idle between requests
-	nearlyFullFraction = 0.75                    // share of maxServed from which on the table counts as nearly full
-	firstByteTimeout   = 2100 * time.Millisecond // from accepting a connection to the first byte of its first request
-	clientIdleTimeout  = 75 * time.Second        // for a connection between requests
+	nearlyFullFraction = 0.75                    // the table is nearly full at this share of maxServed
+	firstByteTimeout   = 2100 * time.Millisecond // time from accepting a connection to the first byte of its first request
+	clientIdleTimeout  = 75 * time.Second        // time limit for a connection between requests
 )
 
-// connTable holds the client connections and bounds their number. It is safe for concurrent use, but for init.
+// connTable holds the client connections and bounds their number. It is safe for concurrent use, except for init.
 //
 // Connections without a complete request are in one of three queues: pending before the first request is complete and
-// while lingering after the last response; idle between requests; longIdle after longIdleDelay without a request, from
-// when on the client is unlikely to use the connection again.
+// while lingering after the last response; idle between requests; longIdle after longIdleDelay without a request, when
+// the client is unlikely to use the connection again.
 type connTable struct {
 	mu      sync.Mutex
-	changed sync.Cond // a connection has closed or become idle, the limits changed, or acceptors are to check again
+	changed sync.Cond // signals a closed or newly idle connection, changed limits, or wakeAcceptors
 	connLimits
 	totalLimits connLimits // for all processes of this proxy together; connLimits is this process's share
 	all         map[*clientConn]bool
@@ -30,10 +30,10 @@
 	idle        connQueue
 	longIdle    connQueue
 	overBound   int  // count of connections accepted over maxServed since the start
-	closed      bool // connections without a request are closed, see closeUnused
+	closed      bool // closeUnused was called: a connection closes as soon as it has no request
 
-	group     sync.WaitGroup // of the connections' goroutines
-	idleConns poller.Set     // idle connections, polled without a blocked read for each
+	group     sync.WaitGroup // waits for the connections' goroutines
+	idleConns poller.Set     // idle connections, watched by a poller, without a goroutine blocked in a read for each
 }
 
 // connLimits bounds the client connections: how many are served, how many more are accepted only for their requests to
@@ -82,7 +82,7 @@
 	t.changed.Signal()
 }
 
-// markIdle records that a connection waits for a request: its first one if first is set.
+// markIdle records that a connection waits for a request; first is set for the first request of the connection.
 func (t *connTable) markIdle(c *clientConn, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,9 +103,9 @@
 	t.changed.Signal()
 }
 
-// markReceiving records that the first byte of a request was received. A connection that has had a response before
-// leaves its queue, since closing it now would lose the request. A new connection, which has never had a complete
-// request, stays evictable.
+// markReceiving records that the first byte of a request was received; first is set for the first request of the
+// connection. A connection that has had a response before leaves its queue and so cannot be evicted, since closing it
+// now would lose the request. A connection that has never sent a complete request stays evictable.
 func (t *connTable) markReceiving(c *clientConn, first bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -183,14 +183,14 @@
 	t.closed = true
 	for _, queue := range []*connQueue{&t.pending, &t.idle, &t.longIdle} {
 		for c := queue.first; c != nil; c = c.next {
-			if !c.receivingRequest && !c.lingering { // those close by themselves or by closeAll
+			if !c.receivingRequest && !c.lingering { // connections in these states close by themselves, or closeAll closes them
 				c.requestClose()
 			}
 		}
 	}
 }
 
-// closeAll closes every connection at once.
+// closeAll immediately closes every connection.
 func (t *connTable) closeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,7 +201,7 @@
 	}
 }
 
-// counts returns how many connections are open, and how many were accepted over maxServed since the start.
+// counts returns how many connections are open, and how many the process has accepted over maxServed since its start.
 func (t *connTable) counts() (open, overBound int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -16,9 +16,9 @@
 	ClientGone   int // the client disconnected before its response
 	BadRequests  int
 	ShedBounds   int // rejected because a limit of connections or memory was reached
-	RejectedLate int // not run by any server, and answered after more than half of the time to their deadline
+	RejectedLate int // answered after more than half of the time to their deadline, and not run by any server
 	Attempts     int
-	Outcomes     [balance.InvalidRequest + 1]int // of attempts, by balance.Outcome
+	Outcomes     [balance.InvalidRequest + 1]int // number of attempts that ended with each balance.Outcome
 	LateEvents   int
 	HealthChecks int
 }
--- a/proxy/debuglog.go
+++ b/proxy/debuglog.go
@@ -15,7 +15,8 @@
 	return ok && entry.Logger.IsLevelEnabled(logrus.DebugLevel)
 }
 
-// logServerStatuses logs the decisions' status of each server and the number of connections in use to it.
+// logServerStatuses logs each server's status in the balancer of the platform's pool, and the number of connections in
+// use to the server.
 func (p *Proxy) logServerStatuses() {
 	for _, status := range p.pools.platform.decisions.ServerStatuses(p.now()) {
 		p.log.WithFields(logrus.Fields{
--- a/proxy/decide.go
+++ b/proxy/decide.go
@@ -5,11 +5,11 @@
 	"lockloom/internal/invariant"
 )
 
-// decide makes one call on a pool's decisions and carries out the actions that it returns. The actions are valid only
-// until the next call, so whatever would lead to another call is deferred. The owner calls it.
+// decide makes one call to a pool's balancer and carries out the actions that it returns. The actions are valid only
+// until the next call, so anything that would lead to another call is deferred. The owner calls it.
 func (p *Proxy) decide(pool *serverPool, call func(now float64) *balance.Actions) {
 	actions := call(p.now())
-	for _, server := range actions.CloseIdle { // before attempts are sent there, so that these open new connections
+	for _, server := range actions.CloseIdle { // before attempts are sent to the server, so that they open new connections
 		p.upstream.CloseIdle(server)
 	}
 	for _, server := range actions.HealthChecks {
@@ -21,8 +21,8 @@
 	for i := range actions.Requests {
 		p.applyRequestAction(&actions.Requests[i])
 	}
-	// Responses follow the cancellations: this goroutine may be delayed anywhere, and an attempt that is canceled after
-	// its request's response might be sent in between.
+	// Responses are sent after the cancellations: this goroutine may be delayed anywhere, and an attempt that is canceled
+	// only after its request is answered might be sent to a server in between.
 	for i := range actions.Requests {
 		if action := &actions.Requests[i]; action.Reply != balance.NoReply {
 			p.respond(p.requests.byRef[action.Ref], action.Reply, action.RetryAfter)
@@ -37,7 +37,7 @@
 	}
 }
 
-// scheduleWake schedules a call to TimerFired of a pool's decisions at a time, in seconds since 1970.
+// scheduleWake schedules a call to TimerFired of a pool's balancer at the given time, in seconds since 1970.
 func (p *Proxy) scheduleWake(pool *serverPool, at float64) {
 	if pool.timer.call == nil {
 		pool.timer.call = func() { p.decide(pool, pool.decisions.TimerFired) }
@@ -45,7 +45,8 @@
 	p.loop.timers.add(&pool.timer, at)
 }
 
-// applyRequestAction carries out one action for a request, except for its response, which decide sends later.
+// applyRequestAction carries out what an action demands for a request. It does not send the response: decide does that
+// after all actions are carried out.
 func (p *Proxy) applyRequestAction(action *balance.RequestAction) {
 	req := p.requests.byRef[action.Ref]
 	if action.Send {
@@ -61,7 +62,8 @@
 	}
 }
 
-// decideRequest makes a call on the decisions about one request, and releases the request if that call was its last.
+// decideRequest makes a call to the balancer about one request. It then releases the request if the balancer needs no
+// further call about it.
 func (p *Proxy) decideRequest(req *request, call func(now float64) *balance.Actions) {
 	p.decide(req.pool, call)
 	p.releaseRequest(req)
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -14,12 +14,12 @@
 
 // endpointList is the endpoint list as the owner has received it, and what the owner tracks about its servers.
 type endpointList struct {
-	version       int64                   // of the list
+	version       int64                   // version of the endpoint list
 	received      bool                    // a list was applied
 	known         map[int]discovery.Entry // the listed servers, by index, as discovery sent them
 	static        map[int]bool            // indexes of servers from the operator file: no list removes them
-	stopSendAt    []float64               // by index: a drain's start, after whose grace nothing is sent; +Inf: none
-	adminState    lifecycle.AdminState    // as last applied to the list
+	stopSendAt    []float64               // drain start by index: nothing is sent after its grace; +Inf: none
+	adminState    lifecycle.AdminState    // admin state that was last applied to the list
 	firstReceived chan struct{}           // closed, by markReceived, when discovery has sent a list
 	markReceived  func()
 
@@ -89,7 +89,7 @@
 }
 
 // applyEntries applies the states of listed servers, which count as received at since, in seconds since 1970. It
-// applies the admin state to the entries in place and returns them converted for the decisions.
+// applies the admin state to the entries in place and returns them converted for the balancers.
 func (p *Proxy) applyEntries(entries []discovery.Entry, since float64) []balance.Endpoint {
 	endpoints := make([]balance.Endpoint, len(entries))
 	for i := range entries {
@@ -119,7 +119,7 @@
 	}
 }
 
-// forgetUnused frees the indexes of servers that are in no operator file and that no decisions use any more.
+// forgetUnused frees the indexes of servers that are in no operator file and that no balancer uses any more.
 func (p *Proxy) forgetUnused() {
 	for index := range p.registry.Size() {
 		if p.registry.Name(index) != "" && !p.endpoints.static[index] && !p.pools.inUse(index) {
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -144,8 +144,8 @@
 	})
 }
 
-// Guards against an attempt that is sent after the grace of a drain, because its connection was slow to open or the
-// proxy received the drain long after it counts as received.
+// Guards against sending an attempt after the grace of a drain. This happens if its connection is slow to open, or if
+// the proxy processes the drain long after the time at which it counts as received.
 func TestDrainWhileConnecting(t *testing.T) {
 	disable := func(env *testEnv) { assert.Equal(env.t, 200, env.adminCall(admin.Disable, "b1")) }
 	listUpdate := func(text string) func(env *testEnv) { return func(env *testEnv) { env.updateList(text) } }
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -23,7 +23,8 @@
 	"lockloom/internal/settings"
 )
 
-// What a fake server does with a request: it writes the response, or does what a value that is not a response says.
+// Behaviors of a fake server for a request. A value that is a response is written as it is; any other value names what
+// the server does instead.
 const (
 	okResponse             = "HTTP/1.1 200 OK\r\nX-From: b\r\nContent-Length: 4\r\n\r\nbody"
 	neverRanResponse       = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
@@ -57,7 +58,7 @@
 
 // fakeServers configures the behavior of the fake servers and records what they receive.
 type fakeServers struct {
-	behaviors    map[string][]string // by address, or under "any": what servers do in turn; the last is repeated
+	behaviors    map[string][]string // by server address (or "any"), used one after the other; the last is repeated
 	respondWith  func(end net.Conn)  // replaces the behavior of all servers; nil: it does not
 	streamBodies bool                // request bodies of any size are read as a stream
 	recordHeads  bool                // received includes all header fields
@@ -70,7 +71,7 @@
 
 // fakeDiscovery is the discovery service, at one or more addresses.
 type fakeDiscovery struct {
-	listUpdates map[string]chan string // by address: changes of the list to send
+	listUpdates map[string]chan string // changes of the list to send, by address
 	watchLog    []string               // address and requested version of each watch, and its end
 }
 
--- a/proxy/estimates.go
+++ b/proxy/estimates.go
@@ -15,11 +15,12 @@
 // once.
 const estimateInterval = 100 * time.Millisecond
 
-// EstimatesFunc receives the proxy's estimates of each operator's pool, by pool name, at a time in seconds since 1970.
+// EstimatesFunc receives the proxy's estimates of the servers of each operator's pool, by pool name. now is in seconds
+// since 1970.
 type EstimatesFunc = func(now float64, pools map[string]assignment.Observation)
 
-// estimateReporter reports the estimates of the operator's pools to a control plane in this process. It belongs to the
-// owner.
+// estimateReporter reports the estimates that the balancers of the operator's pools have of their servers to a control
+// plane in this process. It belongs to the owner.
 type estimateReporter struct {
 	observe EstimatesFunc // nil: there is no control plane
 	removed []string      // names of servers that were removed since the last report
@@ -43,7 +44,7 @@
 // Serve.
 func (p *Proxy) OnEstimates(observe EstimatesFunc) { p.estimates.observe = observe }
 
-// OutcomesReported applies the outcomes of attempts that the control plane's subscribers have sent to a pool: the
+// OutcomesReported passes to a pool's balancer the outcomes that subscribers of the control plane have reported: the
 // numbers of successful and of failed attempts, in this order, by server name. Unknown names are ignored. Any goroutine
 // may call it.
 func (p *Proxy) OutcomesReported(poolName string, attempts map[string][2]int) {
@@ -106,8 +107,8 @@
 	return observation
 }
 
-// updateRate measures the requests per second since the last measurement, unless that was less than half an interval
-// ago.
+// updateRate measures the requests per second since the last measurement. It does nothing if that was less than half of
+// estimateInterval ago.
 func (r *poolRate) updateRate(now float64) {
 	elapsed := now - r.reportedAt
 	if elapsed < estimateInterval.Seconds()/2 {
--- a/proxy/eviction.go
+++ b/proxy/eviction.go
@@ -10,9 +10,9 @@
 
 const (
 	crowdedIdleTimeout       = 2 * time.Second        // idle timeout while maxIdle connections are in longIdle
-	longIdleDelay            = 250 * time.Millisecond // from a response to moving its connection from idle to longIdle
-	newConnectionGracePeriod = 100 * time.Millisecond // in which a new or receiving connection is not evicted
-	evictionInterval         = 20 * time.Millisecond  // least interval between evictions while the table is at capacity
+	longIdleDelay            = 250 * time.Millisecond // time after a response until its connection moves to longIdle
+	newConnectionGracePeriod = 100 * time.Millisecond // time in which a new or receiving connection is not evicted
+	evictionInterval         = 20 * time.Millisecond  // minimum interval between evictions while the table is at capacity
 	maxIdleChecks            = 8                      // connections checked, a system call each, to find one to close
 )
 
--- a/proxy/failover.go
+++ b/proxy/failover.go
@@ -4,7 +4,7 @@
 
 // activePool returns the pool that serves for this one: itself, or the first pool in its chain of backups that has not
 // failed over. A pool that receives no requests while its backup serves would never be seen to have recovered, so a
-// request goes to it whenever one of its servers is due for a trial; the decisions allow one trial at a time.
+// request goes to it whenever one of its servers is due for a trial; the balancer allows one trial at a time.
 func (pool *serverPool) activePool(now float64) *serverPool {
 	for pool.failedOver && pool.backup != nil {
 		if _, trial := pool.decisions.Availability(now); trial {
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -83,7 +83,8 @@
 	assert.Equal(t, busy.brokenBefore, brokenInvariants(), "number of broken invariants")
 }
 
-// Gossip messages number the platform's classes: those of an operator's pool would be taken for the platform's.
+// Gossip messages refer to classes by their index among the platform's classes. An operator's pool has other classes,
+// so peers would apply its messages to the wrong ones.
 func TestOperatorPoolsSendNoGossip(t *testing.T) {
 	env := newFleetMember(t, 0, "", "", nil)
 	cfg, faults := config.Read("f.toml", []byte(operatorFile))
--- a/proxy/healthcheck.go
+++ b/proxy/healthcheck.go
@@ -12,10 +12,10 @@
 const (
 	healthCheckTimeout = 200 * time.Millisecond
 	healthCheckHead    = "GET /load HTTP/1.1\r\nHost: backend\r\n\r\n"
-	loadReportField    = "X-Load" // of the response: name:value pairs, separated by commas
+	loadReportField    = "X-Load" // response header field: name:value pairs, separated by commas
 )
 
-// healthCheck requests the load report of a server and passes the result to the decisions. A server that drains or is
+// healthCheck requests the load report of a server and passes the result to the balancer. A server that drains or is
 // gone is not checked.
 func (p *Proxy) healthCheck(pool *serverPool, server int) {
 	if p.now() > p.endpoints.stopSendAt[server] {
--- a/proxy/hotrestart.go
+++ b/proxy/hotrestart.go
@@ -13,8 +13,8 @@
 	"lockloom/internal/hotrestart"
 )
 
-// addressInUseTimeout is how long Listen retries an address that another process uses and does not hand over. It covers
-// the overlap of two processes and the shutdown of the first.
+// addressInUseTimeout is how long Listen retries an address that another process uses and does not hand over. It is
+// long enough for two processes to overlap and for the first to shut down.
 const addressInUseTimeout = 15 * time.Second
 
 // Listen listens at an address: on the socket that a predecessor hands over, if there is one, or on a new one. Call it
@@ -112,8 +112,8 @@
 	p.applyResourceShare()
 }
 
-// startedServing reports to the predecessor that this process serves, and offers a hot restart to successors in its
-// place. The owner calls it.
+// startedServing reports to the predecessor that this process serves. From then on, this process instead of the
+// predecessor offers hot restarts to successors. The owner calls it.
 func (p *Proxy) startedServing() {
 	s := p.process
 	s.mu.Lock()
@@ -150,8 +150,8 @@
 	decisions balance.Snapshot
 }
 
-// handOver returns the state and the listeners for a successor. If the owner does not return its part within
-// snapshotTimeout, the state goes without it.
+// handOver returns the state and the listeners for a successor. If the owner does not return its part of the state
+// within snapshotTimeout, that part is left out.
 func (p *Proxy) handOver() (hotrestart.State, []*net.TCPListener) {
 	snapshots := make(chan ownerSnapshot, 1)
 	go p.post(func() {
@@ -167,14 +167,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state.AdminState, state.IDs = cloneAdminState(&s.lifecycle), s.ids.All()
-	// As configured: ":8080" is "[::]:8080" once it listens, by which the successor would not find the listener and
-	// lose its accept queue.
+	// The successor looks listeners up by their configured address. The address on which a listener listens may differ
+	// ("[::]:8080" for ":8080"): the successor would not find the listener, and its accept queue would be lost.
 	state.Listeners = slices.Clone(s.addrs)
 	return state, slices.Clone(s.listeners)
 }
 
-// serveSuccessor exchanges updates with a process that has taken over, until that process ends. err is set if handing
-// over to it has failed.
+// serveSuccessor exchanges updates with a process that has taken over, until that process ends. err is not nil if
+// handing over to it has failed.
 func (p *Proxy) serveSuccessor(link *hotrestart.Link, err error) {
 	if err != nil {
 		p.log.WithError(err).Warn("hot restart: handing over failed")
@@ -267,7 +267,8 @@
 	return hotrestart.Update{AdminState: &state}
 }
 
-// send sends an update. It ignores errors: on a broken link the goroutine that receives from it gets an error too.
+// send sends an update. It ignores errors: if the link is broken, the goroutine that receives on it gets an error and
+// handles it.
 func send(link *hotrestart.Link, update hotrestart.Update) { _ = link.Send(update) }
 
 // closeLinks ends all links to other processes.
--- a/proxy/hotrestart_test.go
+++ b/proxy/hotrestart_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a successor that does not find a handed over listener, and so loses its accept queue, because it looks
-// it up by the address in its operator file.
+// Guards against handing over listeners by the address on which they listen ("[::]:8080" for ":8080"): the successor
+// looks them up by the address in its operator file, does not find them, and their accept queues are lost.
 func TestListenersAreHandedOverByConfiguredAddress(t *testing.T) {
 	env := newEnv(t, nil, nil)
 	ln, err := env.Listen(":0")
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxKnownIDs        = 16 << 10               // ids of servers that were ever listed; they take 0.6 MB
+	maxKnownIDs        = 16 << 10               // maximum number of ids kept of servers ever listed; they take 0.6 MB
 	acceptPollInterval = 10 * time.Millisecond  // between checks of whether this process accepts connections again
-	overlapShare       = 0.5                    // of every limit, while another process of this proxy runs
-	snapshotTimeout    = 300 * time.Millisecond // for the owner to return the state to be handed over
+	overlapShare       = 0.5                    // share of every limit, while another process of this proxy runs
+	snapshotTimeout    = 300 * time.Millisecond // time limit for the owner to return the state to be handed over
 )
 
 // processState is the lifecycle and admin state of this process and its links to other processes of the same proxy. Any
@@ -23,7 +23,7 @@
 type processState struct {
 	mu           sync.Mutex
 	lifecycle    lifecycle.Process
-	ids          *lifecycle.IDSet // of servers that were ever listed
+	ids          *lifecycle.IDSet // ids of servers that were ever listed
 	adminChanged chan struct{}    // holds a value while the owner has not applied the admin state
 	hotRestart
 }
@@ -32,12 +32,12 @@
 type hotRestart struct {
 	predecessor   *hotrestart.Link          // nil: none
 	successors    map[*hotrestart.Link]bool // processes that took over, and whether they serve
-	listeners     []*net.TCPListener        // to be handed over
-	addrs         []string                  // of listeners, as configured: a successor looks them up by these
+	listeners     []*net.TCPListener        // listeners to be handed over
+	addrs         []string                  // configured addresses of listeners: a successor looks them up by these
 	handover      *hotrestart.Server        // serves successors; nil: none
 	takeOverTried bool
 
-	inheritedListeners map[string]net.Listener // by configured address, until Listen returns them
+	inheritedListeners map[string]net.Listener // listeners by configured address, until Listen returns them
 	inheritedState     *hotrestart.State       // nil: none
 }
 
@@ -63,12 +63,12 @@
 	s.ids.Add(settings.NameHash(id))
 }
 
-// shuttingDown reports whether this process was ordered to stop.
+// shuttingDown reports whether this process has been ordered to stop.
 func (p *Proxy) shuttingDown() bool {
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.StoppedAt > 0 })
 }
 
-// closesAfterResponse reports whether connections close with their responses.
+// closesAfterResponse reports whether each client connection closes after its next response.
 func (p *Proxy) closesAfterResponse() bool {
 	now := p.now()
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.ClosesAfterResponse(now) })
@@ -80,7 +80,8 @@
 	return readLifecycle(p.process, func(l *lifecycle.Process) bool { return l.AdmitsRequests(now) })
 }
 
-// readinessResponse is the response to a readiness check: 200 if the proxy wants clients, else 503.
+// readinessResponse is the response to a readiness check: 200 if the load balancer in front should send clients here,
+// else 503.
 func (p *Proxy) readinessResponse() response {
 	if readLifecycle(p.process, (*lifecycle.Process).WantsClients) {
 		return response{status: 200, body: []byte("up\n")}
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -16,11 +16,11 @@
 
 	sweepInterval           = 100 * time.Millisecond // between checks of idle connections, local delay and failover
 	countsLogInterval       = 10 * time.Second
-	serverStatusLogInterval = time.Second // at log level debug
+	serverStatusLogInterval = time.Second // used only at log level debug
 )
 
-// eventLoop is the owner goroutine's loop: it runs posted functions and timers one at a time, and so serializes all
-// use of the decisions and of the state of requests and endpoints. Only post and quit are for other goroutines.
+// eventLoop is the owner goroutine's loop: it runs posted functions and timers one at a time, and so serializes all use
+// of the balancers and of the state of requests and endpoints. Only post and quit are for other goroutines.
 type eventLoop struct {
 	clock
 	log      logrus.FieldLogger
--- a/proxy/memory.go
+++ b/proxy/memory.go
@@ -9,7 +9,7 @@
 const bufferMemoryFraction = 0.25
 
 // memoryBudget bounds the bytes that are buffered at a time: requests to be sent to servers, and large responses. It is
-// safe for concurrent use, but for init.
+// safe for concurrent use, except for init.
 type memoryBudget struct {
 	reserved atomic.Int64 // bytes
 	limit    atomic.Int64 // bytes; this process's share of total
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -154,7 +154,7 @@
 func (p *Proxy) poolDeployment(cfg *Config) balance.Deployment {
 	deployment := p.bootstrap.Deployment
 	deployment.Classes, deployment.Tenants = nil, nil
-	deployment.Gossip = false // gossip messages index the platform's classes; a pool's indexes differ
+	deployment.Gossip = false // gossip messages refer to classes by the platform's indexes, which differ from a pool's
 	for i := range cfg.Classes {
 		class := &cfg.Classes[i]
 		for _, idempotency := range idempotencyOrder {
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -40,7 +40,7 @@
 
 // routeTarget is the target of a request and the client's address.
 type routeTarget struct {
-	host       string // of an absolute target, else the field Host
+	host       string // host of an absolute target, else the field Host
 	hostField  string // the field Host; empty: there is none
 	path       string // normalized
 	query      string
--- a/proxy/operatorroute_test.go
+++ b/proxy/operatorroute_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Checks that the path is forwarded as it was matched and rewritten, and the client's fields unchanged, but for those
-// that this proxy sets or drops.
+// Checks that the path is forwarded as it was matched and rewritten, and that the client's fields are forwarded
+// unchanged, except for those that this proxy sets or drops.
 func TestOperatorRequestsAreForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startOperatorEnv(t, map[string][]string{"any": {okResponse}})
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -6,10 +6,11 @@
 	"lockloom/internal/upstream"
 )
 
-// lateEventSeconds is the least delay, from the end of an attempt to its recording by the owner, that counts as late.
+// lateEventSeconds is the delay from the end of an attempt to its recording by the owner above which it counts in
+// LateEvents.
 const lateEventSeconds = 0.02
 
-// recordOutcome passes the outcome of an attempt to the decisions. The first successful attempt answers its request.
+// recordOutcome passes the outcome of an attempt to the balancer. The first successful attempt answers its request.
 func (p *Proxy) recordOutcome(req *request, att *attempt, result upstream.Result) {
 	invariant.Holds(!att.ended, "an attempt ends once")
 	att.ended = true
@@ -64,8 +65,8 @@
 	}
 }
 
-// responseStarted reports to the decisions that a large response has begun to stream. Its attempt is the one that
-// answers the request from now on, and the client receives the response as it arrives.
+// responseStarted reports to the balancer that an attempt has received the start of a large response. This attempt then
+// answers the request, whatever the others return, and its response is streamed to the client.
 func (p *Proxy) responseStarted(req *request, att *attempt, result upstream.Result) {
 	if req.answered || att.ended {
 		closeStream(result.Stream)
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -98,9 +98,9 @@
 func TestLocalDelayIsNotServerLatency(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
-		started, sent, ended time.Duration // ago
+		started, sent, ended time.Duration // how long ago each event of the attempt was
 		want                 float64       // seconds
-		delayed              bool          // by this core
+		delayed              bool          // whether this core is found to delay attempts
 	}{
 		{"prompt", 5 * time.Millisecond, 5 * time.Millisecond, 0, 0.005, false},
 		{"the server is slow", 200 * time.Millisecond, 200 * time.Millisecond, 0, 0.2, false},
@@ -125,8 +125,8 @@
 	}
 }
 
-// Guards against an attempt that is sent after the response to its request, because the owner was delayed between the
-// response and the cancellation.
+// Guards against sending an attempt after its request was answered. This happens if the owner sends the response first
+// and is delayed before it cancels the attempt.
 func TestAttemptsAreCanceledBeforeTheResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, nil, nil)
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -16,8 +16,8 @@
 	bodyBytesPerWorkUnit = 32 << 10 // a body of this size costs this core as much as the rest of its request
 	requestsPerCore      = 8        // admitted at a time for each core, from reading to forwarding; more are queued
 	minPriorityWeight    = 1e-3
-	minDelayFactorStep   = 1.1   // least ratio between reported delay factors; smaller changes are not reported
-	minLagStepSeconds    = 0.001 // least difference between reported lags; smaller changes are not reported
+	minDelayFactorStep   = 1.1   // minimum ratio between reported delay factors; smaller changes are not reported
+	minLagStepSeconds    = 0.001 // minimum difference between reported lags; smaller changes are not reported
 )
 
 // overloadMonitor queues requests while this proxy's own cores are overloaded and measures the delay that this adds to
@@ -27,8 +27,8 @@
 	*limits.Overload
 	dispatchSignal chan struct{} // holds a value while dispatchWaiting has queued requests to admit
 
-	delayFactor float64 // the delay factor reported to the decisions last
-	lagSeconds  float64 // the lag reported to the decisions last
+	delayFactor float64 // the delay factor last reported to the balancers
+	lagSeconds  float64 // the lag last reported to the balancers
 }
 
 // init prepares the monitor for a number of tenants. It is called before the proxy serves.
@@ -118,7 +118,7 @@
 	m.AttemptMeasured(inFlight, atServer)
 }
 
-// updateLocalDelay reports to the decisions how much longer attempts take at this proxy than at their servers, if that
+// updateLocalDelay reports to the balancers how much longer attempts take at this proxy than at their servers, if that
 // has changed by minDelayFactorStep or minLagStepSeconds. It is called by the owner.
 func (p *Proxy) updateLocalDelay() {
 	m := &p.overload
--- a/proxy/platformhead.go
+++ b/proxy/platformhead.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// parseRequestInfo parses a request's head into the input of the decisions. The error is an *http1.Error.
+// parseRequestInfo parses a request's head into the input of the balancer. The error is an *http1.Error.
 func (p *Proxy) parseRequestInfo(
 	head *http1.Head, path, query []byte, receivedAt time.Time,
 ) (balance.RequestInfo, error) {
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -9,8 +9,8 @@
 	"lockloom/routes"
 )
 
-// Decisions makes the balancing decisions of one pool: a Balancer, or one whose calls are captured. The owner makes all
-// calls, one at a time. Times (now) are in seconds since 1970.
+// Decisions makes the balancing decisions of one pool. It is a Balancer, or a wrapper of one that captures its calls;
+// comments call either the balancer. The owner makes all calls, one at a time. Times (now) are in seconds since 1970.
 type Decisions interface {
 	RequestArrived(now float64, info balance.RequestInfo, id string) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
@@ -27,7 +27,7 @@
 	HasEndpoint(index int) bool
 }
 
-// RequestHandle reports the events of one request to the decisions. The owner makes all calls. Times are in seconds
+// RequestHandle reports the events of one request to the balancer. The owner makes all calls. Times are in seconds
 // since 1970.
 type RequestHandle interface {
 	AttemptEnded(now float64, attempt int, outcome balance.Outcome, latency float64, answered bool) *balance.Actions
@@ -48,25 +48,25 @@
 	return b.Balancer.RequestArrived(now, info)
 }
 
-// CaptureFunc wraps the Balancer of a pool in decisions that capture its calls. The name of the platform's pool is
+// CaptureFunc wraps the Balancer of a pool in a Decisions that captures its calls. The name of the platform's pool is
 // empty.
 type CaptureFunc = func(poolName string, balancer *balance.Balancer) Decisions
 
-// Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the decisions that wrap returns have
-// a method Dropped, it is called once a reload has removed their pool.
+// Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the Decisions that wrap returns has
+// a method Dropped, it is called after a reload has removed its pool.
 func (p *Proxy) Capture(wrap CaptureFunc) {
 	p.pools.wrap = wrap
 	platform := p.pools.platform
 	platform.decisions = wrap("", platform.decisions.(uncaptured).Balancer)
 }
 
-// serverPool is a pool of servers with decisions of its own. The platform's pool has all listed servers; an operator's
+// serverPool is a pool of servers with a balancer of its own. The platform's pool has all listed servers; an operator's
 // pool has some of them, or servers that the operator file configures. It belongs to the owner.
 type serverPool struct {
 	name      string // empty for the platform's pool
 	decisions Decisions
 	classes   []balance.Class
-	timer     timer                       // for the decisions' wakeups
+	timer     timer                       // fires at the times that the balancer sets
 	accepts   func(*discovery.Entry) bool // whether a listed server belongs to the pool; nil: all do
 
 	static          bool // its servers are configured in the operator file; endpoint lists do not apply to it
@@ -82,8 +82,8 @@
 // poolCapacity limits the requests that routes send to a pool, and their retries.
 type poolCapacity struct {
 	fairLimiter  *limits.FairLimiter            // nil: no limit
-	routeNumbers map[string]int                 // by route: its number in fairLimiter
-	budgets      map[string]*limits.RetryBudget // by retry rule
+	routeNumbers map[string]int                 // number in fairLimiter by route name
+	budgets      map[string]*limits.RetryBudget // retry budgets by name of the retry rule
 }
 
 // poolFailover is the backup of a pool, which serves in its place while the pool has no admitted server.
@@ -96,8 +96,8 @@
 // poolRate measures the rate of requests that a pool admits.
 type poolRate struct {
 	admitted         int     // requests so far
-	reportedAdmitted int     // admitted at the time reportedAt
-	reportedAt       float64 // seconds since 1970, of the last measurement
+	reportedAdmitted int     // value of admitted at the last measurement
+	reportedAt       float64 // time of the last measurement, in seconds since 1970
 	requestRate      float64 // requests per second, as of the last measurement
 }
 
@@ -123,7 +123,7 @@
 	s.platform, s.all = platform, []*serverPool{platform}
 }
 
-// newDecisions returns the decisions of a pool: its Balancer, wrapped if calls are captured.
+// newDecisions returns the Decisions of a pool: its Balancer, wrapped if calls are captured.
 func (s *poolSet) newDecisions(poolName string, balancer *balance.Balancer) Decisions {
 	if s.wrap == nil {
 		return uncaptured{balancer}
@@ -131,8 +131,8 @@
 	return s.wrap(poolName, balancer)
 }
 
-// inUse reports whether any pool's decisions may still name a server: it is listed, or it was left out of a list and
-// still serves.
+// inUse reports whether any pool's balancer may still name a server in its actions: it is listed, or it was left out of
+// a list and still serves.
 func (s *poolSet) inUse(index int) bool {
 	return slices.ContainsFunc(s.all, func(pool *serverPool) bool { return pool.decisions.HasEndpoint(index) })
 }
@@ -145,8 +145,8 @@
 	})
 }
 
-// updatePool passes the entries of a list that belong to a pool to its decisions. endpoints are all entries of the
-// list, converted for the decisions.
+// updatePool passes the entries of a list that belong to a pool to its balancer. endpoints are all entries of the list,
+// converted for the balancers.
 func (p *Proxy) updatePool(pool *serverPool, list List, first bool, endpoints []balance.Endpoint) {
 	if pool.static {
 		if first {
@@ -168,14 +168,14 @@
 	})
 }
 
-// updateStaticPool passes a pool's configured servers, with the admin state applied, to its decisions.
+// updateStaticPool passes a pool's configured servers, with the admin state applied, to its balancer.
 func (p *Proxy) updateStaticPool(pool *serverPool) {
 	p.decide(pool, func(now float64) *balance.Actions {
 		return pool.decisions.EndpointsUpdated(now, true, true, p.staticWithAdminState(pool.staticEndpoints))
 	})
 }
 
-// initializePool passes the current servers to the decisions of a pool that is added while the proxy serves.
+// initializePool passes the current servers to the balancer of a pool that is added while the proxy serves.
 func (p *Proxy) initializePool(pool *serverPool) {
 	if pool.static {
 		p.updateStaticPool(pool)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -5,9 +5,9 @@
 // routed to a pool (operatorroute.go) and forwarded in attempts (attempt.go); its outcome is recorded (outcome.go) and
 // the response relayed to the client (response.go).
 //
-// One goroutine, the owner (eventLoop), makes every call on the decisions and owns all state of requests and endpoints.
-// Each client connection has a goroutine of its own, which posts events to the owner and waits for one response. The
-// owner never waits for a socket or for a client.
+// One goroutine, the owner (eventLoop), makes every call to the balancers, one for each pool of servers (Decisions),
+// and owns all state of requests and endpoints. Each client connection has a goroutine of its own, which posts events
+// to the owner and waits for one response. The owner never waits for a socket or for a client.
 package proxy
 
 import (
@@ -49,15 +49,15 @@
 	reservedSockets   = 64   // descriptors for files, listeners, discovery and connections that are closing
 	minSockets        = 4    // descriptors for clients and servers together, even if the limit is lower
 
-	// clientSocketFraction is the share of client connections in the descriptors that are not reserved. It is more than
-	// half because a request may be queued for longer than its attempts take.
+	// clientSocketFraction is the share of the usable (not reserved) descriptors that client connections get. It is more
+	// than half because a request may be queued for longer than its attempts take.
 	clientSocketFraction = 0.75
 
 	defaultConnectTimeout    = time.Second
-	defaultServerIdleTimeout = 2 * time.Second // if the deployment does not set when servers close idle connections
+	defaultServerIdleTimeout = 2 * time.Second // for idle connections to servers, if the deployment sets none
 
-	// serverIdleMargin is how much earlier than its server the proxy closes an idle connection. It covers the time that
-	// a request takes to reach the server and the delay of a late sweep.
+	// serverIdleMargin is how long before the server the proxy closes an idle connection. It covers the time that a
+	// request takes to reach the server and the delay of a late sweep.
 	serverIdleMargin = 250 * time.Millisecond
 )
 
@@ -77,7 +77,7 @@
 	maxDeadline time.Duration // the longest deadline of any class
 
 	// Shared by all goroutines; each field does its own locking.
-	registry       *settings.Registry // of endpoints, classes and tenants; the classes and tenants never change
+	registry       *settings.Registry // indexes of endpoints, classes and tenants; only those of endpoints change
 	routing        atomic.Pointer[routingConfig]
 	conns          connTable
 	overload       overloadMonitor
@@ -85,7 +85,7 @@
 	process        *processState
 	shutdown       shutdownState
 	loop           eventLoop
-	gossipLink     *gossip.Link // to the fleet's other proxies; nil if gossip is off
+	gossipLink     *gossip.Link // link to the fleet's other proxies; nil if gossip is off
 	listeners      []net.Listener
 	maxServerConns int // connections to servers, of all processes of this proxy together
 
@@ -153,7 +153,7 @@
 		pool.ConnectTimeout = seconds(timeout)
 	}
 	if timeout := p.bootstrap.ServerIdleTimeout; timeout > 0 {
-		// As long as is safe, because in a large fleet most new connections replace expired ones.
+		// The timeout is as long as is safe, because in a large fleet most new connections replace expired ones.
 		pool.IdleTimeout = max(seconds(timeout)-serverIdleMargin, seconds(timeout/2))
 	}
 	return pool
--- a/proxy/readrequest.go
+++ b/proxy/readrequest.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// firstHeadTimeout is from accepting a connection to the end of its first head, so that clients that send nothing, or
-	// send slowly, get a response or are disconnected within 3 s.
+	// firstHeadTimeout is the time limit from accepting a connection to the end of its first head, so that clients that
+	// send nothing, or send slowly, get a response or are disconnected within 3 s.
 	firstHeadTimeout  = 2700 * time.Millisecond
-	headTimeout       = 2500 * time.Millisecond // from the first byte to the end of any head: some clients take 2 s
-	maxUploadDuration = 15 * time.Minute        // from a request's arrival to the end of its streamed body
+	headTimeout       = 2500 * time.Millisecond // time from the first byte to the end of any head: some clients take 2 s
+	maxUploadDuration = 15 * time.Minute        // time from a request's arrival to the end of its streamed body
 	initialHeadBytes  = 512                     // initial buffer capacity for a forwarded head
 )
 
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -43,12 +43,12 @@
 type requestState struct {
 	ref             int // index in requestTable.byRef
 	handle          RequestHandle
-	timer           timer // for the decisions' wakeups and the backstop
+	timer           timer // fires at the times that the balancer sets, and as the backstop
 	attempts        []*attempt
-	serverFailure   *response // the last response in which a server reported its own failure; only with passthrough
+	serverFailure   *response // the last response in which a server reported its own failure; kept only with passthrough
 	answered        bool      // a response was sent, or the client has gone
-	released        bool      // the decisions are done with the request
-	deadlineLimited bool      // limitDeadlines shortened the deadline, which the decisions do not know
+	released        bool      // the balancer needs no further call about the request
+	deadlineLimited bool      // limitDeadlines shortened the deadline; the balancer does not know this
 }
 
 // requestTable holds the requests in flight. It belongs to the owner.
@@ -86,8 +86,9 @@
 	return req.client.abandoned.Load() || time.Since(arrivedAt) > clientCheckInterval && req.client.peerHasGone()
 }
 
-// safeToRetry reports whether the request may be sent again at a time, in seconds since 1970: no attempt has run, the
-// class is idempotent, or every server still deduplicates the request by its key.
+// safeToRetry reports whether it is safe to send the request again at the given time, in seconds since 1970. It is safe
+// if no server ran any attempt, if the class is idempotent, or if every server still deduplicates the request by its
+// idempotency key.
 func (req *request) safeToRetry(at float64) bool {
 	class := req.class
 	for _, att := range req.attempts {
@@ -126,7 +127,7 @@
 	}
 }
 
-// scheduleBackstop sets the request's timer to fire shortly before its deadline, see requestTimerFired.
+// scheduleBackstop schedules the request's timer for shortly before its deadline, see requestTimerFired.
 func (p *Proxy) scheduleBackstop(req *request) {
 	p.loop.timers.add(&req.timer, req.deadline-backstopMarginSeconds)
 }
@@ -146,8 +147,8 @@
 	}
 }
 
-// requestTimerFired calls the decisions at the time that they scheduled, and answers a request that has reached its
-// deadline but for backstopMarginSeconds.
+// requestTimerFired is called at the times that the balancer or scheduleBackstop has set. It calls the balancer, and
+// answers the request if no more than backstopMarginSeconds is left until its deadline.
 func (p *Proxy) requestTimerFired(req *request) {
 	// While the client still sends the body, the attempt is not overdue and its server is not at fault.
 	uploading := req.stream.upload != nil && req.stream.upload.Started() && req.stream.completedAt == 0
@@ -163,8 +164,8 @@
 	}
 }
 
-// limitDeadlines limits the deadlines of all requests in flight to a time, in seconds since 1970, at which this process
-// may be killed.
+// limitDeadlines shortens all deadlines of requests in flight that end after the given time, in seconds since 1970,
+// because this process may be killed then.
 func (p *Proxy) limitDeadlines(deadline float64) {
 	for _, req := range p.requests.byRef {
 		if req != nil && !req.answered && req.deadline > deadline {
@@ -174,7 +175,7 @@
 	}
 }
 
-// abandonRequest answers a request that would outlast this process: rejected where a retry is safe, else failed.
+// abandonRequest answers a request that would outlast this process: as rejected if a retry is safe, else as failed.
 func (p *Proxy) abandonRequest(req *request) {
 	reply := balance.Rejected
 	if !req.safeToRetry(p.now() + p.bootstrap.MaxRetryAfter) {
@@ -184,14 +185,14 @@
 	p.decideRequest(req, req.handle.ClientDisconnected)
 }
 
-// failUnanswered fails a request that the decisions have not answered in time: every request must get a response.
+// failUnanswered fails a request that the balancer has not answered in time: every request must get a response.
 func (p *Proxy) failUnanswered(req *request) {
 	if !invariant.Holds(req.answered, "every request is answered before its deadline") {
 		p.respond(req, balance.Failed, 0)
 	}
 }
 
-// clientDisconnected reports to the decisions that the client has gone, or drops the response if there is one already.
+// clientDisconnected reports to the balancer that the client has gone, or drops the response if there is one already.
 func (p *Proxy) clientDisconnected(req *request) {
 	if req.answered {
 		p.dropResponse(req)
@@ -245,7 +246,7 @@
 	return false
 }
 
-// finalResponse counts a request that has not succeeded and returns its response.
+// finalResponse returns the response to a request that has not succeeded, and counts the request as rejected or failed.
 func (p *Proxy) finalResponse(req *request, reply balance.Reply, retryAfter float64) response {
 	last := balance.NotSent
 	if n := len(req.attempts); n > 0 {
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -14,7 +14,7 @@
 	"lockloom/internal/upstream"
 )
 
-// Checks that a request that the decisions never answer is failed before its deadline, that a call that panics does not
+// Checks that a request that the balancer never answers is failed before its deadline, that a call that panics does not
 // end the proxy, and that attempts that would break an invariant are not sent.
 func TestBackstop(t *testing.T) {
 	log, _ := test.NewNullLogger()
@@ -33,7 +33,7 @@
 	for _, id := range []string{"b1", "b2"} {
 		env.registry.Endpoint(listEntry(id, balance.Ready).Entry)
 	}
-	for _, c := range []struct { // attempts that the decisions order, each of which would break an invariant
+	for _, c := range []struct { // attempts that the balancer demands, each of which would break an invariant
 		req    *request
 		server int
 	}{
--- a/proxy/requestbody.go
+++ b/proxy/requestbody.go
@@ -18,8 +18,8 @@
 	// bodyGracePeriod is how long reads of a body may wait in addition to the time that minBodyBytesPerSecond allows, and
 	// the longest wait of a single read: some clients pause for 2 s.
 	bodyGracePeriod        = 2300 * time.Millisecond
-	minBodyGracePeriod     = 1200 * time.Millisecond // least grace period, for a body after a slow first head
-	firstBodyGraceDeadline = 2900 * time.Millisecond // from accepting a connection to the end of its first body's grace
+	minBodyGracePeriod     = 1200 * time.Millisecond // minimum grace period, for a body after a slow first head
+	firstBodyGraceDeadline = 2900 * time.Millisecond // from accepting a connection until the grace of its first body ends
 	maxBodyBytes           = 40 << 20                // largest body of a request to the platform listener
 	streamBufferBytes      = 16 << 10                // copy buffer for streamed bodies
 )
--- a/proxy/requestbody_test.go
+++ b/proxy/requestbody_test.go
@@ -132,7 +132,7 @@
 	for name, c := range map[string]struct {
 		method, framing, behavior, want string
 		sent                            int   // requests whose heads reached a server
-		minBytes                        int64 // least number of body bytes that reached a server
+		minBytes                        int64 // minimum number of body bytes that reached a server
 	}{
 		"with a length":                 {"POST", length, okResponse, "200 body", 1, size},
 		"in chunks":                     {"POST", "Transfer-Encoding: chunked\r\n", okResponse, "200 body", 1, size},
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	clientWriteTimeout = 5 * time.Second  // for the client to take a response
-	streamWriteTimeout = 30 * time.Second // for the client to take a piece of a streamed response
-	maxCachedHeadBytes = 2 << 10          // largest buffer of a response head that a connection keeps for its next one
+	clientWriteTimeout = 5 * time.Second  // time limit for writing a response to the client
+	streamWriteTimeout = 30 * time.Second // time limit for writing each piece of a streamed response
+	maxCachedHeadBytes = 2 << 10          // capacity of the largest response head buffer that a connection reuses
 )
 
 // response is a response to a client.
@@ -20,11 +20,11 @@
 	status        int
 	fields        []byte // header lines, relayed from the server
 	body          []byte
-	reservedBytes int64   // of the memory budget, to be released
+	reservedBytes int64   // bytes reserved in the memory budget, released after the response is written
 	http10        bool    // the client speaks HTTP/1.0, which has no chunked encoding
 	retryAfter    float64 // seconds; 0: no Retry-After
 	headOnly      bool    // the request was a HEAD
-	contentLength int     // of a streamed body, or of the body that is left out of a response to HEAD; -1: unknown
+	contentLength int     // length of a streamed body, or of the body that a response to HEAD leaves out; -1: unknown
 	stream        *io.PipeReader
 }
 
@@ -38,7 +38,8 @@
 	return resp.stream != nil && !resp.http10 && resp.contentLength < 0
 }
 
-// writeResponse writes a response to its client. It fails if the client does not take it within the write timeouts.
+// writeResponse writes a response to its client. It fails if the client does not read the response within the write
+// timeouts.
 func (c *clientConn) writeResponse(resp response, closing bool) error {
 	head := resp.appendHead(c.headBuffer[:0], closing)
 	c.headBuffer = head
@@ -49,7 +50,7 @@
 	if resp.stream == nil {
 		return http1.Write(c.conn, head, resp.body)
 	}
-	defer closeStream(resp.stream) // no effect if it was read to its end
+	defer closeStream(resp.stream) // no effect if the stream was read to its end
 	if err := http1.Write(c.conn, head); err != nil {
 		return err
 	}
@@ -95,9 +96,9 @@
 	return http1.AppendLength(head, len(resp.body))
 }
 
-// streamResponse writes a body as it arrives, at the client's pace as long as each piece is taken within
-// streamWriteTimeout. If the server's response breaks off, the connection closes before the end of the body, so that
-// the client sees the response as incomplete.
+// streamResponse writes a body as it arrives, as fast as the client reads it, and fails if writing a piece takes longer
+// than streamWriteTimeout. If the server's response breaks off, the connection closes before the end of the body, so
+// that the client sees the response as incomplete.
 func (c *clientConn) streamResponse(resp *response) error {
 	var out io.Writer = c.conn
 	var chunks http1.Chunked
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -21,7 +21,7 @@
 	for _, c := range []struct {
 		name, head, rest string
 		closes           bool
-		pause            time.Duration // after the head
+		pause            time.Duration // pause of the server after the head
 	}{
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false, 0},
 		{"with a length, a while after its head", "HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n", longBody, false,
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -20,18 +20,18 @@
 
 // The schedule of a shutdown, from the order to stop to the time when the platform kills the process.
 const (
-	maxShutdownWait     = 3 * time.Second        // the platform waits for the longest deadline, up to this
-	killMargin          = 700 * time.Millisecond // from the end of that wait to the kill
-	acceptShutdownDelay = 500 * time.Millisecond // until accepting ends: the load balancer in front takes 0.4 s to notice
-	finalAcceptDuration = 20 * time.Millisecond  // of accepting past all limits then: a closed listener resets its queue
-	idleCloseMargin     = 350 * time.Millisecond // before the kill: connections close when idle or after a response
-	finalDeadlineMargin = 150 * time.Millisecond // before the kill: the deadline of every request in flight
-	connectionCutMargin = 75 * time.Millisecond  // before the kill: connections still being written to are closed
+	maxShutdownWait     = 3 * time.Second        // maximum time that the platform waits for the longest class deadline
+	killMargin          = 700 * time.Millisecond // time from the end of that wait to the kill
+	acceptShutdownDelay = 500 * time.Millisecond // time until accepting ends: the load balancer in front notices in 0.4 s
+	finalAcceptDuration = 20 * time.Millisecond  // time of accepting past all limits: closing would reset the queue
+	idleCloseMargin     = 350 * time.Millisecond // from this long before the kill, connections close once idle or answered
+	finalDeadlineMargin = 150 * time.Millisecond // latest deadline of all requests is this long before the kill
+	connectionCutMargin = 75 * time.Millisecond  // all remaining connections are closed this long before the kill
 )
 
 // shutdownState is the progress of a shutdown. Any goroutine may use it.
 type shutdownState struct {
-	deadline     atomic.Pointer[time.Time] // of all requests, once the process was ordered to stop; nil before
+	deadline     atomic.Pointer[time.Time] // latest deadline of any request; nil until the order to stop
 	acceptEnding atomic.Bool               // accepting is about to end: connection limits are ignored
 }
 
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// gossipReceived passes a peer's message on to the decisions of the platform's pool.
+// gossipReceived passes a peer's message to the balancer of the platform's pool.
 func (p *Proxy) gossipReceived(from int, message balance.GossipMessage) {
 	p.post(func() {
 		pool := p.pools.platform
@@ -151,7 +151,7 @@
 // acceptLoops tracks the goroutines that accept client connections.
 type acceptLoops struct {
 	listeners []net.Listener
-	result    chan error     // of accepting at the platform's listener
+	result    chan error     // receives the result of acceptConnections on the platform listener
 	others    sync.WaitGroup // the goroutines of the operator's listeners
 }
 
@@ -193,7 +193,8 @@
 	return func() { cut.Stop() }
 }
 
-// finish ends the client connections, then the owner, then everything else.
+// finish ends the client connections, then the links to other processes, the owner, the poller of idle connections and
+// the gossip link.
 func (p *Proxy) finish() {
 	p.beginTermination()
 	p.conns.closeUnused()
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -104,7 +104,7 @@
 			status, h, _, err := readResponse(c.conn)
 			assert.NoError(t, err)
 			assert.Equal(t, c.close, h.Close, c.after)
-			if !c.close { // clients keep their connections: there may be no other proxy
+			if !c.close { // not closed yet, since the clients may find no other proxy
 				assert.Equal(t, 200, status)
 			} else {
 				assert.Equal(t, 502, status, "a request admitted late is answered before the kill")
@@ -137,8 +137,8 @@
 	})
 }
 
-// The platform waits for the longest deadline, but at most 3 s. A proxy that takes longer is killed with requests in
-// flight.
+// After its order to stop, the platform waits for the longest deadline of any class, but at most 3 s, then kills the
+// process. A proxy that takes longer loses its requests in flight.
 func TestShutdownEndsBeforeTheKill(t *testing.T) {
 	for _, c := range []struct{ deadline, left float64 }{{0.5, 0.5}, {3, 3}, {3.4, 3}, {60, 3}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -156,7 +156,7 @@
 			stoppedAt := time.Now()
 			env.cancel()
 			left := seconds(c.left) + killMargin
-			for i, client := range []net.Conn{nonIdempotent, idempotent} { // in flight when the shutdown begins
+			for i, client := range []net.Conn{nonIdempotent, idempotent} { // requests are in flight when the shutdown begins
 				go func() {
 					status, h, _, err := readResponse(client)
 					if assert.NoError(t, err, "in flight, deadline %v", c.deadline) {
@@ -233,7 +233,7 @@
 			assert.Zero(t, n)
 			assert.ErrorIs(t, err, io.EOF)
 			before := s.received.Load()
-			for range 3 { // the second write would fail after a reset
+			for range 3 { // if the connection were reset, the second of these writes would fail
 				_, err = io.WriteString(c, longWaitRequest)
 				assert.NoError(t, err)
 				time.Sleep(5 * time.Millisecond)
--- a/proxy/timers.go
+++ b/proxy/timers.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// timer is a function to be called at one or more times. It belongs to the owner.
+// timer is a function and the times at which to call it. It belongs to the owner.
 type timer struct {
 	call   func()
-	times  []float64  // seconds since 1970, earliest first; empty: the timer is not in the heap
+	times  []float64  // when to call, in seconds since 1970, earliest first; if empty, the timer is not in the heap
 	index  int        // position in the heap
 	inline [4]float64 // initial backing array of times
 }
 
-// timerHeap orders timers by their next time. A timer is in the heap once, however many times it has: an entry per
-// time, left there until that time, would keep every request in memory until its deadline.
+// timerHeap orders timers by their next time. A timer is in the heap only once, even if it is scheduled for several
+// times. With one entry for each time, every request would stay in memory until its deadline.
 type timerHeap []*timer
 
-// add schedules a timer for one more time, in seconds since 1970.
+// add schedules an additional call of a timer at the given time, in seconds since 1970.
 func (h *timerHeap) add(t *timer, at float64) {
 	if t.times == nil {
 		t.times = t.inline[:0]
@@ -46,7 +46,7 @@
 // next returns the time at which the first timer fires, in seconds since 1970. The heap must not be empty.
 func (h timerHeap) next() float64 { return h[0].times[0] }
 
-// fire removes all times up to now from the first timer and returns its function, to be called once.
+// fire removes all times up to now from the first timer and returns its function, which the caller calls once.
 func (h *timerHeap) fire(now float64) func() {
 	t := (*h)[0]
 	n := 1
