--- a/cmd/lockloom/main.go
+++ b/cmd/lockloom/main.go
@@ -1,4 +1,4 @@
-// Command lockloom runs one proxy of a fleet, checks its configuration and makes admin calls to it.
+// Command lockloom runs one proxy of a fleet, checks its configuration and calls its admin endpoint.
 package main
 
 import (
--- a/internal/cli/controlplanecmd/call.go
+++ b/internal/cli/controlplanecmd/call.go
@@ -28,7 +28,7 @@
 	flags := cli.NewFlagSet("call")
 	control := flags.String("control", os.Getenv("LOOMD_CONTROL"), "control plane `address`")
 	duration := flags.Duration("for", 10*time.Second, "`duration` of the run")
-	rate := flags.Float64("rate", 200, "`number` of calls per second")
+	rate := flags.Float64("rate", 200, "`number` of calls to the health service per second")
 	help := "call the gRPC health service of a target such as pool/try or a host, resolved over xDS"
 	return cli.NewCommand("call", "call TARGET [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) != 1 || *control == "" || !(*rate > 0) {
@@ -45,7 +45,8 @@
 	})
 }
 
-// dialXDS returns a connection to a target that the control plane resolves, for a client with this node ID.
+// dialXDS returns a connection to a target, whose servers gRPC's xDS client receives from the control plane at the
+// address control. id is the client's xDS node ID.
 func dialXDS(control, target, id string) (*grpc.ClientConn, error) {
 	builder, err := newXDSResolver(control, id)
 	if err != nil {
@@ -55,7 +56,8 @@
 	return grpc.NewClient("xds:///"+target, grpc.WithResolvers(builder), credentials)
 }
 
-// newXDSResolver returns the resolver of gRPC's own xDS client, configured for the control plane at an address.
+// newXDSResolver returns the resolver of gRPC's own xDS client, configured with the address of a control plane and the
+// client's node ID.
 func newXDSResolver(control, id string) (resolver.Builder, error) {
 	bootstrap, err := json.Marshal(map[string]any{
 		"xds_servers": []any{map[string]any{
@@ -84,14 +86,14 @@
 	}
 }
 
-// callResult is the outcome of a call.
+// callResult is the outcome of one call to the health service.
 type callResult struct {
 	server   string // "": no server answered
 	answered bool
 }
 
-// callAtRate makes rate calls per second to the health service until the context ends. It waits for the calls in flight
-// then, and counts all calls.
+// callAtRate makes rate calls per second to the health service until the context ends. Then it waits for the calls in
+// flight to end, and returns the counts of all calls.
 func callAtRate(ctx context.Context, conn *grpc.ClientConn, rate float64) callCounts {
 	counts := callCounts{answered: map[string]int{}, failed: map[string]int{}}
 	results := make(chan callResult)
--- a/internal/cli/controlplanecmd/capture_test.go
+++ b/internal/cli/controlplanecmd/capture_test.go
@@ -78,7 +78,7 @@
 		require.Equal(t, cli.ExitOK, code, output)
 		assert.Contains(t, output, "on true, 0 calls")
 		sendRequests(200, fmt.Sprint("run", run, "-"))
-		time.Sleep(600 * time.Millisecond) // until the recorded calls are written
+		time.Sleep(600 * time.Millisecond) // until the segment, whose maximum age is 0.5 s, is written to a file
 		sendRequests(50, "late-")
 		if run == 0 {
 			require.NoError(t, cmd.Process.Signal(syscall.SIGKILL))
--- a/internal/cli/controlplanecmd/controlplanecmd_test.go
+++ b/internal/cli/controlplanecmd/controlplanecmd_test.go
@@ -78,7 +78,7 @@
 	return program
 }
 
-// environment returns this process's environment and the variables of loomd.env, which it also records in p.env.
+// environment returns the environment variables of this process and those of loomd.env, which it also stores in p.env.
 func (p *testProgram) environment(dir string) []string {
 	text, err := os.ReadFile(filepath.Join(dir, "loomd.env"))
 	require.NoError(p.t, err)
@@ -91,7 +91,8 @@
 	return all
 }
 
-// start starts the program in a folder, and waits until it is ready for clients.
+// start starts the program with the operator file and the variables in the folder dir, and waits until it is ready for
+// clients. The program's log is written to dir too.
 func (p *testProgram) start(program, dir string) *exec.Cmd {
 	run := exec.Command(program, "serve", "-operator", filepath.Join(dir, "operator.toml"))
 	run.Env = p.environment(dir)
@@ -109,7 +110,7 @@
 	return run
 }
 
-// call makes an admin call and returns the exit code.
+// call runs a sub-command that calls the admin endpoint, such as ready, and returns its exit code.
 func (p *testProgram) call(words ...string) int {
 	return Run(append(words, p.env["ROUTER_OPERATOR"]), io.Discard, io.Discard)
 }
--- a/internal/cli/controlplanecmd/extension.go
+++ b/internal/cli/controlplanecmd/extension.go
@@ -27,7 +27,8 @@
 	headTimeout       = 2 * time.Second // for a request's head, and for an idle connection, at the capture address
 )
 
-// extension runs the control plane and the capture of a proxy, each if the operator file has its table.
+// extension is the proxycmd.Extension of lockloom-controlplane. It runs a control plane and a capture in the process of
+// the proxy, each only if the operator file has its table.
 type extension struct {
 	log          logrus.FieldLogger
 	controlPlane *controlplane.Service
@@ -154,7 +155,7 @@
 	})
 }
 
-// serveHTTP serves HTTP on a listener until the extension is stopped.
+// serveHTTP serves HTTP on a listener until Stop is called.
 func (e *extension) serveHTTP(ln net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: headTimeout}
 	go func() {
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// triggerCapture triggers a write of the ring in memory when an invariant is broken or on SIGUSR2, until the extension
-// is stopped. Without a ring, SIGUSR2 turns the capture on or off.
+// triggerCapture writes the capture's ring in memory to files when an invariant is broken and on SIGUSR2, until Stop is
+// called. Without a ring, SIGUSR2 turns the capture on or off.
 func (e *extension) triggerCapture(recorder *capture.Recorder, hasRing bool) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR2)
@@ -186,7 +187,7 @@
 		case <-check.C:
 			broken := brokenInvariants()
 			if broken > seen {
-				recorder.Trigger("a broken invariant")
+				recorder.Trigger("an invariant was broken")
 			}
 			seen = broken
 		}
--- a/internal/cli/controlplanecmd/servers.go
+++ b/internal/cli/controlplanecmd/servers.go
@@ -53,7 +53,7 @@
 	flags := cli.NewFlagSet("servers")
 	dir := flags.String("dir", "stand", "write loomd.env, launch.json and operator.toml to this `folder`")
 	count := flags.Int("n", 4, "`number` of servers")
-	failureFraction := flags.Float64("fail", 0, "`share` of calls that the last server fails")
+	failureFraction := flags.Float64("fail", 0, "`share` (0 to 1) of calls that the last server answers with an error")
 	help := "run gRPC servers to try the control plane with, until Ctrl-C, and write the files that serve needs"
 	return cli.NewCommand("servers", "servers [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) > 0 || *count < 1 {
--- a/internal/cli/proxycmd/admin.go
+++ b/internal/cli/proxycmd/admin.go
@@ -12,10 +12,10 @@
 	"lockloom/internal/cli"
 )
 
-// adminTimeout bounds an admin call.
+// adminTimeout bounds a call to the admin endpoint.
 const adminTimeout = 2 * time.Second
 
-// adminCommands returns the sub-commands that make admin calls, one for each kind of call.
+// adminCommands returns the sub-commands that call the admin endpoint, one for each action.
 func adminCommands(out cli.Output) []*ffcli.Command {
 	return []*ffcli.Command{
 		adminCommand(admin.Ready, "check whether the proxy process accepts clients", out),
@@ -26,7 +26,7 @@
 	}
 }
 
-// adminCommand returns the sub-command for an admin call.
+// adminCommand returns the sub-command that calls the admin endpoint with an action.
 func adminCommand(action admin.Action, help string, out cli.Output) *ffcli.Command {
 	name := action.String()
 	takesID := action == admin.Disable || action == admin.Enable
@@ -66,7 +66,8 @@
 	return addr, nil
 }
 
-// sendAdminCall makes an admin call and prints the response. A status other than 2xx is an error.
+// sendAdminCall sends a call to the admin endpoint at an address and prints the response. A status other than 2xx is an
+// error.
 func sendAdminCall(addr string, call admin.Call, out cli.Output) error {
 	status, text, err := admin.Send(addr, call, adminTimeout)
 	if err != nil {
--- a/internal/cli/proxycmd/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// checkBootstrap checks the environment and the launch file as serve reads them, and prints a summary.
+// checkBootstrap reads the environment variables and the launch file as serve does, checks that a proxy can be created
+// from them, and prints a summary.
 func checkBootstrap(out cli.Output) error {
 	b, err := proxy.ReadBootstrap(os.Getenv)
 	if err != nil {
--- a/internal/cli/proxycmd/clientload_test.go
+++ b/internal/cli/proxycmd/clientload_test.go
@@ -69,7 +69,7 @@
 	number     int
 	keepsAlive bool // reuses its connection
 	conn       net.Conn
-	used       bool // the connection has carried a response
+	used       bool // the connection has delivered a response; if it then ends, it was closed while idle
 }
 
 // run sends requests until the load is stopped.
--- a/internal/cli/proxycmd/explain.go
+++ b/internal/cli/proxycmd/explain.go
@@ -35,13 +35,13 @@
 // parseRequest returns the request that the arguments describe: a method, a URL or path, and header fields.
 func parseRequest(args []string) (*config.Request, error) {
 	if len(args) < 2 {
-		return nil, cli.UsageErrorf("expected a method, a URL or path, and fields as NAME:VALUE")
+		return nil, cli.UsageErrorf("expected a method, a URL or path, and header fields as NAME:VALUE")
 	}
 	request := &config.Request{Method: args[0], Target: args[1], Fields: map[string]string{}}
 	for _, field := range args[2:] {
 		name, value, ok := strings.Cut(field, ":")
 		if !ok || name == "" {
-			return nil, cli.UsageErrorf("field %q: expected NAME:VALUE", field)
+			return nil, cli.UsageErrorf("header field %q: expected NAME:VALUE", field)
 		}
 		request.Fields[strings.ToLower(name)] = strings.TrimSpace(value)
 	}
--- a/internal/cli/proxycmd/installation_test.go
+++ b/internal/cli/proxycmd/installation_test.go
@@ -42,11 +42,12 @@
 	return name, err
 })
 
-// testEnvironment is what a proxy runs with: two servers, an endpoint list that no agent changes, and a folder.
+// testEnvironment holds what the proxy processes of a test run with: two servers, a launch file whose endpoint list no
+// agent changes, and a folder.
 type testEnvironment struct {
 	t             testing.TB
 	env           []string
-	addr          string // the proxy's platform listener
+	addr          string // address of the proxy's platform listener
 	dir           string
 	serverAddrs   []string
 	firstProgram  string // path of the program of the first process
@@ -55,11 +56,12 @@
 	failingServer string // the ID of a server that fails all requests; set while no request is in flight
 
 	mu       sync.Mutex
-	servedBy map[string]int // requests by the server's ID
-	runs     map[string]int // executions by the request's ID
+	servedBy map[string]int // number of requests, by server ID
+	runs     map[string]int // number of executions, by request ID
 }
 
-// newTestEnvironment returns the environment of a proxy with a memory limit of memoryMB.
+// newTestEnvironment starts the servers and writes the launch file of a proxy with a memory limit of memoryMB. It
+// starts no proxy.
 func newTestEnvironment(tb testing.TB, memoryMB int) *testEnvironment {
 	tb.Helper()
 	program, err := buildProgram()
@@ -153,7 +155,7 @@
 	adminAddr string
 	logFile   string
 	ended     chan struct{}
-	err       error // of the process; read it after ended is closed
+	err       error // result of Wait; read it only after ended is closed
 }
 
 // startProcess starts a process of the proxy; it is killed when the test ends.
@@ -186,7 +188,7 @@
 	return p
 }
 
-// call makes an admin call to the process through the command line, and returns the exit code.
+// call runs a sub-command that calls the admin endpoint of the process, such as drain, and returns its exit code.
 func (p *process) call(args ...string) int {
 	return Run(append(args, p.adminAddr), io.Discard, io.Discard)
 }
@@ -241,7 +243,8 @@
 	return state
 }
 
-// awaitState waits until a process offers its state, and returns it. One that resumes serving offers it a moment later.
+// awaitState waits until a process offers its state for a hot restart, and returns that state. A process that resumes
+// serving because its successor ended takes a moment to offer its state again.
 func (s *testEnvironment) awaitState() (state *hotrestart.State) {
 	for end := time.Now().Add(5 * time.Second); state == nil && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		state = s.offeredState()
--- a/internal/cli/proxycmd/proxycmd_test.go
+++ b/internal/cli/proxycmd/proxycmd_test.go
@@ -121,7 +121,7 @@
 		{"check -operator no.toml", cli.ExitFailure, "", "no.toml: no such file"},
 		{"explain GET /", cli.ExitUsage, "", "-operator: missing"},
 		{"explain -operator " + sample + " GET", cli.ExitUsage, "", "expected a method, a URL or path"},
-		{"explain -operator " + sample + " GET / x", cli.ExitUsage, "", `field "x": expected NAME:VALUE`},
+		{"explain -operator " + sample + " GET / x", cli.ExitUsage, "", `header field "x": expected NAME:VALUE`},
 		{"explain -operator " + sample + " POST http://x.org/sign Idempotency-Key:k", cli.ExitOK,
 			"class sign: keyed", ""},
 		{"up 127.0.0.1:1", cli.ExitFailure, "", "lockloom: dial"},
--- a/internal/cli/proxycmd/serve.go
+++ b/internal/cli/proxycmd/serve.go
@@ -22,8 +22,11 @@
 
 // Settings of Go's garbage collector.
 const (
-	heapFraction = 0.6 // of the proxy's memory, as the runtime's soft memory limit; the rest is for bursts of buffers
-	gcPercent    = 300 // the heap is small, so it is collected seldom unless it nears the soft limit
+	// heapFraction is the share of the proxy's memory limit that becomes the runtime's soft memory limit. The rest is for
+	// bursts of buffers.
+	heapFraction = 0.6
+	// gcPercent is the value of GOGC. The heap is small, so collections are rare unless it nears the soft memory limit.
+	gcPercent = 300
 )
 
 // Extension is a service that a program runs beside the proxy, configured by the operator file.
@@ -140,7 +143,8 @@
 	return nil
 }
 
-// limitRuntime adapts the Go runtime to the proxy's limits. During a hot restart two processes share its memory.
+// limitRuntime sets GOMAXPROCS, GOGC and the runtime's soft memory limit from the proxy's limits. During a hot restart
+// two processes share the proxy's memory limit.
 func (s *server) limitRuntime() {
 	limits := s.bootstrap.Limits
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -21,12 +21,13 @@
 	"lockloom/internal/http1"
 )
 
-// oldBinary names the environment variable with the path of an older build, for tests of upgrades from it and back to
-// it. CI does not set it.
+// oldBinary names the environment variable that holds the path of an older build. If it is set, the tests upgrade from
+// that build and back to it. CI does not set it.
 const oldBinary = "LOCKLOOM_OLD_BINARY"
 
-// forEachBuildPair runs a test of an upgrade: from an older build and back to it if LOCKLOOM_OLD_BINARY is set, else
-// between two processes of the present build.
+// forEachBuildPair runs a test of an upgrade. If LOCKLOOM_OLD_BINARY is set, the test runs twice: from that older build
+// to the present one, and from the present build to the older one. Else it runs once, between two processes of the
+// present build.
 func forEachBuildPair(t *testing.T, test func(s *testEnvironment)) {
 	t.Helper()
 	present, err := buildProgram()
@@ -186,8 +187,8 @@
 	assert.EqualValues(t, largeResponseBytes, received+n)
 }
 
-// requestLargeResponse requests a large response and returns its head, nil after an error. Rejected requests, which are
-// normal on a busy machine, are sent again.
+// requestLargeResponse requests a large response and returns its head, or nil after an error. If the proxy rejects the
+// request, which is normal on a busy machine, it is sent again, at most 50 times in all.
 func requestLargeResponse(t *testing.T, conn net.Conn, reader *http1.Reader, client int) (head *http1.Head) {
 	t.Helper()
 	for n := range 50 {
@@ -260,7 +261,7 @@
 			paused++
 			assert.InDelta(t, want.PauseRemaining, got.PauseRemaining, 3)
 		} else {
-			want.Errors, want.Results = 0, 0 // the window of a server that is not paused starts anew
+			want.Errors, want.Results = 0, 0 // the error window of a server that is not paused starts anew
 		}
 		assert.InDelta(t, want.Age, got.Age, 3)
 		want.Age, want.PauseRemaining = got.Age, got.PauseRemaining
--- a/internal/config/capture.go
+++ b/internal/config/capture.go
@@ -5,9 +5,9 @@
 	Dir           string  `toml:"dir"`
 	On            bool    `toml:"on"`         // recording starts with the process
 	Address       string  `toml:"address"`    // HTTP address where operators turn recording on and off; empty: none
-	TotalMB       int     `toml:"total_mb"`   // maximum total size of this proxy's files in Dir; 0: 256
-	SegmentMB     int     `toml:"segment_mb"` // maximum size of a segment before compression; 0: 8
-	Age           float64 `toml:"age"`        // maximum age of a segment, in seconds; 0: 60
+	TotalMB       int     `toml:"total_mb"`   // maximum total size of this proxy's files in Dir; 0: the default of 256
+	SegmentMB     int     `toml:"segment_mb"` // maximum size of a segment before compression; 0: the default of 8
+	Age           float64 `toml:"age"`        // maximum age of a segment, in seconds; 0: the default of 60
 	RingMB        int     `toml:"ring_mb"`    // size of the ring in memory, written on request or by a trigger; 0: none
 	RejectedShare float64 `toml:"dismissed"`  // the share of a second's requests whose rejection is a trigger; 0: none
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,8 +50,9 @@
 	return Read(name, text)
 }
 
-// Read parses and checks the text of an operator file. Errors begin with name. Either all unknown fields are reported,
-// or all invalid values.
+// Read parses and checks the text of an operator file. Each error begins with name, the name of the file. Unknown
+// fields are all reported together. The values are checked only if there are none, and all invalid ones are reported
+// together.
 func Read(name string, text []byte) (*Config, []error) {
 	config := &Config{routeConfigs: map[*routes.Route]*Route{}}
 	source, errs := tomlfile.Decode(name, text, &config.File)
@@ -80,7 +81,7 @@
 	return config, nil
 }
 
-// recordRoutes records the configuration of each route and of the routes nested in it.
+// recordRoutes adds the configurations of routes, and of the routes nested in them, to routeConfigs.
 func (c *Config) recordRoutes(list []routes.Route, configs []Route) {
 	for i := range list {
 		c.routeConfigs[&list[i]] = &configs[i]
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,7 +52,7 @@
 			`pool = "signatures"`, `pool = "signature"`,
 			`f.toml:65:1: route: pool: unknown pool "signature", did you mean "signatures"?`,
 		},
-		{"tariff = \"page\"\nlimits", "limits", "route: tariff: missing: required unless there is one tariff, there are 2"},
+		{"tariff = \"page\"\nlimits", "limits", "route: tariff: missing: required because the file has 2 tariffs, not one"},
 		{`address = "127.0.0.1:8080"`, `address = "8080"`, "f.toml:4:1: listener: address: "},
 	} {
 		require.Contains(t, string(text), c.old)
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -7,12 +7,12 @@
 	Address         string   `toml:"address"`     // where subscribers connect
 	Status          string   `toml:"status"`      // HTTP address where operators query the subscribers; empty: none
 	PreferLocalZone bool     `toml:"local"`       // subscribers stay in their own zone while it has a healthy server
-	SnapshotFile    string   `toml:"memory"`      // empty: no snapshot is kept
+	SnapshotFile    string   `toml:"memory"`      // path; empty: no snapshot is kept
 	Subscribers     int      `toml:"subscribers"` // maximum at once; 0: the default of package controlplane
-	Certificate     string   `toml:"certificate"` // PEM file; Certificate, Key and Authority are all set, or none
-	Key             string   `toml:"key"`         // PEM file
-	Authority       string   `toml:"authority"`   // PEM file of the CA of the subscribers' certificates
-	Allow           []Allow  `toml:"allow"`       // by the names in client certificates; empty: all that have one
+	Certificate     string   `toml:"certificate"` // path of a PEM file; set Certificate, Key and Authority together
+	Key             string   `toml:"key"`         // path of a PEM file with the private key of Certificate
+	Authority       string   `toml:"authority"`   // path of a PEM file with the CA of the subscribers' certificates
+	Allow           []Allow  `toml:"allow"`       // allowed names in client certificates; empty: any
 	Subsets         []Subset `toml:"subset"`      // restrict the pools of some subscribers
 }
 
@@ -32,13 +32,13 @@
 		(s.Zone == "" || matchesPattern(s.Zone, zone))
 }
 
-// Allow permits subscribers with a name in their certificates to receive pools.
+// Allow permits subscribers whose client certificate has a matching name to receive pools.
 type Allow struct {
 	Name  string   `toml:"name"`  // a DNS name or URI; with "*" at its end, a prefix
 	Pools []string `toml:"pools"` // empty: all
 }
 
-// Fits reports whether a name in a certificate is allowed.
+// Fits reports whether a name in a client certificate matches Name.
 func (a *Allow) Fits(name string) bool { return matchesPattern(a.Name, name) }
 
 func matchesPattern(pattern, name string) bool {
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -12,7 +12,7 @@
 // Request describes a request to Explain.
 type Request struct {
 	Method, Target, Host string
-	Fields               map[string]string // by lower-case name
+	Fields               map[string]string // header fields, by lower-case name
 }
 
 // Get returns a header field of the request, and whether it is present. The case of name does not matter.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -26,7 +26,7 @@
 	Deadline         float64 `toml:"hard_stop"`
 	PriorityWeight   float64 `toml:"value"`  // 0: the default of 1
 	DedupScope       string  `toml:"scope"`  // servers that drop repeats by their idempotency key: none, all, zone or pod
-	DedupWindow      float64 `toml:"window"` // how long those servers remember a key
+	DedupWindow      float64 `toml:"window"` // seconds for which those servers remember a key
 }
 
 // Pool configures a group of servers, either listed here or selected from the endpoint list.
@@ -36,8 +36,8 @@
 	Kinds       []string `toml:"kinds"`        // models of the selected servers; empty: any
 	Zones       []string `toml:"zones"`        // zones of the selected servers; empty: any
 	Backup      string   `toml:"backup"`       // the pool that serves while this one has no admitted server
-	BackupAfter float64  `toml:"backup_after"` // how long this pool has no admitted server before the backup serves
-	BackupUntil float64  `toml:"backup_until"` // how long this pool has one again before the backup stops
+	BackupAfter float64  `toml:"backup_after"` // seconds without an admitted server after which the backup pool serves
+	BackupUntil float64  `toml:"backup_until"` // seconds with an admitted server again after which the backup pool stops
 	Capacity    int      `toml:"room"`         // maximum requests in flight over all its routes; 0: no limit
 }
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	fieldPrefix = "field:" // begins a limit's key that is a header field
+	fieldPrefix = "field:" // prefix of a limit's key that names a header field
 	maxAttempts = 16
 )
 
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -28,12 +28,14 @@
 	}
 }
 
-// fail adds an error at a field of the n-th table of a name, counted from 1; n = 0 means the only table.
+// fail adds an error at a field of the n-th table named tableName, counted from 1. n = 0 means that the file has at
+// most one such table.
 func (r *reader) fail(tableName string, n int, field, format string, args ...any) {
 	r.errs = append(r.errs, r.source.At(tableName, n, field, format, args...))
 }
 
-// table refers to the n-th table of a name in the file, counted from 1; n = 0 means the only table.
+// table identifies the n-th table with a name in the file, counted from 1. n = 0 means that the file has at most one
+// such table.
 type table struct {
 	reader *reader
 	name   string
@@ -46,7 +48,8 @@
 	t.reader.fail(t.name, t.n, field, format, args...)
 }
 
-// checkName checks that the table has a name that no previous table has.
+// checkName adds an error if name, the table's name field, is empty or among previous, the names of the tables before
+// it.
 func (t table) checkName(name string, previous []string) {
 	switch {
 	case name == "":
@@ -56,7 +59,8 @@
 	}
 }
 
-// checkKnown checks that a field is empty or holds a known name of a kind.
+// checkKnown adds an error if name, the value of a field, is neither empty nor among known. kind says in the error what
+// the field names, such as a pool.
 func (t table) checkKnown(field, kind, name string, known []string) {
 	if name == "" || slices.Contains(known, name) {
 		return
@@ -80,7 +84,8 @@
 	}
 }
 
-// checkLoopback checks the address of an endpoint that does not authenticate its clients.
+// checkLoopback adds an error unless address is a loopback address. It is for endpoints that do not authenticate their
+// clients.
 func (t table) checkLoopback(field, address string) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -7,7 +7,8 @@
 	"lockloom/routes"
 )
 
-// readRoutes checks the routes of the tables named tableName, and converts them to those of package routes.
+// readRoutes checks the routes in list and converts them to routes of package routes. tableName is the name of their
+// tables in the file: "route", or "route.route" if they are nested in a route.
 func (r *reader) readRoutes(list []Route, tableName string) []routes.Route {
 	var converted []routes.Route
 	for i := range list {
@@ -27,7 +28,7 @@
 	return converted
 }
 
-// readRoute checks and converts one route. If the file has only one class, it is the default.
+// readRoute checks and converts one route. A route with pools that names no class gets the only class of the file.
 func (r *reader) readRoute(routeConfig *Route, table table) routes.Route {
 	route := routes.Route{
 		Name:    routeConfig.Name,
@@ -49,7 +50,7 @@
 		if len(r.file.Classes) == 1 {
 			routeConfig.Class = r.file.Classes[0].Name
 		} else {
-			table.fail("tariff", "missing: required unless there is one tariff, there are %d", len(r.file.Classes))
+			table.fail("tariff", "missing: required because the file has %d tariffs, not one", len(r.file.Classes))
 		}
 	}
 	for _, limit := range routeConfig.Limits {
@@ -101,7 +102,7 @@
 		Response: (*routes.FixedResponse)(routeConfig.Response),
 	}
 	if routeConfig.Pool != "" && len(routeConfig.Split) > 0 {
-		table.fail("split", "cannot be combined with pool")
+		table.fail("split", "pool and split cannot both be set")
 	}
 	table.checkKnown("pool", "pool", routeConfig.Pool, r.file.poolNames())
 	if routeConfig.Pool != "" {
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -13,9 +13,9 @@
 	return regexp.MustCompile(`^\s*\[+\s*"?([\w.-]+)"?\s*\]+`)
 })
 
-// At returns a *PositionError at a field of the n-th table of a name, counted from 1 in the order of the file; n = 0
-// means the first or only table, an empty name the top level of the file. If the field is empty or not set in the
-// table, the position is that of the table's header.
+// At returns a *PositionError at a field of the n-th table with the name table, counted from 1 in the order of the
+// file. n = 0 means the same as n = 1. If table is empty, the field is at the top level of the file. If field is empty,
+// or the table does not set it, the position is that of the table's header.
 func (f *File) At(table string, n int, field, format string, args ...any) error {
 	text := fmt.Sprintf(format, args...)
 	if field != "" {
@@ -28,8 +28,8 @@
 	return &PositionError{File: f.Name, Line: line, Column: column, Text: text}
 }
 
-// locate returns the position of a field of the n-th table of a name, or that of the table's header if the field is not
-// set, or 0, 0 without such a table.
+// locate returns the position of a field of the n-th table with the name table. If that table does not set the field,
+// it returns the position of the table's header, and if there is no such table, 0, 0.
 func (f *File) locate(table string, n int, field string) (line, column int) {
 	inTable, tables := table == "", 0
 	for i, text := range f.lines {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -45,8 +45,9 @@
 	return os.ReadFile(name)
 }
 
-// Decode decodes TOML text into the struct that into points to; errors begin with name. It returns a *PositionError for
-// each field that the struct does not have, with the most similar field name as a suggestion.
+// Decode decodes TOML text into the struct that into points to. Each error begins with name, the name of the file.
+// Decode returns a *PositionError for each field that the struct does not have, with the most similar field name as a
+// suggestion.
 func Decode(name string, text []byte, into any) (*File, []error) {
 	file := &File{Name: name, lines: strings.Split(string(text), "\n")}
 	decoder := toml.NewDecoder(bytes.NewReader(text))
