--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -21,7 +21,7 @@
 	help := "turn a running proxy's capture on or off; ADDR is the address of its capture endpoint"
 	return cli.NewCommand("capture", "capture ADDR [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
-			return cli.UsageErrorf("it takes one argument, the address of the capture endpoint")
+			return cli.UsageErrorf("expected one argument, the address of the capture endpoint")
 		}
 		method, path := http.MethodPost, "/on?for="+duration.String()
 		switch {
--- a/internal/cli/ctlcmd/captures.go
+++ b/internal/cli/ctlcmd/captures.go
@@ -17,7 +17,7 @@
 // capture files.
 func captureFiles(args []string) (files []string, err error) {
 	if len(args) == 0 {
-		return nil, cli.UsageErrorf("it takes at least one capture: a file, or a folder of capture files")
+		return nil, cli.UsageErrorf("expected at least one capture: a file, or a folder of capture files")
 	}
 	for _, arg := range args {
 		list, err := capture.Files(arg)
--- a/internal/cli/ctlcmd/ctlcmd.go
+++ b/internal/cli/ctlcmd/ctlcmd.go
@@ -44,7 +44,7 @@
 // openScenario opens the scenario that is the only argument in args.
 func openScenario(args []string) (*simulation.Scenario, error) {
 	if len(args) != 1 {
-		return nil, cli.UsageErrorf("it takes one scenario, got %d", len(args))
+		return nil, cli.UsageErrorf("expected one scenario, got %d", len(args))
 	}
 	return simulation.Open(args[0])
 }
--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -164,7 +164,7 @@
 		{"help", cli.ExitOK, "rehearse", ""},
 		{"version", cli.ExitOK, "lockloomctl ", ""},
 		{"rehearse -h", cli.ExitOK, "", "-timeline FILE"},
-		{"rehearse", cli.ExitUsage, "", "it takes one scenario, got 0"},
+		{"rehearse", cli.ExitUsage, "", "expected one scenario, got 0"},
 		{"rehearse -x " + calm, cli.ExitUsage, "", "flag provided but not defined: -x"},
 		{"rehearse no.toml", cli.ExitFailure, "", "no.toml: no such file"},
 		{"rehearse " + bad, cli.ExitFailure, "", "bad.toml:2:1: speed: no such field"},
--- a/internal/cli/ctlcmd/experiment.go
+++ b/internal/cli/ctlcmd/experiment.go
@@ -44,7 +44,7 @@
 // run plays the scenarios, prints and writes the results, and returns the error of checkRules.
 func (e *experiment) run(ctx context.Context, args []string) error {
 	if len(args) == 0 {
-		return cli.UsageErrorf("it takes at least one scenario")
+		return cli.UsageErrorf("expected at least one scenario")
 	}
 	if e.seeds < 1 || e.seeds > maxSeeds {
 		return cli.UsageErrorf("-seeds: %d is not from 1 to %d", e.seeds, maxSeeds)
@@ -163,7 +163,7 @@
 		return nil, nil, err
 	}
 	if earlier == current {
-		return nil, nil, errors.New("-against: it is the same program as -proxy")
+		return nil, nil, errors.New("-against: the same program as -proxy")
 	}
 	return []string{current, earlier}, []string{ourPolicy, "earlier"}, nil
 }
--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -34,7 +34,7 @@
 	return cli.NewCommand("import", "import nginx FILE [FLAGS]", help, flags,
 		func(_ context.Context, args []string) error {
 			if len(args) != 2 || args[0] != "nginx" {
-				return cli.UsageErrorf("it takes the word nginx and one file")
+				return cli.UsageErrorf("expected the word nginx and one file")
 			}
 			converted, err := convertNginx(args[1], *prefix, *partial)
 			if err != nil {
--- a/internal/cli/ctlcmd/load.go
+++ b/internal/cli/ctlcmd/load.go
@@ -45,7 +45,7 @@
 			}
 			if result.Lost > 0 || result.Mismatched > 0 || result.NoProxy > 0 || result.Void != "" {
 				return fmt.Errorf(
-					"%d tries lost, %d answered with another request's response, %d found no proxy",
+					"the run failed or is void: %d tries lost, %d answered with another request's response, %d found no proxy",
 					result.Lost, result.Mismatched, result.NoProxy)
 			}
 			return nil
--- a/internal/cli/ctlcmd/subscribers.go
+++ b/internal/cli/ctlcmd/subscribers.go
@@ -21,7 +21,7 @@
 	return cli.NewCommand("subscribers", "subscribers ADDR", help, cli.NewFlagSet("subscribers"),
 		func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
-				return cli.UsageErrorf("it takes one argument, the control plane's status address")
+				return cli.UsageErrorf("expected one argument, the control plane's status address")
 			}
 			body, err := fetch(ctx, http.MethodGet, args[0], "/subscribers")
 			if err != nil {
--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -23,7 +23,7 @@
 		"`name` of the policy: "+strings.Join(simulation.PolicyNames(), ", "))
 	seed := flags.Uint64("seed", 1, "`seed` of the servers' random numbers")
 	name := flags.String("scenario", "",
-		"the `SCENARIO` with the servers, proxies and troubles; it must have all tariffs of the capture, by name")
+		"`FILE` of the scenario with the servers, proxies and troubles; it must have the capture's tariffs, by name")
 	help := "play a capture's arrivals against emulated servers: a model, not a record"
 	return cli.NewCommand("whatif", "whatif FILE|FOLDER... -scenario SCENARIO", help, flags,
 		func(_ context.Context, args []string) error {
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	if len(missing) > 0 {
-		return nil, fmt.Errorf("the scenario lacks tariffs of the capture (with their requests): %v", missing)
+		return nil, fmt.Errorf("the scenario lacks these tariffs of the capture (with the number of requests): %v", missing)
 	}
 	return arrivals, nil
 }
--- a/internal/cli/ctlcmd/why.go
+++ b/internal/cli/ctlcmd/why.go
@@ -19,7 +19,8 @@
 	flags := cli.NewFlagSet("why")
 	id := flags.String("lookup", "", "`id` of the request")
 	number := flags.Uint64("number", 0, "or the `number` of the request in its pool")
-	first := flags.String("first", "", "or the first request that is `"+strings.Join(capture.MatcherNames, ", ")+"`")
+	first := flags.String("first", "",
+		"or the first request with this `event`: "+strings.Join(capture.MatcherNames, ", ")+", or paused:BACKEND")
 	pool := flags.String("pool", "", "the request's `pool` (default: any)")
 	help := "explain how one request was served, and how the servers were scored"
 	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", help, flags,
@@ -72,7 +73,7 @@
 		return err
 	}
 	if history.Number == 0 {
-		return fmt.Errorf("no request in the capture is %s", event)
+		return fmt.Errorf("no request in the capture has the event %q", event)
 	}
 	return nil
 }
