--- a/internal/graphcodec/codec_test.go
+++ b/internal/graphcodec/codec_test.go
@@ -9,7 +9,7 @@
 
 type inner struct{ x, y float64 }
 
-// outer begins with an inner, to which others point.
+// outer embeds an inner, which pointers in other values refer to.
 type outer struct {
 	inner
 	name    string
@@ -20,9 +20,9 @@
 type graph struct {
 	all      []*outer
 	rows     []inner
-	row      *inner // one of rows
-	tail     []inner
-	embedded *inner // that of an outer
+	row      *inner  // an element of rows
+	tail     []inner // a part of rows
+	embedded *inner  // embedded in an outer
 	byNumber map[uint64]*outer
 	flag     bool
 	number   uint32
@@ -47,11 +47,12 @@
 	return g
 }
 
-// What is decoded equals what was encoded, and pointers are shared as before, also those into the middle of values.
+// The decoded value equals the encoded one, and its pointers share the same values, including pointers to elements of
+// slices and to embedded fields.
 func TestDecodedGraphIsTheSame(t *testing.T) {
-	text, err := Write(newGraph())
+	data, err := Write(newGraph())
 	require.NoError(t, err)
-	g, err := Read[graph](text)
+	g, err := Read[graph](data)
 	require.NoError(t, err)
 	assert.Equal(t, newGraph(), g)
 	assert.Same(t, g.all[1], g.all[3])
@@ -64,7 +65,7 @@
 	assert.Equal(t, 60.0, g.all[1].y)
 	again, err := Write(newGraph())
 	require.NoError(t, err)
-	assert.Len(t, again, len(text))
+	assert.Len(t, again, len(data))
 }
 
 func TestTypesThatCannotBeEncodedAreRejected(t *testing.T) {
@@ -80,23 +81,24 @@
 	assert.NotEqual(t, innerLayout, outerLayout)
 }
 
-// readCorrupt decodes corrupt input: it must give an error or some value, and not panic.
-func readCorrupt(t *testing.T, text []byte) {
+// readCorrupt decodes corrupt input, which must return an error or some value and not panic.
+func readCorrupt(t *testing.T, data []byte) {
 	t.Helper()
-	if value, err := Read[graph](text); err != nil {
+	if value, err := Read[graph](data); err != nil {
 		assert.Nil(t, value)
 	}
 }
 
-// Input that is cut or changed anywhere is an error, or decodes to something; it never breaks the decoder.
+// Guards against panics of the decoder on corrupt captures: truncated input is an error, and input with a changed byte
+// is an error or decodes to some value.
 func TestCorruptInput(t *testing.T) {
-	text, err := Write(newGraph())
+	data, err := Write(newGraph())
 	require.NoError(t, err)
-	for i := range text {
-		_, err := Read[graph](text[:i])
+	for i := range data {
+		_, err := Read[graph](data[:i])
 		assert.Error(t, err, i)
 		for _, flip := range []byte{1, 0x80, 0xff} {
-			corrupt := append([]byte(nil), text...)
+			corrupt := append([]byte(nil), data...)
 			corrupt[i] ^= flip
 			readCorrupt(t, corrupt)
 		}
@@ -104,8 +106,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	text, err := Write(newGraph())
+	data, err := Write(newGraph())
 	require.NoError(f, err)
-	f.Add(text)
+	f.Add(data)
 	f.Fuzz(readCorrupt)
 }
--- a/internal/graphcodec/read.go
+++ b/internal/graphcodec/read.go
@@ -11,16 +11,16 @@
 // Limits on what is decoded, so that corrupt input cannot take all memory.
 const (
 	maxBlocks = 1 << 22
-	maxBytes  = 1 << 30 // of all blocks together; also the maximum length of a block or a slice, in elements
+	maxBytes  = 1 << 30 // size of all blocks together; also the maximum length of a block or a slice, in elements
 
 	// A block has at most maxCountPerByte elements for each byte of input, and minCountLimit more.
 	maxCountPerByte = 8
 	minCountLimit   = 64
 )
 
-// errCorrupt is the error for input that no value was encoded as. The decoder's methods panic with it, and Read
-// recovers.
-var errCorrupt = errors.New("input is incomplete or does not have this type")
+// errCorrupt is the error for input that does not encode a value of the type. The decoder's methods panic with it, and
+// Read recovers.
+var errCorrupt = errors.New("input is truncated or does not encode a value of this type")
 
 // decoder decodes the list of blocks, then the values in them.
 type decoder struct {
@@ -29,8 +29,8 @@
 	in     []byte
 }
 
-// Read decodes a value that Write encoded. Corrupt input gives an error, or a value of the right type.
-func Read[T any](text []byte) (value *T, err error) {
+// Read decodes a value that Write encoded. For corrupt input it returns an error or some value of type T.
+func Read[T any](data []byte) (value *T, err error) {
 	root := reflect.TypeFor[T]()
 	table, err := newTypeTable(root)
 	if err != nil {
@@ -44,8 +44,8 @@
 			value, err = nil, errCorrupt
 		}
 	}()
-	d := &decoder{typeTable: table, in: text}
-	d.allocate(len(text))
+	d := &decoder{typeTable: table, in: data}
+	d.allocate(len(data))
 	start := d.reference(root, 1)
 	for i := range d.blocks {
 		b := &d.blocks[i]
@@ -103,7 +103,7 @@
 	return out
 }
 
-// reference decodes where so many values of a type lie; nil: nowhere.
+// reference decodes a reference to count values of type t and returns their address, or nil for a nil reference.
 func (d *decoder) reference(t reflect.Type, count uint64) unsafe.Pointer {
 	number := d.uintUpTo(uint64(len(d.blocks)))
 	if number == 0 {
@@ -119,7 +119,7 @@
 	return unsafe.Add(b.base, offset)
 }
 
-// contains reports whether values of a type have one of another type at an offset.
+// contains reports whether a value of type t holds a value of another type at an offset in bytes.
 func contains(t reflect.Type, offset uintptr, other reflect.Type) bool {
 	if offset == 0 && t == other {
 		return true
@@ -140,7 +140,7 @@
 	return false
 }
 
-// value decodes a value in place.
+// value decodes a value of type t into the memory at an address.
 func (d *decoder) value(t reflect.Type, at unsafe.Pointer) {
 	v := reflect.NewAt(t, at).Elem()
 	switch t.Kind() {
--- a/internal/graphcodec/types.go
+++ b/internal/graphcodec/types.go
@@ -9,10 +9,10 @@
 	"unsafe"
 )
 
-// block is a piece of memory with values of one type in a row: one that a pointer refers to, or the elements of a
-// slice.
+// block is a region of memory that holds consecutive values of one type: the value that a pointer refers to, or the
+// elements of a slice.
 type block struct {
-	address  uintptr
+	address  uintptr // base as a number, to compare; 0 in the decoder
 	elemType reflect.Type
 	count    int
 	base     unsafe.Pointer
@@ -22,12 +22,12 @@
 
 func (b *block) end() uintptr { return b.address + b.size() }
 
-// element returns the address of a value.
+// element returns the address of element i.
 func (b *block) element(i int) unsafe.Pointer {
 	return unsafe.Add(b.base, uintptr(i)*b.elemType.Size())
 }
 
-// typeTable lists all types that a value of one type can refer to, in an order that follows from the type alone.
+// typeTable lists all types that a value of a root type can refer to, in an order that depends on the root type only.
 type typeTable struct {
 	types []reflect.Type
 	index map[reflect.Type]int
@@ -41,7 +41,8 @@
 	return table, nil
 }
 
-// add adds a type and those that it refers to. The path of fields that leads to it is for errors.
+// add adds a type and, recursively, the types that it refers to. The path is the chain of fields from the root type to
+// the type, for error messages.
 func (t *typeTable) add(added reflect.Type, path string) error {
 	if _, ok := t.index[added]; ok {
 		return nil
@@ -57,7 +58,7 @@
 		return t.add(added.Elem(), path+"[]")
 	case reflect.Map:
 		if added.Key().Kind() != reflect.Uint64 || added.Elem().Kind() != reflect.Pointer {
-			return fmt.Errorf("%s: a map of this type cannot be encoded: %s", path, added)
+			return fmt.Errorf("%s: cannot encode %s: a map must be from uint64 to a pointer", path, added)
 		}
 		return errors.Join(t.add(added.Key(), path), t.add(added.Elem(), path))
 	case reflect.Struct:
@@ -72,9 +73,9 @@
 	return fmt.Errorf("%s: a %s cannot be encoded", path, added.Kind())
 }
 
-// Layout returns a number that is the same in two programs if each can decode what the other encodes of type T. It
-// follows from the kinds, sizes and offsets of all types that T refers to, and from no name. It returns an error if T
-// refers to a type that cannot be encoded.
+// Layout returns a number that identifies the memory layout of T: two programs for which it is the same can decode each
+// other's encodings of T. It is a hash of the kinds, sizes and offsets of all types that T refers to, without their
+// names. It returns an error if T refers to a type that cannot be encoded.
 func Layout[T any]() (uint64, error) {
 	table, err := newTypeTable(reflect.TypeFor[T]())
 	if err != nil {
@@ -85,7 +86,7 @@
 	return hash.Sum64(), nil
 }
 
-// layout describes the types as text. Stored captures contain its hash, so it must not change.
+// layout describes the types as text. Stored captures contain the hash of that text, so its format must not change.
 func (t *typeTable) layout() string {
 	var text strings.Builder
 	for _, described := range t.types {
--- a/internal/graphcodec/write.go
+++ b/internal/graphcodec/write.go
@@ -10,7 +10,7 @@
 	"unsafe"
 )
 
-// encoder finds the blocks of a graph, then encodes them.
+// encoder collects the memory blocks that a value refers to, then encodes them in the order of their addresses.
 type encoder struct {
 	*typeTable
 	blocks []block
@@ -27,7 +27,7 @@
 	}
 	start := unsafe.Pointer(value)
 	e := &encoder{typeTable: table, seen: map[block]bool{}}
-	e.find(block{uintptr(start), root, 1, start})
+	e.collect(block{uintptr(start), root, 1, start})
 	if err := e.dropNested(); err != nil {
 		return nil, err
 	}
@@ -46,43 +46,43 @@
 	return e.out, nil
 }
 
-// find adds a block and all that it refers to.
-func (e *encoder) find(found block) {
-	if found.size() == 0 || e.seen[found] {
+// collect adds a block and, recursively, the blocks that it refers to.
+func (e *encoder) collect(b block) {
+	if b.size() == 0 || e.seen[b] {
 		return
 	}
-	e.seen[found] = true
-	e.blocks = append(e.blocks, found)
-	if !hasReferences(found.elemType) {
+	e.seen[b] = true
+	e.blocks = append(e.blocks, b)
+	if !hasReferences(b.elemType) {
 		return
 	}
-	for i := range found.count {
-		e.findReferences(found.elemType, found.element(i))
+	for i := range b.count {
+		e.collectReferences(b.elemType, b.element(i))
 	}
 }
 
-// findReferences adds the blocks that a value refers to.
-func (e *encoder) findReferences(t reflect.Type, at unsafe.Pointer) {
+// collectReferences adds the blocks that the value of type t at an address refers to.
+func (e *encoder) collectReferences(t reflect.Type, at unsafe.Pointer) {
 	switch t.Kind() {
 	case reflect.Pointer:
 		if target := *(*unsafe.Pointer)(at); target != nil {
-			e.find(block{uintptr(target), t.Elem(), 1, target})
+			e.collect(block{uintptr(target), t.Elem(), 1, target})
 		}
 	case reflect.Slice:
 		slice := reflect.NewAt(t, at).Elem()
-		e.find(block{slice.Pointer(), t.Elem(), slice.Len(), slice.UnsafePointer()})
+		e.collect(block{slice.Pointer(), t.Elem(), slice.Len(), slice.UnsafePointer()})
 	case reflect.Map:
 		for _, entry := range sortedEntries(t, at) {
-			e.find(block{uintptr(entry.target), t.Elem().Elem(), 1, entry.target})
+			e.collect(block{uintptr(entry.target), t.Elem().Elem(), 1, entry.target})
 		}
 	case reflect.Array:
 		for i := range t.Len() {
-			e.findReferences(t.Elem(), unsafe.Add(at, uintptr(i)*t.Elem().Size()))
+			e.collectReferences(t.Elem(), unsafe.Add(at, uintptr(i)*t.Elem().Size()))
 		}
 	case reflect.Struct:
 		for i := range t.NumField() {
 			field := t.Field(i)
-			e.findReferences(field.Type, unsafe.Add(at, field.Offset))
+			e.collectReferences(field.Type, unsafe.Add(at, field.Offset))
 		}
 	}
 }
@@ -116,7 +116,7 @@
 			continue
 		}
 		if last := &outer[len(outer)-1]; next.end() > last.end() {
-			return fmt.Errorf("%s: overlaps %s", next.elemType, last.elemType)
+			return fmt.Errorf("block of %s overlaps a block of %s in part", next.elemType, last.elemType)
 		}
 	}
 	e.blocks = outer
@@ -140,8 +140,8 @@
 
 func (e *encoder) uint(n uint64) { e.out = binary.AppendUvarint(e.out, n) }
 
-// reference encodes where an address lies: the number of its block, from 1, and the offset within it. A nil pointer is
-// encoded as 0 instead.
+// reference encodes an address as the number of its block, from 1, and the offset within it in bytes. A nil pointer is
+// encoded as the number 0 instead.
 func (e *encoder) reference(address uintptr) {
 	i, _ := slices.BinarySearchFunc(e.blocks, address, func(b block, address uintptr) int {
 		switch {
@@ -156,7 +156,7 @@
 	e.uint(uint64(address - e.blocks[i].address))
 }
 
-// value encodes a value, with references to the blocks that it refers to.
+// value encodes the value of type t at an address. Pointers, slices and map values are encoded as references to blocks.
 func (e *encoder) value(t reflect.Type, at unsafe.Pointer) {
 	v := reflect.NewAt(t, at).Elem()
 	switch t.Kind() {
