--- a/internal/capture/balancer.go
+++ b/internal/capture/balancer.go
@@ -7,9 +7,9 @@
 type Balancer struct {
 	*balance.Balancer
 	recorder    *Recorder
-	pool        int
-	name        string
-	inFlight    map[uint64]*balance.Request // by number
+	pool        int                         // number of the pool in the capture
+	name        string                      // of the pool
+	inFlight    map[uint64]*balance.Request // requests in flight, by number
 	lastRequest uint64                      // number of the last request
 }
 
@@ -17,10 +17,10 @@
 type Request struct {
 	*balance.Request
 	balancer *Balancer
-	number   uint64 // in its pool, from 1
+	number   uint64 // of the request in its pool, from 1
 }
 
-// Dropped tells that a pool is gone, so that no segment has it any more.
+// Dropped removes the pool from the capture: segments that begin later do not contain its state.
 func (b *Balancer) Dropped() { b.recorder.pools[b.pool] = nil }
 
 func (b *Balancer) state() *state {
@@ -49,7 +49,7 @@
 	return actions
 }
 
-// RequestArrived accepts a request, see balance.Balancer.RequestArrived. Of the id a hash is recorded.
+// RequestArrived is balance.Balancer.RequestArrived, recorded with a hash of the request's id.
 func (b *Balancer) RequestArrived(now float64, info balance.RequestInfo, id string) (*Request, *balance.Actions) {
 	b.recorder.prepare(now)
 	inner, actions := b.Balancer.RequestArrived(now, info)
@@ -137,14 +137,16 @@
 	b.record(Call{Kind: OutcomesReported, Now: now, Outcomes: outcomes}, nil)
 }
 
-// SetBudgetShare is balance.Balancer.SetBudgetShare, recorded with the time at which the segment began: it has none.
+// SetBudgetShare is balance.Balancer.SetBudgetShare, recorded with the start time of the segment, since it has no time
+// argument.
 func (b *Balancer) SetBudgetShare(share float64) {
 	b.recorder.prepare(b.recorder.segment.beganAt)
 	b.Balancer.SetBudgetShare(share)
 	b.record(Call{Kind: BudgetShareSet, Now: b.recorder.segment.beganAt, BudgetShare: share}, nil)
 }
 
-// SetLocalDelay is balance.Balancer.SetLocalDelay, recorded with the time at which the segment began: it has none.
+// SetLocalDelay is balance.Balancer.SetLocalDelay, recorded with the start time of the segment, since it has no time
+// argument.
 func (b *Balancer) SetLocalDelay(stretch, delay float64) {
 	b.recorder.prepare(b.recorder.segment.beganAt)
 	b.Balancer.SetLocalDelay(stretch, delay)
--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkRecord measures a call with and without a capture, and the bytes that a request takes.
+// BenchmarkRecord measures the time of a call with the capture on and off, and the bytes recorded for each request.
 func BenchmarkRecord(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprint("on=", on), func(b *testing.B) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkReplay measures how many calls a second are replayed.
+// BenchmarkReplay measures the calls replayed per second.
 func BenchmarkReplay(b *testing.B) {
 	dir := b.TempDir()
 	recorder, err := Open(Options{Dir: dir, Proxy: "n0", StartOn: true, WaitForWriter: true})
--- a/internal/capture/breakdown.go
+++ b/internal/capture/breakdown.go
@@ -12,18 +12,18 @@
 
 const breakdownIndent = "             "
 
-// endpointNotes tell what a server's state means for a request.
+// endpointNotes are the notes printed for servers in each state.
 var endpointNotes = [...]string{
 	balance.Ready:    "",
 	balance.Draining: "draining",
 	balance.Removed:  "removed",
 }
 
-// printBreakdown prints what spoke for and against each server in a request's last draw.
+// printBreakdown prints the score of each server in the last draw for a request, and the reasons against each server.
 func printBreakdown(out io.Writer, r *balance.Request) {
-	inFlight, available, waiting := r.Capacity()
+	inFlight, available, queued := r.Capacity()
 	fmt.Fprintf(out, "%s%d attempts in flight, capacity for %.1f at its priority, %d queued\n",
-		breakdownIndent, inFlight, available, waiting)
+		breakdownIndent, inFlight, available, queued)
 	servers := r.ScoreBreakdown()
 	slices.SortStableFunc(servers, compareBreakdowns)
 	for i := range servers {
@@ -31,7 +31,7 @@
 	}
 }
 
-// compareBreakdowns orders servers that were in the draw before others, and those by score, the highest first.
+// compareBreakdowns orders the servers that were in the draw before all others, and by score, the highest first.
 func compareBreakdowns(a, b balance.ScoreBreakdown) int {
 	if a.Considered != b.Considered {
 		if a.Considered {
@@ -54,7 +54,7 @@
 	return line
 }
 
-// breakdownNotes tell what speaks against a server.
+// breakdownNotes returns the reasons against sending the request to a server.
 func breakdownNotes(s *balance.ScoreBreakdown) (notes []string) {
 	addIf := func(applies bool, note string) {
 		if applies {
--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -6,17 +6,17 @@
 	"lockloom/balance"
 )
 
-// Call is one call on a Balancer or one of its requests, with a digest of the actions that it returned. Which of the
-// fields behind Digest are set depends on the kind.
+// Call is one call on a Balancer or one of its requests, with a digest of the actions that it returned. The kind
+// determines which of the fields after Digest are set.
 type Call struct {
 	Kind   Kind
-	Pool   int
+	Pool   int     // number of the pool in the capture
 	Now    float64 // s, of the balancer's clock
 	Digest uint16
 
-	Request uint64 // of calls on requests: its number in its pool, from 1
-	IDHash  uint32 // of RequestArrived, see IDOf
-	Arrival balance.RequestInfo
+	Request uint64              // number of the request in its pool, from 1; 0 for a call on the Balancer
+	IDHash  uint32              // hash of the request's id, see IDOf; set for RequestArrived
+	Arrival balance.RequestInfo // argument of RequestArrived
 	Attempt AttemptEvent
 
 	Endpoints   EndpointUpdate
@@ -33,13 +33,13 @@
 	Index       int // of the attempt in its request, from 0
 	Outcome     balance.Outcome
 	Latency     float64 // s
-	RequestOver bool
+	RequestOver bool    // the request is over with this attempt, or was before
 }
 
 // EndpointUpdate holds the arguments of EndpointsUpdated.
 type EndpointUpdate struct {
-	Full  bool
-	First bool
+	Full  bool // List is the whole endpoint list, not only its changed entries
+	First bool // the pool's first endpoint list
 	List  []balance.Endpoint
 }
 
@@ -52,14 +52,14 @@
 
 // Gossip holds the arguments of GossipReceived.
 type Gossip struct {
-	From    int
+	From    int // number of the peer
 	Message balance.GossipMessage
 }
 
 // LocalDelay holds the arguments of SetLocalDelay.
 type LocalDelay struct {
-	Stretch float64
-	Delay   float64 // s
+	Stretch float64 // factor by which attempts take longer at the proxy than at their servers
+	Delay   float64 // s, added time that an attempt rarely exceeds
 }
 
 // IDOf returns the hash under which a request's id is recorded.
--- a/internal/capture/callcodec.go
+++ b/internal/capture/callcodec.go
@@ -10,17 +10,18 @@
 	kindBits = 4
 	kindMask = 1<<kindBits - 1
 
-	// An outcome is coded together with whether the request is over.
+	// An outcome and AttemptEvent.RequestOver are coded in one number.
 	outcomeMask     = 15
 	requestOverFlag = 16
 )
 
-// errCorruptCalls is the error for a block that does not hold complete calls.
-var errCorruptCalls = errors.New("a call that cannot be read")
+// errCorruptCalls is the error for a block of calls that does not consist of complete calls.
+var errCorruptCalls = errors.New("malformed call in a block of calls")
 
-// decodeCalls decodes the calls of a block and passes each on. Each call is the receiver's to keep.
-func decodeCalls(text []byte, visit func(*Call) error) error {
-	c := coder{decoding: true, in: text}
+// decodeCalls decodes the calls of a block and passes each to visit, which may keep it. It stops at the first error
+// that visit returns.
+func decodeCalls(data []byte, visit func(*Call) error) error {
+	c := coder{decoding: true, in: data}
 	for len(c.in) > 0 {
 		var call Call
 		c.call(&call)
@@ -34,7 +35,8 @@
 	return nil
 }
 
-// call codes a call. A switch instead of a table of functions lets the recorded call stay on the stack.
+// call codes a call. With a table of functions instead of the switch, every recorded call would be allocated on the
+// heap.
 func (c *coder) call(call *Call) {
 	c.head(call)
 	if c.corrupt {
@@ -68,7 +70,7 @@
 	}
 }
 
-// head codes what all calls have.
+// head codes the fields that calls of all kinds have.
 func (c *coder) head(call *Call) {
 	kindAndPool := uint64(call.Kind) | uint64(call.Pool)<<kindBits
 	c.uint(&kindAndPool)
--- a/internal/capture/coder.go
+++ b/internal/capture/coder.go
@@ -6,15 +6,16 @@
 	"math/bits"
 )
 
-// coder encodes calls or, if decoding, decodes them: each method takes a pointer and does either, so that the two
-// directions cannot diverge. Times are coded as the distance of their bits to those of the call before, which is small
-// for times that are near; other floats with their bytes reversed, so that round numbers are short.
+// coder encodes calls or, if decoding, decodes them. To code a value means either: each method takes a pointer and
+// serves both directions, so that they cannot diverge. A time is coded as the difference between its bits and the bits
+// of the previous call's time, which is small for close times. Other floats are coded with their bytes reversed, so
+// that round numbers take few bytes.
 type coder struct {
 	decoding bool
 	out      []byte
 	in       []byte
-	lastTime uint64 // bits of the last call's time
-	corrupt  bool   // what was decoded is not a call
+	lastTime uint64 // bits of the previous call's time
+	corrupt  bool   // the input is not a complete call
 }
 
 func (c *coder) uint(n *uint64) {
@@ -51,7 +52,7 @@
 	*b = n == 1
 }
 
-// take returns the next bytes to decode; nil, if there are fewer.
+// take removes the next size bytes from the input and returns them. If fewer are left, it returns nil and sets corrupt.
 func (c *coder) take(size int) []byte {
 	if len(c.in) < size {
 		c.corrupt = true
@@ -86,16 +87,16 @@
 	}
 }
 
-// callTime codes the time of a call. Times are coded relative to it until the next.
+// callTime codes the time of a call. Later times are coded relative to it, until the next call.
 func (c *coder) callTime(t *float64) {
 	c.time(t)
 	c.lastTime = math.Float64bits(*t)
 }
 
 func (c *coder) time(t *float64) {
-	distance := zigzag(int64(math.Float64bits(*t) - c.lastTime))
-	c.uint(&distance)
-	*t = math.Float64frombits(c.lastTime + uint64(unzigzag(distance)))
+	delta := zigzag(int64(math.Float64bits(*t) - c.lastTime))
+	c.uint(&delta)
+	*t = math.Float64frombits(c.lastTime + uint64(unzigzag(delta)))
 }
 
 func (c *coder) float(f *float64) {
@@ -104,7 +105,8 @@
 	*f = math.Float64frombits(bits.ReverseBytes64(n))
 }
 
-// length codes the length of a list. Every element takes a byte at least, which bounds what is decoded.
+// length codes the length of a list. Every element takes at least one byte, so a decoded length that exceeds the
+// remaining input is corrupt. The check limits the memory that is allocated for a list.
 func (c *coder) length(n int) int {
 	coded := uint64(n)
 	c.uint(&coded)
@@ -115,7 +117,7 @@
 	return int(coded)
 }
 
-// codeList codes a list. An empty one is decoded as nil.
+// codeList codes a list. An empty list is decoded as nil.
 func codeList[T any](c *coder, list *[]T, element func(*T)) {
 	length := c.length(len(*list))
 	if c.decoding {
--- a/internal/capture/digest.go
+++ b/internal/capture/digest.go
@@ -11,7 +11,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Numbers that are added to what is digested, so that no action looks like one of another kind.
+// Each kind of action adds its own mark to the numbers that are hashed, so that equal numbers of different kinds differ
+// in the digest.
 const (
 	healthCheckMark = 1 << 40
 	closeIdleMark   = 1 << 41
@@ -19,7 +20,7 @@
 	subscribeMark   = 1 << 43
 )
 
-// digest is a hash of numbers, FNV-1a by words with an additional shift.
+// digest is a hash of 64-bit numbers: FNV-1a by words instead of bytes, with an additional shift.
 type digest uint64
 
 func (d *digest) add(n uint64) {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Digest returns a number that two sets of actions share if they are the same, and otherwise with a probability of
-// 1 in 65,536. That of nil is 0.
+// Digest returns a 16-bit hash of actions: equal actions have equal digests, and different actions have the same digest
+// with a probability of 1 in 65,536. The digest of nil is 0.
 func Digest(actions *balance.Actions) uint16 {
 	if actions == nil {
 		return 0
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	maxReplays = 2000 // made to shorten an excerpt
-	minGroups  = 8    // groups of calls, the last ones, that are tried first
-	notMatched = -1
+	maxReplays = 2000 // for shortening one excerpt
+	minGroups  = 8    // number of groups of calls, from the end, that are tried first
+	notMatched = -1   // the event does not occur
 )
 
 // ErrNoMatch is the error of Shorten for a capture in which the event does not occur.
-var ErrNoMatch = errors.New("the capture does not show it")
+var ErrNoMatch = errors.New("the event does not occur in the capture")
 
-// Excerpt is the shortest sequence of a pool's calls that was found in which an event still occurs.
+// Excerpt is a short sequence of a pool's calls in which an event occurs, as Shorten found it.
 type Excerpt struct {
 	Deployment balance.Deployment
 	CreatedAt  float64 // s, when the pool was created
 	Pool       string
 	Calls      []Call
-	Replays    int // made to find it
+	Replays    int // number of replays that Shorten made
 }
 
-// Shorten cuts the calls of a pool down: first to the call with which the event occurs, then, by leaving out more and
-// more requests and other calls (delta debugging), as long as it still occurs. Calls on attempts that are not sent any
-// more have no effect. It returns ErrNoMatch if the event does not occur at all.
+// Shorten shortens the calls of a pool: it drops the calls after the one with which the event occurs, then leaves out
+// requests and other calls as long as the event still occurs (delta debugging). With calls left out, an attempt may no
+// longer be sent; remaining calls on that attempt have no effect. Shorten returns ErrNoMatch if the event does not
+// occur in the capture.
 func Shorten(files []string, open OpenFunc, pool string, newMatcher func() Matcher) (*Excerpt, error) {
 	c := &collector{pool: pool}
 	if err := readFiles(files, open, c); err != nil {
@@ -64,12 +65,12 @@
 	calls    []Call
 }
 
-// State takes over the pool's creation, if the state is that of a new one.
-func (c *collector) State(text []byte) error {
-	if err := c.Player.State(text); err != nil {
+// State derives the pool's creation from its state, which must be that of a pool without requests so far.
+func (c *collector) State(data []byte) error {
+	if err := c.Player.State(data); err != nil {
 		return err
 	}
-	stored, err := graphcodec.Read[state](text)
+	stored, err := graphcodec.Read[state](data)
 	if err != nil {
 		return err
 	}
@@ -77,7 +78,7 @@
 		return nil
 	}
 	if stored.LastRequest > 0 {
-		return errors.New("the capture begins in the midst of the pool's life: an excerpt begins with its making")
+		return errors.New("the capture does not contain the pool's creation, with which an excerpt begins")
 	}
 	pool, err := stored.restore()
 	if err != nil {
@@ -87,21 +88,21 @@
 	return nil
 }
 
-// Created takes over the pool's creation.
-func (c *collector) Created(text []byte) error {
+// Created stores the pool's creation.
+func (c *collector) Created(data []byte) error {
 	var created creation
-	if err := json.Unmarshal(text, &created); err != nil {
+	if err := json.Unmarshal(data, &created); err != nil {
 		return err
 	}
 	if created.Name == c.pool && c.creation == nil {
 		c.creation = &created
 	}
-	return c.Player.Created(text)
+	return c.Player.Created(data)
 }
 
 // Calls collects the pool's calls.
-func (c *collector) Calls(text []byte) error {
-	return decodeCalls(text, func(call *Call) error {
+func (c *collector) Calls(data []byte) error {
+	return decodeCalls(data, func(call *Call) error {
 		if c.creation != nil && call.Pool == c.creation.Pool {
 			c.calls = append(c.calls, *call)
 		}
@@ -109,13 +110,13 @@
 	})
 }
 
-// newPool returns the pool as it was created.
+// newPool returns the pool in the state in which it was created.
 func (e *Excerpt) newPool() (*Pool, error) {
 	c := creation{Name: e.Pool, At: e.CreatedAt, Deployment: e.Deployment}
 	return c.create()
 }
 
-// firstMatch replays calls, and returns the index of the one with which the event occurs, or notMatched.
+// firstMatch replays calls on a new pool and returns the index of the call with which the event occurs, or notMatched.
 func (e *Excerpt) firstMatch(calls []Call, matcher Matcher) int {
 	e.Replays++
 	pool, err := e.newPool()
@@ -136,7 +137,7 @@
 	return notMatched
 }
 
-// pick returns the calls of groups, and the first endpoint list, in their order.
+// pick returns the calls whose indices are in groups, and the first endpoint list, in the order of the capture.
 func (e *Excerpt) pick(groups [][]int) []Call {
 	picked := make([]bool, len(e.Calls))
 	for _, group := range groups {
@@ -153,7 +154,8 @@
 	return calls
 }
 
-// Write writes the excerpt as a capture of its own, with the digests of a replay of it.
+// Write writes the excerpt as a capture file, with digests from a replay of the excerpt. The program is the version of
+// the running program, for the file's head.
 func (e *Excerpt) Write(w io.Writer, program string) error {
 	calls, err := e.encodeCalls()
 	if err != nil {
@@ -184,7 +186,7 @@
 	return err
 }
 
-// encodeCalls replays the calls and encodes those that have an effect.
+// encodeCalls replays the calls and encodes all except those on unknown requests, which have no effect.
 func (e *Excerpt) encodeCalls() ([]byte, error) {
 	pool, err := e.newPool()
 	if err != nil {
--- a/internal/capture/excerpt_test.go
+++ b/internal/capture/excerpt_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Excerpts of emulated incidents: with the decisions of today the event in the file's name still occurs. Where they
-// differ from those recorded so do the digests, which is no fault; where the event does not occur any more, the reason
-// must be understood and the excerpt made anew.
+// Replays excerpts of emulated incidents: the event in the file's name still occurs with the current decisions. Digests
+// may differ, since decisions may have changed since the recording. If an event no longer occurs, find out why before
+// recording a new excerpt.
 func TestPastIncidents(t *testing.T) {
 	files, err := filepath.Glob("testdata/*" + fileSuffix)
 	require.NoError(t, err)
@@ -25,14 +25,14 @@
 		p := &Player{Loose: true, After: matcher.Observe}
 		require.NoError(t, p.Play([]string{file}, openFile))
 		assert.True(t, matcher.Matched(), file)
-		assert.Less(t, p.Played, uint64(60), "it is short")
+		assert.Less(t, p.Played, uint64(60), "the excerpt must be short")
 	}
 }
 
-// An excerpt is shorter than the capture, has the same event, and can be replayed.
+// An excerpt is shorter than the capture, contains the same event, and can be replayed.
 func TestExcerptHasTheSameEvent(t *testing.T) {
 	files := recordFiles(t, 2000, Options{MaxSegmentBytes: 1 << 30, WaitForWriter: true})
-	for _, event := range []string{"dismissed", "forfeited", "retried"} { // pauses need more calls
+	for _, event := range []string{"dismissed", "forfeited", "retried"} { // pauses do not occur in so few calls
 		newMatcher, err := NewMatcher(event)
 		require.NoError(t, err)
 		e, err := Shorten(files, openFile, "a", newMatcher)
@@ -42,7 +42,7 @@
 		require.NoError(t, e.Write(&out, "test"))
 		matcher := newMatcher()
 		p := &Player{After: matcher.Observe}
-		require.NoError(t, Read(&out, p), "its digests are its own")
+		require.NoError(t, Read(&out, p), "the digests are those of the excerpt, not of the capture")
 		assert.True(t, matcher.Matched(), event)
 	}
 	newUnmatched := func() Matcher { return newEventMatcher("nothing", anyServer) }
@@ -52,6 +52,6 @@
 	assert.ErrorIs(t, err, ErrNoMatch)
 	for _, unknown := range []string{"nothing", "paused:x", "dismissed:3"} {
 		_, err := NewMatcher(unknown)
-		assert.ErrorContains(t, err, "it is one of dismissed, forfeited, retried, paused", unknown)
+		assert.ErrorContains(t, err, "must be one of dismissed, forfeited, retried, paused", unknown)
 	}
 }
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Files returns the captures in a folder, the oldest first, or the one file that is named.
+// Files returns the paths of the captures in a folder, the oldest first, or the path itself if it is that of a file.
 func Files(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 		if !strings.HasSuffix(entry.Name(), fileSuffix) {
 			continue
 		}
-		if info, err := entry.Info(); err == nil { // else it was removed meanwhile
+		if info, err := entry.Info(); err == nil { // an error means that the file was removed meanwhile
 			found = append(found, capturedFile{filepath.Join(path, entry.Name()), info.ModTime()})
 		}
 	}
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -12,18 +12,19 @@
 	"lockloom/internal/graphcodec"
 )
 
-// formOfF83df88 is the number of the state blocks' form in build f83df88. Captures written before it changes cannot be
-// replayed from a state block any more: change it only together with a way to read them, or knowing that they are lost.
+// formOfF83df88 is the number of the layout of state blocks in build f83df88. If the layout changes, earlier captures
+// can no longer be replayed from their state blocks: change the number only together with a way to read those captures,
+// or accept that they are lost.
 const formOfF83df88 = 5870707023309409998
 
-// fixtureReader replays a capture, and takes down what the file holds.
+// fixtureReader replays a capture and collects the contents of the file.
 type fixtureReader struct {
 	Player
-	form         uint64
-	inFlight     []int               // requests, by state block
-	results      []int               // that servers are known by, by state block
-	creations    [][]byte            // JSON, as it stands in the file
-	callsOfKinds [len(kindNames)]int // replayed
+	form        uint64              // layout number in the file's head
+	inFlight    []int               // number of requests in flight, by state block
+	results     []int               // sum of the results of all servers, by state block
+	creations   [][]byte            // JSON of the creation blocks, as it is in the file
+	callsByKind [len(kindNames)]int // number of replayed calls, by kind
 }
 
 func (r *fixtureReader) Head(head Head) error {
@@ -31,8 +32,8 @@
 	return r.Player.Head(head)
 }
 
-func (r *fixtureReader) State(text []byte) error {
-	stored, err := graphcodec.Read[state](text)
+func (r *fixtureReader) State(data []byte) error {
+	stored, err := graphcodec.Read[state](data)
 	if err != nil {
 		return err
 	}
@@ -46,18 +47,18 @@
 	}
 	r.inFlight = append(r.inFlight, len(pool.InFlight))
 	r.results = append(r.results, results)
-	return r.Player.State(text)
+	return r.Player.State(data)
 }
 
-func (r *fixtureReader) Created(text []byte) error {
-	r.creations = append(r.creations, append([]byte(nil), text...))
-	return r.Player.Created(text)
+func (r *fixtureReader) Created(data []byte) error {
+	r.creations = append(r.creations, append([]byte(nil), data...))
+	return r.Player.Created(data)
 }
 
 // countKinds returns how many kinds of calls were replayed.
 func (r *fixtureReader) countKinds() int {
 	kinds := 0
-	for _, calls := range r.callsOfKinds {
+	for _, calls := range r.callsByKind {
 		if calls > 0 {
 			kinds++
 		}
@@ -65,12 +66,12 @@
 	return kinds
 }
 
-// readFixture replays a file of build f83df88. Warnings fail the test.
+// readFixture replays a capture that build f83df88 recorded. Warnings fail the test.
 func readFixture(t *testing.T, name string) *fixtureReader {
 	t.Helper()
 	r := &fixtureReader{}
 	r.Warn = func(text string) { assert.Fail(t, text, name) }
-	r.After = func(_ *Pool, call *Call, _ *balance.Actions) { r.callsOfKinds[call.Kind]++ }
+	r.After = func(_ *Pool, call *Call, _ *balance.Actions) { r.callsByKind[call.Kind]++ }
 	file, err := openFile(filepath.Join("testdata", "f83df88", name+fileSuffix))
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, file.Close()) })
@@ -78,16 +79,17 @@
 	return r
 }
 
-// What build f83df88 captured is replayed, call for call; testdata/f83df88/README.md tells how the files were made.
+// Captures that build f83df88 recorded are replayed with the same actions for each call. See testdata/f83df88/README.md
+// for how the files were made.
 func TestCapturesOfF83df88(t *testing.T) {
 	form, err := stateForm()
 	require.NoError(t, err)
-	assert.Equal(t, uint64(formOfF83df88), form, "the layout of the decisions' state has changed")
+	assert.Equal(t, uint64(formOfF83df88), form, "the layout of the state blocks has changed")
 	for _, c := range []struct {
 		file              string
 		inFlight, results []int
 		calls             uint64
-		kinds             int // of calls
+		kinds             int // number of kinds of calls
 	}{
 		{"rehearsal", []int{3}, []int{1313}, 7984, 5},
 		{"calls", []int{275, 298}, []int{133, 151}, 1161, 16},
@@ -95,7 +97,7 @@
 	} {
 		r := readFixture(t, c.file)
 		assert.Equal(t, []uint64{c.calls, 0, 0}, []uint64{r.Played, r.Skipped, r.Different},
-			"%s: calls replayed, skipped, with other actions", c.file)
+			"%s: calls replayed, skipped, with different actions", c.file)
 		assert.Equal(t, c.inFlight, r.inFlight, c.file)
 		assert.Equal(t, c.results, r.results, c.file)
 		assert.Equal(t, c.kinds, r.countKinds(), "%s: kinds of calls", c.file)
@@ -108,6 +110,6 @@
 		require.NoError(t, json.Unmarshal(r.creations[0], &created))
 		again, err := json.Marshal(created)
 		require.NoError(t, err)
-		assert.Equal(t, string(r.creations[0]), string(again), "older builds read what is written now")
+		assert.Equal(t, string(r.creations[0]), string(again), "older builds must be able to read new creations")
 	}
 }
--- a/internal/capture/handler.go
+++ b/internal/capture/handler.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Status is the state of a capture, as Handler returns it.
+// Status is the state of a capture, as Handler's endpoints return it.
 type Status struct {
 	On      bool   `json:"on"`
-	Failed  bool   `json:"failed"`
-	Calls   uint64 `json:"calls"` // recorded
-	Gaps    uint64 `json:"gaps"`
-	Bytes   int64  `json:"bytes"`
-	Written int    `json:"written"` // segments, by this request
+	Failed  bool   `json:"failed"`  // writing failed, and the capture has ended
+	Calls   uint64 `json:"calls"`   // calls recorded
+	Gaps    uint64 `json:"gaps"`    // places at which calls are missing
+	Bytes   int64  `json:"bytes"`   // bytes written, to files or to memory
+	Written int    `json:"written"` // segments that this request wrote to files
 }
 
-// Handler returns the endpoint that controls the capture: POST /on?for=60s, POST /off, POST /dump and GET /. Each
-// returns a Status. It has no access control and belongs on a loopback address.
+// Handler returns the handler that controls the capture: POST /on?for=60s, POST /off, POST /dump and GET /. Each
+// returns a Status. There is no access control, so it belongs on a loopback address.
 func (r *Recorder) Handler() http.Handler {
 	c := &controller{recorder: r}
 	mux := http.NewServeMux()
@@ -37,7 +37,7 @@
 	offTimer *time.Timer // turns the capture off; nil: never set
 }
 
-// set turns the capture on or off, or on for a duration.
+// set turns the capture on or off. If the duration is not 0, the capture is turned off again after it.
 func (c *controller) set(on bool, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,5 +91,5 @@
 		Written: written,
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // it fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(status) // an error means that the client has disconnected
 }
--- a/internal/capture/history.go
+++ b/internal/capture/history.go
@@ -9,22 +9,22 @@
 
 const msPerS = 1000
 
-// RequestHistory prints all that became of one request, as it is replayed: use its Observe as Player.After.
+// RequestHistory prints what happened to one request during a replay: set Player.After to its Observe.
 type RequestHistory struct {
 	Out    io.Writer
 	Pool   string // empty: any
-	Number uint64 // of the request in its pool; 0: it is found by ID
+	Number uint64 // of the request in its pool; 0: the request is found by ID
 	ID     uint32 // hash of its id, see IDOf
-	Found  bool   // set by Observe
+	Found  bool   // set by Observe when the request arrives
 
 	pool      int
 	request   *balance.Request
 	arrivedAt float64
-	servers   []string // by attempt
+	servers   []string // that the attempts were sent to, by attempt
 	done      bool
 }
 
-// Observe is called after each call.
+// Observe prints what a call did for the request. It is called after each call.
 func (h *RequestHistory) Observe(p *Pool, call *Call, actions *balance.Actions) {
 	if h.done {
 		return
@@ -53,7 +53,7 @@
 	h.done = h.request.Done()
 }
 
-// isArrival reports whether a call is the arrival of the request that is looked for.
+// isArrival reports whether a call is the arrival of the request whose history is printed.
 func (h *RequestHistory) isArrival(p *Pool, call *Call) bool {
 	if call.Kind != RequestArrived || h.Pool != "" && p.Name != h.Pool {
 		return false
@@ -85,7 +85,7 @@
 	fmt.Fprintf(h.Out, "%+8.1f ms  %s\n", (now-h.arrivedAt)*msPerS, text)
 }
 
-// describe tells what a call on the request means.
+// describe returns a description of a call on the request.
 func (h *RequestHistory) describe(call *Call) string {
 	switch call.Kind {
 	case AttemptEnded:
@@ -110,8 +110,8 @@
 	return text
 }
 
-// printActions prints what is done with the request, and reports whether anything is. Calls on others, too, can let it
-// be sent or rejected.
+// printActions prints the actions on the request and reports whether there were any. The request can also be sent or
+// rejected in a call that is not on the request itself, for which own is false.
 func (h *RequestHistory) printActions(call *Call, own bool, actions *balance.Actions) (acted bool) {
 	if actions == nil {
 		return false
@@ -134,7 +134,7 @@
 	return acted
 }
 
-// describeAction tells what an action does; empty: nothing to tell.
+// describeAction returns a description of an action; empty: there is nothing to print.
 func (h *RequestHistory) describeAction(action *balance.RequestAction) string {
 	switch {
 	case action.Send:
--- a/internal/capture/history_test.go
+++ b/internal/capture/history_test.go
@@ -20,7 +20,8 @@
 	return files
 }
 
-// The history of a request has its attempts, how they ended, and the scores. Asking for it changes nothing in replay.
+// The history of a request contains its attempts, their outcomes and the scores. Printing it does not change the
+// replayed actions.
 func TestHistoryShowsAttemptsAndScores(t *testing.T) {
 	files := recordFiles(t, 3000, Options{WaitForWriter: true})
 	newMatcher, err := NewMatcher("retried")
@@ -48,7 +49,7 @@
 	assert.True(t, byID.Found)
 }
 
-// The samples together count the attempts that succeeded, but for those after the last sample.
+// The samples together count the attempts that succeeded, except for those after the last sample.
 func TestTimelineCountsEndedAttempts(t *testing.T) {
 	files := recordFiles(t, 3000, Options{WaitForWriter: true})
 	timeline := &Timeline{Interval: .5}
--- a/internal/capture/kind.go
+++ b/internal/capture/kind.go
@@ -1,9 +1,9 @@
 package capture
 
-// Kind tells which method of a Balancer, or of one of its requests, a call is on.
+// Kind identifies the method of Balancer or Request that a call is made on.
 type Kind uint8
 
-// Kinds of calls. Files hold their numbers in four bits, so there is no room for more.
+// Kinds of calls. Files store a kind in four bits, all values of which are in use.
 const (
 	LocalDelaySet Kind = iota
 	RequestArrived
@@ -23,7 +23,7 @@
 	StateRead // ServerStatuses, Availability or Snapshot: they only advance the balancer's clock
 )
 
-// kindNames are the published names, of docs/formats/capture.md.
+// kindNames are the names of the kinds that docs/formats/capture.md publishes.
 var kindNames = [...]string{
 	LocalDelaySet:      "slack",
 	RequestArrived:     "take",
@@ -43,7 +43,7 @@
 	StateRead:          "look",
 }
 
-// String returns the published name.
+// String returns the published name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
 // onRequest reports whether calls of this kind belong to one request.
--- a/internal/capture/matcher.go
+++ b/internal/capture/matcher.go
@@ -9,7 +9,7 @@
 	"lockloom/balance"
 )
 
-// Names of events, as they are published for the tools.
+// Names of events, which the command line accepts.
 const (
 	eventRejected = "dismissed"
 	eventFailed   = "forfeited"
@@ -17,45 +17,46 @@
 	eventPaused   = "paused"
 )
 
-// MatcherNames are the events that NewMatcher knows.
+// MatcherNames are the names of the events that NewMatcher accepts.
 var MatcherNames = []string{eventRejected, eventFailed, eventRetried, eventPaused}
 
-// Matcher looks for an event in a replay, from the first call on.
+// Matcher detects an event in a replay. It must observe all calls from the first one on.
 type Matcher interface {
 	// Observe is called after each call.
 	Observe(p *Pool, call *Call, actions *balance.Actions)
-	// Matched reports whether the event was seen.
+	// Matched reports whether the event has occurred.
 	Matched() bool
-	// Request returns the number of the request with which it was seen; 0: unknown.
+	// Request returns the number of the request with which the event occurred; 0: unknown.
 	Request() uint64
 }
 
 const anyServer = -1
 
-// eventMatcher looks for one of MatcherNames.
+// eventMatcher detects one of the events in MatcherNames.
 type eventMatcher struct {
 	event   string
-	server  int // whose pause is looked for, or anyServer
+	server  int // number of the server whose pause is to be detected, or anyServer
 	matched bool
 	request uint64
-	numbers map[int]uint64 // of requests, by balance.RequestInfo.Ref
+	numbers map[int]uint64 // number of each request in its pool, by balance.RequestInfo.Ref
 }
 
 // NewMatcher returns a function that makes Matchers for an event: one of MatcherNames, or the pause of one server
 // ("paused:3").
-func NewMatcher(what string) (func() Matcher, error) {
-	event, number, hasNumber := strings.Cut(what, ":")
-	unknown := fmt.Errorf("%q: it is one of %s, or paused:BACKEND", what, strings.Join(MatcherNames, ", "))
+func NewMatcher(spec string) (func() Matcher, error) {
+	event, number, hasNumber := strings.Cut(spec, ":")
+	invalid := fmt.Errorf("invalid event %q: must be one of %s, or paused:BACKEND", spec,
+		strings.Join(MatcherNames, ", "))
 	server := anyServer
 	if hasNumber {
 		n, err := strconv.Atoi(number)
 		if err != nil || event != eventPaused {
-			return nil, unknown
+			return nil, invalid
 		}
 		server = n
 	}
 	if !slices.Contains(MatcherNames, event) {
-		return nil, unknown
+		return nil, invalid
 	}
 	return func() Matcher { return newEventMatcher(event, server) }, nil
 }
@@ -111,8 +112,8 @@
 	case eventFailed:
 		return action.Reply == balance.Failed
 	case eventRetried:
-		ofThisCall := p.LastRequest != nil && action.Ref == p.LastRequest.Ref
-		return action.Send && ofThisCall && call.Kind != RequestArrived
+		sameRequest := p.LastRequest != nil && action.Ref == p.LastRequest.Ref
+		return action.Send && sameRequest && call.Kind != RequestArrived
 	}
 	return false
 }
--- a/internal/capture/options.go
+++ b/internal/capture/options.go
@@ -15,31 +15,31 @@
 	defaultSegmentAge   = time.Minute
 )
 
-// Options tell where a capture goes, and how much of it is kept.
+// Options configure where a capture is written and how much of it is kept.
 type Options struct {
-	Dir     string // of the files; empty: none are written
-	Proxy   string // its name
-	Program string // its version
+	Dir     string // folder of the files; empty: no files are written
+	Proxy   string // name of the proxy, with which file names begin
+	Program string // version of the program
 
 	MaxTotalBytes   int64         // of all files of this proxy in Dir; the oldest are removed. 0: 256 MiB
 	MaxSegmentBytes int64         // of calls in a segment, before compression. 0: 8 MiB
 	MaxSegmentAge   time.Duration // 0: a minute
 
-	// RingBytes is how much is kept in memory, the newest segments, until Dump or Trigger writes it to files.
-	// 0: everything is written to files at once.
+	// RingBytes is the size of the ring in memory that keeps the newest segments until Dump or Trigger writes them to
+	// files. 0: there is no ring, and all segments are written to files at once.
 	RingBytes int64
-	// RejectedShare is the share of a second's requests whose rejection triggers a dump. 0: none does.
+	// RejectedShare triggers a dump when more than this share of the requests within a second are rejected. 0: never.
 	RejectedShare float64
 
-	StartOn bool // whether the capture is on from the start
-	// WaitForWriter makes calls wait for a slow disk instead of leaving a gap. It is for virtual time, where waiting
-	// delays nobody.
+	StartOn bool // whether the capture is on as soon as it is opened
+	// WaitForWriter makes calls wait for a slow disk instead of leaving a gap. It is meant for simulations in virtual
+	// time, where waiting delays no request.
 	WaitForWriter bool
 	Log           logrus.FieldLogger // nil: nothing is logged
 }
 
 // Open begins a capture and starts the goroutine that writes it, which Close ends. Nothing is recorded until the
-// capture is on. It returns an error if Dir cannot be made.
+// capture is on. It returns an error if Dir cannot be created.
 func Open(o Options) (*Recorder, error) {
 	o.MaxTotalBytes = cmp.Or(o.MaxTotalBytes, defaultTotalBytes)
 	o.MaxSegmentBytes = cmp.Or(o.MaxSegmentBytes, defaultSegmentBytes)
@@ -59,6 +59,6 @@
 		writer:        w,
 		segmentLimits: segmentLimits{o.MaxSegmentBytes, o.MaxSegmentAge.Seconds()},
 		rejections:    rejectionTrigger{maxShare: o.RejectedShare},
-		waits:         o.WaitForWriter,
+		waitForWriter: o.WaitForWriter,
 	}, nil
 }
--- a/internal/capture/owner_test.go
+++ b/internal/capture/owner_test.go
@@ -12,13 +12,13 @@
 	"lockloom/balance"
 )
 
-// randomOwner makes random calls on a captured pool, as an owner makes them.
+// randomOwner makes random calls on a captured pool, as the owner goroutine of a proxy does.
 type randomOwner struct {
 	*Balancer
 	now      float64
 	random   *rand.Rand
 	inFlight []*Request
-	attempts map[*Request]int // sent
+	attempts map[*Request]int // number of attempts sent
 	lastRef  int
 }
 
@@ -87,7 +87,7 @@
 	o.EndpointsUpdated(o.now, true, o.lastRef == 0, list)
 }
 
-// step makes one call.
+// step advances the time and makes a random call.
 func (o *randomOwner) step() {
 	o.now += o.random.ExpFloat64() * .004
 	var r *Request
@@ -170,7 +170,7 @@
 
 func openFile(name string) (io.ReadCloser, error) { return os.Open(name) }
 
-// replayFolder replays the captures in a folder, all of which must be the same.
+// replayFolder replays the captures in a folder. Warnings and actions that differ from the recorded ones fail the test.
 func replayFolder(t require.TestingT, dir string) *Player {
 	files, err := Files(dir)
 	require.NoError(t, err)
--- a/internal/capture/pool.go
+++ b/internal/capture/pool.go
@@ -7,16 +7,16 @@
 	"lockloom/balance"
 )
 
-// Pool is one Balancer in replay.
+// Pool is a Balancer in a replay, with its requests.
 type Pool struct {
 	Number      int
 	Name        string
 	Balancer    *balance.Balancer
 	InFlight    map[uint64]*balance.Request // by number
-	LastRequest *balance.Request            // the one that the last call was on; nil: none
+	LastRequest *balance.Request            // request that the last call was on; nil: it was on the Balancer
 }
 
-// apply makes a call. It returns false for a call on an unknown request, which is not made.
+// apply makes a recorded call. It returns false for a call on an unknown request, which is not made.
 func (p *Pool) apply(call *Call) (actions *balance.Actions, known bool) {
 	p.LastRequest = nil
 	switch {
@@ -31,7 +31,7 @@
 func (p *Pool) applyArrival(call *Call) *balance.Actions {
 	r, actions := p.Balancer.RequestArrived(call.Now, call.Arrival)
 	p.InFlight[call.Request] = r
-	p.touch(call, r)
+	p.setLastRequest(call, r)
 	return actions
 }
 
@@ -53,12 +53,12 @@
 	case RequestTimerFired:
 		actions = r.TimerFired(call.Now)
 	}
-	p.touch(call, r)
+	p.setLastRequest(call, r)
 	return actions, true
 }
 
-// touch marks a request as the last, and forgets it if it is done.
-func (p *Pool) touch(call *Call, r *balance.Request) {
+// setLastRequest sets LastRequest to the request of a call, and removes the request from InFlight if it is done.
+func (p *Pool) setLastRequest(call *Call, r *balance.Request) {
 	p.LastRequest = r
 	if r.Done() {
 		delete(p.InFlight, call.Request)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// summary tells in short what actions say about requests.
+// summary returns a short description of the actions on requests.
 func summary(actions *balance.Actions) string {
 	const nothing = "none"
 	if actions == nil {
--- a/internal/capture/read.go
+++ b/internal/capture/read.go
@@ -10,18 +10,19 @@
 	"io"
 )
 
-// readChunkBytes is how much memory a block's body takes at once while it is read: its length may be wrong.
+// readChunkBytes is the step by which the buffer for a block's body grows while it is read. The length in a corrupt
+// block's head can be wrong, and must not allocate maxBlockBytes at once.
 const readChunkBytes = 64 << 10
 
-// Visitor receives the blocks of a file, in order. An error of a method ends the reading.
+// Visitor receives the blocks of a file, in order. Read stops at the first error that a method returns.
 type Visitor interface {
 	Head(head Head) error
-	State(text []byte) error
-	Created(text []byte) error
-	Calls(text []byte) error
-	// Gap tells how many calls, at least, are missing here.
+	State(data []byte) error   // encoded state of a pool
+	Created(data []byte) error // JSON of the parameters with which a pool was created
+	Calls(data []byte) error   // encoded calls
+	// Gap receives the minimum number of calls that are missing before the next block.
 	Gap(missed uint64) error
-	// Broken tells of a block that cannot be read, by its offset in the file. It is skipped.
+	// Broken receives the offset in the file of a block that cannot be read and is skipped, and the reason.
 	Broken(offset int64, reason string) error
 }
 
@@ -33,16 +34,17 @@
 	body   []byte
 }
 
-// damage is the error for a block, or the rest of a file, that cannot be read.
-type damage struct{ reason string }
+// damageError is the error for a block after which the rest of the file cannot be read.
+type damageError struct{ reason string }
 
-func (d *damage) Error() string { return d.reason }
+func (d *damageError) Error() string { return d.reason }
 
-// Read reads a file to its last complete block. A block with a wrong checksum is skipped, and reported to Broken. A
-// file that ends within a block, as after a crash, ends with the one before, which Broken is told too.
+// Read reads a file to its last complete block and passes each block to the Visitor. A block with a wrong checksum is
+// skipped and reported to Broken. The end of a file that ends within a block, as after a crash, is reported to Broken,
+// too.
 func Read(r io.Reader, v Visitor) error {
-	var begin [len(magic)]byte
-	if _, err := io.ReadFull(r, begin[:]); err != nil || string(begin[:]) != magic {
+	var prefix [len(magic)]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil || string(prefix[:]) != magic {
 		return errNotACapture
 	}
 	blocks := &blockReader{in: r, offset: int64(len(magic))}
@@ -52,12 +54,12 @@
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		var damaged *damage
+		var damaged *damageError
 		if errors.As(err, &damaged) {
 			return v.Broken(offset, damaged.reason)
 		}
 		if !blocks.intact() {
-			err = v.Broken(offset, "a block's sum does not fit")
+			err = v.Broken(offset, "checksum mismatch of a block")
 		} else {
 			err = visit(v, blocks.kind(), blocks.body, offset)
 		}
@@ -67,21 +69,21 @@
 	}
 }
 
-// next reads a block. It returns io.EOF at the end of the file, and damage if nothing further can be read.
+// next reads a block. It returns io.EOF at the end of the file, and a damageError if the rest of it cannot be read.
 func (b *blockReader) next() error {
 	n, err := io.ReadFull(b.in, b.head[:])
 	if err == io.EOF {
 		return io.EOF
 	}
 	if err != nil {
-		return &damage{fmt.Sprintf("it ends %d bytes into a block's head", n)}
+		return &damageError{fmt.Sprintf("the file ends %d bytes into the head of a block", n)}
 	}
 	size := binary.LittleEndian.Uint32(b.head[:])
 	if size > maxBlockBytes {
-		return &damage{fmt.Sprintf("a block of %d bytes: nothing behind it can be read", size)}
+		return &damageError{fmt.Sprintf("block of %d bytes is over the limit: the rest cannot be read", size)}
 	}
 	if err := b.readBody(int(size)); err != nil {
-		return &damage{fmt.Sprintf("it ends %d bytes into a block of %d", len(b.body), size)}
+		return &damageError{fmt.Sprintf("the file ends %d bytes into the body of a block of %d bytes", len(b.body), size)}
 	}
 	b.offset += blockHeadBytes + int64(size)
 	return nil
@@ -107,7 +109,7 @@
 	return checksum(b.kind(), b.body) == binary.LittleEndian.Uint32(b.head[checksumOffset:])
 }
 
-// visit passes on an intact block.
+// visit passes an intact block to the Visitor.
 func visit(v Visitor, kind uint8, body []byte, offset int64) error {
 	switch kind {
 	case blockHead:
@@ -117,29 +119,29 @@
 	case blockGap:
 		missed, size := binary.Uvarint(body)
 		if size <= 0 {
-			return v.Broken(offset, "a gap of no length")
+			return v.Broken(offset, "gap block without a number of calls")
 		}
 		return v.Gap(missed)
 	case blockState, blockCalls:
-		text, err := decompress(body)
+		data, err := decompress(body)
 		if err != nil {
 			return v.Broken(offset, err.Error())
 		}
 		if kind == blockState {
-			return v.State(text)
+			return v.State(data)
 		}
-		return v.Calls(text)
+		return v.Calls(data)
 	}
-	return v.Broken(offset, fmt.Sprintf("a block of kind %d, which this program does not know", kind))
+	return v.Broken(offset, fmt.Sprintf("block of unknown kind %d", kind))
 }
 
 func visitHead(v Visitor, body []byte, offset int64) error {
 	var head Head
 	if err := json.Unmarshal(body, &head); err != nil {
-		return v.Broken(offset, "its head: "+err.Error())
+		return v.Broken(offset, "malformed head of the file: "+err.Error())
 	}
 	if head.Format != formatVersion {
-		return fmt.Errorf("format %d, this program reads %d", head.Format, formatVersion)
+		return fmt.Errorf("capture format %d is not supported: this program reads format %d", head.Format, formatVersion)
 	}
 	return v.Head(head)
 }
@@ -148,7 +150,7 @@
 	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxBlockBytes))
 }
 
-// readFiles reads files in order. An error names the file.
+// readFiles reads files in order. A returned error contains the name of the file.
 func readFiles(files []string, open OpenFunc, v Visitor) error {
 	for _, name := range files {
 		if err := readFile(name, open, v); err != nil {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -8,54 +8,55 @@
 	"lockloom/internal/graphcodec"
 )
 
-// Limits of what is gathered before the writer gets it.
+// Limits at which the buffered calls are passed to the writer.
 const (
-	maxChunkBytes = 32 << 10 // of calls
-	maxChunkAge   = 0.25     // s
+	maxChunkBytes = 32 << 10 // of encoded calls
+	maxChunkAge   = 0.25     // s, since the first call in the buffer
 )
 
-// Recorder records the calls on the Balancers of one owner. Calls are made on the owner's goroutine; the methods On,
-// Set, Trigger, Dump, Bytes and Handler, and the counters, may be used by any.
+// Recorder records the calls on the Balancers of one owner goroutine, which makes all calls. The methods On, Set,
+// Trigger, Dump, Bytes and Handler, and the counters, may be used by any goroutine.
 //
-// If the writer cannot keep up, calls are left out, and a new segment with the whole state begins as soon as it can.
+// If the writer cannot keep up, calls are dropped. A new segment, with the state of all pools, begins once at most half
+// of the writer's queue is in use.
 type Recorder struct {
-	Calls, Gaps atomic.Uint64 // calls recorded; gaps between them
+	Calls, Gaps atomic.Uint64 // number of calls recorded, and of gaps between them
 
 	writer        *writer
-	waits         bool // for the writer, instead of leaving a gap
+	waitForWriter bool // wait for the writer instead of leaving a gap
 	segmentLimits segmentLimits
 	rejections    rejectionTrigger
 
-	pools     []*Balancer // by number; nil: dropped
+	pools     []*Balancer // by number; nil: the pool was dropped
 	recording bool        // a segment has begun
 	segment   segment
 	buffer    callBuffer
-	missed    uint64 // calls since the last that the writer got
+	missed    uint64 // number of calls made since the last that was passed to the writer
 }
 
-// segmentLimits are those at which a segment ends.
+// segmentLimits are the limits at which a segment ends.
 type segmentLimits struct {
-	bytes int64   // of calls
+	bytes int64   // of encoded calls
 	age   float64 // s
 }
 
-// segment is the one that is being recorded.
+// segment holds the start and the size of the segment that is being recorded.
 type segment struct {
 	beganAt float64 // s, of the balancers' clock
-	bytes   int64   // of calls
+	bytes   int64   // of encoded calls
 }
 
-// callBuffer holds the calls that the writer does not have yet.
+// callBuffer holds the encoded calls that were not passed to the writer yet.
 type callBuffer struct {
 	coder   coder
-	beganAt float64 // s, time of the first call
+	beganAt float64 // s, time of the first call in the buffer
 }
 
 func (b *callBuffer) empty() bool { return len(b.coder.out) == 0 }
 
 func (b *callBuffer) clear() { b.coder.out = b.coder.out[:0] }
 
-// add encodes a call, and returns how many bytes it takes.
+// add encodes a call and returns the number of bytes that it takes.
 func (b *callBuffer) add(call *Call) int {
 	if b.empty() {
 		b.beganAt = call.Now
@@ -66,21 +67,22 @@
 	return len(b.coder.out) - before
 }
 
-// due reports whether the calls should go to the writer.
+// due reports whether the buffered calls are to be passed to the writer.
 func (b *callBuffer) due(now float64) bool {
 	return len(b.coder.out) >= maxChunkBytes || now-b.beganAt >= maxChunkAge
 }
 
-// Set turns the capture on or off. One that has failed stays off.
-func (r *Recorder) Set(on bool) { r.writer.wanted.Store(on && !r.writer.failed.Load()) }
+// Set turns the capture on or off. A capture that has failed stays off.
+func (r *Recorder) Set(on bool) { r.writer.enabled.Store(on && !r.writer.failed.Load()) }
 
 // On reports whether the capture is on.
-func (r *Recorder) On() bool { return r.writer.wanted.Load() }
+func (r *Recorder) On() bool { return r.writer.enabled.Load() }
 
-// Bytes returns how much was written, to files or to memory.
+// Bytes returns the number of bytes that were written, to files or to memory.
 func (r *Recorder) Bytes() int64 { return r.writer.writtenBytes.Load() }
 
-// Trigger has what is kept in memory written to files soon, and at most every 10 s. The reason is logged.
+// Trigger requests that the writer writes the segments in memory to files, and returns without waiting for it. The
+// writer does so at most every 10 s and ignores triggers in between. The reason is logged.
 func (r *Recorder) Trigger(reason string) {
 	select {
 	case r.writer.triggers <- reason:
@@ -88,23 +90,24 @@
 	}
 }
 
-// Dump writes what is kept in memory to files, and returns how many segments it wrote.
+// Dump writes the segments in memory to files and returns how many it wrote.
 func (r *Recorder) Dump() (int, error) { return r.writer.dump() }
 
-// Close ends the capture when no more calls are made. Once it has returned, all that was recorded is in the files.
+// Close ends the capture and must be called after the last call. Once it has returned, everything recorded is written,
+// to files or to memory.
 func (r *Recorder) Close() error {
 	r.Flush()
 	return r.writer.close()
 }
 
-// Flush passes what was recorded on to the writer. It is called on the owner's goroutine, or once that has ended.
+// Flush passes the buffered calls to the writer. It must be called on the owner's goroutine, or after that has ended.
 func (r *Recorder) Flush() {
 	if r.recording {
 		r.flush()
 	}
 }
 
-// Balancer returns a Balancer for a pool whose calls are recorded.
+// Balancer returns a Balancer that records the calls on the Balancer of a pool.
 func (r *Recorder) Balancer(name string, b *balance.Balancer) *Balancer {
 	recorded := &Balancer{
 		Balancer: b,
@@ -119,9 +122,10 @@
 	return recorded
 }
 
-// prepare is called before each call. It begins a segment if one is due, while the state is that before the call.
+// prepare is called before each call, so that a segment begins with the state before its first call. It ends a full
+// segment and begins the next.
 func (r *Recorder) prepare(now float64) {
-	if !r.writer.wanted.Load() {
+	if !r.writer.enabled.Load() {
 		r.endSegment()
 		return
 	}
@@ -144,9 +148,9 @@
 	}
 }
 
-// beginSegment encodes the state of all pools, if the writer has room for it.
+// beginSegment passes the encoded state of all pools to the writer, if at most half of the writer's queue is in use.
 func (r *Recorder) beginSegment(now float64) {
-	if len(r.writer.chunks) > maxQueuedChunks/2 && !r.waits {
+	if len(r.writer.chunks) > maxQueuedChunks/2 && !r.waitForWriter {
 		r.missed++
 		return
 	}
@@ -155,21 +159,21 @@
 		if b == nil {
 			continue
 		}
-		text, err := graphcodec.Write(b.state())
+		encoded, err := graphcodec.Write(b.state())
 		if err != nil { // the balancer has a type that cannot be encoded
 			r.writer.fail(err)
 			return
 		}
-		states = append(states, text)
+		states = append(states, encoded)
 	}
-	r.writer.chunks <- chunk{kind: blockState, startsSegment: true, texts: states, missed: r.missed}
+	r.writer.chunks <- chunk{kind: blockState, startsSegment: true, bodies: states, missed: r.missed}
 	r.recording = true
 	r.segment = segment{beganAt: now}
 	r.missed = 0
 	r.buffer.clear()
 }
 
-// record adds a call that was made, and the digest of what it returned.
+// record appends a call and the digest of the actions that it returned to the buffer.
 func (r *Recorder) record(call *Call, actions *balance.Actions) {
 	if !r.recording {
 		return
@@ -186,15 +190,15 @@
 	}
 }
 
-// flush passes the calls in the buffer on to the writer. If that has no room they are lost, since waiting for a slow
-// disk would stop service.
+// flush passes the buffered calls to the writer. If the writer's queue is full, the calls are dropped and the segment
+// ends, since waiting for a slow disk would delay all requests.
 func (r *Recorder) flush() {
 	if r.buffer.empty() {
 		return
 	}
-	c := chunk{kind: blockCalls, texts: [][]byte{bytes.Clone(r.buffer.coder.out)}}
+	c := chunk{kind: blockCalls, bodies: [][]byte{bytes.Clone(r.buffer.coder.out)}}
 	r.buffer.clear()
-	if r.waits {
+	if r.waitForWriter {
 		r.writer.chunks <- c
 		r.missed = 0
 		return
--- a/internal/capture/recorder_test.go
+++ b/internal/capture/recorder_test.go
@@ -16,7 +16,7 @@
 	pollInterval  = time.Millisecond
 )
 
-// record makes random calls on one pool, captured in a folder of its own.
+// record captures random calls on one pool to a temporary folder, which it returns.
 func record(t *testing.T, calls int, o Options) (*Recorder, *randomOwner, string) {
 	t.Helper()
 	o.Dir, o.Proxy, o.StartOn = t.TempDir(), "n0", true
@@ -29,17 +29,18 @@
 	return recorder, owner, o.Dir
 }
 
-// requireWritten waits until the writer has taken all chunks.
+// requireWritten waits until the writer's queue is empty.
 func requireWritten(t *testing.T, r *Recorder) {
 	t.Helper()
 	require.Eventually(t, func() bool { return len(r.writer.chunks) == 0 }, writerTimeout, pollInterval)
 }
 
-// A slow disk must not delay the owner. What is missing is counted, and what follows can be replayed without it.
+// Guards against a slow disk that delays the owner goroutine: calls that do not fit into the writer's queue are dropped
+// and counted, and the calls after the gap can be replayed.
 func TestSlowDiskLeavesGap(t *testing.T) {
 	const maxSteps = 1_000_000
 	recorder, owner, dir := record(t, 100, Options{})
-	recorder.writer.mu.Lock() // the writer stands still
+	recorder.writer.mu.Lock() // blocks the writer
 	for steps := 0; recorder.Gaps.Load() == 0; steps++ {
 		require.Less(t, steps, maxSteps)
 		owner.step()
@@ -62,7 +63,7 @@
 	warnings := ""
 	p := &Player{Warn: func(text string) { warnings += text }}
 	require.NoError(t, p.Play(files, openFile))
-	assert.Contains(t, warnings, "calls or more are missing")
+	assert.Contains(t, warnings, "calls are missing before part ")
 	assert.Greater(t, p.Played, uint64(1000))
 }
 
@@ -77,12 +78,12 @@
 	require.Eventually(t, recorder.writer.failed.Load, writerTimeout, pollInterval)
 	owner.step()
 	recorder.Set(true)
-	assert.False(t, recorder.On(), "it has ended")
+	assert.False(t, recorder.On(), "a capture that has failed stays off")
 	require.NoError(t, recorder.Close())
 	assert.Len(t, hook.AllEntries(), 1)
 }
 
-// The ring keeps the newest segments, which can be replayed, and is written on request and when a trigger fires.
+// The ring keeps the newest segments, which can be replayed. Dump and a trigger write them to files.
 func TestRingKeepsTheNewestSegments(t *testing.T) {
 	log, hook := test.NewNullLogger()
 	recorder, owner, dir := record(t, 20_000, Options{
@@ -104,12 +105,12 @@
 		owner.step()
 	}
 	logged := func() bool { return len(hook.AllEntries()) > 0 }
-	require.Eventually(t, logged, writerTimeout, pollInterval, "many are rejected")
+	require.Eventually(t, logged, writerTimeout, pollInterval, "rejections trigger a dump")
 	assert.Equal(t, "rejections above their share", hook.LastEntry().Data["why"])
 	require.NoError(t, recorder.Close())
 }
 
-// The files of a proxy stay within their total size; those of others are left alone.
+// The files of a proxy stay within their total size. Files of other proxies are not removed.
 func TestFilesStayWithinTheirTotal(t *testing.T) {
 	recorder, owner, dir := record(t, 100, Options{MaxSegmentBytes: 4000, MaxTotalBytes: 30_000})
 	other := filepath.Join(dir, "other-1-000001"+fileSuffix)
--- a/internal/capture/rejections.go
+++ b/internal/capture/rejections.go
@@ -4,12 +4,12 @@
 
 const (
 	rejectionWindowDuration = 1.0 // s
-	minWindowRequests       = 50  // a share of fewer requests says little
+	minWindowRequests       = 50  // the share of rejections among fewer requests is too noisy
 )
 
-// rejectionTrigger tells when more than a share of a second's requests were rejected.
+// rejectionTrigger detects that more than a share of the requests within a second were rejected.
 type rejectionTrigger struct {
-	maxShare float64 // 0: it never tells
+	maxShare float64 // 0: detection is off
 
 	windowBeganAt      float64 // s
 	requests, rejected int     // in the window
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -9,64 +9,65 @@
 	"lockloom/internal/graphcodec"
 )
 
-// Player replays the calls of captures, file after file of one proxy, and compares what each returns with what was
-// recorded. It is a Visitor. It is used by one goroutine.
+// Player replays the calls in the capture files of one proxy, and compares the actions that each call returns with the
+// recorded digest. It is a Visitor. It is not safe for concurrent use.
 type Player struct {
-	// Before and After are called around each call with the pool that it is on; nil: nothing is.
+	// Before and After are called before and after each call, with the call's pool. Either can be nil.
 	Before func(p *Pool, call *Call)
 	After  func(p *Pool, call *Call, actions *balance.Actions)
-	// Loose replays on after actions that differ, as when other decisions are tried; otherwise they are an error.
+	// Loose makes a replay go on after actions that differ from the recorded ones, as is expected after a change of the
+	// decisions. Otherwise a difference is an error.
 	Loose bool
-	// Warn receives what cannot be replayed, and from where; nil: nobody does.
+	// Warn receives messages about parts of a file that cannot be replayed. It can be nil.
 	Warn func(text string)
 
 	Pools       map[int]*Pool // by number
-	FileHead    Head          // of the last file
+	FileHead    Head          // head of the last file
 	FirstCallAt float64       // s, of the balancers' clock
 	LastCallAt  float64
 	ReplayCounts
 
-	complete      bool // since the last state nothing is missing
-	unreadable    bool // the file has state blocks of another form
+	complete      bool // no calls are missing since the last state
+	unreadable    bool // the file's state blocks have another layout than those of this build
 	filesReplayed int
 }
 
-// ReplayCounts count what a Player replayed.
+// ReplayCounts are the counters of a Player.
 type ReplayCounts struct {
-	Played    uint64 // calls
-	Skipped   uint64 // calls before a state, and on unknown requests
-	Different uint64 // calls whose actions differ, if Loose
-	Requests  uint64
+	Played    uint64 // calls replayed
+	Skipped   uint64 // calls without an intact state before them, calls on unknown requests, states without a head
+	Different uint64 // calls whose actions differed from the recorded ones
+	Requests  uint64 // requests that arrived
 }
 
-// differenceError is the error for actions that differ from those recorded.
+// differenceError is the error for actions that differ from the recorded ones.
 type differenceError struct {
 	call    *Call
 	digest  uint16 // of the actions in replay
 	number  uint64 // of the call, from 1
 	pool    string
-	actions string
+	actions string // summary of the actions in replay
 }
 
 func (e *differenceError) Error() string {
 	return fmt.Sprintf(
-		"call %d, %s at %.6f on pool %q: the actions differ: digest %04x was recorded, %04x came of it: %s",
+		"call %d, %s at %.6f on pool %q: actions differ: recorded digest %04x, replayed digest %04x: %s",
 		e.number, e.call.Kind, e.call.Now, e.pool, e.call.Digest, e.digest, e.actions)
 }
 
 // Play replays files in order. It returns an error if a file cannot be read, if actions differ (unless Loose), or if
-// there is nothing to replay.
+// no file has a readable head.
 func (p *Player) Play(files []string, open OpenFunc) error {
 	if err := readFiles(files, open, p); err != nil {
 		return err
 	}
 	if p.filesReplayed == 0 {
-		return errors.New("there is nothing to replay")
+		return errors.New("nothing to replay: no file has a readable head")
 	}
 	return nil
 }
 
-// Head begins a file.
+// Head begins the replay of a file, without the pools of the file before.
 func (p *Player) Head(head Head) error {
 	form, err := stateForm()
 	if err != nil {
@@ -80,20 +81,20 @@
 	return nil
 }
 
-// State takes over a pool as it was.
-func (p *Player) State(text []byte) error {
-	if p.Pools == nil { // the head cannot be read, so the form of this block is not known
+// State restores a pool from its recorded state.
+func (p *Player) State(data []byte) error {
+	if p.Pools == nil { // the head could not be read, so the layout of this block is not known
 		p.Skipped++
 		return nil
 	}
 	if p.unreadable {
 		return fmt.Errorf(
-			"it was made by a program (%s) whose decisions have another form of state: replay it with that one",
+			"recorded by program version %s, whose state blocks have another layout: replay it with that version",
 			p.FileHead.Program)
 	}
-	stored, err := graphcodec.Read[state](text)
+	stored, err := graphcodec.Read[state](data)
 	if err != nil {
-		return fmt.Errorf("a pool's state: %w", err)
+		return fmt.Errorf("decode the state of a pool: %w", err)
 	}
 	pool, err := stored.restore()
 	if err != nil {
@@ -104,15 +105,15 @@
 	return nil
 }
 
-// Created creates a pool.
-func (p *Player) Created(text []byte) error {
+// Created creates a pool, unless the file's head could not be read.
+func (p *Player) Created(data []byte) error {
 	var c creation
-	if err := json.Unmarshal(text, &c); err != nil {
-		return fmt.Errorf("a pool as it was made: %w", err)
+	if err := json.Unmarshal(data, &c); err != nil {
+		return fmt.Errorf("decode the creation of a pool: %w", err)
 	}
 	pool, err := c.create()
 	if err != nil {
-		return fmt.Errorf("a pool as it was made: %w", err)
+		return fmt.Errorf("create a pool: %w", err)
 	}
 	if p.Pools == nil {
 		return nil
@@ -122,16 +123,16 @@
 	return nil
 }
 
-// Gap warns that calls are missing; a state follows.
+// Gap warns that calls are missing. A state follows the gap.
 func (p *Player) Gap(missed uint64) error {
-	p.warn(fmt.Sprintf("%d calls or more are missing before part %d, which begins with a state of its own",
+	p.warn(fmt.Sprintf("at least %d calls are missing before part %d, which begins with the state of all pools",
 		missed, p.FileHead.Part))
 	return nil
 }
 
-// Broken warns of a block that was skipped. What follows cannot be replayed until the next state.
+// Broken warns that a block was skipped. The calls after it cannot be replayed until the next state.
 func (p *Player) Broken(offset int64, reason string) error {
-	p.warn(fmt.Sprintf("at byte %d: %s; what follows is not replayed until the next state", offset, reason))
+	p.warn(fmt.Sprintf("at byte %d: %s; the calls until the next state are not replayed", offset, reason))
 	p.complete = false
 	return nil
 }
@@ -143,7 +144,7 @@
 }
 
 // Calls replays the calls of a block.
-func (p *Player) Calls(text []byte) error { return decodeCalls(text, p.replay) }
+func (p *Player) Calls(data []byte) error { return decodeCalls(data, p.replay) }
 
 func (p *Player) replay(call *Call) error {
 	pool := p.Pools[call.Pool]
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// compare checks the actions in replay against those recorded.
+// compare compares the digest of the actions in replay with the recorded one.
 func (p *Player) compare(pool *Pool, call *Call, actions *balance.Actions) error {
 	replayed := Digest(actions)
 	if replayed == call.Digest {
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -13,7 +13,7 @@
 	"lockloom/balance"
 )
 
-// A replay returns the recorded actions, every time, over several segments and with two pools, whatever was called.
+// Each replay of random calls returns the recorded actions, with several segments and two pools.
 func TestReplayReturnsTheRecordedActions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
@@ -37,7 +37,7 @@
 		}
 		require.NoError(t, recorder.Close())
 		for range 2 {
-			assert.Equal(r, recorder.Calls.Load(), replayFolder(r, dir).Played, "all that was recorded")
+			assert.Equal(r, recorder.Calls.Load(), replayFolder(r, dir).Played, "all recorded calls are replayed")
 		}
 		assert.Zero(r, recorder.Gaps.Load())
 		require.NoError(t, os.RemoveAll(dir))
@@ -49,45 +49,45 @@
 	}
 }
 
-// replayText replays one file, and returns the warnings too.
-func replayText(text []byte) (p *Player, warnings string, err error) {
+// replayData replays the contents of one file. It also returns the warnings.
+func replayData(data []byte) (p *Player, warnings string, err error) {
 	p = &Player{Warn: func(text string) { warnings += text + "\n" }}
-	err = Read(bytes.NewReader(text), p)
+	err = Read(bytes.NewReader(data), p)
 	return p, warnings, err
 }
 
-// A file that is cut anywhere, as by a crash, is read to its last complete block. A flipped bit is reported, and what
-// cannot be replayed reliably is skipped.
+// A file that is truncated anywhere, as by a crash, is replayed to its last complete block. A flipped bit is reported,
+// and the calls that cannot be replayed because of it are skipped.
 func TestDamagedFileIsReplayedAsFarAsItIsIntact(t *testing.T) {
 	recorder, _, dir := record(t, 800, Options{WaitForWriter: true})
 	require.NoError(t, recorder.Close())
 	files, err := Files(dir)
 	require.NoError(t, err)
 	require.Len(t, files, 1)
-	text, err := os.ReadFile(files[0])
+	data, err := os.ReadFile(files[0])
 	require.NoError(t, err)
-	whole, _, err := replayText(text)
+	whole, _, err := replayData(data)
 	require.NoError(t, err)
 	played := uint64(0)
-	for cut := len(magic); cut < len(text); cut += 41 {
-		p, _, err := replayText(text[:cut])
+	for cut := len(magic); cut < len(data); cut += 41 {
+		p, _, err := replayData(data[:cut])
 		require.NoError(t, err, cut)
 		assert.GreaterOrEqual(t, p.Played, played)
 		played = p.Played
 	}
 	assert.Greater(t, played, uint64(0))
 	assert.LessOrEqual(t, played, whole.Played)
-	for at := len(magic); at < len(text); at += 101 {
-		damaged := bytes.Clone(text)
+	for at := len(magic); at < len(data); at += 101 {
+		damaged := bytes.Clone(data)
 		damaged[at] ^= 4
-		p, warnings, err := replayText(damaged)
+		p, warnings, err := replayData(damaged)
 		assert.True(t, err != nil || warnings != "", "a flipped bit at %d is reported", at)
 		assert.LessOrEqual(t, p.Played, whole.Played)
 		assert.Zero(t, p.Different)
 	}
 }
 
-// Actions that differ from those recorded end a replay, with both sides, unless it is loose.
+// Actions that differ from the recorded ones end a replay with an error that has both digests, unless Loose is set.
 func TestDifferentActionsEndTheReplay(t *testing.T) {
 	recorder, owner, dir := record(t, 500, Options{WaitForWriter: true})
 	unrecorded := balance.RequestInfo{Ref: 1 << 20, Deadline: owner.now + 1, Tenant: -1}
@@ -100,8 +100,8 @@
 	require.NoError(t, err)
 	err = (&Player{}).Play(files, openFile)
 	require.Error(t, err)
-	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": the actions differ: `+
-		`digest [0-9a-f]{4} was recorded, [0-9a-f]{4} came of it`, err.Error())
+	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": actions differ: `+
+		`recorded digest [0-9a-f]{4}, replayed digest [0-9a-f]{4}: `, err.Error())
 	p := &Player{Loose: true}
 	require.NoError(t, p.Play(files, openFile))
 	assert.Greater(t, p.Different, uint64(0))
@@ -114,10 +114,10 @@
 	otherState := appendBlock([]byte(magic), blockHead, []byte(`{"format":1,"module":7,"program":"v0"}`))
 	otherState = appendBlock(otherState, blockState, compressed)
 	for text, message := range map[string]string{
-		"":                                 "no capture",
-		"hello, world, this is no capture": "no capture",
-		string(otherFormat):                "format 9, this program reads 1",
-		string(otherState):                 "made by a program (v0) whose decisions have another form",
+		"":                                 "not a capture file",
+		"hello, world, this is no capture": "not a capture file",
+		string(otherFormat):                "format 9 is not supported: this program reads format 1",
+		string(otherState):                 "recorded by program version v0, whose state blocks have another layout",
 	} {
 		assert.ErrorContains(t, Read(strings.NewReader(text), &Player{}), message)
 	}
@@ -127,9 +127,9 @@
 	f.Add([]byte(magic))
 	head := appendBlock([]byte(magic), blockHead, []byte(`{"format":1}`))
 	f.Add(appendBlock(head, blockCalls, []byte{1, 2, 3}))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if err := Read(bytes.NewReader(text), &Player{Loose: true}); err != nil {
-			t.Log(err) // whatever is read, it must not panic
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if err := Read(bytes.NewReader(data), &Player{Loose: true}); err != nil {
+			t.Log(err) // any input can be an error, but must not panic
 		}
 	})
 }
--- a/internal/capture/segments.go
+++ b/internal/capture/segments.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// segmentFiles are the files of one proxy in a folder, a segment each.
+// segmentFiles writes the files of one proxy to a folder, one file for each segment.
 type segmentFiles struct {
-	dir      string // empty: nothing can be written
-	proxy    string
-	maxBytes int64    // of all files
+	dir      string   // empty: no files can be written
+	proxy    string   // name of the proxy
+	maxBytes int64    // of all files of the proxy together
 	current  *os.File // of the segment that is being written; nil: none
 }
 
@@ -20,8 +20,8 @@
 	return filepath.Join(f.dir, fmt.Sprintf("%s-%d-%06d%s", f.proxy, os.Getpid(), part, fileSuffix))
 }
 
-// begin opens the file of the next segment, and removes the oldest files if there are too many bytes.
-func (f *segmentFiles) begin(part int) error {
+// create removes the oldest files if the total size is over its limit, and creates the file of the next segment.
+func (f *segmentFiles) create(part int) error {
 	_ = f.close() // an incomplete file can be read to its last block, and the next segment does not need it
 	if err := f.trim(); err != nil {
 		return err
@@ -34,20 +34,20 @@
 	return nil
 }
 
-func (f *segmentFiles) write(out []byte) error {
+func (f *segmentFiles) write(blocks []byte) error {
 	if f.current == nil {
 		return nil
 	}
-	_, err := f.current.Write(out)
+	_, err := f.current.Write(blocks)
 	return err
 }
 
-// save writes a whole segment.
+// save writes a complete segment to its file.
 func (f *segmentFiles) save(part int, segment []byte) error {
 	return os.WriteFile(f.path(part), segment, 0o644)
 }
 
-// trim removes this proxy's oldest files while all of them together are too large.
+// trim removes the oldest files of the proxy until the total size is within its limit.
 func (f *segmentFiles) trim() error {
 	paths, err := Files(f.dir)
 	if err != nil {
@@ -61,7 +61,7 @@
 		}
 		total += info.Size()
 		if total > f.maxBytes {
-			_ = os.Remove(path) // what cannot be removed now is tried again with the next segment
+			_ = os.Remove(path) // a failed removal is tried again with the next segment
 		}
 	}
 	return nil
@@ -76,20 +76,20 @@
 	return closed.Close()
 }
 
-// ring keeps the newest segments in memory, as many as there is room for and one at least.
+// ring keeps the newest segments in memory: as many as fit into maxBytes, and at least one.
 type ring struct {
-	maxBytes int64    // 0: there is none
+	maxBytes int64    // 0: there is no ring
 	segments [][]byte // the oldest first; the last is being written
 	size     int64    // bytes of all segments
 }
 
-func (r *ring) add(out []byte, startsSegment bool) {
+func (r *ring) add(blocks []byte, startsSegment bool) {
 	if startsSegment || len(r.segments) == 0 {
 		r.segments = append(r.segments, nil)
 	}
 	last := &r.segments[len(r.segments)-1]
-	*last = append(*last, out...)
-	r.size += int64(len(out))
+	*last = append(*last, blocks...)
+	r.size += int64(len(blocks))
 	for r.size > r.maxBytes && len(r.segments) > 1 {
 		r.size -= int64(len(r.segments[0]))
 		r.segments = slices.Delete(r.segments, 0, 1)
--- a/internal/capture/shorten.go
+++ b/internal/capture/shorten.go
@@ -23,7 +23,8 @@
 	return true
 }
 
-// keepLastGroups keeps as few of the last groups as are enough, by powers of two: what was long before seldom matters.
+// keepLastGroups keeps only the last groups if the event still occurs with them. It tries minGroups first and doubles
+// the number until the event occurs, since calls long before an event seldom affect it.
 func (s *shortener) keepLastGroups() {
 	for n := minGroups; n < len(s.groups); n *= 2 {
 		last := s.groups[len(s.groups)-n:]
@@ -34,7 +35,7 @@
 	}
 }
 
-// dropGroups leaves out groups, many at once at first and then fewer, until none can be left out alone.
+// dropGroups leaves out groups, many at once at first and then fewer, until no single group can be left out.
 func (s *shortener) dropGroups() {
 	size := (len(s.groups) + 1) / 2
 	for size >= 1 && s.excerpt.Replays < maxReplays {
@@ -49,7 +50,7 @@
 	}
 }
 
-// dropRuns leaves out so many groups in a row wherever that is possible, and reports whether it was.
+// dropRuns leaves out each run of size groups without which the event still occurs. It reports whether it left out any.
 func (s *shortener) dropRuns(size int) (dropped bool) {
 	for at := 0; at < len(s.groups) && s.excerpt.Replays < maxReplays; {
 		end := min(at+size, len(s.groups))
@@ -63,10 +64,10 @@
 	return dropped
 }
 
-// groupCalls returns the indices of calls by what they belong to: those on a request together, all others alone. The
-// first endpoint list is in no group, since it always stays.
+// groupCalls returns the indices of calls in groups: the calls on one request form a group, each other call forms its
+// own. The first endpoint list is in no group, since it is never left out.
 func groupCalls(calls []Call) (groups [][]int) {
-	groupOf := map[uint64]int{} // by request
+	groupOf := map[uint64]int{} // index in groups, by number of the request
 	for i := range calls {
 		call := &calls[i]
 		if !call.Kind.onRequest() {
--- a/internal/capture/timeline.go
+++ b/internal/capture/timeline.go
@@ -2,7 +2,7 @@
 
 import "lockloom/balance"
 
-// Sample is what a Balancer held of one server at one time.
+// Sample is the status of one server at one time, and the attempts that ended there since the sample before.
 type Sample struct {
 	Pool string
 	At   float64 // s since the first call
@@ -10,8 +10,8 @@
 	AttemptCounts
 }
 
-// AttemptCounts count the attempts that ended at a server since the sample before. Those that were canceled or never
-// sent are not counted.
+// AttemptCounts count the attempts that ended at a server since the sample before, except for those that were canceled
+// or never sent.
 type AttemptCounts struct {
 	Succeeded int
 	Failed    int
@@ -30,20 +30,21 @@
 	}
 }
 
-// Timeline samples the servers of all pools at an interval, as calls are replayed: use its Observe as Player.After.
+// Timeline samples the status of the servers of all pools at an interval during a replay: set Player.After to its
+// Observe.
 type Timeline struct {
 	Interval float64 // s
 	Samples  []Sample
 
 	beganAt  float64
 	pools    map[string]*poolTimeline
-	attempts map[*balance.Request][]int // servers by attempt, of requests in flight
+	attempts map[*balance.Request][]int // servers that a request in flight was sent to, by attempt
 }
 
-// poolTimeline is what was counted in one pool since its last samples.
+// poolTimeline holds the counts of one pool since its last samples.
 type poolTimeline struct {
 	nextSampleAt float64
-	ended        map[int]*AttemptCounts // by server
+	ended        map[int]*AttemptCounts // by number of the server
 }
 
 func (p *poolTimeline) countsOf(server int) *AttemptCounts {
@@ -55,7 +56,7 @@
 	return counts
 }
 
-// Observe is called after each call.
+// Observe counts an attempt that ended with a call, and takes samples if they are due. It is called after each call.
 func (t *Timeline) Observe(p *Pool, call *Call, actions *balance.Actions) {
 	if t.pools == nil {
 		t.beganAt = call.Now
@@ -77,7 +78,7 @@
 	}
 }
 
-// countEnd counts an attempt that ended, at the server that it was sent to.
+// countEnd counts an attempt that ended with a call for the server that the attempt was sent to.
 func (t *Timeline) countEnd(pool *poolTimeline, r *balance.Request, call *Call) {
 	attempts := t.attempts[r]
 	if call.Kind == AttemptEnded && call.Attempt.Index < len(attempts) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// trackAttempts takes in where a request is sent, and forgets the request once it is done.
+// trackAttempts stores the servers that a request is sent to, and removes the request once it is done.
 func (t *Timeline) trackAttempts(r *balance.Request, actions *balance.Actions) {
 	if r.Done() {
 		delete(t.attempts, r)
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	maxQueuedChunks = 64 // between recorder and writer; over it there is a gap
+	maxQueuedChunks = 64 // in the writer's queue; calls are dropped while it is full
 	minDumpInterval = 10 * time.Second
 )
 
-// chunk is what the recorder passes to the writer: the states that a segment begins with, or calls.
+// chunk holds blocks of one kind that the recorder passes to the writer: the states that a segment begins with, or a
+// block of calls.
 type chunk struct {
 	kind          uint8
 	startsSegment bool
-	texts         [][]byte
-	missed        uint64 // calls before it that are not recorded
+	bodies        [][]byte // of the blocks, not compressed yet
+	missed        uint64   // number of calls missing before the chunk
 }
 
 // writer compresses chunks and writes them to files, or keeps the newest segments in memory. It runs in a goroutine of
@@ -33,15 +34,15 @@
 	triggers chan string
 	done     chan struct{} // closed when the goroutine has ended
 
-	wanted       atomic.Bool // whether the capture is on
+	enabled      atomic.Bool // whether the capture is on
 	failed       atomic.Bool
 	writtenBytes atomic.Int64
 
-	head Head // without what differs by file
+	head Head // without the fields that differ by file
 	log  logrus.FieldLogger
 
-	mu         sync.Mutex // guards what follows
-	part       int
+	mu         sync.Mutex // guards the fields below
+	part       int        // number of the last segment
 	compressor *compressor
 	files      segmentFiles
 	ring       ring
@@ -58,7 +59,7 @@
 		files:      segmentFiles{dir: o.Dir, proxy: o.Proxy, maxBytes: o.MaxTotalBytes},
 		ring:       ring{maxBytes: o.RingBytes},
 	}
-	w.wanted.Store(o.StartOn)
+	w.enabled.Store(o.StartOn)
 	return w
 }
 
@@ -84,9 +85,9 @@
 	}
 }
 
-// fail ends the capture, never the service.
+// fail ends the capture. The proxy goes on without it.
 func (w *writer) fail(err error) {
-	w.wanted.Store(false)
+	w.enabled.Store(false)
 	if !w.failed.Swap(true) && w.log != nil {
 		w.log.WithError(err).Error("the capture has ended")
 	}
@@ -108,7 +109,7 @@
 		return nil
 	}
 	if c.startsSegment {
-		if err := w.files.begin(w.part); err != nil {
+		if err := w.files.create(w.part); err != nil {
 			return err
 		}
 	}
@@ -131,8 +132,8 @@
 			out = appendBlock(out, blockGap, binary.AppendUvarint(nil, c.missed))
 		}
 	}
-	for _, text := range c.texts {
-		compressed, err := w.compressor.compress(text)
+	for _, body := range c.bodies {
+		compressed, err := w.compressor.compress(body)
 		if err != nil {
 			return nil, err
 		}
@@ -148,7 +149,7 @@
 	}
 }
 
-// dump writes the segments that are kept in memory to files, and returns how many it wrote.
+// dump writes the segments in memory to files and returns how many it wrote.
 func (w *writer) dump() (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,7 +170,7 @@
 	return written, w.files.trim()
 }
 
-// close waits until all chunks are written, once no more are passed on.
+// close waits until all chunks are written. No more chunks may be passed to the writer.
 func (w *writer) close() error {
 	close(w.chunks)
 	<-w.done
@@ -178,21 +179,21 @@
 	return w.files.close()
 }
 
-// compressor compresses the bodies of blocks, one after the other.
+// compressor compresses the bodies of blocks, one at a time.
 type compressor struct{ deflate *flate.Writer }
 
 func newCompressor() *compressor {
 	deflate, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // NewWriter rejects nothing but an unknown level
+		panic(err) // NewWriter returns an error only for an invalid level
 	}
 	return &compressor{deflate}
 }
 
-func (c *compressor) compress(text []byte) ([]byte, error) {
+func (c *compressor) compress(body []byte) ([]byte, error) {
 	var out bytes.Buffer
 	c.deflate.Reset(&out)
-	if _, err := c.deflate.Write(text); err != nil {
+	if _, err := c.deflate.Write(body); err != nil {
 		return nil, err
 	}
 	if err := c.deflate.Close(); err != nil {
