--- a/internal/capture/balancer.go
+++ b/internal/capture/balancer.go
@@ -10,7 +10,7 @@
 	pool        int                         // number of the pool in the capture
 	name        string                      // of the pool
 	inFlight    map[uint64]*balance.Request // requests in flight, by number
-	lastRequest uint64                      // number of the last request
+	lastRequest uint64                      // number of the request that arrived last; 0: none
 }
 
 // Request is a balance.Request whose calls are recorded.
--- a/internal/capture/breakdown.go
+++ b/internal/capture/breakdown.go
@@ -19,7 +19,8 @@
 	balance.Removed:  "removed",
 }
 
-// printBreakdown prints the score of each server in the last draw for a request, and the reasons against each server.
+// printBreakdown prints, for each server, its score in the last draw for a request and the reasons against sending the
+// request to it.
 func printBreakdown(out io.Writer, r *balance.Request) {
 	inFlight, available, queued := r.Capacity()
 	fmt.Fprintf(out, "%s%d attempts in flight, capacity for %.1f at its priority, %d queued\n",
--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -33,7 +33,7 @@
 	Index       int // of the attempt in its request, from 0
 	Outcome     balance.Outcome
 	Latency     float64 // s
-	RequestOver bool    // the request is over with this attempt, or was before
+	RequestOver bool    // the request ended with this attempt or before it
 }
 
 // EndpointUpdate holds the arguments of EndpointsUpdated.
@@ -58,8 +58,8 @@
 
 // LocalDelay holds the arguments of SetLocalDelay.
 type LocalDelay struct {
-	Stretch float64 // factor by which attempts take longer at the proxy than at their servers
-	Delay   float64 // s, added time that an attempt rarely exceeds
+	Stretch float64 // duration of an attempt at the proxy, as a multiple of its duration at the server
+	Delay   float64 // s, how much longer an attempt takes at the proxy, at most in nearly all cases
 }
 
 // IDOf returns the hash under which a request's id is recorded.
--- a/internal/capture/callcodec.go
+++ b/internal/capture/callcodec.go
@@ -10,7 +10,7 @@
 	kindBits = 4
 	kindMask = 1<<kindBits - 1
 
-	// An outcome and AttemptEvent.RequestOver are coded in one number.
+	// An outcome and AttemptEvent.RequestOver are encoded as one number.
 	outcomeMask     = 15
 	requestOverFlag = 16
 )
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// call codes a call. With a table of functions instead of the switch, every recorded call would be allocated on the
-// heap.
+// call encodes or decodes a call. With a table of functions instead of the switch, every recorded call would be
+// allocated on the heap.
 func (c *coder) call(call *Call) {
 	c.head(call)
 	if c.corrupt {
@@ -70,7 +70,7 @@
 	}
 }
 
-// head codes the fields that calls of all kinds have.
+// head encodes or decodes the fields that calls of all kinds have.
 func (c *coder) head(call *Call) {
 	kindAndPool := uint64(call.Kind) | uint64(call.Pool)<<kindBits
 	c.uint(&kindAndPool)
--- a/internal/capture/coder.go
+++ b/internal/capture/coder.go
@@ -6,16 +6,16 @@
 	"math/bits"
 )
 
-// coder encodes calls or, if decoding, decodes them. To code a value means either: each method takes a pointer and
-// serves both directions, so that they cannot diverge. A time is coded as the difference between its bits and the bits
-// of the previous call's time, which is small for close times. Other floats are coded with their bytes reversed, so
-// that round numbers take few bytes.
+// coder encodes calls or, if decoding is set, decodes them. Each method takes a pointer and serves both directions, so
+// that they cannot diverge. A time is encoded as the difference between its IEEE 754 bit pattern and that of the
+// previous call's time, which is small for close times. Other floats are encoded with their bytes reversed, so that
+// round numbers take few bytes.
 type coder struct {
 	decoding bool
 	out      []byte
 	in       []byte
-	lastTime uint64 // bits of the previous call's time
-	corrupt  bool   // the input is not a complete call
+	lastTime uint64 // bit pattern of the previous call's time, see math.Float64bits
+	corrupt  bool   // the input is truncated or malformed
 }
 
 func (c *coder) uint(n *uint64) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// callTime codes the time of a call. Later times are coded relative to it, until the next call.
+// callTime encodes or decodes the time of a call. Later times are encoded relative to it, until the next call.
 func (c *coder) callTime(t *float64) {
 	c.time(t)
 	c.lastTime = math.Float64bits(*t)
@@ -105,8 +105,8 @@
 	*f = math.Float64frombits(bits.ReverseBytes64(n))
 }
 
-// length codes the length of a list. Every element takes at least one byte, so a decoded length that exceeds the
-// remaining input is corrupt. The check limits the memory that is allocated for a list.
+// length encodes or decodes the length of a list. Every element takes at least one byte, so a decoded length that
+// exceeds the remaining input is corrupt. The check limits the memory that is allocated for a list.
 func (c *coder) length(n int) int {
 	coded := uint64(n)
 	c.uint(&coded)
@@ -117,7 +117,7 @@
 	return int(coded)
 }
 
-// codeList codes a list. An empty list is decoded as nil.
+// codeList encodes or decodes a list. An empty list is decoded as nil.
 func codeList[T any](c *coder, list *[]T, element func(*T)) {
 	length := c.length(len(*list))
 	if c.decoding {
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	maxReplays = 2000 // for shortening one excerpt
-	minGroups  = 8    // number of groups of calls, from the end, that are tried first
-	notMatched = -1   // the event does not occur
+	maxReplays = 2000 // limit of replays to shorten one excerpt
+	minGroups  = 8    // number of the last groups of calls that keepLastGroups tries first
+	notMatched = -1   // returned in place of an index if the event does not occur
 )
 
 // ErrNoMatch is the error of Shorten for a capture in which the event does not occur.
@@ -23,16 +23,16 @@
 // Excerpt is a short sequence of a pool's calls in which an event occurs, as Shorten found it.
 type Excerpt struct {
 	Deployment balance.Deployment
-	CreatedAt  float64 // s, when the pool was created
+	CreatedAt  float64 // s, of the balancer's clock: when the pool was created
 	Pool       string
 	Calls      []Call
 	Replays    int // number of replays that Shorten made
 }
 
-// Shorten shortens the calls of a pool: it drops the calls after the one with which the event occurs, then leaves out
-// requests and other calls as long as the event still occurs (delta debugging). With calls left out, an attempt may no
-// longer be sent; remaining calls on that attempt have no effect. Shorten returns ErrNoMatch if the event does not
-// occur in the capture.
+// Shorten shortens the calls on a pool: it drops the calls after the one with which the Matcher's event occurs, then
+// removes requests and other calls as long as the event still occurs (delta debugging). Without the removed calls, an
+// attempt may no longer be sent; remaining calls on that attempt have no effect. Shorten returns ErrNoMatch if the
+// event does not occur in the capture.
 func Shorten(files []string, open OpenFunc, pool string, newMatcher func() Matcher) (*Excerpt, error) {
 	c := &collector{pool: pool}
 	if err := readFiles(files, open, c); err != nil {
@@ -61,11 +61,12 @@
 type collector struct {
 	Player
 	pool     string
-	creation *creation // nil: not seen yet
+	creation *creation // parameters of the pool; nil: not read yet
 	calls    []Call
 }
 
-// State derives the pool's creation from its state, which must be that of a pool without requests so far.
+// State takes the parameters with which the pool was created from its first stored state. A state that was stored after
+// the pool's first request is an error, since an excerpt begins with the creation of the pool.
 func (c *collector) State(data []byte) error {
 	if err := c.Player.State(data); err != nil {
 		return err
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// Created stores the pool's creation.
+// Created stores the parameters with which the pool was created.
 func (c *collector) Created(data []byte) error {
 	var created creation
 	if err := json.Unmarshal(data, &created); err != nil {
@@ -110,7 +111,7 @@
 	})
 }
 
-// newPool returns the pool in the state in which it was created.
+// newPool creates the pool anew, as it was before its first call.
 func (e *Excerpt) newPool() (*Pool, error) {
 	c := creation{Name: e.Pool, At: e.CreatedAt, Deployment: e.Deployment}
 	return c.create()
@@ -154,8 +155,8 @@
 	return calls
 }
 
-// Write writes the excerpt as a capture file, with digests from a replay of the excerpt. The program is the version of
-// the running program, for the file's head.
+// Write writes the excerpt as a capture file, with digests from a replay of the excerpt. The argument program is the
+// version of the running program, which the file's head contains.
 func (e *Excerpt) Write(w io.Writer, program string) error {
 	calls, err := e.encodeCalls()
 	if err != nil {
@@ -186,7 +187,8 @@
 	return err
 }
 
-// encodeCalls replays the calls and encodes all except those on unknown requests, which have no effect.
+// encodeCalls replays the calls and encodes them, except for calls on requests whose arrival is not in the excerpt:
+// these have no effect.
 func (e *Excerpt) encodeCalls() ([]byte, error) {
 	pool, err := e.newPool()
 	if err != nil {
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Files returns the paths of the captures in a folder, the oldest first, or the path itself if it is that of a file.
+// Files returns the paths of the capture files in a folder, the oldest first. If path is a file, it is the only path
+// returned.
 func Files(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -12,23 +12,23 @@
 	"lockloom/internal/graphcodec"
 )
 
-// formOfF83df88 is the number of the layout of state blocks in build f83df88. If the layout changes, earlier captures
-// can no longer be replayed from their state blocks: change the number only together with a way to read those captures,
-// or accept that they are lost.
-const formOfF83df88 = 5870707023309409998
+// layoutNumberOfF83df88 is the number that identifies the layout of the state blocks of build f83df88. If the layout
+// changes, earlier captures can no longer be replayed from their state blocks: change the number only together with a
+// way to read those captures, or accept that they are lost.
+const layoutNumberOfF83df88 = 5870707023309409998
 
 // fixtureReader replays a capture and collects the contents of the file.
 type fixtureReader struct {
 	Player
-	form        uint64              // layout number in the file's head
-	inFlight    []int               // number of requests in flight, by state block
-	results     []int               // sum of the results of all servers, by state block
-	creations   [][]byte            // JSON of the creation blocks, as it is in the file
-	callsByKind [len(kindNames)]int // number of replayed calls, by kind
+	layoutNumber uint64              // from the file's head
+	inFlight     []int               // number of requests in flight, by state block
+	results      []int               // sum of ServerSnapshot.Results over all servers, by state block
+	creations    [][]byte            // JSON of the creation blocks, as it is in the file
+	callsByKind  [len(kindNames)]int // number of replayed calls, by kind
 }
 
 func (r *fixtureReader) Head(head Head) error {
-	r.form = head.Module
+	r.layoutNumber = head.Module
 	return r.Player.Head(head)
 }
 
@@ -82,14 +82,14 @@
 // Captures that build f83df88 recorded are replayed with the same actions for each call. See testdata/f83df88/README.md
 // for how the files were made.
 func TestCapturesOfF83df88(t *testing.T) {
-	form, err := stateForm()
+	layoutNumber, err := stateLayoutNumber()
 	require.NoError(t, err)
-	assert.Equal(t, uint64(formOfF83df88), form, "the layout of the state blocks has changed")
+	assert.Equal(t, uint64(layoutNumberOfF83df88), layoutNumber, "the layout of the state blocks has changed")
 	for _, c := range []struct {
 		file              string
 		inFlight, results []int
 		calls             uint64
-		kinds             int // number of kinds of calls
+		kinds             int // expected number of different kinds among the replayed calls
 	}{
 		{"rehearsal", []int{3}, []int{1313}, 7984, 5},
 		{"calls", []int{275, 298}, []int{133, 151}, 1161, 16},
@@ -102,7 +102,7 @@
 		assert.Equal(t, c.results, r.results, c.file)
 		assert.Equal(t, c.kinds, r.countKinds(), "%s: kinds of calls", c.file)
 		if c.inFlight != nil {
-			assert.Equal(t, form, r.form, c.file)
+			assert.Equal(t, layoutNumber, r.layoutNumber, c.file)
 			continue
 		}
 		require.Len(t, r.creations, 1)
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -11,10 +11,10 @@
 const (
 	magic           = "LOOMCAP1"
 	formatVersion   = 1
-	maxBlockBytes   = 64 << 20 // of a block's body, compressed or not
+	maxBlockBytes   = 64 << 20 // limit of the size of a block's body, both compressed and decompressed
 	blockHeadBytes  = 9        // length, checksum and kind
-	checksumOffset  = 4        // of the checksum, in a block's head
-	blockKindOffset = 8        // of the kind, in a block's head
+	checksumOffset  = 4        // position of the checksum in a block's head
+	blockKindOffset = 8        // position of the kind in a block's head
 	fileSuffix      = ".loomcap"
 )
 
@@ -23,7 +23,7 @@
 	blockHead     = iota + 1 // JSON: Head
 	blockState               // a pool's state, compressed
 	blockCalls               // calls, compressed
-	blockGap                 // number of calls that are missing before the next block
+	blockGap                 // minimum number of calls that are missing before the next block
 	blockCreation            // JSON: creation, in place of a state; readable by any program of the same format
 )
 
--- a/internal/capture/handler.go
+++ b/internal/capture/handler.go
@@ -13,7 +13,7 @@
 	Failed  bool   `json:"failed"`  // writing failed, and the capture has ended
 	Calls   uint64 `json:"calls"`   // calls recorded
 	Gaps    uint64 `json:"gaps"`    // places at which calls are missing
-	Bytes   int64  `json:"bytes"`   // bytes written, to files or to memory
+	Bytes   int64  `json:"bytes"`   // bytes written, to files or to memory, after compression
 	Written int    `json:"written"` // segments that this request wrote to files
 }
 
--- a/internal/capture/history.go
+++ b/internal/capture/history.go
@@ -12,7 +12,7 @@
 // RequestHistory prints what happened to one request during a replay: set Player.After to its Observe.
 type RequestHistory struct {
 	Out    io.Writer
-	Pool   string // empty: any
+	Pool   string // empty: any pool
 	Number uint64 // of the request in its pool; 0: the request is found by ID
 	ID     uint32 // hash of its id, see IDOf
 	Found  bool   // set by Observe when the request arrives
@@ -20,11 +20,11 @@
 	pool      int
 	request   *balance.Request
 	arrivedAt float64
-	servers   []string // that the attempts were sent to, by attempt
+	servers   []string // server of each attempt, by its index
 	done      bool
 }
 
-// Observe prints what a call did for the request. It is called after each call.
+// Observe prints a call and its actions if they concern the request. It is called after each call of a replay.
 func (h *RequestHistory) Observe(p *Pool, call *Call, actions *balance.Actions) {
 	if h.done {
 		return
--- a/internal/capture/matcher.go
+++ b/internal/capture/matcher.go
@@ -22,7 +22,7 @@
 
 // Matcher detects an event in a replay. It must observe all calls from the first one on.
 type Matcher interface {
-	// Observe is called after each call.
+	// Observe is called after each call of a replay.
 	Observe(p *Pool, call *Call, actions *balance.Actions)
 	// Matched reports whether the event has occurred.
 	Matched() bool
--- a/internal/capture/options.go
+++ b/internal/capture/options.go
@@ -21,9 +21,9 @@
 	Proxy   string // name of the proxy, with which file names begin
 	Program string // version of the program
 
-	MaxTotalBytes   int64         // of all files of this proxy in Dir; the oldest are removed. 0: 256 MiB
-	MaxSegmentBytes int64         // of calls in a segment, before compression. 0: 8 MiB
-	MaxSegmentAge   time.Duration // 0: a minute
+	MaxTotalBytes   int64         // total size of this proxy's files in Dir: the oldest are removed. 0: 256 MiB
+	MaxSegmentBytes int64         // size of the calls in a segment, before compression. 0: 8 MiB
+	MaxSegmentAge   time.Duration // duration of a segment, by the balancers' clock. 0: a minute
 
 	// RingBytes is the size of the ring in memory that keeps the newest segments until Dump or Trigger writes them to
 	// files. 0: there is no ring, and all segments are written to files at once.
@@ -44,7 +44,7 @@
 	o.MaxTotalBytes = cmp.Or(o.MaxTotalBytes, defaultTotalBytes)
 	o.MaxSegmentBytes = cmp.Or(o.MaxSegmentBytes, defaultSegmentBytes)
 	o.MaxSegmentAge = cmp.Or(o.MaxSegmentAge, defaultSegmentAge)
-	form, err := stateForm()
+	layoutNumber, err := stateLayoutNumber()
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 	}
-	w := newWriter(o, form)
+	w := newWriter(o, layoutNumber)
 	go w.run()
 	return &Recorder{
 		writer:        w,
--- a/internal/capture/pool.go
+++ b/internal/capture/pool.go
@@ -12,11 +12,11 @@
 	Number      int
 	Name        string
 	Balancer    *balance.Balancer
-	InFlight    map[uint64]*balance.Request // by number
+	InFlight    map[uint64]*balance.Request // by number of the request
 	LastRequest *balance.Request            // request that the last call was on; nil: it was on the Balancer
 }
 
-// apply makes a recorded call. It returns false for a call on an unknown request, which is not made.
+// apply makes a recorded call on the pool. A call on a request that is not in InFlight is not made, and known is false.
 func (p *Pool) apply(call *Call) (actions *balance.Actions, known bool) {
 	p.LastRequest = nil
 	switch {
--- a/internal/capture/read.go
+++ b/internal/capture/read.go
@@ -17,9 +17,9 @@
 // Visitor receives the blocks of a file, in order. Read stops at the first error that a method returns.
 type Visitor interface {
 	Head(head Head) error
-	State(data []byte) error   // encoded state of a pool
-	Created(data []byte) error // JSON of the parameters with which a pool was created
-	Calls(data []byte) error   // encoded calls
+	State(data []byte) error   // receives the encoded state of one pool
+	Created(data []byte) error // receives the JSON of the parameters with which a pool was created
+	Calls(data []byte) error   // receives encoded calls
 	// Gap receives the minimum number of calls that are missing before the next block.
 	Gap(missed uint64) error
 	// Broken receives the offset in the file of a block that cannot be read and is skipped, and the reason.
@@ -29,7 +29,7 @@
 // blockReader reads a file block by block.
 type blockReader struct {
 	in     io.Reader
-	offset int64 // of the next block
+	offset int64 // position of the next block in the file
 	head   [blockHeadBytes]byte
 	body   []byte
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -10,43 +10,43 @@
 
 // Limits at which the buffered calls are passed to the writer.
 const (
-	maxChunkBytes = 32 << 10 // of encoded calls
+	maxChunkBytes = 32 << 10 // size of the encoded calls in the buffer
 	maxChunkAge   = 0.25     // s, since the first call in the buffer
 )
 
-// Recorder records the calls on the Balancers of one owner goroutine, which makes all calls. The methods On, Set,
+// Recorder records the calls on the Balancers of one owner goroutine, which makes all these calls. The methods On, Set,
 // Trigger, Dump, Bytes and Handler, and the counters, may be used by any goroutine.
 //
-// If the writer cannot keep up, calls are dropped. A new segment, with the state of all pools, begins once at most half
-// of the writer's queue is in use.
+// If the writer's queue is full, calls are dropped until at most half of the queue is in use. Then a new segment
+// begins, with the state of all pools.
 type Recorder struct {
-	Calls, Gaps atomic.Uint64 // number of calls recorded, and of gaps between them
+	Calls, Gaps atomic.Uint64 // number of calls recorded, and of gaps, in each of which calls were dropped
 
 	writer        *writer
 	waitForWriter bool // wait for the writer instead of leaving a gap
 	segmentLimits segmentLimits
 	rejections    rejectionTrigger
 
-	pools     []*Balancer // by number; nil: the pool was dropped
-	recording bool        // a segment has begun
+	pools     []*Balancer // by number; nil: the pool was removed by Balancer.Dropped
+	recording bool        // a segment is being recorded
 	segment   segment
 	buffer    callBuffer
-	missed    uint64 // number of calls made since the last that was passed to the writer
+	missed    uint64 // number of calls made since a chunk was last passed to the writer
 }
 
 // segmentLimits are the limits at which a segment ends.
 type segmentLimits struct {
-	bytes int64   // of encoded calls
+	bytes int64   // total size of the encoded calls in the segment, before compression
 	age   float64 // s
 }
 
 // segment holds the start and the size of the segment that is being recorded.
 type segment struct {
 	beganAt float64 // s, of the balancers' clock
-	bytes   int64   // of encoded calls
+	bytes   int64   // total size of the encoded calls in the segment so far, before compression
 }
 
-// callBuffer holds the encoded calls that were not passed to the writer yet.
+// callBuffer holds the encoded calls that have not been passed to the writer yet.
 type callBuffer struct {
 	coder   coder
 	beganAt float64 // s, time of the first call in the buffer
@@ -56,7 +56,7 @@
 
 func (b *callBuffer) clear() { b.coder.out = b.coder.out[:0] }
 
-// add encodes a call and returns the number of bytes that it takes.
+// add appends an encoded call to the buffer and returns the size of the encoding in bytes.
 func (b *callBuffer) add(call *Call) int {
 	if b.empty() {
 		b.beganAt = call.Now
@@ -78,10 +78,10 @@
 // On reports whether the capture is on.
 func (r *Recorder) On() bool { return r.writer.enabled.Load() }
 
-// Bytes returns the number of bytes that were written, to files or to memory.
+// Bytes returns the number of bytes written so far, to files or to memory, after compression.
 func (r *Recorder) Bytes() int64 { return r.writer.writtenBytes.Load() }
 
-// Trigger requests that the writer writes the segments in memory to files, and returns without waiting for it. The
+// Trigger asks the writer to write the segments in memory to files, and returns without waiting for it. The
 // writer does so at most every 10 s and ignores triggers in between. The reason is logged.
 func (r *Recorder) Trigger(reason string) {
 	select {
@@ -122,8 +122,9 @@
 	return recorded
 }
 
-// prepare is called before each call, so that a segment begins with the state before its first call. It ends a full
-// segment and begins the next.
+// prepare is called before each call is made, so that a segment begins with the state before its first call. It ends
+// the segment if it is full or the capture is off, and begins a new one if the capture is on and none is being
+// recorded.
 func (r *Recorder) prepare(now float64) {
 	if !r.writer.enabled.Load() {
 		r.endSegment()
--- a/internal/capture/rejections.go
+++ b/internal/capture/rejections.go
@@ -7,7 +7,7 @@
 	minWindowRequests       = 50  // the share of rejections among fewer requests is too noisy
 )
 
-// rejectionTrigger detects that more than a share of the requests within a second were rejected.
+// rejectionTrigger detects that the share of rejected requests within a second exceeds a maximum.
 type rejectionTrigger struct {
 	maxShare float64 // 0: detection is off
 
@@ -15,7 +15,7 @@
 	requests, rejected int     // in the window
 }
 
-// observe counts a call, and reports whether a window with too many rejections ends with it.
+// observe counts a call. It returns true if the call ends a window in which the share of rejections exceeded maxShare.
 func (t *rejectionTrigger) observe(call *Call, actions *balance.Actions) bool {
 	if t.maxShare == 0 {
 		return false
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -15,8 +15,8 @@
 	// Before and After are called before and after each call, with the call's pool. Either can be nil.
 	Before func(p *Pool, call *Call)
 	After  func(p *Pool, call *Call, actions *balance.Actions)
-	// Loose makes a replay go on after actions that differ from the recorded ones, as is expected after a change of the
-	// decisions. Otherwise a difference is an error.
+	// Loose makes a replay go on after actions that differ from the recorded ones, as is expected after a change to
+	// the balancer's decisions. Otherwise a difference is an error.
 	Loose bool
 	// Warn receives messages about parts of a file that cannot be replayed. It can be nil.
 	Warn func(text string)
@@ -24,18 +24,20 @@
 	Pools       map[int]*Pool // by number
 	FileHead    Head          // head of the last file
 	FirstCallAt float64       // s, of the balancers' clock
-	LastCallAt  float64
+	LastCallAt  float64       // s, of the balancers' clock
 	ReplayCounts
 
-	complete      bool // no calls are missing since the last state
-	unreadable    bool // the file's state blocks have another layout than those of this build
+	complete      bool // no calls are missing since the last state block
+	unreadable    bool // the state blocks of the file have another layout than those of this build
 	filesReplayed int
 }
 
-// ReplayCounts are the counters of a Player.
+// ReplayCounts count the calls that a Player replayed and skipped.
 type ReplayCounts struct {
-	Played    uint64 // calls replayed
-	Skipped   uint64 // calls without an intact state before them, calls on unknown requests, states without a head
+	Played uint64 // calls replayed
+	// Skipped counts the calls after a damaged block up to the next state, calls on pools and requests that the replay
+	// does not have, and state blocks before the first file head that can be read.
+	Skipped   uint64
 	Different uint64 // calls whose actions differed from the recorded ones
 	Requests  uint64 // requests that arrived
 }
@@ -43,15 +45,15 @@
 // differenceError is the error for actions that differ from the recorded ones.
 type differenceError struct {
 	call    *Call
-	digest  uint16 // of the actions in replay
+	digest  uint16 // of the actions in the replay
 	number  uint64 // of the call, from 1
 	pool    string
-	actions string // summary of the actions in replay
+	actions string // summary of the actions in the replay
 }
 
 func (e *differenceError) Error() string {
 	return fmt.Sprintf(
-		"call %d, %s at %.6f on pool %q: actions differ: recorded digest %04x, replayed digest %04x: %s",
+		"call %d, %s at %.6f s on pool %q: the actions differ: recorded digest %04x, replayed digest %04x of actions: %s",
 		e.number, e.call.Kind, e.call.Now, e.pool, e.call.Digest, e.digest, e.actions)
 }
 
@@ -67,14 +69,14 @@
 	return nil
 }
 
-// Head begins the replay of a file, without the pools of the file before.
+// Head begins the replay of a file and discards the pools of the previous file.
 func (p *Player) Head(head Head) error {
-	form, err := stateForm()
+	layoutNumber, err := stateLayoutNumber()
 	if err != nil {
 		return err
 	}
 	p.FileHead = head
-	p.unreadable = head.Module != form
+	p.unreadable = head.Module != layoutNumber
 	p.complete = false
 	p.Pools = map[int]*Pool{}
 	p.filesReplayed++
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// Created creates a pool, unless the file's head could not be read.
+// Created creates a pool from the parameters in a block. It creates none if no file head could be read so far.
 func (p *Player) Created(data []byte) error {
 	var c creation
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// Gap warns that calls are missing. A state follows the gap.
+// Gap warns that calls are missing. The states of all pools follow the gap.
 func (p *Player) Gap(missed uint64) error {
 	p.warn(fmt.Sprintf("at least %d calls are missing before part %d, which begins with the state of all pools",
 		missed, p.FileHead.Part))
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// compare compares the digest of the actions in replay with the recorded one.
+// compare compares the digest of the replayed actions with the recorded digest.
 func (p *Player) compare(pool *Pool, call *Call, actions *balance.Actions) error {
 	replayed := Digest(actions)
 	if replayed == call.Digest {
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -56,8 +56,8 @@
 	return p, warnings, err
 }
 
-// A file that is truncated anywhere, as by a crash, is replayed to its last complete block. A flipped bit is reported,
-// and the calls that cannot be replayed because of it are skipped.
+// A file that is truncated at any byte, as by a crash, is replayed to its last complete block. A flipped bit is
+// reported, and the calls that cannot be replayed because of it are skipped.
 func TestDamagedFileIsReplayedAsFarAsItIsIntact(t *testing.T) {
 	recorder, _, dir := record(t, 800, Options{WaitForWriter: true})
 	require.NoError(t, recorder.Close())
@@ -100,8 +100,8 @@
 	require.NoError(t, err)
 	err = (&Player{}).Play(files, openFile)
 	require.Error(t, err)
-	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ on pool "a": actions differ: `+
-		`recorded digest [0-9a-f]{4}, replayed digest [0-9a-f]{4}: `, err.Error())
+	assert.Regexp(t, `call \d+, [a-z-]+ at \d+\.\d+ s on pool "a": the actions differ: `+
+		`recorded digest [0-9a-f]{4}, replayed digest [0-9a-f]{4} of actions: `, err.Error())
 	p := &Player{Loose: true}
 	require.NoError(t, p.Play(files, openFile))
 	assert.Greater(t, p.Different, uint64(0))
@@ -129,7 +129,7 @@
 	f.Add(appendBlock(head, blockCalls, []byte{1, 2, 3}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if err := Read(bytes.NewReader(data), &Player{Loose: true}); err != nil {
-			t.Log(err) // any input can be an error, but must not panic
+			t.Log(err) // Read may return an error for any input, but must not panic
 		}
 	})
 }
--- a/internal/capture/segments.go
+++ b/internal/capture/segments.go
@@ -12,8 +12,8 @@
 type segmentFiles struct {
 	dir      string   // empty: no files can be written
 	proxy    string   // name of the proxy
-	maxBytes int64    // of all files of the proxy together
-	current  *os.File // of the segment that is being written; nil: none
+	maxBytes int64    // limit of the total size of the proxy's files
+	current  *os.File // file of the segment that is being written; nil: none
 }
 
 func (f *segmentFiles) path(part int) string {
@@ -80,7 +80,7 @@
 type ring struct {
 	maxBytes int64    // 0: there is no ring
 	segments [][]byte // the oldest first; the last is being written
-	size     int64    // bytes of all segments
+	size     int64    // total size of the segments in bytes
 }
 
 func (r *ring) add(blocks []byte, startsSegment bool) {
--- a/internal/capture/shorten.go
+++ b/internal/capture/shorten.go
@@ -2,18 +2,20 @@
 
 import "slices"
 
-// shortener leaves out groups of an excerpt's calls as long as the event still occurs.
+// shortener removes groups of calls from an excerpt as long as the event that a Matcher detects still occurs in a
+// replay of the remaining calls. See groupCalls for what a group is.
 type shortener struct {
 	excerpt    *Excerpt
 	newMatcher func() Matcher
-	groups     [][]int // indices of calls that are left out together or not at all
+	groups     [][]int // groups not removed so far, each a list of indices in excerpt.Calls
 }
 
 func (s *shortener) matches(groups [][]int) bool {
 	return s.excerpt.firstMatch(s.excerpt.pick(groups), s.newMatcher()) != notMatched
 }
 
-// cutAfterMatch drops the calls after the event. It returns false if the event does not occur.
+// cutAfterMatch drops the calls after the one with which the event occurs. It returns false if the event does not
+// occur.
 func (s *shortener) cutAfterMatch() bool {
 	match := s.excerpt.firstMatch(s.excerpt.Calls, s.newMatcher())
 	if match == notMatched {
@@ -35,7 +37,8 @@
 	}
 }
 
-// dropGroups leaves out groups, many at once at first and then fewer, until no single group can be left out.
+// dropGroups removes groups, many at once at first and then fewer, until no single group can be removed or maxReplays
+// is reached.
 func (s *shortener) dropGroups() {
 	size := (len(s.groups) + 1) / 2
 	for size >= 1 && s.excerpt.Replays < maxReplays {
@@ -50,7 +53,8 @@
 	}
 }
 
-// dropRuns leaves out each run of size groups without which the event still occurs. It reports whether it left out any.
+// dropRuns tries to remove size consecutive groups at a time, from the first group to the last, and removes those
+// without which the event still occurs. It reports whether it removed any.
 func (s *shortener) dropRuns(size int) (dropped bool) {
 	for at := 0; at < len(s.groups) && s.excerpt.Replays < maxReplays; {
 		end := min(at+size, len(s.groups))
@@ -64,8 +68,8 @@
 	return dropped
 }
 
-// groupCalls returns the indices of calls in groups: the calls on one request form a group, each other call forms its
-// own. The first endpoint list is in no group, since it is never left out.
+// groupCalls returns the indices of calls in groups: all calls on one request form a group, and each other call forms a
+// group of its own. The first endpoint list is in no group, since it is never removed.
 func groupCalls(calls []Call) (groups [][]int) {
 	groupOf := map[uint64]int{} // index in groups, by number of the request
 	for i := range calls {
--- a/internal/capture/state.go
+++ b/internal/capture/state.go
@@ -8,16 +8,17 @@
 	"lockloom/internal/graphcodec"
 )
 
-// The head of a file identifies the layout of its state blocks by a number. Earlier builds computed that number from
-// the names of Go types, so it is kept here together with the hash of the layout that it stands for: names may change,
-// but another layout needs another number.
+// The head of a file identifies the layout of its state blocks by a number. For the current layout, publishedForm is
+// that number, and publishedLayout is the hash that graphcodec.Layout computes. The two differ because earlier builds
+// computed the number from the names of Go types. The names may change, but another layout needs another number.
 const (
 	publishedForm   = 5870707023309409998
 	publishedLayout = 17531531265592532747
 )
 
-// stateForm returns the number of the layout of state blocks that this build writes. It reads no other layout.
-func stateForm() (uint64, error) {
+// stateLayoutNumber returns the number that identifies the layout of the state blocks of this build, which reads state
+// blocks of no other layout.
+func stateLayoutNumber() (uint64, error) {
 	layout, err := graphcodec.Layout[state]()
 	if err == nil && layout == publishedLayout {
 		return publishedForm, nil
@@ -32,7 +33,7 @@
 	Name        string
 	Balancer    *balance.Checkpoint
 	Requests    map[uint64]*balance.RequestCheckpoint // in flight, by number
-	LastRequest uint64                                // number of the last request
+	LastRequest uint64                                // number of the request that arrived last; 0: none
 }
 
 // restore returns a pool in the stored state.
--- a/internal/capture/timeline.go
+++ b/internal/capture/timeline.go
@@ -2,7 +2,8 @@
 
 import "lockloom/balance"
 
-// Sample is the status of one server at one time, and the attempts that ended there since the sample before.
+// Sample is the status of one server at one time, and the number of attempts that ended there since its previous
+// sample.
 type Sample struct {
 	Pool string
 	At   float64 // s since the first call
@@ -10,8 +11,8 @@
 	AttemptCounts
 }
 
-// AttemptCounts count the attempts that ended at a server since the sample before, except for those that were canceled
-// or never sent.
+// AttemptCounts count the attempts that ended at a server since its previous sample, except for those that were
+// canceled or never sent.
 type AttemptCounts struct {
 	Succeeded int
 	Failed    int
@@ -38,7 +39,7 @@
 
 	beganAt  float64
 	pools    map[string]*poolTimeline
-	attempts map[*balance.Request][]int // servers that a request in flight was sent to, by attempt
+	attempts map[*balance.Request][]int // server of each attempt, by its index, for requests in flight
 }
 
 // poolTimeline holds the counts of one pool since its last samples.
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -18,13 +18,13 @@
 	minDumpInterval = 10 * time.Second
 )
 
-// chunk holds blocks of one kind that the recorder passes to the writer: the states that a segment begins with, or a
-// block of calls.
+// chunk holds blocks of one kind that the recorder passes to the writer: the states of all pools, with which a segment
+// begins, or a block of calls.
 type chunk struct {
 	kind          uint8
 	startsSegment bool
-	bodies        [][]byte // of the blocks, not compressed yet
-	missed        uint64   // number of calls missing before the chunk
+	bodies        [][]byte // body of each block, not compressed yet
+	missed        uint64   // number of calls missing before the segment that the chunk starts
 }
 
 // writer compresses chunks and writes them to files, or keeps the newest segments in memory. It runs in a goroutine of
@@ -38,22 +38,22 @@
 	failed       atomic.Bool
 	writtenBytes atomic.Int64
 
-	head Head // without the fields that differ by file
+	head Head // template for the heads of files: the fields that differ between files are not set
 	log  logrus.FieldLogger
 
 	mu         sync.Mutex // guards the fields below
-	part       int        // number of the last segment
+	part       int        // number of the newest segment and of its file, from 1; 0: none yet
 	compressor *compressor
 	files      segmentFiles
 	ring       ring
 }
 
-func newWriter(o Options, form uint64) *writer {
+func newWriter(o Options, layoutNumber uint64) *writer {
 	w := &writer{
 		chunks:     make(chan chunk, maxQueuedChunks),
 		triggers:   make(chan string, 1),
 		done:       make(chan struct{}),
-		head:       Head{Format: formatVersion, Program: o.Program, Module: form, Proxy: o.Proxy},
+		head:       Head{Format: formatVersion, Program: o.Program, Module: layoutNumber, Proxy: o.Proxy},
 		log:        o.Log,
 		compressor: newCompressor(),
 		files:      segmentFiles{dir: o.Dir, proxy: o.Proxy, maxBytes: o.MaxTotalBytes},
@@ -116,7 +116,8 @@
 	return w.files.write(out)
 }
 
-// encode returns a chunk's blocks. A chunk that starts a segment begins the next part.
+// encode returns a chunk's encoded blocks. For a chunk that starts a segment, it increments part, and the blocks begin
+// with the head of the file.
 func (w *writer) encode(c chunk) ([]byte, error) {
 	var out []byte
 	if c.startsSegment {
--- a/internal/graphcodec/codec_test.go
+++ b/internal/graphcodec/codec_test.go
@@ -81,7 +81,7 @@
 	assert.NotEqual(t, innerLayout, outerLayout)
 }
 
-// readCorrupt decodes corrupt input, which must return an error or some value and not panic.
+// readCorrupt decodes corrupt input, which must return an error or an arbitrary value, and must not panic.
 func readCorrupt(t *testing.T, data []byte) {
 	t.Helper()
 	if value, err := Read[graph](data); err != nil {
@@ -90,7 +90,7 @@
 }
 
 // Guards against panics of the decoder on corrupt captures: truncated input is an error, and input with a changed byte
-// is an error or decodes to some value.
+// is an error or decodes to an arbitrary value.
 func TestCorruptInput(t *testing.T) {
 	data, err := Write(newGraph())
 	require.NoError(t, err)
--- a/internal/graphcodec/doc.go
+++ b/internal/graphcodec/doc.go
@@ -12,14 +12,14 @@
 // addresses: the encoder finds the reachable memory blocks, drops those that lie within another, and encodes each
 // reference as a block and an offset; the decoder allocates the blocks and sets the references.
 //
-// The following holds nevertheless, for any input:
+// Despite the use of unsafe, the following holds for any input:
 //
 //   - Memory is allocated by reflect.MakeSlice with its true type, so the garbage collector knows its pointers. Blocks
 //     keep an unsafe.Pointer; an address as a number is only compared, and never turned into a pointer.
 //   - A decoded pointer is nil or points to a value of exactly its element type, within one block. A decoded slice lies
 //     within one block, too, and its first element has its element type. The types of the other elements are not
 //     checked: corrupt input can decode to a slice that begins at a field and covers the fields after it. Captures have
-//     checksums against that.
+//     checksums that detect such input.
 //   - Numbers that are out of range for their field are an error. The length of strings, slices and maps is limited by
 //     the input or the blocks, and the total size of the blocks by the constants of the decoder.
 //   - Types that contain functions, channels, interfaces, complex numbers, unsafe pointers, or maps other than from
--- a/internal/graphcodec/read.go
+++ b/internal/graphcodec/read.go
@@ -11,7 +11,7 @@
 // Limits on what is decoded, so that corrupt input cannot take all memory.
 const (
 	maxBlocks = 1 << 22
-	maxBytes  = 1 << 30 // size of all blocks together; also the maximum length of a block or a slice, in elements
+	maxBytes  = 1 << 30 // total size of all blocks; also the maximum number of elements of a block or a slice
 
 	// A block has at most maxCountPerByte elements for each byte of input, and minCountLimit more.
 	maxCountPerByte = 8
@@ -29,7 +29,7 @@
 	in     []byte
 }
 
-// Read decodes a value that Write encoded. For corrupt input it returns an error or some value of type T.
+// Read decodes a value that Write encoded. For corrupt input it returns an error or an arbitrary value.
 func Read[T any](data []byte) (value *T, err error) {
 	root := reflect.TypeFor[T]()
 	table, err := newTypeTable(root)
--- a/internal/graphcodec/types.go
+++ b/internal/graphcodec/types.go
@@ -12,7 +12,7 @@
 // block is a region of memory that holds consecutive values of one type: the value that a pointer refers to, or the
 // elements of a slice.
 type block struct {
-	address  uintptr // base as a number, to compare; 0 in the decoder
+	address  uintptr // base as a number, for comparisons; the decoder leaves it 0
 	elemType reflect.Type
 	count    int
 	base     unsafe.Pointer
--- a/internal/graphcodec/write.go
+++ b/internal/graphcodec/write.go
@@ -116,7 +116,7 @@
 			continue
 		}
 		if last := &outer[len(outer)-1]; next.end() > last.end() {
-			return fmt.Errorf("block of %s overlaps a block of %s in part", next.elemType, last.elemType)
+			return fmt.Errorf("block of %s partly overlaps a block of %s", next.elemType, last.elemType)
 		}
 	}
 	e.blocks = outer
@@ -140,8 +140,8 @@
 
 func (e *encoder) uint(n uint64) { e.out = binary.AppendUvarint(e.out, n) }
 
-// reference encodes an address as the number of its block, from 1, and the offset within it in bytes. A nil pointer is
-// encoded as the number 0 instead.
+// reference encodes an address as the number of its block, from 1, and the offset within it in bytes. The address
+// must not be nil: pointer encodes a nil pointer as the number 0, without an offset.
 func (e *encoder) reference(address uintptr) {
 	i, _ := slices.BinarySearchFunc(e.blocks, address, func(b block, address uintptr) int {
 		switch {
