--- a/internal/capture/rejections.go
+++ b/internal/capture/rejections.go
@@ -4,18 +4,18 @@
 
 const (
 	rejectionWindowDuration = 1.0 // s
-	minWindowRequests       = 50  // a share of fewer requests says little
+	minWindowRequests       = 50  // the share of rejections among fewer requests is too noisy
 )
 
-// rejectionTrigger tells when more than a share of a second's requests were rejected.
+// rejectionTrigger detects that the share of rejected requests within a second exceeds a maximum.
 type rejectionTrigger struct {
-	maxShare float64 // 0: it never tells
+	maxShare float64 // 0: detection is off
 
 	windowBeganAt      float64 // s
 	requests, rejected int     // in the window
 }
 
-// observe counts a call, and reports whether a window with too many rejections ends with it.
+// observe counts a call. It returns true if the call ends a window in which the share of rejections exceeded maxShare.
 func (t *rejectionTrigger) observe(call *Call, actions *balance.Actions) bool {
 	if t.maxShare == 0 {
 		return false
