--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -169,7 +169,7 @@
 		{"rehearse no.toml", cli.ExitFailure, "", "no.toml: no such file"},
 		{"rehearse " + bad, cli.ExitFailure, "", "bad.toml:2:1: speed: no such field"},
 		{"rehearse -clock slow " + calm, cli.ExitUsage, "", `-clock: "slow"`},
-		{"rehearse -policy best " + calm, cli.ExitUsage, "", `policy "best": it is one of`},
+		{"rehearse -policy best " + calm, cli.ExitUsage, "", `policy "best": expected one of`},
 		{"rehearse " + calm + " -match", cli.ExitUsage, "", "of the clock sockets"},
 		{"rehearse " + calm + " -json no/such/place", cli.ExitFailure, "value in time", "no/such"},
 		{"rehearse " + calm + " -clock sockets -proxy /no/such/program", cli.ExitFailure, "", "proxy program: "},
--- a/internal/simulation/agenda.go
+++ b/internal/simulation/agenda.go
@@ -1,29 +1,29 @@
 package simulation
 
-// eventKind is the kind of an event of the agenda.
+// eventKind is the kind of a scheduled event.
 type eventKind uint8
 
-// The kinds of events, with the meaning of target and detail.
+// The kinds of events, and what the fields target and detail of an event refer to.
 const (
-	eventIntentDue      eventKind = iota
-	eventConnect                  // target: try
-	eventClientLeaves             // target: try
-	eventRequestTimer             // target: try
-	eventDeciderTimer             // target: proxy; detail: pool; generation: incarnation of the proxy
-	eventAttemptArrives           // at its server; target: attempt
-	eventAttemptEnds              // at its proxy; target: attempt; detail: outcome
-	eventServerDue                // target: member whose state changes by itself
-	eventTimelineEntry            // target: index in the timeline
-	eventProxyNotified            // target: proxy
-	eventProxyStarts              // target: proxy
-	eventSecondEnds
+	eventIntentDue      eventKind = iota // the next intent of the workload is due
+	eventConnect                         // a client connects to a proxy; target: try
+	eventClientLeaves                    // a client stops waiting for a reply; target: try
+	eventRequestTimer                    // the timer of a request fires; target: try
+	eventDeciderTimer                    // a Decider's timer fires; target: proxy; detail: pool; generation: incarnation
+	eventAttemptArrives                  // an attempt arrives at its server; target: attempt
+	eventAttemptEnds                     // a proxy observes the end of an attempt; target: attempt; detail: outcome
+	eventServerDue                       // a server's state changes by itself; target: member
+	eventTimelineEntry                   // an entry of the timeline is due; target: index in the timeline
+	eventProxyNotified                   // a proxy receives changes of the endpoint list; target: proxy
+	eventProxyStarts                     // a proxy starts; target: proxy
+	eventSecondEnds                      // a second of the run ends, and its statistics are recorded
 )
 
-// event is a scheduled event of a run in virtual time. It is dropped if its target has another generation when it is
-// due: the target was freed or restarted meanwhile.
+// event is a scheduled event of a run in virtual time. If its target has another generation when the event is due, the
+// target was freed or restarted in the meantime, and the event is ignored.
 type event struct {
 	at         float64
-	sequence   uint64 // order of insertion, which decides between events of the same time
+	sequence   uint64 // order of insertion; breaks ties between events of the same time
 	generation uint32
 	target     int32
 	detail     int32
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -6,18 +6,20 @@
 	"lockloom/balance"
 )
 
-// Audit checks that proxies keep four rules, by what servers and clients observe and independently of what proxies
-// report. A breach counts against a rule by its number:
+// Audit checks that proxies keep four rules. It uses only what servers and clients observe, not what proxies report.
+// Each breach is counted under the number of its rule:
 //
-//  1. A request is answered once and before its deadline, successfully only by a server. No attempt is sent afterwards.
+//  1. A request is answered exactly once, before its deadline. A successful answer comes from a server. No attempt is
+//     sent after the answer.
 //  2. A request that may have run is sent again, or rejected, only if the idempotency of its class permits it.
-//  3. No attempt is sent to a draining, removed or disabled server past the grace.
-//  4. No server crashes from overload in its slow start.
+//  3. No attempt is sent to a draining, removed or disabled server after the grace has passed.
+//  4. No server crashes from overload during its slow start.
 //
-// A try is one request of a client. Times are in seconds of one clock. An Audit is not safe for concurrent use.
+// A try is one request that a client sends; a retry by the client is a new try. Times are in seconds on a single clock.
+// An Audit is not safe for concurrent use.
 type Audit struct {
-	Slack                float64  // tolerance past each limit, for network delay and the accuracy of the clock
-	Grace                float64  // maximum time from the notification of a drain to the last attempt
+	Slack                float64  // tolerance added to each time limit, for network delay and the accuracy of the clock
+	Grace                float64  // maximum time from a drain's notification or a disable call to the last attempt
 	NotificationDeadline float64  // time from a change of the endpoint list until every proxy counts as notified
 	ClientsOnly          bool     // servers are not observed, so no attempts are recorded
 	RulesBroken          [5]int   // number of breaches by rule; index 0 is unused
@@ -25,12 +27,12 @@
 
 	classes       []balance.Class
 	tries         []auditedTry
-	notReadySince map[int]float64 // by member
-	notifiedAt    map[proxyMember]float64
-	disabledAt    map[proxyMember]float64
+	notReadySince map[int]float64         // when a member was first listed as draining or removed
+	notifiedAt    map[proxyMember]float64 // when a proxy was first notified of that
+	disabledAt    map[proxyMember]float64 // when a member was disabled at a proxy; absent: it is enabled
 }
 
-// proxyMember is a member in the view of a proxy.
+// proxyMember identifies a member as one proxy sees it.
 type proxyMember struct{ proxy, member int }
 
 // auditedTry holds the observations of one try.
@@ -55,8 +57,8 @@
 
 const maxBreachTexts = 20 // further breaches are counted, but not described
 
-// NewAudit returns an Audit of tries of these classes; see the fields of Audit for slack, grace and
-// notificationDeadline.
+// NewAudit returns an Audit of tries whose class is an index into classes. The other parameters set the fields Slack,
+// Grace and NotificationDeadline.
 func NewAudit(classes []balance.Class, slack, grace, notificationDeadline float64) *Audit {
 	return &Audit{
 		Slack:                slack,
@@ -77,15 +79,15 @@
 	}
 }
 
-// RequestSent records a try that a proxy accepted, and returns its number. class is an index into the classes of
-// NewAudit.
+// RequestSent records a try that a proxy accepted, and returns the number of the try. class is an index into the
+// classes that were passed to NewAudit.
 func (a *Audit) RequestSent(class int, deadline float64) int {
 	a.tries = append(a.tries, auditedTry{class: uint16(class), deadline: deadline})
 	return len(a.tries) - 1
 }
 
-// AttemptReceived records that a member has completely received an attempt from a proxy (-1: unknown). group is the
-// deduplication group of the member for the class of the try.
+// AttemptReceived records that a member has completely received an attempt of a try from a proxy, which is -1 if it is
+// unknown. group is the deduplication group of the member for the class of the try.
 func (a *Audit) AttemptReceived(now float64, try, proxy, member, group int) {
 	a.checkDrain(now, proxyMember{proxy, member})
 	if try < 0 || try >= len(a.tries) {
@@ -106,7 +108,8 @@
 	t.attemptsRun++
 }
 
-// checkDrain checks that a proxy may send to a member, which may be draining, removed or disabled.
+// checkDrain checks rule 3 for an attempt from a proxy to a member: if the member is draining, removed or disabled, the
+// grace must not have passed yet.
 func (a *Audit) checkDrain(now float64, key proxyMember) {
 	if since, notReady := a.notReadySince[key.member]; notReady {
 		since += a.NotificationDeadline
@@ -124,7 +127,8 @@
 	}
 }
 
-// checkRepeat checks that a try that may have run may be sent again, to a server of a deduplication group.
+// checkRepeat checks rule 2 for another attempt of a try that may have run already. group is the deduplication group of
+// the server that receives the attempt.
 func (a *Audit) checkRepeat(now float64, try, group int) {
 	t := &a.tries[try]
 	class := &a.classes[t.class]
@@ -147,7 +151,8 @@
 	}
 }
 
-// RequestAnswered records the final answer that the client of a try received; NoReply stands for a successful one.
+// RequestAnswered records the final answer that the client of a try received. NoReply stands for a server's successful
+// answer, since it is not a reply by the proxy itself.
 func (a *Audit) RequestAnswered(now float64, try int, reply balance.Reply) {
 	t := &a.tries[try]
 	class := &a.classes[t.class]
@@ -170,7 +175,7 @@
 	}
 }
 
-// ClientGone records that a try needs no answer any more, because its client has gone or its proxy was killed.
+// ClientGone records that a try no longer needs an answer, because its client has gone or its proxy was killed.
 func (a *Audit) ClientGone(now float64, try int) {
 	t := &a.tries[try]
 	if t.answered {
--- a/internal/simulation/audit_test.go
+++ b/internal/simulation/audit_test.go
@@ -8,7 +8,8 @@
 	"lockloom/balance"
 )
 
-// Each breach counts against its own rule, and a permitted sequence of events that resembles a breach against none.
+// Each breach is counted under its own rule only. A permitted sequence of events that resembles a breach is not
+// counted.
 func TestAudit(t *testing.T) {
 	classes := []balance.Class{
 		{Name: "page"},
@@ -41,7 +42,7 @@
 		},
 		"sent to a disabled server": {page, 3, func(a *Audit, n int) {
 			a.ServerDisabled(-9, 0, 4, true)
-			a.ServerDisabled(1.5, 0, 4, true) // repeated: the time of the first call counts
+			a.ServerDisabled(1.5, 0, 4, true) // repeated call: the server still counts as disabled since -9
 			a.AttemptReceived(1.9, n, 0, 4, 0)
 			a.RequestAnswered(1.9, n, balance.NoReply)
 		}},
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -7,24 +7,24 @@
 	"lockloom/balance"
 )
 
-// baselineReplyMargin is the time before the deadline, in seconds, at which a baseline ends an unanswered request.
+// baselineReplyMargin is how long before the deadline, in seconds, a baseline ends a request that has no answer yet.
 const baselineReplyMargin = 0.01
 
 // never is the time of an event that is not scheduled.
 var never = math.Inf(1)
 
-// baseline is a load balancer in a common configuration: it treats all listed servers alike, sends an attempt at once,
-// and retries if the attempt never ran or the class of the request permits it. It has no limits, pauses or slow start,
-// and keeps rules 1 to 3 of Audit.
+// baseline is a load balancer in a common configuration: it treats all listed servers alike, sends each attempt without
+// queueing it, and retries if the attempt never ran or the class of the request permits a retry. It has no concurrency
+// limits, pauses or slow start, but keeps rules 1 to 3 of Audit.
 type baseline struct {
 	d          balance.Deployment
 	rand       *rand.Rand
-	choose     func(*baseline, []int) int // returns one of the candidates; -1: none
+	choose     func(*baseline, []int) int // returns one of the candidates, or -1 to send to none
 	list       []balance.Endpoint         // by endpoint index
 	inFlight   []int                      // attempts, by endpoint index
 	picks      int                        // number of picks by roundRobin
-	candidates []int                      // reused by next
-	actions    balance.Actions            // returned by the last call
+	candidates []int                      // endpoint indices; the slice is reused by next
+	actions    balance.Actions            // returned by each call, and overwritten by the next
 
 	controller *steeringController // nil: the baseline is not steered
 }
@@ -119,7 +119,7 @@
 	neverRan bool
 }
 
-// next sends the next attempt, or replies if no attempt may be sent any more.
+// next sends the next attempt, or replies if no more attempts may be sent.
 func (r *baselineRequest) next(now float64) {
 	b := r.baseline
 	b.candidates = b.candidates[:0]
@@ -147,7 +147,7 @@
 	r.baseline.actions.Requests = append(r.baseline.actions.Requests, action)
 }
 
-// allowed reports whether an attempt may be sent to an endpoint: there was none to it before, and the request cannot
+// allowed reports whether an attempt may be sent to an endpoint: no earlier attempt went there, and the request cannot
 // take effect twice.
 func (r *baselineRequest) allowed(now float64, endpoint balance.Endpoint) bool {
 	for i := range r.attempts {
@@ -182,7 +182,8 @@
 	return true
 }
 
-// giveUp replies that the request failed or, if the client may retry it, that it was rejected.
+// giveUp ends the request with the reply that it was rejected, which lets the client retry it, or that it failed if a
+// retry is not safe.
 func (r *baselineRequest) giveUp() {
 	reply := balance.Rejected
 	for _, attempt := range r.attempts {
@@ -196,7 +197,7 @@
 	r.cancel()
 }
 
-// clientMayRetry reports whether a client may send a request that may have run again, through any proxy.
+// clientMayRetry reports whether the client may resend the request through any proxy although it may have run.
 func (r *baselineRequest) clientMayRetry() bool {
 	return r.class.Idempotency == balance.Idempotent ||
 		r.class.Idempotency == balance.Keyed && r.class.DedupScope == balance.DedupAll
--- a/internal/simulation/defaults.go
+++ b/internal/simulation/defaults.go
@@ -1,6 +1,6 @@
 package simulation
 
-// setDefault sets a field that has its zero value.
+// setDefault sets a field to value if it has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -148,7 +148,7 @@
 func CheckPolicies(policies []string) error {
 	for _, name := range policies {
 		if !slices.Contains(sortedNames(Policies), name) {
-			return fmt.Errorf("policy %q: it is one of %v", name, sortedNames(Policies))
+			return fmt.Errorf("policy %q: expected one of %v", name, sortedNames(Policies))
 		}
 	}
 	return nil
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -26,6 +26,7 @@
 // Load sends the workload to proxies that already run. Their servers are not observed, so the audit checks only what
 // clients see.
 func (s *Scenario) Load(ctx context.Context, addrs []string, seed uint64) (*Result, error) {
+	// The policy of running proxies is not known, so the result names it "as it runs".
 	recorder := newRecorder(s, seed, "as it runs", wallClock())
 	recorder.setStart(recorder.now() + settleDuration.Seconds())
 	recorder.audit.ClientsOnly = true
--- a/internal/simulation/observer.go
+++ b/internal/simulation/observer.go
@@ -22,12 +22,12 @@
 	attemptsBefore int // attempts up to the end of the previous second
 }
 
-// lateness counts by how many seconds the fake servers' clock acted late.
+// lateness records how late the fake servers carry out their scheduled actions.
 type lateness struct {
 	mu    sync.Mutex
 	worst float64 // the greatest lateness, in s
-	over  int     // actions later than maxLateness
-	all   int     // actions
+	over  int     // number of actions later than maxLateness
+	all   int     // number of all actions
 }
 
 func (l *lateness) record(s float64) {
--- a/internal/simulation/policy.go
+++ b/internal/simulation/policy.go
@@ -4,15 +4,16 @@
 	"lockloom/balance"
 )
 
-// Decider makes the load-balancing decisions of one proxy for one pool: the decision module, or a baseline to compare
-// with it. Its methods, and those of RequestHandle, return actions that are valid until the next call.
+// Decider makes the load-balancing decisions of one proxy for one pool. It is the decision module, balance.Balancer,
+// or a baseline to compare with it. Its methods, and those of RequestHandle, return actions that are valid until the
+// next call.
 type Decider interface {
 	EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions
 	RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
 }
 
-// RequestHandle is a request that has arrived at a Decider.
+// RequestHandle represents a request that has arrived at a Decider.
 type RequestHandle interface {
 	AttemptEnded(now float64, attempt int, outcome balance.Outcome, latency float64, over bool) *balance.Actions
 	ClientDisconnected(now float64) *balance.Actions
@@ -28,7 +29,7 @@
 	"lockloom": func() Policy {
 		return func(d balance.Deployment, now float64) (Decider, error) {
 			b, err := balance.New(d, now)
-			return module{b}, err
+			return balancerAdapter{b}, err
 		}
 	},
 	"steered":     steered,
@@ -37,10 +38,10 @@
 	"least":       func() Policy { return newBaseline(leastInFlight) },
 }
 
-// module adapts the decision module to Decider.
-type module struct{ *balance.Balancer }
+// balancerAdapter makes a balance.Balancer implement Decider.
+type balancerAdapter struct{ *balance.Balancer }
 
-func (m module) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
+func (m balancerAdapter) RequestArrived(now float64, info balance.RequestInfo) (RequestHandle, *balance.Actions) {
 	return m.Balancer.RequestArrived(now, info)
 }
 
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -16,19 +16,19 @@
 	InTime      int     `json:"in_time"`       // intents that succeeded within the latency objective
 	Late        int     `json:"late"`          // intents that succeeded later
 	Unserved    int     `json:"unserved"`      // intents that did not succeed
-	Value       float64 `json:"value"`         // total priority weight of the intents in InTime
-	ValueInTime float64 `json:"value_in_time"` // Value as a share of the priority weight of all intents
+	Value       float64 `json:"value"`         // total priority weight of the intents that InTime counts
+	ValueInTime float64 `json:"value_in_time"` // Value divided by the total priority weight of all intents
 
 	Tries         int `json:"tries"`
 	Succeeded     int `json:"honoured"` //nolint:misspell // published spelling
 	Rejected      int `json:"dismissed"`
 	Failed        int `json:"forfeited"`
-	Lost          int `json:"lost"`                  // ended without an answer
-	LostWithProxy int `json:"lost_with_their_proxy"` // lost because their proxy was killed
-	ClientGone    int `json:"gone"`                  // their clients left before they were answered
+	Lost          int `json:"lost"`                  // tries that ended without an answer
+	LostWithProxy int `json:"lost_with_their_proxy"` // tries lost because their proxy was killed
+	ClientGone    int `json:"gone"`                  // tries whose clients stopped waiting before the answer
 	NoProxy       int `json:"found_no_proxy"`        // requests that no proxy accepted; they are not counted in Tries
-	ClientFaults  int `json:"told_wrong"`            // failed with a 4xx status other than 429: a fault of the rig
-	Mismatched    int `json:"mismatched"`            // successful, but with an answer to another request
+	ClientFaults  int `json:"told_wrong"`            // tries failed with a 4xx status other than 429: a fault of the rig
+	Mismatched    int `json:"mismatched"`            // tries whose successful answer belongs to another request
 
 	Attempts          int      `json:"legs"`
 	Work              float64  `json:"work"`  // s of a core at speed 1, done by all servers
@@ -38,7 +38,7 @@
 	RulesBroken       [5]int   `json:"rules_broken"` // number of breaches by rule, see Audit; index 0 is unused
 	FirstBreaches     []string `json:"first_breaches,omitempty"`
 
-	P50     float64       `json:"P50"` // percentiles of the latency of successful tries, from when they were due
+	P50     float64       `json:"P50"` // latency percentiles of successful tries, from when each try was due
 	P90     float64       `json:"P90"`
 	P99     float64       `json:"P99"`
 	P999    float64       `json:"P999"`
@@ -46,8 +46,8 @@
 	Seconds []Second      `json:"seconds"`
 	Events  []Event       `json:"events"`
 
-	RigLateP99    float64 `json:"rig_late_p99"`   // how late tries were sent, at the 99th percentile
-	RigLateMax    float64 `json:"rig_late_most"`  // how late tries were sent, at most
+	RigLateP99    float64 `json:"rig_late_p99"`   // 99th percentile of the delay from when a try is due until it is sent
+	RigLateMax    float64 `json:"rig_late_most"`  // maximum of that delay
 	Void          string  `json:"void,omitempty"` // why the figures must not be used; empty: they are valid
 	WallTime      float64 `json:"took"`           // wall time of the run
 	ProxyMemoryMB float64 `json:"proxy_memory_mb,omitempty"`
@@ -86,7 +86,8 @@
 	Waiting     int     `json:"Waiting"` // requests queued at the servers
 }
 
-// Event is an event of a run: a scripted one, or a crash of a server in slow start, whose text begins with "!".
+// Event is an event of a run: one from the timeline of the scenario, or a crash of a server in slow start, whose text
+// begins with "!".
 type Event struct {
 	At   float64 `json:"at"`
 	Text string  `json:"what"`
@@ -113,7 +114,7 @@
 	return err
 }
 
-// line formats the second in the columns of secondColumns.
+// line formats the figures of the second as one line with the columns of secondColumns.
 func (s *Second) line() string {
 	requests := fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f",
 		s.At, s.Intents, s.InTime, s.Late, s.Rejected, s.Failed, s.Lost, s.Attempts, s.P50*1000, s.P99*1000)
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -66,9 +66,9 @@
 	if _, err := exec.LookPath(options.Proxy); err != nil {
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
-	if s.ProxyFleet.Count > maxPrograms {
+	if s.ProxyFleet.Count > maxProcesses {
 		return nil, s.file.At("bank", 0, "proxies",
-			"%d: at most %d on sockets, where each proxy is a process", s.ProxyFleet.Count, maxPrograms)
+			"%d: at most %d on sockets, where each proxy is a process", s.ProxyFleet.Count, maxProcesses)
 	}
 	startedAt := time.Now()
 	ctx, abort := context.WithCancel(ctx)
@@ -176,7 +176,7 @@
 	return r.err
 }
 
-// fail aborts the run with an error. Only the first error is kept.
+// fail aborts the run with an error. Only the first error of a run is kept.
 func (r *rig) fail(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -242,8 +242,8 @@
 	driver.Run(ctx, start)
 }
 
-// playTimeline carries out the entries of the timeline until watchCtx is done. Events that take longer continue in work
-// until ctx is done.
+// playTimeline carries out the entries of the timeline until watchCtx is done. Events at proxies that last for some
+// time, such as an upgrade, run in goroutines of work until they are complete or ctx is done.
 func (r *rig) playTimeline(ctx, watchCtx context.Context, work *sync.WaitGroup, start time.Time) {
 	for _, entry := range r.scenario.Timeline() {
 		select {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -8,7 +8,7 @@
 	"lockloom/internal/tomlfile"
 )
 
-// Upper limits of a scenario's values. A larger value exceeds what the machine can run, or is likely a typing error.
+// Upper limits of a scenario's values. A larger value exceeds what the machine can run, or is likely a typo.
 const (
 	maxFileSize  = 1 << 20 // bytes
 	maxSeconds   = 3600.0
@@ -16,7 +16,7 @@
 	maxIntents   = 50_000_000.0
 	maxServers   = 5000
 	maxProxies   = 1024
-	maxPrograms  = 64 // proxies on sockets, where each is a process
+	maxProcesses = 64 // proxies in a run on sockets, where each proxy is a process
 	maxKeys      = 1_000_000
 	maxFaults    = 1000
 	maxClasses   = 64
@@ -77,18 +77,18 @@
 	LatencyObjective float64 `toml:"due"`
 	Deadline         float64 `toml:"hard_stop"`
 	PriorityWeight   float64 `toml:"value"`
-	Weight           float64 `toml:"share"`  // relative to the other classes
-	Work             float64 `toml:"work"`   // mean per request
+	Weight           float64 `toml:"share"`  // weight of the class among the requests, relative to the other classes
+	Work             float64 `toml:"work"`   // mean work per request
 	WorkVariation    float64 `toml:"spread"` // standard deviation of the work divided by its mean
-	KeyedFraction    float64 `toml:"keyed"`  // fraction of the requests that have an affinity key
-	Pool             string  `toml:"pool"`   // group of servers that serves the class; only with plain HTTP clients
+	KeyedFraction    float64 `toml:"keyed"`  // fraction of the class's requests that have an affinity key
+	Pool             string  `toml:"pool"`   // server group that serves the class; only with plain HTTP clients
 }
 
 // Tenant describes a tenant and its share of the workload.
 type Tenant struct {
 	Name   string  `toml:"name"`
 	Quota  float64 `toml:"quota"` // requests per second; 0: no limit
-	Weight float64 `toml:"share"` // relative to the other tenants
+	Weight float64 `toml:"share"` // weight of the tenant among the requests, relative to the other tenants
 }
 
 // Keys describes the affinity keys of requests.
@@ -108,7 +108,7 @@
 	Cores               int      `toml:"cores"`
 	Speed               float64  `toml:"speed"`
 	QueueCapacity       int      `toml:"room"`
-	CrashDowntime       float64  `toml:"down_for"` // time from a crash in slow start to the restart
+	CrashDowntime       float64  `toml:"down_for"` // time from a server's crash in slow start to its restart
 	DegradeQueueLength  int      `toml:"choke_at"`
 	DegradedSpeed       float64  `toml:"choke_to"`
 	DegradeTimeConstant float64  `toml:"choke_in"`
@@ -151,9 +151,9 @@
 	Count    int     `toml:"count"`
 	Share    float64 `toml:"share"`  // affected share of the group, instead of Count
 	Within   float64 `toml:"within"` // spreads the fault over this duration, one server or proxy after the other
-	Factor   float64 `toml:"factor"` // factor on the speed, share of errors or seconds of delay, by Kind
+	Factor   float64 `toml:"factor"` // depends on Kind: factor of the speed, share of error responses, or delay in seconds
 	Class    string  `toml:"tariff"`
-	Drain    float64 `toml:"drain"` // time from draining to removal
+	Drain    float64 `toml:"drain"` // time from the start of draining to the removal
 	Proxy    int     `toml:"proxy"` // number of the proxy, from 1; 0: all proxies
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -111,49 +111,57 @@
 
 func TestReadRefuses(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"empty":                 {"", "seconds: 0: it is from"},
-		"not TOML":              {"name = ", "f.toml:1:"},
-		"unknown field":         {smallScenario + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field, did you mean count?"},
-		"wrong type":            {strings.Replace(smallScenario, "= 4.0", `= "long"`, 1), "f.toml:2:"},
-		"unknown table":         {smallScenario + "[proxy]\n", "no such field"},
-		"no tariff":             {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 of them"},
-		"seconds out of range":  {strings.Replace(smallScenario, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: it is from"},
+		"empty":    {"", "seconds: 0: expected 1e-06 to 3600"},
+		"not TOML": {"name = ", "f.toml:1:"},
+		"unknown field": {
+			smallScenario + "[keys]\ncuont = 3\n", "f.toml:39:1: keys.cuont: no such field, did you mean count?",
+		},
+		"wrong type":    {strings.Replace(smallScenario, "= 4.0", `= "long"`, 1), "f.toml:2:"},
+		"unknown table": {smallScenario + "[proxy]\n", "no such field"},
+		"no tariff":     {"seconds = 1.0\n[arrivals]\nrate = 1.0\n", "tariff: 0 tables defined, expected 1 to 64"},
+		"seconds out of range": {
+			strings.Replace(smallScenario, "4.0", "1e9", 1), "f.toml:2:1: seconds: 1e+09: expected 1e-06 to 3600",
+		},
 		"not a number":          {strings.Replace(smallScenario, "4.0", "nan", 1), "f.toml:2:1: seconds: NaN"},
 		"arrival rate too high": {strings.Replace(smallScenario, "200.0", "1e300", 1), "arrivals: rate"},
 		"due after hard_stop": {
 			strings.Replace(smallScenario, "due = 0.3", "due = 3.0", 1),
-			"f.toml:11:1: tariff: due: 3 is past the hard stop of 1",
+			"f.toml:11:1: tariff: due: 3 is greater than hard_stop, 1",
 		},
 		"referenced tariff without window": {
-			strings.Replace(smallScenario, "window = 0.4", "", 1), "tariff: window: a referenced tariff has one",
+			strings.Replace(smallScenario, "window = 0.4", "", 1), "tariff: window: a referenced tariff needs a window",
 		},
 		"scope of a replayable tariff": {
 			strings.Replace(smallScenario, `kind = "referenced"`, "", 1), "f.toml:18:1: tariff: scope",
 		},
 		"unknown kind of tariff": {
 			strings.Replace(smallScenario, "single-use", "unsafe", 1),
-			`f.toml:25:1: tariff: kind: "unsafe": it is replayable, referenced or single-use`,
+			`f.toml:25:1: tariff: kind: "unsafe": expected replayable, referenced or single-use`,
 		},
-		"duplicate tariff name":     {strings.Replace(smallScenario, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
-		"keyed tariff without keys": {strings.Replace(smallScenario, "spread = 0.5", "keyed = 1.0", 1), "there are no keys"},
-		"a name with a slash":       {strings.Replace(smallScenario, `"s"`, `"s/1"`, 1), "servers: name"},
+		"duplicate tariff name": {strings.Replace(smallScenario, "sign", "page", 1), `f.toml:16:1: tariff: name: "page"`},
+		"keyed tariff without keys": {
+			strings.Replace(smallScenario, "spread = 0.5", "keyed = 1.0", 1), "the scenario has no keys",
+		},
+		"a name with a slash": {strings.Replace(smallScenario, `"s"`, `"s/1"`, 1), "servers: name"},
 		"unknown server group": {
 			smallScenario + "[[trouble]]\nkind = \"crash\"\nservers = \"x\"\n", `trouble: servers: "x": no such group`,
 		},
 		"more servers than the group has": {
 			smallScenario + "[[trouble]]\nkind = \"crash\"\ncount = 7\n", "trouble: count: servers 0 to 7 of 6",
 		},
-		"count and share": {smallScenario + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "a count or a share"},
+		"count and share": {
+			smallScenario + "[[trouble]]\nkind = \"crash\"\ncount = 1\nshare = 0.5\n", "expected count or share, not both",
+		},
 		"unknown kind of trouble": {
-			smallScenario + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": it is ban, crash, drain`,
+			smallScenario + "[[trouble]]\nkind = \"flood\"\n", `trouble: kind: "flood": expected one of ban, crash, drain`,
 		},
 		"error in the second trouble": {
 			smallScenario + "[[trouble]]\nkind = \"crash\"\n[[trouble]]\nkind = \"pause\"\n",
-			"f.toml:40:1: trouble: for: pause lasts for a time",
+			"f.toml:40:1: trouble: for: pause needs a duration",
 		},
-		"factor of a crash": {smallScenario + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "not of crash"},
+		"factor of a crash": {smallScenario + "[[trouble]]\nkind = \"crash\"\nfactor = 2.0\n", "2: crash takes no factor"},
 		"servers of a proxy fault": {
-			smallScenario + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "happens to no servers",
+			smallScenario + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nservers = \"s\"\n", "does not affect servers",
 		},
 		"proxy out of range": {
 			smallScenario + "[[trouble]]\nkind = \"proxy-kill\"\nfor = 1.0\nproxy = 3\n", "trouble: proxy: 3",
--- a/internal/simulation/steering.go
+++ b/internal/simulation/steering.go
@@ -21,7 +21,7 @@
 	list        []balance.Endpoint         // by index: the newest entry that any proxy was notified of
 	results     []balance.ReportedOutcomes // by index: outcomes since the last report
 	assignments []assignment.Server        // by index; Weight 0: no requests are sent to the server
-	drop        float64                    // fraction of requests to reject
+	drop        float64                    // fraction of requests that proxies reject without sending them
 	rate        float64                    // attempts per second, as of the last report
 	reportAt    float64                    // when the next report is due
 	updateAt    float64                    // when the next assignment is due
@@ -134,7 +134,8 @@
 	}
 }
 
-// observe returns what the assignment is made from: the estimates, the rate and the load of all steered proxies.
+// observe returns the input of an assignment: the estimates of the servers, the rate, and the load, which is the number
+// of attempts in flight from all steered proxies.
 func (s *steeringController) observe(now float64) assignment.Observation {
 	observation := assignment.Observation{Rate: s.rate}
 	for _, proxy := range s.proxies { // sums of integers, exact in any map order
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -10,7 +10,7 @@
 
 const (
 	minLatencyMicros = 1           // smallest latency that a histogram distinguishes from 0
-	maxLatencyMicros = 120_000_000 // no try takes as long
+	maxLatencyMicros = 120_000_000 // no try takes this long
 	totalDigits      = 3           // significant digits of the latencies of a run
 	secondDigits     = 2           // significant digits of the latencies of one second
 	degradedFrom     = 0.1         // degradation, from 0 to 1, above which a server counts as degraded
@@ -20,12 +20,12 @@
 type tally struct {
 	Result
 	classes          []balance.Class
-	latencies        *hdrhistogram.Histogram   // of successful tries
+	latencies        *hdrhistogram.Histogram   // of all successful tries
 	latenciesByClass []*hdrhistogram.Histogram // of successful tries
-	rigLate          *hdrhistogram.Histogram   // how late tries were sent
+	rigLate          *hdrhistogram.Histogram   // delays between when tries are due and when they are sent
 	secondLatencies  *hdrhistogram.Histogram   // of tries that succeeded in the current second
 	offered          []float64                 // total priority weight of the intents, by class
-	inTime           []float64                 // total priority weight of those that succeeded in time, by class
+	inTime           []float64                 // total priority weight of the intents that succeeded in time, by class
 	usefulWork       float64                   // work of the attempts whose answer reached a client
 }
 
@@ -43,7 +43,8 @@
 	return t
 }
 
-// second returns the entry of the second that contains a time, in seconds since the start of the run.
+// second returns the figures of the second that a time belongs to. It appends missing entries to Seconds. at is in
+// seconds since the start of the run.
 func (t *tally) second(at float64) *Second {
 	for i := len(t.Seconds); i <= int(at); i++ {
 		t.Seconds = append(t.Seconds, Second{At: i})
@@ -60,7 +61,8 @@
 	t.second(at).Intents++
 }
 
-// succeeded counts a try that succeeded sinceTry seconds after it was due and sinceIntent seconds after its intent was.
+// succeeded counts a try that succeeded sinceTry seconds after the try was due and sinceIntent seconds after its intent
+// was due.
 func (t *tally) succeeded(at float64, in *loadgen.Intent, sinceTry, sinceIntent float64) {
 	t.Succeeded++
 	for _, histogram := range []*hdrhistogram.Histogram{t.latencies, t.latenciesByClass[in.Class], t.secondLatencies} {
@@ -154,12 +156,12 @@
 	return r
 }
 
-// quantile returns the latency in seconds at a quantile in percent.
+// quantile returns a percentile of the latencies, in seconds. q is in percent.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1e6
 }
 
-// record records a latency in seconds. One that is out of the histogram's range is dropped: no try takes so long.
+// record records a latency in seconds. A latency out of the histogram's range is dropped, since no try takes that long.
 func record(h *hdrhistogram.Histogram, seconds float64) { _ = h.RecordValue(int64(seconds * 1e6)) }
 
 // share returns part divided by whole; 0 if whole is 0.
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -16,7 +16,7 @@
 	ProxyEvent ProxyEvent
 	ProxyIndex int     // from 0; -1: all proxies
 	Duration   float64 // s
-	Delay      float64 // s by which ListLate delays notifications
+	Delay      float64 // s; extra delay of notifications under ListLate
 }
 
 // ProxyEvent is what happens to a proxy or to its endpoint list.
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -29,19 +29,19 @@
 	}
 )
 
-// bounds are a field's value and the smallest and largest valid one.
+// bounds holds the name of a field, its value, and the smallest and largest valid value.
 type bounds struct {
 	field    string
 	value    float64
 	min, max float64
 }
 
-// checkBounds returns an error for the first field whose value is out of its bounds. n is the number of the table, from
-// 1, among those of its name, or 0 if there is only one.
+// checkBounds returns an error for the first field whose value is out of its bounds. n is the position of the table,
+// from 1, among the tables of the same name; 0: the file has only one such table.
 func (s *Scenario) checkBounds(table string, n int, fields ...bounds) error {
 	for _, b := range fields {
 		if !(b.value >= b.min && b.value <= b.max) {
-			return s.file.At(table, n, b.field, "%v: it is from %v to %v", b.value, b.min, b.max)
+			return s.file.At(table, n, b.field, "%v: expected %v to %v", b.value, b.min, b.max)
 		}
 	}
 	return nil
@@ -49,7 +49,8 @@
 
 const minPositive = 1e-6 // smallest valid value of a field that must be greater than 0
 
-// check validates the scenario and returns the first error: a contradiction, or a value that exceeds the limits.
+// check validates the scenario and returns the first error, such as fields that contradict each other or a value that
+// exceeds its limit.
 func (s *Scenario) check() error {
 	for _, check := range []func() error{
 		s.checkFleet,
@@ -120,7 +121,7 @@
 
 func (s *Scenario) checkClasses() error {
 	if len(s.Classes) == 0 || len(s.Classes) > maxClasses {
-		return s.file.At("tariff", 0, "", "%d of them defined, expected 1 to %d", len(s.Classes), maxClasses)
+		return s.file.At("tariff", 0, "", "%d tables defined, expected 1 to %d", len(s.Classes), maxClasses)
 	}
 	names := map[string]bool{}
 	for i := range s.Classes {
@@ -143,17 +144,17 @@
 	_, scoped := scopes[c.DedupScope]
 	switch {
 	case !known:
-		return s.file.At(table, n, "kind", "%q: it is replayable, referenced or single-use", c.Idempotency)
+		return s.file.At(table, n, "kind", "%q: expected replayable, referenced or single-use", c.Idempotency)
 	case !scoped || idempotency != balance.Keyed && c.DedupScope != "":
 		return s.file.At(table, n, "scope", "%q: expected all, zone or pod, and only in a referenced tariff", c.DedupScope)
 	case idempotency == balance.Keyed && c.DedupWindow <= 0:
-		return s.file.At(table, n, "window", "a referenced tariff has one, of more than 0 seconds")
+		return s.file.At(table, n, "window", "a referenced tariff needs a window of more than 0 seconds")
 	case c.LatencyObjective > c.Deadline:
-		return s.file.At(table, n, "due", "%v is past the hard stop of %v", c.LatencyObjective, c.Deadline)
+		return s.file.At(table, n, "due", "%v is greater than hard_stop, %v", c.LatencyObjective, c.Deadline)
 	case (c.Pool != "") != s.PlainHTTP() || c.Pool != "" && s.count(c.Pool) == 0:
 		return s.file.At(table, n, "pool", "%q: expected the name of a group of servers, in every tariff or in none", c.Pool)
 	case c.KeyedFraction > 0 && s.Keys.Count == 0:
-		return s.file.At(table, n, "keyed", "there are no keys: keys.count is 0")
+		return s.file.At(table, n, "keyed", "the scenario has no keys: keys.count is 0")
 	}
 	return s.checkBounds(table, n,
 		bounds{"hard_stop", c.Deadline, .01, 60},
@@ -224,7 +225,7 @@
 	for i, p := range s.Arrivals.Phases {
 		shape, known := shapes[p.Shape]
 		if !known {
-			return s.file.At("arrivals.phase", i+1, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
+			return s.file.At("arrivals.phase", i+1, "shape", "%q: expected steady, ramp, bursts or deadline", p.Shape)
 		}
 		if shape == loadgen.Bursts && !(p.BurstDuration > 0 && p.BurstDuration < p.BurstInterval) {
 			return s.file.At("arrivals.phase", i+1, "lasts",
@@ -264,11 +265,11 @@
 type faultKind struct {
 	change      emulator.ChangeKind // change of each affected server; unused if ofProxies, ofLists or disables is set
 	needsFactor bool
-	reverts     bool // a second change ends it after its duration
+	reverts     bool // a second change ends the fault after its duration
 	ofProxies   bool
 	ofLists     bool
 	disables    bool // admin calls at proxies disable servers
-	instant     bool // its duration is unused or may be left out
+	instant     bool // the duration is unused or may be omitted
 }
 
 var faultKinds = map[string]faultKind{
@@ -294,14 +295,14 @@
 
 func (s *Scenario) checkFaults() error {
 	if len(s.Faults) > maxFaults {
-		return s.file.At("trouble", 0, "", "%d of them defined, expected at most %d", len(s.Faults), maxFaults)
+		return s.file.At("trouble", 0, "", "%d tables defined, expected at most %d", len(s.Faults), maxFaults)
 	}
 	for i := range s.Faults {
 		fault := &s.Faults[i]
 		kind, known := faultKinds[fault.Kind]
 		if !known {
 			kinds := strings.Join(sortedNames(faultKinds), ", ")
-			return s.file.At("trouble", i+1, "kind", "%q: it is %s", fault.Kind, kinds)
+			return s.file.At("trouble", i+1, "kind", "%q: expected one of %s", fault.Kind, kinds)
 		}
 		if err := s.checkFaultServers(i+1, fault, kind); err != nil {
 			return err
@@ -322,11 +323,11 @@
 	case ofServers && group == 0:
 		return s.file.At(table, n, "servers", "%q: no such group", f.Servers)
 	case !ofServers && (f.Servers != "" || f.Count != 0 || f.Share != 0 || f.From != 0):
-		return s.file.At(table, n, "kind", "%s happens to no servers: omit servers, from, count and share", f.Kind)
+		return s.file.At(table, n, "kind", "%s does not affect servers: omit servers, from, count and share", f.Kind)
 	case ofServers && !kind.disables && f.Proxy != 0:
-		return s.file.At(table, n, "proxy", "%s happens to servers: omit proxy", f.Kind)
+		return s.file.At(table, n, "proxy", "%s affects servers, not proxies: omit proxy", f.Kind)
 	case f.Count != 0 && f.Share != 0:
-		return s.file.At(table, n, "share", "a count or a share, not both")
+		return s.file.At(table, n, "share", "expected count or share, not both")
 	case f.From < 0 || f.Count < 0 || ofServers && f.From+s.affected(*f) > group:
 		return s.file.At(table, n, "count", "servers %d to %d of %d: outside of the group",
 			f.From, f.From+s.affected(*f), group)
@@ -334,7 +335,7 @@
 	return nil
 }
 
-// checkFaultFields checks a fault's class, factor and times.
+// checkFaultFields checks the class, factor, times, share and proxy number of a fault.
 func (s *Scenario) checkFaultFields(n int, f *Fault, kind faultKind) error {
 	const table = "trouble"
 	_, classKnown := s.class(f.Class)
@@ -346,9 +347,9 @@
 	case kind.needsFactor && f.Factor <= 0:
 		return s.file.At(table, n, "factor", "%v: expected more than 0", f.Factor)
 	case !kind.needsFactor && f.Factor != 0:
-		return s.file.At(table, n, "factor", "%v: not of %s, which takes no factor", f.Factor, f.Kind)
+		return s.file.At(table, n, "factor", "%v: %s takes no factor", f.Factor, f.Kind)
 	case f.Duration <= 0 && !kind.instant:
-		return s.file.At(table, n, "for", "%s lasts for a time: expected more than 0 seconds", f.Kind)
+		return s.file.At(table, n, "for", "%s needs a duration: expected more than 0 seconds", f.Kind)
 	}
 	return s.checkBounds(table, n,
 		bounds{"at", f.At, 0, s.Seconds},
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -19,7 +19,7 @@
 	listDelay      = 0.02   // from a change of the endpoint list to the notification of a proxy
 	muteDuration   = 3.1    // until a proxy has replaced a watch on which nothing is sent any more
 	reconnectDelay = 0.05   // until a client that found no proxy up connects again
-	killMargin     = 0.7    // past the longest deadline, after which a proxy that got SIGTERM is killed
+	killMargin     = 0.7    // a proxy is killed this long after SIGTERM plus the longest deadline of any class
 	startDuration  = 0.2    // from the start of a proxy until it serves
 	clockTolerance = 1e-6   // tolerance of the audit for rounding
 )
@@ -41,11 +41,11 @@
 	silentAttempts     [][]int32 // by member: attempts without a response, which end when the connections are reset
 	timeline           []TimelineEntry
 	proxies            []*virtualProxy
-	nextProxy          int // of the round robin of all clients
+	nextProxy          int // counter of the round robin by which clients pick proxies
 	tries              []try
-	freeTries          []int32 // unused indices of tries
+	freeTries          []int32 // indices of elements of tries that are not in use
 	attempts           []attempt
-	freeAttempts       []int32        // unused indices of attempts
+	freeAttempts       []int32        // indices of elements of attempts that are not in use
 	zones              map[string]int // number by name
 	models             map[string]int // number by name, in order of appearance
 	audit              *Audit
--- a/internal/simulation/virtual_proxies.go
+++ b/internal/simulation/virtual_proxies.go
@@ -145,7 +145,7 @@
 // startProxy starts a proxy with no state but the endpoint list. One that still has open tries is killed first.
 func (v *virtualRun) startProxy(i int) {
 	p := v.proxies[i]
-	if p.alive && p.openTries > 0 { // it got SIGTERM and has not exited by now
+	if p.alive && p.openTries > 0 { // the old process got SIGTERM but has not exited yet
 		v.killProxy(i)
 	}
 	d := v.settings.Deployment
--- a/internal/simulation/virtual_requests.go
+++ b/internal/simulation/virtual_requests.go
@@ -12,7 +12,7 @@
 // try is one request that a client sends for an intent. Elements of the list of tries are reused.
 type try struct {
 	intent       loadgen.Intent
-	number       int    // of the tries for the intent, from 1
+	number       int    // position among the tries for the intent, from 1
 	auditID      int    // number of the try in the audit
 	generation   uint32 // grows when the element is used or freed, so that events of earlier uses are ignored
 	proxy        int32  // -1: no proxy has accepted it yet
@@ -33,7 +33,7 @@
 	proxy            int32
 	member           int32
 	index            int32  // position in the attempts of the try
-	generation       uint32 // as for a try
+	generation       uint32 // grows like that of a try
 	sent             float64
 	work             float64 // s of a core at speed 1
 	reusedConnection bool
@@ -268,7 +268,7 @@
 	}
 }
 
-// clientLeaves processes that a client stops waiting for a reply to a try.
+// clientLeaves handles the event that a client stops waiting for the reply to a try.
 func (v *virtualRun) clientLeaves(i int32, generation uint32) {
 	t := &v.tries[i]
 	if t.generation != generation || !t.used {
@@ -284,7 +284,7 @@
 		}
 		v.carryOut(t.proxy, t.pool, t.handle.ClientDisconnected(v.now))
 	}
-	// attemptEnds may add an attempt to the list, or free the try, which then has another generation.
+	// attemptEnds may append to the list of attempts. It may also free the try, whose generation then differs.
 	for k := 0; v.tries[i].generation == generation && k < len(v.tries[i].attempts); k++ {
 		if ref := v.tries[i].attempts[k]; v.isPending(ref, i) {
 			v.abandon(ref)
