--- a/internal/nginx/convert.go
+++ b/internal/nginx/convert.go
@@ -13,9 +13,9 @@
 type converter struct {
 	report
 	file   operatorFile
-	zones  map[string]*limit       // by zone name
-	maps   map[string]*variableMap // by the variable that the map sets
-	splits map[string]*Node        // split_clients directives, by the variable that they set
+	zones  map[string]*limit       // keyed by zone name
+	maps   map[string]*variableMap // keyed by the variable that the map sets
+	splits map[string]*Node        // split_clients directives, keyed by the variable that they set
 }
 
 func newConverter() *converter {
--- a/internal/nginx/lexer.go
+++ b/internal/nginx/lexer.go
@@ -120,7 +120,7 @@
 // word reads an unquoted word. A word without escapes is copied only once.
 func (l *lexer) word() string {
 	var text []byte
-	start := l.offset // of the bytes that are not yet in text
+	start := l.offset // offset of the first byte that is not yet copied to text
 	afterDollar := false
 	for !l.atEnd() {
 		c := l.text[l.offset]
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -116,7 +116,7 @@
 func (c *serverConverter) literalPath(n *Node, path pathMatch, parent *location) (pathMatch, bool) {
 	switch {
 	case strings.HasPrefix(path.path, "@"):
-		c.refuse(n, "named locations are not supported: there are no internal redirects")
+		c.refuse(n, "named locations are not supported: lockloom has no internal redirects")
 	case !strings.HasPrefix(path.path, "/"):
 		c.refuse(n, "the path must start with a slash")
 	case !isNormalPath(path.path):
@@ -165,7 +165,8 @@
 func (c *serverConverter) location(l *location, inherited settings, parent *location, regexInScope bool) []*route {
 	effective := c.inherit(l.Block, inherited)
 	if parent != nil && l.path.kind == prefixPath && l.path.final != parent.path.final && regexInScope {
-		c.refuse(l.Node, "nested in %s, only one has ^~: lockloom would not try the same regular expressions",
+		c.refuse(l.Node,
+			"only one of this location and its enclosing location %s has ^~: nginx would try other regular expressions",
 			parent.path.path)
 		return nil
 	}
@@ -237,7 +238,7 @@
 func (c *serverConverter) condition(d *Node, effective settings, l *location) *route {
 	method, ok := conditionMethod(d.Args)
 	if !ok || len(d.Block) != 1 || d.Block[0].Name != "return" {
-		c.refuse(d, "only if ($request_method = M) { return N; } is supported: the effect of others depends on too much")
+		c.refuse(d, "only if ($request_method = M) { return N; } is supported: other if blocks cannot be converted reliably")
 		return nil
 	}
 	r := &route{from: d.Place, match: match{path: l.path, methods: []string{method}}}
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -26,7 +26,7 @@
 
 const (
 	maxLoopbackRequests = 2000 // per sample
-	maxPrograms         = 4    // that run at once
+	maxPrograms         = 4    // running at once
 )
 
 var sampleServer = regexp.MustCompile(`10\.0\.0\.\d+(:\d+)?`)
@@ -43,7 +43,7 @@
 			t.Run(s.name, func(t *testing.T) {
 				t.Parallel()
 				suite.slots <- true
-				t.Cleanup(func() { <-suite.slots }) // after the program has ended
+				t.Cleanup(func() { <-suite.slots }) // runs after the cleanup in serve, which kills the program
 				suite.compare(t, s, fmt.Sprint(i))
 			})
 		}
@@ -52,12 +52,12 @@
 	assert.Greater(t, suite.compared.Load(), int64(20_000))
 }
 
-// loopbackSuite holds what the tests of all samples share.
+// loopbackSuite holds what the subtests, one per sample, share: a built program, its launch file and stand-in servers.
 type loopbackSuite struct {
 	dir      string
 	program  string
-	launch   string // path of the launch file
-	slots    chan bool
+	launch   string    // path of the launch file
+	slots    chan bool // an element per running program
 	standIns *standIns
 	compared atomic.Int64 // requests
 }
@@ -86,7 +86,7 @@
 type standIns struct {
 	t         *testing.T
 	mu        sync.Mutex
-	addresses map[string]string // by the server's address in the sample
+	addresses map[string]string // of the stand-ins, keyed by the server's address in the sample
 }
 
 // address returns the address of the stand-in for a server of a sample. It starts the stand-in if needed.
--- a/internal/nginx/model.go
+++ b/internal/nginx/model.go
@@ -89,7 +89,7 @@
 	body        string
 }
 
-// redirect is a response that sends the client to another address.
+// redirect is a response that sends the client to another URL.
 type redirect struct {
 	status  int
 	target  string
--- a/internal/nginx/parser.go
+++ b/internal/nginx/parser.go
@@ -82,7 +82,7 @@
 		case semicolonToken:
 			return n, nil
 		case openToken:
-			if err := p.openBlock(n, depth); err != nil {
+			if err := p.directiveBlock(n, depth); err != nil {
 				return nil, err
 			}
 			return n, nil
@@ -92,8 +92,8 @@
 	}
 }
 
-// openBlock parses the block of a directive.
-func (p *parser) openBlock(n *Node, depth int) (err error) {
+// directiveBlock parses the block of n, after its opening brace.
+func (p *parser) directiveBlock(n *Node, depth int) (err error) {
 	if strings.HasSuffix(n.Name, "_by_lua_block") {
 		return n.errorf("Lua blocks are not supported")
 	}
--- a/internal/nginx/proxypass.go
+++ b/internal/nginx/proxypass.go
@@ -29,16 +29,16 @@
 	return forwarding
 }
 
-// passAddress returns the host of a proxy_pass. If its address has a path, that replaces the path of the location: it
+// passAddress returns the host of a proxy_pass. If its URL has a path, that replaces the path of the location: it
 // becomes the rewrite of the route.
 func (c *serverConverter) passAddress(d *Node, r *route) (host string, ok bool) {
 	if len(d.Args) != 1 {
-		c.refuse(d, "expected one address")
+		c.refuse(d, "expected one URL")
 		return "", false
 	}
 	address, ok := strings.CutPrefix(d.Args[0], "http://")
 	if !ok {
-		c.refuse(d, "%s: only http:// addresses are supported", d.Args[0])
+		c.refuse(d, "%s: only http:// URLs are supported", d.Args[0])
 		return "", false
 	}
 	address, keepURI := strings.CutSuffix(address, requestURI)
@@ -67,7 +67,7 @@
 	case kind == regexPath:
 		return "a path is not supported in a regular expression location"
 	case strings.Contains(path, "?"):
-		return "a query in the address is not supported"
+		return "a query in the URL is not supported"
 	case !isNormalPath(path):
 		return "the path is not normalized"
 	}
--- a/internal/nginx/read.go
+++ b/internal/nginx/read.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// Limits of a Reader.
+// Limits on the files that a Reader reads. maxDirectives limits the directives in them.
 const (
 	maxBytes        = 64 << 20 // in all files together
-	maxIncludeDepth = 16       // files in a chain of includes, with the first one
+	maxIncludeDepth = 16       // files in a chain of includes, counting the first one
 )
 
 // Reader reads configuration files and the files that they include. It must not be used by several goroutines at once.
@@ -108,7 +108,7 @@
 		pattern = filepath.Join(r.Root, pattern)
 	}
 	if !r.contains(pattern) {
-		return nil, n.errorf("%s lies outside of %s", n.Args[0], r.Root)
+		return nil, n.errorf("%s lies outside of %s, the folder that included files must be in", n.Args[0], r.Root)
 	}
 	if !strings.ContainsAny(pattern, "*?[") {
 		return []string{pattern}, nil
@@ -121,7 +121,7 @@
 	return names, nil
 }
 
-// contains reports whether a path is the root or below it.
+// contains reports whether a path is the folder r.Root or below it.
 func (r *Reader) contains(path string) bool {
 	relative, err := filepath.Rel(r.Root, path)
 	if err != nil {
--- a/internal/nginx/return.go
+++ b/internal/nginx/return.go
@@ -26,7 +26,7 @@
 // whether the directive could be converted.
 func (c *serverConverter) convertReturn(d *Node, effective settings, r *route) bool {
 	if len(d.Args) == 0 || len(d.Args) > 2 {
-		c.refuse(d, "expected a status, an address, or a status with a text or an address")
+		c.refuse(d, "expected a status, a URL, or a status with a text or a URL")
 		return false
 	}
 	status, text := statusFound, d.Args[0]
@@ -74,7 +74,7 @@
 	r.action.redirect = redirect{status: status, target: target, keepURI: keepURI}
 	switch {
 	case target == "":
-		c.refuse(d, "missing address of the redirect")
+		c.refuse(d, "missing URL of the redirect")
 		return false
 	case hasVariable(target):
 		c.refuse(d, "%s has a variable whose value is not known: that of $host is known only in a server "+
@@ -84,14 +84,14 @@
 		c.refuse(d, "%s: a path before $request_uri is not supported", text)
 		return false
 	case strings.HasPrefix(target, "/"):
-		c.add(d, Differs, "the address is sent as it is written, without scheme and host")
+		c.add(d, Differs, "the Location field is sent without scheme and host, whereas nginx adds them")
 	default:
 		c.add(d, Carried, "")
 	}
 	return true
 }
 
-// knownVariables replaces the variables of an address that have the same value for all requests of the server.
+// knownVariables replaces the variables in a URL that have the same value for all requests of the server.
 func (c *serverConverter) knownVariables(address string) string {
 	address = strings.Replace(address, "$scheme://", "http://", 1)
 	name := c.server.primaryName
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -14,7 +14,7 @@
 	*Node
 	addresses   []string
 	names       []string
-	primaryName string // the first name if it is an exact one, or empty
+	primaryName string // the first name if it is a complete host name without wildcard, or empty
 	isDefault   bool
 	refused     bool
 }
@@ -65,7 +65,8 @@
 	}
 }
 
-// requireOneDefault refuses all default servers but the first. If there is none, it makes the first server the default.
+// requireOneDefault refuses each default server after the first one, because all servers share the listeners. If no
+// server is marked as the default, it makes the first server the default.
 func (c *converter) requireOneDefault(servers []*virtualServer) {
 	found := false
 	for _, s := range servers {
@@ -193,7 +194,7 @@
 	case "backlog", "rcvbuf", "sndbuf", "reuseport", "deferred", "so_keepalive", "fastopen", "bind", "ipv6only":
 		return Differs, parameter + " is not carried: lockloom sets its own socket options"
 	case "ssl", "http2", "quic":
-		return Refused, parameter + " is not supported: only plain HTTP/1.1; terminate it in front of lockloom"
+		return Refused, parameter + " is not supported: lockloom accepts plain HTTP/1.1 only; terminate TLS in front of it"
 	}
 	return Refused, parameter + " is not a known parameter"
 }
--- a/internal/nginx/settings.go
+++ b/internal/nginx/settings.go
@@ -90,7 +90,7 @@
 	b.retry.off = slices.Contains(d.Args, "off")
 	if slices.Contains(d.Args, "non_idempotent") {
 		b.add(d, Differs,
-			"non_idempotent is not carried: what may have run is not retried unless its method is idempotent")
+			"non_idempotent is not carried: a request that may have run is not retried unless its method is idempotent")
 	}
 }
 
@@ -144,7 +144,7 @@
 	case known:
 		b.refuse(d, "lockloom sets this field itself: the value %s is not supported", value)
 	default:
-		b.refuse(d, "other fields cannot be set: have the server use X-Forwarded-For, -Proto and -Host")
+		b.refuse(d, "other fields cannot be set: have the server use X-Forwarded-For, X-Forwarded-Proto and X-Forwarded-Host")
 	}
 }
 
--- a/internal/nginx/write.go
+++ b/internal/nginx/write.go
@@ -11,13 +11,13 @@
 // routeSizeHint is the approximate size of the table of a route, in bytes.
 const routeSizeHint = 160
 
-// defaultClass is the only request class of an operator file whose routes name none.
+// defaultClass is the request class that is written if no route forwards, because an operator file must have a class.
 const defaultClass = "60s"
 
 // fileWriter formats an operator file. Its output depends only on the tables and the verdicts.
 type fileWriter struct {
 	strings.Builder
-	routeNames map[string]int // number of routes so far, by the name of their line
+	routeNames map[string]int // number of routes so far that come from the line, keyed by file:line
 }
 
 // text returns the operator file, with the refused directives as comments at the top.
