--- a/internal/emulator/dedup.go
+++ b/internal/emulator/dedup.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-const dedupRetention = 60.0 // s that a key is kept after its window has ended, to recognize late duplicates
+const dedupRetention = 60.0 // seconds for which a key is kept after its window, to recognize late duplicates
 
 // DedupGroup holds the idempotency keys that a group of servers has seen, and detects duplicates of keyed jobs by them.
 type DedupGroup struct {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -12,7 +12,7 @@
 	*Server
 	Name, Zone, Model      string
 	Pod                    int
-	Position, AddressIndex int // indexes of the position that it fills and of the address that it listens on
+	Position, AddressIndex int // indexes of its position in the fleet and of the address that it listens on
 	State                  balance.EndpointState
 	Group                  int     // number of its server group in the scenario
 	changedVersion         int64   // list version in which the entry last changed
@@ -40,12 +40,12 @@
 	ChangeUnreachable                      // Value: 1 partitions it from the network, 0 reconnects it
 	ChangeCrash                            // Value: time until the restart; 0: no restart
 	ChangeDrain                            // Value: time until the removal
-	ChangeRemove                           // only as a follow-up of ChangeDrain, ChangeReplace and ChangeReplaceInPlace
+	ChangeRemove                           // removes Change.Member; only as a follow-up of a drain or a replacement
 	ChangeReplace                          // a new server takes the position, the old one drains; Value as for ChangeDrain
 	ChangeReplaceInPlace                   // as ChangeReplace, but at the same address, after the removal
 )
 
-// changeKindNames are the names of the kinds in timelines.
+// changeKindNames are the names of the kinds in timelines, in the order of the constants; "renew" is ChangeReplace.
 var changeKindNames = [...]string{
 	"slow",
 	"pause",
@@ -67,33 +67,34 @@
 	At       float64
 	Kind     ChangeKind
 	Position int
-	Member   int // index of the member to remove, for ChangeRemove
+	Member   int // number of the member to remove, for ChangeRemove
 	Class    int // -1: all classes
 	Value    float64
 }
 
 // Effect is the result of a call on one member.
 type Effect struct {
-	Member           int
+	Member           int          // number of the member
 	Completions      []Completion // of the member's jobs, valid until the next call on it
 	ResetConnections bool         // the caller must reset the member's connections
 	ListChanged      bool         // the endpoint list has changed
 }
 
 // Fleet is a set of servers with their endpoint list. Members are numbered in the order of their start and keep their
-// number after they have been removed.
+// number after they have been removed. A position is a place for one server: a replacement takes over the position of
+// the server that it replaces.
 type Fleet struct {
 	Members     []*Member
 	Version     int64               // current version of the endpoint list
 	Addresses   int                 // number of addresses allocated so far
-	DedupGroups map[int]*DedupGroup // by number, which the caller chooses
+	DedupGroups map[int]*DedupGroup // by group number, which the caller chooses
 
 	specs    []MemberSpec // by position
 	memberAt []int        // by position: the number of the member that fills it
 	seed     uint64
 }
 
-// NewFleet returns an empty fleet; the seed determines which jobs fail.
+// NewFleet returns an empty fleet; the seed determines which jobs fail after a ChangeErrorShare.
 func NewFleet(seed uint64) *Fleet {
 	return &Fleet{seed: seed, Version: 1, DedupGroups: map[int]*DedupGroup{}}
 }
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -7,8 +7,8 @@
 	"lockloom/balance"
 )
 
-// advanceTo carries out the changes that are due until now, in order of time, and collects their completions in a list
-// that it first empties.
+// advanceTo carries out the state changes that are due until now, in order of time. It empties s.completions first, and
+// then adds the jobs that these changes complete.
 func (s *Server) advanceTo(now float64) {
 	s.completions = s.completions[:0]
 	for {
@@ -22,7 +22,8 @@
 	s.elapse(now)
 }
 
-// nextChange returns the next change that happens without a call, and its time in seconds; +Inf: there is none.
+// nextChange returns the next state change that time alone causes, such as the end of a job or of a pause, and when it
+// is due, in seconds; +Inf: there is none.
 func (s *Server) nextChange() (float64, func(*Server)) {
 	at, change := s.nextStepAt, (*Server).updateDegradation
 	if len(s.running) > 0 && s.rate > 0 {
@@ -39,7 +40,8 @@
 	return at, change
 }
 
-// elapse advances s.now to a time before which no change is due, and accounts for the work done until then.
+// elapse advances s.now, and adds the work done and the utilization of the cores in the time between. The caller must
+// have carried out all state changes that are due before the new time.
 func (s *Server) elapse(to float64) {
 	elapsed := to - s.now
 	if elapsed <= 0 {
--- a/internal/emulator/properties_test.go
+++ b/internal/emulator/properties_test.go
@@ -31,9 +31,9 @@
 	now          float64
 	submitted    int // number of jobs; their Refs are 1 to submitted
 	completed    map[int]bool
-	work         map[int]float64 // by Ref
-	finishedWork float64         // of the jobs that succeeded
-	lostWork     float64         // done on jobs that a crash then interrupted
+	work         map[int]float64 // work of each submitted job, by Ref
+	finishedWork float64         // work of the jobs that were run and succeeded
+	lostWork     float64         // work done on jobs that were running when the server crashed
 }
 
 func newPropertyRun(t *rapid.T) *propertyRun {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	stepInterval            = 0.1  // s between updates of a speed that slow start or degradation changes
-	minDegradation          = 0.01 // lower degradation is set to 0
-	utilizationTimeConstant = 0.5  // s; smooths the utilization in load reports
+	stepInterval            = 0.1  // seconds between updates of a speed that slow start or degradation changes
+	minDegradation          = 0.01 // a degradation below this is set to 0
+	utilizationTimeConstant = 0.5  // seconds; time constant by which the utilization in load reports is smoothed
 )
 
-// Server is an emulated server. All times are in seconds.
+// Server is an emulated server. All times are in seconds. Each method that takes the current time returns the jobs that
+// have ended since the previous such call, in a list that is valid until the next one.
 type Server struct {
 	Counts
 	faults
@@ -56,7 +57,7 @@
 	inbox   []Job // arrived while the server was paused
 }
 
-// drop removes a job that has not started to run, and reports whether the server held it.
+// drop removes a job if it has not started to run, and reports whether there was such a job.
 func (j *jobs) drop(ref int) bool {
 	match := func(job Job) bool { return job.Ref == ref }
 	return j.queued.remove(match) || remove(&j.hanging, match) || remove(&j.inbox, match)
@@ -67,7 +68,7 @@
 	return len(j.running) + j.queued.len() + len(j.hanging) + len(j.inbox)
 }
 
-// New returns a server that has not started. The seed determines which jobs fail by an error share.
+// New returns a server that has not started. The seed determines which jobs fail while SetErrorShare applies.
 func New(spec Spec, seed uint64) *Server {
 	return &Server{
 		spec:       spec,
@@ -132,14 +133,16 @@
 	return s.completions
 }
 
-// SetErrorShare sets the share, from 0 to 1, of a class's jobs that fail at once; class -1 is all classes.
+// SetErrorShare sets the share, from 0 to 1, of the jobs of a class that fail as soon as the server accepts them; class
+// -1: all classes.
 func (s *Server) SetErrorShare(now float64, class int, share float64) []Completion {
 	s.advanceTo(now)
 	s.errorShares = withValue(s.errorShares, class+1, share)
 	return s.completions
 }
 
-// SetHanging sets whether a class's jobs are accepted and never complete; class -1 is all classes.
+// SetHanging sets whether the jobs of a class that the server accepts from now on hang, that is, never complete; class
+// -1: all classes.
 func (s *Server) SetHanging(now float64, class int, hangs bool) []Completion {
 	s.advanceTo(now)
 	s.classHangs = withValue(s.classHangs, class+1, hangs)
--- a/internal/emulator/spec.go
+++ b/internal/emulator/spec.go
@@ -16,7 +16,7 @@
 	DegradedSpeed       float64 // fraction of Speed that is left at full degradation
 	DegradeTimeConstant float64 // time constant of the exponential slowdown
 	RecoverTimeConstant float64 // time constant of the exponential recovery once fewer jobs are queued
-	CacheSize           int     // keys; 0: no cache
+	CacheSize           int     // number of keys; 0: no cache
 	CachedWorkFraction  float64 // fraction of its work that a job with a cached key takes
 }
 
@@ -24,11 +24,11 @@
 type Job struct {
 	Ref         int // chosen by the caller, and returned in the Completion
 	Class       int
-	Work        float64
+	Work        float64     // in seconds of a core at speed 1
 	Key         uint64      // affinity key, by which servers cache; 0: none
 	DedupKey    uint64      // idempotency key; 0: none
 	DedupWindow float64     // in seconds
-	DedupGroup  *DedupGroup // deduplication group of the server; nil: duplicates run too
+	DedupGroup  *DedupGroup // deduplication group of the server; nil: duplicates are run like other jobs
 }
 
 // Completion is how a job ended: succeeded, server error, rejected (it never ran) or connection lost (by a crash).
@@ -36,18 +36,18 @@
 	Ref       int
 	Outcome   balance.Outcome
 	At        float64
-	Work      float64 // work of the job, reduced if its key was cached; 0 for a duplicate
-	Duplicate bool    // answered without being run
+	Work      float64 // in seconds of a core at speed 1, reduced if the job's key was cached; 0 for a duplicate
+	Duplicate bool    // the job was a duplicate, and succeeded without being run
 }
 
-// Reachability is what happens to clients that connect to a server.
+// Reachability is what happens to the connections of a server's clients.
 type Reachability uint8
 
-// The values of Reachability, with what happens to new and to open connections.
+// The values of Reachability.
 const (
-	Accepting   Reachability = iota
-	Refusing                 // new ones are refused, open ones are reset
-	Unreachable              // new ones are never established, open ones are silent
+	Accepting   Reachability = iota // connections work as usual
+	Refusing                        // new connections are refused, open connections are reset
+	Unreachable                     // new connections are never established, nothing is received on open connections
 )
 
 // Counts are a server's totals since it was created.
@@ -61,5 +61,5 @@
 	Lost       int
 	Unreceived int // jobs sent to it while it was unreachable
 	Crashes    int
-	Work       float64 // work done, also on jobs that did not succeed
+	Work       float64 // work done, in seconds of a core at speed 1, also on jobs that did not succeed
 }
--- a/internal/fakeserver/address.go
+++ b/internal/fakeserver/address.go
@@ -63,10 +63,11 @@
 	return list, nil
 }
 
-// address is where a server listens. It has one listener per proxy, which identifies the proxy that sends a request.
+// address is where a server listens. Each proxy connects to a listener of its own, which identifies the proxy that
+// sends a request.
 type address struct {
 	listeners    []*listener // by proxy
-	member       int         // index of the last member that has listened here
+	member       int         // number of the member that listens here or, if none does, was the last to do so
 	reachability emulator.Reachability
 	conns        map[*conn]bool
 }
@@ -89,7 +90,7 @@
 	}
 }
 
-// listener is the listener of an address for one proxy.
+// listener is the socket, and its TCP address, on which one proxy connects to a server.
 type listener struct {
 	ln        *net.TCPListener
 	addr      string
@@ -225,12 +226,12 @@
 	l.reachable = nil
 }
 
-// setAcceptDeadline makes accepting time out at t; zero: never. Only a closed listener returns an error, which is
-// ignored.
+// setAcceptDeadline makes accepting time out at t; zero: never. An error is ignored, since it means that the listener
+// is closed.
 func (l *listener) setAcceptDeadline(t time.Time) { _ = l.ln.SetDeadline(t) }
 
-// setBacklog sets how many connections may wait to be accepted. Only a closed listener, which has no backlog, returns
-// an error, which is ignored.
+// setBacklog sets the maximum number of established connections that are queued until they are accepted. An error is
+// ignored, since it means that the listener is closed and has no such queue.
 func (l *listener) setBacklog(n int) {
 	raw, err := l.ln.SyscallConn()
 	if err != nil {
--- a/internal/fakeserver/agent.go
+++ b/internal/fakeserver/agent.go
@@ -28,9 +28,9 @@
 	ln    net.Listener
 
 	mu          sync.Mutex
-	version     int64     // version of the endpoint list
-	notifyAt    time.Time // when the latest change may be sent
-	silentUntil time.Time
+	version     int64         // version of the endpoint list
+	notifyAt    time.Time     // earliest time at which the latest change is sent
+	silentUntil time.Time     // nothing is sent before this time
 	mutedUntil  time.Time     // when changes that muted watches missed count as notified
 	delay       time.Duration // additional delay of the notification of changes before delayUntil
 	delayUntil  time.Time
@@ -67,7 +67,7 @@
 	a.silentUntil = time.Now().Add(d)
 }
 
-// Delay delays the notification of changes that happen within the given time from now.
+// Delay adds a delay to the notification of every change of the list that happens within the given time from now.
 func (a *Agent) Delay(delay, within time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,8 +124,9 @@
 	time.AfterFunc(time.Until(a.notifyAt), func() { a.markNotified(version) })
 }
 
-// markNotified reports to the observer that the proxy counts as notified of the list at a version, whether or not it
-// has a watch. It is postponed until silentUntil and mutedUntil have passed.
+// markNotified reports to the observer that the proxy counts as notified of each member that is draining or removed in
+// the given version of the list, even if the proxy has no open watch. If silentUntil or mutedUntil is in the future, it
+// does so once both have passed.
 func (a *Agent) markNotified(version int64) {
 	a.mu.Lock()
 	wait := max(time.Until(a.silentUntil), time.Until(a.mutedUntil))
@@ -205,8 +206,8 @@
 	nc.Close()
 }
 
-// parseQuery reports whether a query asks for a stream, and after which list version it asks for changes; -1: for the
-// complete list.
+// parseQuery reports whether a query asks for a stream, and returns the list version since which it asks for changes;
+// -1: it asks for the complete list.
 func parseQuery(query string) (stream bool, version int64) {
 	version = -1
 	for part := range strings.SplitSeq(query, "&") {
@@ -315,7 +316,8 @@
 }
 
 // listAfter returns the entries of the list that changed after a version, or the complete list for -1, and the version
-// of that list; the text is empty if nothing changed. The proxy counts as notified of the result.
+// of that list; the text is empty if nothing changed. It reports to the observer that the proxy counts as notified of
+// the draining and removed members among these entries.
 func (a *Agent) listAfter(version int64) (string, int64) {
 	g := a.group
 	g.mu.Lock()
--- a/internal/fakeserver/conn.go
+++ b/internal/fakeserver/conn.go
@@ -31,7 +31,7 @@
 
 	// Guarded by group.mu.
 	id  string // of the current request
-	job int    // Ref of its job, or noJob
+	job int    // Ref of the current request's job, or noJob
 }
 
 // accept accepts connections from one proxy to the server at an address until the listener is closed.
@@ -215,7 +215,7 @@
 			c.reset()
 			continue
 		}
-		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write reports the same failure
+		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, so does the write
 		_, err := c.nc.Write([]byte(answer))
 		if err == nil && completion.Outcome == balance.Succeeded {
 			c.group.observer.AttemptServed(id, completion.Work)
@@ -223,7 +223,8 @@
 	}
 }
 
-// answer returns the id of the current request and the response to it; if that is empty, the connection must be reset.
+// answer returns the id of the current request and the response to it; if the response is empty, the connection must be
+// reset instead.
 func (c *conn) answer(completion emulator.Completion) (id, response string) {
 	c.group.mu.Lock()
 	id = c.id
--- a/internal/fakeserver/group.go
+++ b/internal/fakeserver/group.go
@@ -31,23 +31,23 @@
 	AttemptServed(id string, work float64)
 }
 
-// RequestClass describes the requests of a class to a server.
+// RequestClass describes how servers process the requests of a class.
 type RequestClass struct {
-	Number      int
-	Work        float64 // s of a core at speed 1, unless the request has an X-Work field
-	DedupWindow float64 // s
-	// DedupGroup returns the number of a member's deduplication group; -1: none.
+	Number      int     // index of the class, as in emulator.Job
+	Work        float64 // of a request without X-Work, in seconds of a core at speed 1
+	DedupWindow float64 // in seconds
+	// DedupGroup returns the number of the deduplication group that a member belongs to for this class; -1: none.
 	DedupGroup func(m *emulator.Member) int
 }
 
 // ServerGroup serves a fleet on loopback sockets. Its methods are safe for concurrent use.
 type ServerGroup struct {
 	Fleet       *emulator.Fleet
-	OnLate      func(seconds float64) // called for each completion with the time by which it was processed late
-	IndentLists bool                  // lists are sent as indented JSON, over several lines; set before a watch is opened
+	OnLate      func(seconds float64) // called for each completion with the delay from its due time to its processing
+	IndentLists bool                  // send lists as indented JSON over several lines; to be set before a watch is opened
 
 	observer Observer
-	classes  map[string]RequestClass // by name
+	classes  map[string]RequestClass // by class name
 	proxies  int
 	clock    clock
 	wake     chan struct{} // makes run call advance
@@ -178,8 +178,8 @@
 	fn(g.Fleet)
 }
 
-// Err returns the first error that kept the group from following the fleet, such as a port that could not be opened
-// again; nil: none.
+// Err returns the first error that prevented the group from applying a change of the fleet to its listeners, such as a
+// port that could not be opened again; nil: none.
 func (g *ServerGroup) Err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fakeserver/group_test.go
+++ b/internal/fakeserver/group_test.go
@@ -312,7 +312,8 @@
 	assert.Equal(t, []any{true, 3}, []any{complete.Full, len(complete.Entries)}, "a complete list without removed servers")
 }
 
-// The standard library can decode the chunks of a watch, and finds no last chunk when the agent closes it.
+// The standard library can decode the chunked body of a watch. When the agent closes the connection, decoding fails,
+// since the last chunk is missing.
 func TestWatchIsChunked(t *testing.T) {
 	group, _ := openGroup(t, emulator.Spec{})
 	nc, err := net.Dial("tcp", group.Agent(0).Addr())
--- a/internal/histogram/shares.go
+++ b/internal/histogram/shares.go
@@ -2,7 +2,7 @@
 
 const (
 	shareBins      = 1024 // far more than there are frequent keys, so that few of those share a bin
-	maxShareWeight = 2000 // keys; when so many are counted, all counts are halved, so that old keys count less
+	maxShareWeight = 2000 // when this many keys are counted, all counts are halved, so that old keys count less
 )
 
 // Shares estimates how frequent keys are. It counts them in a fixed number of bins, so that several keys may share one.
--- a/internal/histogram/times.go
+++ b/internal/histogram/times.go
@@ -6,11 +6,11 @@
 import "math"
 
 const (
-	minTime         = 0.001 // s; shorter times are counted in the first bin
+	minTime         = 0.001 // seconds; shorter times are counted in the first bin
 	binsPerDoubling = 2.0   // a factor of 1.4 between bins is enough to distinguish slow from fast
 	timeBins        = 28    // the last bin ends at 16 s, and counts longer times too
-	maxTimesWeight  = 200   // times; when so many are counted, all counts are halved, so that old times count less
-	minTimes        = 5     // times; a quantile of fewer is not reliable
+	maxTimesWeight  = 200   // when this many times are counted, all counts are halved, so that old times count less
+	minTimes        = 5     // a quantile of fewer times than this is not reliable
 )
 
 // upperEdges holds the upper edge of each bin in seconds. It is computed once, since quantiles are computed for every
--- a/internal/loadgen/connection.go
+++ b/internal/loadgen/connection.go
@@ -22,7 +22,7 @@
 type response struct {
 	status     int
 	close      bool    // the connection must not be reused
-	retryAfter float64 // s; 0: not given
+	retryAfter float64 // from the Retry-After field, in seconds; 0: not given
 	body       []byte
 }
 
--- a/internal/loadgen/driver.go
+++ b/internal/loadgen/driver.go
@@ -30,7 +30,7 @@
 	// RequestFailed is called for rejected requests too; clientFault: the status is 4xx, other than 429.
 	RequestFailed(id int, reply balance.Reply, clientFault bool)
 	ResponseCorrupt(id int)             // status 200 with a body that is not the one for this request
-	RequestLost(id int, withProxy bool) // no complete response; withProxy: its proxy was killed or none was left
+	RequestLost(id int, withProxy bool) // no complete response; withProxy: the proxy was killed, or none could be reached
 	RequestTimedOut(id int)             // no response by the deadline and lateResponseWait
 	ClientGone(id int)                  // the client closed the connection before a response
 	NoProxy()                           // no proxy accepted a connection in time
--- a/internal/loadgen/proxies.go
+++ b/internal/loadgen/proxies.go
@@ -25,7 +25,7 @@
 	Addr      string
 	ReadyAddr string // address on which the proxy answers GET /up
 	ready     atomic.Bool
-	killed    atomic.Int64 // ns since 1970; 0: not killed
+	killed    atomic.Int64 // when it was killed, in ns since 1970; 0: it was not
 	mu        sync.Mutex
 	idle      []*connection
 }
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// connect returns a ready proxy and a connection to it, a new one if fresh, or nil if none could be established before
-// until.
+// connect returns a ready proxy and a connection to it: a new connection if fresh is set, else an idle one if there is
+// one. It keeps trying until the given time, then returns nil.
 func (r *RoundRobin) connect(ctx context.Context, until time.Time, fresh bool) (*Target, *connection) {
 	for ctx.Err() == nil && time.Now().Before(until) {
 		for range r.Targets {
@@ -160,8 +160,9 @@
 	return nil, nil
 }
 
-// connect returns an idle connection or dials one; nil if that fails. If fresh, an idle connection is closed instead: a
-// proxy that stops closes all its idle connections, so after one stale connection the next would be stale too.
+// connect returns an idle connection or, if there is none, dials; nil if that fails. If fresh is set, it always dials,
+// and closes an idle connection instead of using it: when a proxy stops, it closes all its idle connections, so after
+// one stale connection the next would be stale too.
 func (t *Target) connect(ctx context.Context, until time.Time, fresh bool) *connection {
 	if c := t.takeIdle(); c != nil {
 		if !fresh {
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -14,27 +14,27 @@
 // Intent is an operation that a client wants to succeed, with one request or, with retries, several.
 type Intent struct {
 	Number        int
-	At            float64 // s since the start
+	At            float64 // seconds since the start of the workload
 	Class, Tenant int     // Tenant -1: none
-	Key           uint64  // 0: none
-	Work          float64 // s of a core at speed 1
+	Key           uint64  // affinity key; 0: none
+	Work          float64 // in seconds of a core at speed 1
 }
 
 // ClassLoad is the part of a workload that belongs to one class.
 type ClassLoad struct {
-	Weight        float64 // of the class's intents, relative to the weights of the other classes
-	Work          float64 // mean, in s of a core at speed 1
-	WorkVariation float64 // coefficient of variation: standard deviation over mean; 0: constant work
-	KeyedFraction float64 // fraction of the intents that have a key
+	Weight        float64 // how frequent the class's intents are, relative to the other classes
+	Work          float64 // mean work of an intent, in seconds of a core at speed 1
+	WorkVariation float64 // coefficient of variation (standard deviation over mean) of the work; 0: constant work
+	KeyedFraction float64 // fraction of the class's intents that have an affinity key
 }
 
-// Phase changes the rate during an interval. Times and durations are in seconds.
+// Phase changes the rate of intents during a time interval. Times and durations are in seconds.
 type Phase struct {
 	At, Duration  float64
 	Shape         Shape
-	Factor        float64 // by which the rate is multiplied
-	BurstInterval float64 // for Bursts: from the start of one to the start of the next
-	BurstDuration float64 // for Bursts: of each burst
+	Factor        float64 // multiplier of the rate; Shape defines when it applies
+	BurstInterval float64 // for Bursts: seconds from the start of one burst to the start of the next
+	BurstDuration float64 // for Bursts: duration of each burst in seconds
 }
 
 // Shape is how a phase changes the rate.
@@ -42,26 +42,26 @@
 
 // The shapes of phases.
 const (
-	Steady       Shape = iota // Factor throughout
-	Ramp                      // from 1 to Factor, linearly
-	Bursts                    // Factor in each burst, 1 between them
-	DeadlineRush              // exponentially up to Factor at its end, then rate 0 for another Duration
+	Steady       Shape = iota // the rate is multiplied by Factor during the whole phase
+	Ramp                      // the multiplier changes linearly from 1 to Factor
+	Bursts                    // the rate is multiplied by Factor in each burst, and unchanged between bursts
+	DeadlineRush              // the multiplier rises exponentially to Factor; then the rate is 0 for another Duration
 )
 
-// Workload describes the load from all clients.
+// Workload describes the load from all clients. Its times are in seconds since its start.
 type Workload struct {
-	Rate          float64 // intents per second, outside of phases
-	Duration      float64 // s
+	Rate          float64 // intents per second while no phase changes the rate
+	Duration      float64 // duration of the whole workload in seconds
 	Phases        []Phase
 	Classes       []ClassLoad
-	TenantWeights []float64
-	KeyCount      int
-	ZipfExponent  float64 // exponent of the Zipf distribution of keys; 0: uniform
+	TenantWeights []float64 // how frequent each tenant's intents are, relative to the other tenants
+	KeyCount      int       // number of different affinity keys
+	ZipfExponent  float64   // exponent of the Zipf distribution of the affinity keys; 0: all are equally frequent
 }
 
 const deadlineSteepness = 5.0 // the rate of a DeadlineRush grows by a factor of e in 1/5 of its duration
 
-// RateAt returns the rate at a time, in intents per second.
+// RateAt returns the rate, in intents per second, at t seconds after the start.
 func (w *Workload) RateAt(t float64) float64 {
 	rate := w.Rate
 	for i := range w.Phases {
@@ -70,7 +70,8 @@
 	return rate
 }
 
-// factorAt returns the phase's factor on the rate at a time; 1 outside the phase.
+// factorAt returns the factor by which the phase multiplies the rate at t seconds after the start of the workload,
+// or 1 if it does not change the rate then.
 func (p *Phase) factorAt(t float64) float64 {
 	x := (t - p.At) / p.Duration
 	switch {
@@ -208,15 +209,15 @@
 
 // Clients describes how clients retry and how long they wait.
 type Clients struct {
-	MaxRequests  int     // for one intent, including the first
-	Backoff      float64 // s before the first retry; doubled for each further one, up to maxBackoffFactor
-	Patience     float64 // fraction of the deadline after which they abandon a request
-	MarksRetries bool    // retries have the field X-Second-Try
+	MaxRequests  int     // maximum number of requests for one intent, including the first
+	Backoff      float64 // seconds before the first retry; doubled for each further one, up to maxBackoffFactor * Backoff
+	Patience     float64 // fraction of a request's deadline after which the client abandons the request
+	MarksRetries bool    // retries are sent with the header field X-Second-Try
 }
 
 const (
 	minJitter        = 0.5 // a backoff is multiplied by a random factor from minJitter to minJitter + 1
-	maxBackoffFactor = 8.0 // multiple of the first backoff
+	maxBackoffFactor = 8.0 // maximum backoff, as a multiple of the first one
 )
 
 // RetryDelay reports whether a client retries after its n-th request, counted from 1, and after how many seconds. A
