--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -61,7 +61,7 @@
 
 // convertNginx converts an nginx configuration to an operator file and checks that serve would accept it: directives
 // that are valid by themselves can make an invalid operator file together.
-func convertNginx(file, prefix string, partial bool) (*nginx.Import, error) {
+func convertNginx(file, prefix string, partial bool) (*nginx.Conversion, error) {
 	if prefix == "" {
 		prefix = filepath.Dir(file)
 	}
@@ -100,7 +100,7 @@
 
 // printVerdicts prints the verdicts on directives that were not carried over as they were, and how often each verdict
 // was given.
-func printVerdicts(w io.Writer, converted *nginx.Import) error {
+func printVerdicts(w io.Writer, converted *nginx.Conversion) error {
 	columns := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	table := cli.Output{Writer: columns}
 	counts := map[string]int{}
--- a/internal/nginx/convert.go
+++ b/internal/nginx/convert.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Import is the result of the conversion of a configuration.
-type Import struct {
+// Conversion is the result of the conversion of a configuration.
+type Conversion struct {
 	Text     string    // the operator file; empty if directives were refused and no partial file was requested
 	Verdicts []Verdict // one per directive, in the order of the configuration
 	Refused  int       // number of refused directives
@@ -29,10 +29,10 @@
 
 // Convert converts a configuration to an operator file. If directives were refused, the result has a file only if
 // partial is set, with the refused directives listed in comments.
-func Convert(list []*Node, partial bool) *Import {
+func Convert(list []*Node, partial bool) *Conversion {
 	c := newConverter()
 	list = c.configuration(list)
-	converted := &Import{Verdicts: c.collect(nil, list, inMain)}
+	converted := &Conversion{Verdicts: c.collect(nil, list, inMain)}
 	for _, v := range converted.Verdicts {
 		if v.Grade == Refused.String() {
 			converted.Refused++
@@ -49,7 +49,7 @@
 func (c *converter) configuration(list []*Node) []*Node {
 	found := false
 	for _, n := range list {
-		if n.Name != "http" || !n.Opens {
+		if n.Name != "http" || !n.HasBlock {
 			continue
 		}
 		if found {
@@ -62,7 +62,7 @@
 	if found || !slices.ContainsFunc(list, belongsInHTTP) {
 		return list
 	}
-	enclosing := &Node{Name: "http", Block: list, Opens: true}
+	enclosing := &Node{Name: "http", Block: list, HasBlock: true}
 	c.http(enclosing)
 	c.verdicts[enclosing] = Verdict{}
 	return []*Node{enclosing}
--- a/internal/nginx/convert_test.go
+++ b/internal/nginx/convert_test.go
@@ -57,19 +57,20 @@
 func directiveBlocks(list *[]*Node) []*[]*Node {
 	blocks := []*[]*Node{list}
 	for _, n := range *list {
-		if n.Opens && n.Name != "types" && n.Name != "map" && n.Name != "split_clients" {
+		if n.HasBlock && n.Name != "types" && n.Name != "map" && n.Name != "split_clients" {
 			blocks = append(blocks, directiveBlocks(&n.Block)...)
 		}
 	}
 	return blocks
 }
 
-// Guards against an outdated page: docs/operators/nginx.md must contain the current output of Table.
+// Guards against an outdated page: docs/operators/nginx.md must contain the current output of DirectiveTable.
 func TestTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/nginx.md")
 	require.NoError(t, err)
-	assert.Contains(t, string(page), Table(), "outdated: go test ./internal/nginx -run Table -v prints the current table")
+	assert.Contains(t, string(page), DirectiveTable(),
+		"outdated: go test ./internal/nginx -run Table -v prints the current table")
 	if testing.Verbose() {
-		fmt.Print(Table())
+		fmt.Print(DirectiveTable())
 	}
 }
--- a/internal/nginx/directives.go
+++ b/internal/nginx/directives.go
@@ -46,7 +46,7 @@
 	noBuffer = "bodies are streamed in both directions, at the speed of the slower side"
 )
 
-// directives holds the known directives by name. Table formats them for docs/operators/nginx.md.
+// directives holds the known directives by name. DirectiveTable formats them for docs/operators/nginx.md.
 var directives = map[string]directive{
 	"http":                 {inMain, Carried, ""},
 	"events":               {inMain, Differs, usesOwn + " limits on connections"},
@@ -209,8 +209,8 @@
 	"load_module":         {inMain, Refused, "the effect of an nginx module is not known"},
 }
 
-// Table returns the known directives as a Markdown table, sorted by name.
-func Table() string {
+// DirectiveTable returns the known directives as a Markdown table, sorted by name.
+func DirectiveTable() string {
 	var b strings.Builder
 	b.WriteString("| directive | context | usual verdict | details |\n| --- | --- | --- | --- |\n")
 	for _, name := range slices.Sorted(maps.Keys(directives)) {
--- a/internal/nginx/location.go
+++ b/internal/nginx/location.go
@@ -38,7 +38,7 @@
 func (c *serverConverter) locationBlocks(list []*Node, parent *location) (found []*location) {
 	seen := map[pathMatch]bool{}
 	for _, n := range list {
-		if n.Name != "location" || !n.Opens {
+		if n.Name != "location" || !n.HasBlock {
 			continue
 		}
 		path, ok := c.locationPath(n, parent)
--- a/internal/nginx/node.go
+++ b/internal/nginx/node.go
@@ -16,10 +16,10 @@
 // Node is a directive and, if it has one, its block.
 type Node struct {
 	Place
-	Name  string
-	Args  []string
-	Block []*Node
-	Opens bool // the directive has a block, which may be empty
+	Name     string
+	Args     []string
+	Block    []*Node
+	HasBlock bool // the directive has a block, which may be empty
 }
 
 // errorf returns an error that starts with the directive's place and name.
@@ -40,7 +40,7 @@
 		for _, arg := range n.Args {
 			b.WriteString(" " + quoteWord(arg))
 		}
-		if !n.Opens {
+		if !n.HasBlock {
 			b.WriteString(";\n")
 			continue
 		}
--- a/internal/nginx/parser.go
+++ b/internal/nginx/parser.go
@@ -97,7 +97,7 @@
 	if strings.HasSuffix(n.Name, "_by_lua_block") {
 		return n.errorf("Lua blocks are not supported")
 	}
-	n.Opens = true
+	n.HasBlock = true
 	n.Block, err = p.block(depth + 1)
 	return err
 }
--- a/internal/nginx/read.go
+++ b/internal/nginx/read.go
@@ -60,7 +60,7 @@
 func (r *Reader) expand(list []*Node) ([]*Node, error) {
 	var expanded []*Node
 	for _, n := range list {
-		if n.Name != "include" || n.Opens {
+		if n.Name != "include" || n.HasBlock {
 			var err error
 			if n.Block, err = r.expand(n.Block); err != nil {
 				return nil, err
--- a/internal/nginx/read_test.go
+++ b/internal/nginx/read_test.go
@@ -40,7 +40,7 @@
 func withoutPlaces(list []*Node) []*Node {
 	var out []*Node
 	for _, n := range list {
-		out = append(out, &Node{Name: n.Name, Args: n.Args, Opens: n.Opens, Block: withoutPlaces(n.Block)})
+		out = append(out, &Node{Name: n.Name, Args: n.Args, HasBlock: n.HasBlock, Block: withoutPlaces(n.Block)})
 	}
 	return out
 }
--- a/internal/nginx/report.go
+++ b/internal/nginx/report.go
@@ -73,7 +73,7 @@
 		if n.Line > 0 { // not the http block that configuration puts around a list
 			verdicts = append(verdicts, r.verdicts[n])
 		}
-		if !n.Opens {
+		if !n.HasBlock {
 			continue
 		}
 		child, known := childBlocks[n.Name]
--- a/internal/nginx/samples_test.go
+++ b/internal/nginx/samples_test.go
@@ -71,7 +71,7 @@
 }
 
 // imported converts a configuration text and reads the operator file that results.
-func imported(tb testing.TB, text string) (*Import, *config.Config) {
+func imported(tb testing.TB, text string) (*Conversion, *config.Config) {
 	tb.Helper()
 	converted := Convert(parsed(tb, text), true)
 	setup, faults := config.Read("site.toml", []byte(converted.Text))
--- a/internal/nginx/server.go
+++ b/internal/nginx/server.go
@@ -39,7 +39,7 @@
 // virtualServers returns the servers whose listen directives could be converted.
 func (c *converter) virtualServers(list []*Node) (servers []*virtualServer) {
 	for _, n := range list {
-		if n.Name != "server" || !n.Opens {
+		if n.Name != "server" || !n.HasBlock {
 			continue
 		}
 		s := &virtualServer{Node: n}
