--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -70,7 +70,7 @@
 		title:  "Requests waiting at servers",
 		unit:   "requests",
 		curves: []curve{{"waiting", blue}},
-		values: func(s simulation.Second) []float64 { return toFloats(s.Waiting) },
+		values: func(s simulation.Second) []float64 { return toFloats(s.Queued) },
 	},
 }
 
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -28,9 +28,9 @@
 	return list
 }
 
-// Operator returns the operator file of a proxy that listens for plain HTTP clients: a route for each class and a pool
-// for each group of servers that serves one.
-func (s *Scenario) Operator(listen string) []byte {
+// OperatorFile returns the operator file of a proxy that listens for plain HTTP clients: a route for each class and a
+// pool for each group of servers that serves one.
+func (s *Scenario) OperatorFile(listen string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# of the scenario %s\n[[listener]]\naddress = %q\n", s.Name, listen)
 	for _, g := range s.pools() {
@@ -141,8 +141,8 @@
 	return zones
 }
 
-// Fleet returns the scenario's servers in their state at the start of a run. now is the time of the start.
-func (s *Scenario) Fleet(seed uint64, now float64) *emulator.Fleet {
+// NewFleet returns the scenario's servers in their state at the start of a run. now is the time of the start.
+func (s *Scenario) NewFleet(seed uint64, now float64) *emulator.Fleet {
 	f := emulator.NewFleet(seed)
 	d := &s.Deployment
 	position := 0
@@ -190,9 +190,9 @@
 	return classes
 }
 
-// Variables returns the environment variables, as NAME=value, that a proxy program reads: its name, its own address,
+// Environment returns the environment variables, as NAME=value, that a proxy program reads: its name, its own address,
 // the address of its discovery agent, and the path of its launch file.
-func Variables(name, listen, discovery, launchFile string) []string {
+func Environment(name, listen, discovery, launchFile string) []string {
 	return []string{
 		"ROUTER_NAME=" + name,
 		"ROUTER_LISTEN=" + listen,
@@ -220,9 +220,9 @@
 
 func milliseconds(seconds float64) float64 { return seconds * 1000 }
 
-// Launch returns the launch file of a proxy in the platform's format. known is the endpoint list that the proxy starts
-// with, in JSON.
-func (s *Scenario) Launch(name, listen, discovery string, seed uint64, known json.RawMessage) ([]byte, error) {
+// LaunchFile returns the launch file of a proxy in the platform's format. known is the endpoint list that the proxy
+// starts with, in JSON.
+func (s *Scenario) LaunchFile(name, listen, discovery string, seed uint64, known json.RawMessage) ([]byte, error) {
 	launch := object{
 		"name":      name,
 		"listen":    listen,
--- a/internal/simulation/defaults.go
+++ b/internal/simulation/defaults.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (g *Servers) setDefaults() {
+func (g *ServerGroup) setDefaults() {
 	setDefault(&g.Count, 1)
 	if len(g.Zones) == 0 {
 		g.Zones = []string{"a"}
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -82,7 +82,7 @@
 	seed := r.options.Seed + uint64(r.starts)<<16 + uint64(i)
 	r.starts++
 	r.mu.Unlock()
-	text, err := r.scenario.Launch(name, r.proxyAddrs[i], agent.Addr(), seed, agent.List())
+	text, err := r.scenario.LaunchFile(name, r.proxyAddrs[i], agent.Addr(), seed, agent.List())
 	if err != nil {
 		return nil, err
 	}
@@ -93,13 +93,13 @@
 	args := []string{"serve"}
 	if r.scenario.PlainHTTP() {
 		operatorFile := filepath.Join(r.dir, name+".toml")
-		if err := os.WriteFile(operatorFile, r.scenario.Operator(r.clientAddrs[i]), 0o600); err != nil {
+		if err := os.WriteFile(operatorFile, r.scenario.OperatorFile(r.clientAddrs[i]), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "-operator", operatorFile)
 	}
 	cmd := exec.Command(r.options.Proxy, args...)
-	cmd.Env = append(os.Environ(), Variables(name, r.proxyAddrs[i], agent.Addr(), launchFile)...)
+	cmd.Env = append(os.Environ(), Environment(name, r.proxyAddrs[i], agent.Addr(), launchFile)...)
 	cmd.Env = append(cmd.Env, "ROUTER_OPERATOR="+adminAddr, "TMPDIR="+tempDir)
 	// The proxy gets its own process group, so that Ctrl-C reaches only this program, which then stops the proxies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -83,7 +83,7 @@
 	Down        int     `json:"Down"`
 	Unreachable int     `json:"Silent"`
 	Draining    int     `json:"Draining"`
-	Waiting     int     `json:"Waiting"` // requests queued at the servers
+	Queued      int     `json:"Waiting"` // requests queued at the servers
 }
 
 // Event is an event of a run: one from the timeline of the scenario, or a crash of a server in slow start, whose text
@@ -119,6 +119,6 @@
 	requests := fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.2f",
 		s.At, s.Intents, s.InTime, s.Late, s.Rejected, s.Failed, s.Lost, s.Attempts, s.P50*1000, s.P99*1000)
 	servers := fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d",
-		s.Ready, s.WarmingUp, s.Degraded, s.Paused, s.Down, s.Unreachable, s.Draining, s.Waiting)
+		s.Ready, s.WarmingUp, s.Degraded, s.Paused, s.Down, s.Unreachable, s.Draining, s.Queued)
 	return requests + "\t" + servers
 }
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -93,7 +93,7 @@
 // play starts the servers and the proxies, runs the scenario, and stops them all.
 func (r *rig) play(ctx context.Context) (*Result, error) {
 	r.score = newRecorder(r.scenario, r.options.Seed, r.options.Name, wallClock())
-	fleet := r.scenario.Fleet(r.options.Seed, r.score.now())
+	fleet := r.scenario.NewFleet(r.options.Seed, r.score.now())
 	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.score)
 	if err != nil {
 		return nil, err
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,19 +26,19 @@
 // Scenario holds the contents of a scenario file; the struct tags are the keys of the file. Times and durations are in
 // seconds, work is in seconds of a core at speed 1.
 type Scenario struct {
-	Name       string     `toml:"name"`
-	About      string     `toml:"about"`
-	Seconds    float64    `toml:"seconds"`
-	ProxyFleet ProxyFleet `toml:"bank"`
-	Deployment Deployment `toml:"deployment"`
-	Classes    []Class    `toml:"tariff"`
-	Tenants    []Tenant   `toml:"customer"`
-	Keys       Keys       `toml:"keys"`
-	Servers    []Servers  `toml:"servers"`
-	Arrivals   Arrivals   `toml:"arrivals"`
-	Clients    Clients    `toml:"clients"`
-	Faults     []Fault    `toml:"trouble"`
-	Match      Match      `toml:"match"`
+	Name       string        `toml:"name"`
+	About      string        `toml:"about"`
+	Seconds    float64       `toml:"seconds"`
+	ProxyFleet ProxyFleet    `toml:"bank"`
+	Deployment Deployment    `toml:"deployment"`
+	Classes    []Class       `toml:"tariff"`
+	Tenants    []Tenant      `toml:"customer"`
+	Keys       Keys          `toml:"keys"`
+	Servers    []ServerGroup `toml:"servers"`
+	Arrivals   Arrivals      `toml:"arrivals"`
+	Clients    Clients       `toml:"clients"`
+	Faults     []Fault       `toml:"trouble"`
+	Match      Match         `toml:"match"`
 
 	file *tomlfile.File
 }
@@ -97,8 +97,8 @@
 	ZipfExponent float64 `toml:"skew"`
 }
 
-// Servers describes a group of identical servers; see emulator.Spec.
-type Servers struct {
+// ServerGroup describes a group of identical servers; see emulator.Spec.
+type ServerGroup struct {
 	Name                string   `toml:"name"`
 	Count               int      `toml:"count"`
 	Zones               []string `toml:"zones"` // assigned to the servers in turn
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -40,7 +40,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	fleet := s.Fleet(seed, wallClock()())
+	fleet := s.NewFleet(seed, wallClock()())
 	servers, err := fakeserver.Open(fleet, s.ProxyFleet.Count, s.RequestClasses(), noObserver{})
 	if err != nil {
 		return nil, err
@@ -64,14 +64,14 @@
 		name := "p" + strconv.Itoa(i+1)
 		launchFile := filepath.Join(folder, name+".json")
 		agent := st.servers.Agent(i)
-		text, err := st.scenario.Launch(name, addr, agent.Addr(), seed+uint64(i), agent.List())
+		text, err := st.scenario.LaunchFile(name, addr, agent.Addr(), seed+uint64(i), agent.List())
 		if err != nil {
 			return err
 		}
 		if err := os.WriteFile(launchFile, text, 0o644); err != nil {
 			return err
 		}
-		variables := Variables(name, addr, agent.Addr(), launchFile)
+		variables := Environment(name, addr, agent.Addr(), launchFile)
 		environment := strings.Join(variables, "\n") + "\n" // lines that a shell can source
 		if err := os.WriteFile(filepath.Join(folder, name+".env"), []byte(environment), 0o644); err != nil {
 			return err
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -110,7 +110,7 @@
 			continue
 		}
 		_, queued, _ := m.Load()
-		s.Waiting += queued
+		s.Queued += queued
 		switch {
 		case m.Reachability() == emulator.Unreachable:
 			s.Unreachable++
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func (s *Scenario) checkServerGroup(n int, g *Servers) error {
+func (s *Scenario) checkServerGroup(n int, g *ServerGroup) error {
 	return s.checkBounds("servers", n,
 		bounds{"count", float64(g.Count), 1, maxServers},
 		bounds{"pod", float64(g.Pod), 1, maxServers},
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -90,7 +90,7 @@
 		plan:     intents,
 		clients:  loadgen.Clients(s.Clients),
 		rand:     rand.New(rand.NewPCG(seed, 4)),
-		fleet:    s.Fleet(seed, epoch),
+		fleet:    s.NewFleet(seed, epoch),
 		zones:    map[string]int{},
 		models:   map[string]int{},
 		tally:    newTally(s, runSettings.Classes, seed, name, "virtual"),
