--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -112,8 +112,8 @@
 // Member returns the server that fills a position.
 func (f *Fleet) Member(position int) *Member { return f.Members[f.memberAt[position]] }
 
-// Index returns the number of the member that fills a position.
-func (f *Fleet) Index(position int) int { return f.memberAt[position] }
+// MemberIndex returns the number of the member that fills a position.
+func (f *Fleet) MemberIndex(position int) int { return f.memberAt[position] }
 
 func (f *Fleet) newAddress() int {
 	f.Addresses++
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -104,7 +104,7 @@
 func (r *rig) disableServer(ctx context.Context, i, position int, duration time.Duration) error {
 	var id string
 	var member int
-	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(position).Name, f.Index(position) })
+	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(position).Name, f.MemberIndex(position) })
 	if err := r.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
