--- a/controlplane/service_test.go
+++ b/controlplane/service_test.go
@@ -39,7 +39,7 @@
 	slowProxy, err := faultproxy.Open(service.addr)
 	require.NoError(t, err)
 	t.Cleanup(slowProxy.Close)
-	slowProxy.Set(faultproxy.Fault{Pace: 20_000, Delay: 20 * time.Millisecond})
+	slowProxy.SetFault(faultproxy.Fault{BytesPerSecond: 20_000, Delay: 20 * time.Millisecond})
 	var subscribers []*testSubscriber
 	for _, delta := range []bool{true, false} {
 		for _, options := range []subscriberOptions{
@@ -59,7 +59,7 @@
 	}
 	receivedEndpoints := func() bool { return strings.Contains(strings.Join(nacksAll.received, ";"), "endpoints p") }
 	nacksAll.waitUntil(startTimeout, "received endpoints", receivedEndpoints)
-	silentProxy.Set(faultproxy.Fault{Silent: true})
+	silentProxy.SetFault(faultproxy.Fault{Silent: true})
 	time.Sleep(300 * time.Millisecond) // what is checked below must not be a response sent before the drain
 	nacksAll.clearReceived()
 	start := time.Now()
--- a/internal/cli/controlplanecmd/controlplanecmd_test.go
+++ b/internal/cli/controlplanecmd/controlplanecmd_test.go
@@ -165,14 +165,14 @@
 	subscribers := &bytes.Buffer{}
 	assert.Equal(t, cli.ExitOK, ctlcmd.Run([]string{"subscribers", p.env["LOOMD_STATUS"]}, subscribers, io.Discard))
 	assert.Equal(t, 3, strings.Count(subscribers.String(), "endpoints"), subscribers)
-	link.Set(faultproxy.Fault{Silent: true})
+	link.SetFault(faultproxy.Fault{Silent: true})
 	id := "try/" + p.servers[0].name
 	require.Equal(t, cli.ExitOK, p.call("disable", id))
 	time.Sleep(500 * time.Millisecond)
 	got := p.callsWithin(time.Second)
 	assert.True(t, got[0] > 5 && got[0] < 80, "only the disconnected one of three clients calls it: %v", got)
 	assert.Greater(t, got[1]+got[2], int64(150), "%v", got)
-	link.Set(faultproxy.Fault{})
+	link.SetFault(faultproxy.Fault{})
 	link.Cut()
 	time.Sleep(2500 * time.Millisecond)
 	got = p.callsWithin(time.Second)
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -11,16 +11,16 @@
 
 // Fault describes what a relay does to all its connections. The zero value relays all bytes unchanged.
 type Fault struct {
-	Delay  time.Duration // delay before each chunk of bytes is relayed
-	Pace   int           // maximum rate in bytes per second, in each direction; 0: unlimited
-	Silent bool          // nothing is relayed and no connection is closed, as if all were half open
-	Refuse bool          // new connections are closed as soon as they are accepted
+	Delay          time.Duration // delay before each chunk of bytes is relayed
+	BytesPerSecond int           // maximum rate in bytes per second, in each direction; 0: unlimited
+	Silent         bool          // nothing is relayed and no connection is closed, as if all were half open
+	Refuse         bool          // new connections are closed as soon as they are accepted
 }
 
 const (
 	maxChunkBytes        = 32 << 10              // read and relayed at once
 	silentPollInterval   = 10 * time.Millisecond // between checks whether Fault.Silent is still set
-	pacedChunksPerSecond = 100                   // full chunks per second while Fault.Pace is set
+	pacedChunksPerSecond = 100                   // full chunks per second while Fault.BytesPerSecond is set
 )
 
 // Relay relays TCP connections to one target address. Its methods are safe for concurrent use.
@@ -53,8 +53,8 @@
 // Addr returns the address that the relay accepts connections on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set replaces the fault that applies to all connections from now on.
-func (r *Relay) Set(fault Fault) {
+// SetFault replaces the fault that applies to all connections from now on.
+func (r *Relay) SetFault(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = fault
@@ -119,8 +119,8 @@
 		if !ok {
 			return
 		}
-		if fault.Pace > 0 {
-			time.Sleep(time.Duration(n) * time.Second / time.Duration(fault.Pace))
+		if fault.BytesPerSecond > 0 {
+			time.Sleep(time.Duration(n) * time.Second / time.Duration(fault.BytesPerSecond))
 		}
 		time.Sleep(fault.Delay)
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -142,7 +142,7 @@
 
 // chunkBytes returns the maximum number of bytes to read at once.
 func (r *Relay) chunkBytes() int {
-	pace := r.currentFault().Pace
+	pace := r.currentFault().BytesPerSecond
 	if pace <= 0 {
 		return maxChunkBytes
 	}
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -63,23 +63,23 @@
 	conn := dial(t, relay)
 	_, err = roundTrip(conn, text, testTimeout)
 	assert.NoError(t, err)
-	for _, fault := range []Fault{{Delay: 50 * time.Millisecond}, {Pace: 20_000}} {
-		relay.Set(fault)
+	for _, fault := range []Fault{{Delay: 50 * time.Millisecond}, {BytesPerSecond: 20_000}} {
+		relay.SetFault(fault)
 		duration, err := roundTrip(conn, text, testTimeout)
 		assert.NoError(t, err)
 		assert.Greater(t, duration, 90*time.Millisecond, "%+v applies in each direction", fault)
 	}
-	relay.Set(Fault{Silent: true})
+	relay.SetFault(Fault{Silent: true})
 	_, err = roundTrip(conn, text, 100*time.Millisecond)
 	assert.ErrorContains(t, err, "timeout")
-	relay.Set(Fault{})
+	relay.SetFault(Fault{})
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = io.ReadFull(conn, make([]byte, len(text)))
 	assert.NoError(t, err, "bytes received while silent are relayed afterwards")
 	relay.Cut()
 	_, err = roundTrip(conn, text, testTimeout)
 	assert.Error(t, err)
-	relay.Set(Fault{Refuse: true})
+	relay.SetFault(Fault{Refuse: true})
 	_, err = roundTrip(dial(t, relay), text, testTimeout)
 	assert.Error(t, err)
 }
