--- a/internal/fakeserver/group.go
+++ b/internal/fakeserver/group.go
@@ -42,9 +42,10 @@
 
 // ServerGroup serves a fleet on loopback sockets. Its methods are safe for concurrent use.
 type ServerGroup struct {
-	Fleet       *emulator.Fleet
-	OnLate      func(seconds float64) // called for each completion with the delay from its due time to its processing
-	IndentLists bool                  // send lists as indented JSON over several lines; to be set before a watch is opened
+	Fleet *emulator.Fleet
+	// OnCompletionDelay is called for each completion with the delay from its due time to its processing.
+	OnCompletionDelay func(seconds float64)
+	IndentLists       bool // send lists as indented JSON over several lines; to be set before a watch is opened
 
 	observer Observer
 	classes  map[string]RequestClass // by class name
@@ -101,16 +102,16 @@
 // Open serves a fleet, whose times are in seconds since 1970, to the given number of proxies until Close.
 func Open(f *emulator.Fleet, proxies int, classes map[string]RequestClass, observer Observer) (*ServerGroup, error) {
 	g := &ServerGroup{
-		Fleet:     f,
-		OnLate:    func(float64) {},
-		observer:  observer,
-		classes:   classes,
-		proxies:   proxies,
-		clock:     clock{time.Now()},
-		wake:      make(chan struct{}, 1),
-		quit:      make(chan struct{}),
-		ports:     newPortFinder(),
-		nextEvent: math.Inf(1),
+		Fleet:             f,
+		OnCompletionDelay: func(float64) {},
+		observer:          observer,
+		classes:           classes,
+		proxies:           proxies,
+		clock:             clock{time.Now()},
+		wake:              make(chan struct{}, 1),
+		quit:              make(chan struct{}),
+		ports:             newPortFinder(),
+		nextEvent:         math.Inf(1),
 	}
 	if err := g.listenAll(); err != nil {
 		g.Close()
@@ -272,7 +273,7 @@
 
 // complete passes a completion on to the connection that waits for it.
 func (g *ServerGroup) complete(now float64, m *emulator.Member, completion emulator.Completion) {
-	g.OnLate(now - completion.At)
+	g.OnCompletionDelay(now - completion.At)
 	c := g.jobs.release(completion.Ref)
 	if c == nil {
 		return
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	defer servers.Close()
-	servers.OnLate = r.score.clockLateness.record
+	servers.OnCompletionDelay = r.score.clockLateness.record
 	servers.IndentLists = r.scenario.Deployment.IndentedLists
 	r.servers = servers
 	if err := r.findAddrs(); err != nil {
