--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.SourceOf(arrivals))
+			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.NewListSource(arrivals))
 			if err != nil {
 				return err
 			}
--- a/internal/loadgen/driver.go
+++ b/internal/loadgen/driver.go
@@ -43,7 +43,7 @@
 	Classes   []balance.Class
 	Tenants   []string // names
 	PlainHTTP bool     // requests omit X-Qos and X-Expires-In, but not X-Trace-Id, by which they are counted
-	Clients   Clients
+	Clients   ClientPolicy
 	Proxies   *RoundRobin
 	Observer  Observer
 	Seed      uint64
@@ -120,7 +120,7 @@
 		intentDue: intentDue,
 		due:       due,
 		deadline:  due.Add(seconds(class.Deadline)),
-		abandonAt: due.Add(seconds(class.Deadline * d.Clients.Patience)),
+		abandonAt: due.Add(seconds(class.Deadline * d.Clients.AbandonFraction)),
 	}
 }
 
--- a/internal/loadgen/proxies.go
+++ b/internal/loadgen/proxies.go
@@ -84,7 +84,8 @@
 	picks   atomic.Uint64
 }
 
-// NewRoundRobin returns a RoundRobin of the proxies at addrs. They are not ready until Watch or MarkReady sets them so.
+// NewRoundRobin returns a RoundRobin of the proxies at addrs. They are not ready until WatchReadiness or MarkReady sets
+// them so.
 func NewRoundRobin(addrs []string) *RoundRobin {
 	r := &RoundRobin{}
 	for _, addr := range addrs {
@@ -93,8 +94,8 @@
 	return r
 }
 
-// Watch periodically checks whether each proxy is ready, until the context ends.
-func (r *RoundRobin) Watch(ctx context.Context) {
+// WatchReadiness periodically checks whether each proxy is ready, until the context ends.
+func (r *RoundRobin) WatchReadiness(ctx context.Context) {
 	var checks sync.WaitGroup
 	for _, target := range r.Targets {
 		checks.Go(func() {
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -193,8 +193,8 @@
 // Source returns intents in order of time: a Plan, or a recorded list.
 type Source interface{ Next() (Intent, bool) }
 
-// SourceOf returns a Source of the intents in a list.
-func SourceOf(list []Intent) Source { return &intentList{list} }
+// NewListSource returns a Source of the intents in a list.
+func NewListSource(list []Intent) Source { return &intentList{list} }
 
 type intentList struct{ rest []Intent }
 
@@ -207,12 +207,13 @@
 	return next, true
 }
 
-// Clients describes how clients retry and how long they wait.
-type Clients struct {
-	MaxRequests  int     // maximum number of requests for one intent, including the first
-	Backoff      float64 // seconds before the first retry; doubled for each further one, up to maxBackoffFactor * Backoff
-	Patience     float64 // fraction of a request's deadline after which the client abandons the request
-	MarksRetries bool    // retries are sent with the header field X-Second-Try
+// ClientPolicy describes how clients retry and how long they wait.
+type ClientPolicy struct {
+	MaxRequests int // maximum number of requests for one intent, including the first
+	// Backoff is the seconds before the first retry; it is doubled for each further one, up to maxBackoffFactor * Backoff.
+	Backoff         float64
+	AbandonFraction float64 // fraction of a request's deadline after which the client abandons the request
+	MarksRetries    bool    // retries are sent with the header field X-Second-Try
 }
 
 const (
@@ -223,7 +224,7 @@
 // RetryDelay reports whether a client retries after its n-th request, counted from 1, and after how many seconds. A
 // rejected request may always be retried, though not before retryAfter seconds; a failed one only if the class is
 // idempotent.
-func (c *Clients) RetryDelay(
+func (c *ClientPolicy) RetryDelay(
 	n int, idempotency balance.Idempotency, reply balance.Reply, retryAfter float64, random *rand.Rand,
 ) (float64, bool) {
 	if n >= c.MaxRequests || reply == balance.NoReply {
--- a/internal/loadgen/workload_test.go
+++ b/internal/loadgen/workload_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestRetryDelay(t *testing.T) {
-	clients := Clients{MaxRequests: 3, Backoff: .1}
+	clients := ClientPolicy{MaxRequests: 3, Backoff: .1}
 	for name, c := range map[string]struct {
 		n           int
 		idempotency balance.Idempotency
--- a/internal/simulation/defaults.go
+++ b/internal/simulation/defaults.go
@@ -26,7 +26,7 @@
 	setDefault(&d.CrashDuration, 1)
 	setDefault(&s.Clients.MaxRequests, 1)
 	setDefault(&s.Clients.Backoff, .1)
-	setDefault(&s.Clients.Patience, 1)
+	setDefault(&s.Clients.AbandonFraction, 1)
 	setDefault(&s.Match.Seconds, .5)
 	setDefault(&s.Match.Share, .1)
 	for i := range s.Classes {
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -42,12 +42,12 @@
 	var watcher sync.WaitGroup
 	defer watcher.Wait()
 	defer stop()
-	watcher.Go(func() { proxies.Watch(watchCtx) })
+	watcher.Go(func() { proxies.WatchReadiness(watchCtx) })
 	driver := &loadgen.Driver{
 		Plan:     loadgen.NewPlan(s.Workload(), seed),
 		Classes:  recorder.tally.classes,
 		Tenants:  s.tenantNames(),
-		Clients:  loadgen.Clients(s.Clients),
+		Clients:  loadgen.ClientPolicy(s.Clients),
 		Proxies:  proxies,
 		Observer: recorder,
 		Seed:     seed,
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -226,14 +226,14 @@
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
-	work.Go(func() { r.proxyTargets.Watch(watchCtx) })
+	work.Go(func() { r.proxyTargets.WatchReadiness(watchCtx) })
 	work.Go(func() { r.playTimeline(ctx, watchCtx, &work, start) })
 	work.Go(func() { r.recordSeconds(watchCtx, start) })
 	driver := &loadgen.Driver{
 		Plan:      loadgen.NewPlan(r.scenario.Workload(), r.options.Seed),
 		Classes:   r.score.tally.classes,
 		Tenants:   r.scenario.tenantNames(),
-		Clients:   loadgen.Clients(r.scenario.Clients),
+		Clients:   loadgen.ClientPolicy(r.scenario.Clients),
 		Proxies:   r.proxyTargets,
 		Observer:  r.score,
 		Seed:      r.options.Seed,
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -133,12 +133,12 @@
 	BurstDuration float64 `toml:"lasts"`
 }
 
-// Clients describes how clients retry and how long they wait for a response; see loadgen.Clients.
+// Clients describes how clients retry and how long they wait for a response; see loadgen.ClientPolicy.
 type Clients struct {
-	MaxRequests  int     `toml:"tries"`
-	Backoff      float64 `toml:"backoff"`
-	Patience     float64 `toml:"patience"`
-	MarksRetries bool    `toml:"marked"`
+	MaxRequests     int     `toml:"tries"`
+	Backoff         float64 `toml:"backoff"`
+	AbandonFraction float64 `toml:"patience"`
+	MarksRetries    bool    `toml:"marked"`
 }
 
 // Fault describes a fault or a planned change of servers, proxies or endpoint lists.
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -110,7 +110,7 @@
 	err = s.checkBounds("clients", 0,
 		bounds{"tries", float64(s.Clients.MaxRequests), 1, 100},
 		bounds{"backoff", s.Clients.Backoff, 0, 600},
-		bounds{"patience", s.Clients.Patience, .01, 1})
+		bounds{"patience", s.Clients.AbandonFraction, .01, 1})
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -34,7 +34,7 @@
 	agenda             agenda
 	plan               loadgen.Source
 	nextIntent         loadgen.Intent // its event is in the agenda
-	clients            loadgen.Clients
+	clients            loadgen.ClientPolicy
 	rand               *rand.Rand
 	fleet              *emulator.Fleet
 	nextEventAt        []float64 // by member: time of its valid eventServerDue; never: none
@@ -88,7 +88,7 @@
 		seed:     seed,
 		now:      epoch,
 		plan:     intents,
-		clients:  loadgen.Clients(s.Clients),
+		clients:  loadgen.ClientPolicy(s.Clients),
 		rand:     rand.New(rand.NewPCG(seed, 4)),
 		fleet:    s.NewFleet(seed, epoch),
 		zones:    map[string]int{},
--- a/internal/simulation/virtual_requests.go
+++ b/internal/simulation/virtual_requests.go
@@ -66,7 +66,7 @@
 		attempts:   t.attempts[:0],
 		sent:       at,
 		deadline:   at + class.Deadline,
-		leavesAt:   at + class.Deadline*v.clients.Patience,
+		leavesAt:   at + class.Deadline*v.clients.AbandonFraction,
 		proxy:      -1,
 		used:       true,
 	}
