--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -201,7 +201,7 @@
 	s, err := simulation.Open(shortScenario(t, "calm", 1, 1))
 	require.NoError(t, err)
 	began := time.Now()
-	_, err = s.Sockets(t.Context(), simulation.Sockets{Proxy: own, Ready: 200 * time.Millisecond})
+	_, err = s.PlayOnSockets(t.Context(), simulation.SocketOptions{Proxy: own, Ready: 200 * time.Millisecond})
 	assert.EqualError(t, err, "proxy 1 is not up after 200ms: its log is empty")
 	assert.Less(t, time.Since(began), time.Minute, "the proxy must be killed before it ends by itself")
 }
@@ -232,8 +232,8 @@
 		servers, err := s.StartServers(t.TempDir(), 1)
 		require.NoError(t, err)
 		defer servers.Close()
-		require.Len(t, servers.Variables, 2)
-		for _, v := range servers.Variables {
+		require.Len(t, servers.Environments, 2)
+		for _, v := range servers.Environments {
 			agent := v[2]
 			assert.False(t, seen[agent], agent)
 			seen[agent] = true
--- a/internal/cli/ctlcmd/experiment.go
+++ b/internal/cli/ctlcmd/experiment.go
@@ -138,7 +138,7 @@
 	results := make([][]*simulation.Result, len(programs))
 	for _, seed := range seeds {
 		for i, program := range programs {
-			result, err := s.Sockets(ctx, simulation.Sockets{
+			result, err := s.PlayOnSockets(ctx, simulation.SocketOptions{
 				Proxy:    program,
 				Name:     names[i],
 				Seed:     seed,
--- a/internal/cli/ctlcmd/rehearse.go
+++ b/internal/cli/ctlcmd/rehearse.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return s.Sockets(ctx, simulation.Sockets{
+		return s.PlayOnSockets(ctx, simulation.SocketOptions{
 			Proxy:    program,
 			Name:     r.policy,
 			Seed:     r.seed,
@@ -136,17 +136,17 @@
 		})
 	}
 	if r.captureDir == "" {
-		return s.Virtual(r.policy, simulation.Policies[r.policy](), r.seed)
+		return s.PlayVirtual(r.policy, simulation.Policies[r.policy](), r.seed)
 	}
 	recorders := &simulationRecorders{dir: r.captureDir, byProxy: map[uint64]*capture.Recorder{}}
-	result, err := s.Virtual(r.policy, recorders.newDecider, r.seed)
+	result, err := s.PlayVirtual(r.policy, recorders.newDecider, r.seed)
 	return result, errors.Join(err, recorders.close())
 }
 
 // compareWithVirtual plays a scenario in virtual time too, prints the differences that exceed the scenario's tolerance,
 // and reports whether there are none.
 func (r *rehearsal) compareWithVirtual(s *simulation.Scenario, onSockets *simulation.Result) (bool, error) {
-	virtual, err := s.Virtual(r.policy, simulation.Policies[r.policy](), r.seed)
+	virtual, err := s.PlayVirtual(r.policy, simulation.Policies[r.policy](), r.seed)
 	if err != nil {
 		return false, err
 	}
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	defer servers.Close()
-	for _, variables := range servers.Variables {
+	for _, variables := range servers.Environments {
 		out.Println("export", strings.Join(variables, " "))
 	}
 	return servers.Run(ctx, play)
--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -45,7 +45,8 @@
 			if err != nil {
 				return err
 			}
-			result, err := scenario.VirtualOf(*policy, simulation.Policies[*policy](), *seed, loadgen.NewListSource(arrivals))
+			result, err := scenario.PlayVirtualFrom(
+				*policy, simulation.Policies[*policy](), *seed, loadgen.NewListSource(arrivals))
 			if err != nil {
 				return err
 			}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -85,9 +85,9 @@
 // Page is the content of an HTML report on one or more runs.
 type Page struct {
 	Title string
-	About string               // a paragraph below the title
-	Rows  []simulation.Row     // of the summary table; empty: no table
-	Runs  []*simulation.Result // shown with their plots and events
+	About string                     // a paragraph below the title
+	Rows  []simulation.PolicySummary // of the summary table; empty: no table
+	Runs  []*simulation.Result       // shown with their plots and events
 }
 
 //go:embed page.html
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -28,7 +28,7 @@
 
 // Table writes a table with a row for each scenario and policy of an experiment. A request is in time if it succeeded
 // within its class's latency objective (or deadline, if there is no objective), counted from its client's first try.
-func Table(w io.Writer, rows []simulation.Row) error {
+func Table(w io.Writer, rows []simulation.PolicySummary) error {
 	t := newTable(w)
 	t.row("scenario", "policy", "seeds", "value in time", "worst", "best", "spread", "in time", "late", "unserved",
 		"rejected", "failed", "lost", "attempts", "waste", "p50 ms", "p99 ms", "rules broken")
@@ -106,7 +106,7 @@
 func (t table) row(cells ...string) { fmt.Fprintln(t, strings.Join(cells, "\t")) }
 
 // seeds returns the number of seeds that were played, and how many of the runs are void.
-func seeds(r simulation.Row) string {
+func seeds(r simulation.PolicySummary) string {
 	if r.VoidSeeds > 0 {
 		return fmt.Sprintf("%d (%d void)", r.Seeds, r.VoidSeeds)
 	}
--- a/internal/simulation/baseline.go
+++ b/internal/simulation/baseline.go
@@ -83,7 +83,7 @@
 		b.list[endpoint.Index] = endpoint
 	}
 	if b.controller != nil {
-		b.controller.listUpdated(now, b.list)
+		b.controller.endpointsUpdated(now, b.list)
 	}
 	return b.resetActions()
 }
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// Row summarizes the runs of one policy in one scenario over all seeds of an experiment.
-type Row struct {
+// PolicySummary summarizes the runs of one policy in one scenario over all seeds of an experiment.
+type PolicySummary struct {
 	Scenario, Policy, Clock                     string
 	Seeds                                       int
 	ValueInTime, MinValueInTime, MaxValueInTime float64 // fraction of all value; mean, worst and best seed
@@ -25,9 +25,9 @@
 	VoidSeeds                                   int     // seeds with a void run, which no other field counts
 }
 
-// Summarize returns the row of a policy's results. Void runs are counted in VoidSeeds and otherwise left out.
-func Summarize(all []*Result) Row {
-	row := Row{MinValueInTime: math.Inf(1)}
+// Summarize returns the summary of a policy's results. Void runs are counted in VoidSeeds and otherwise left out.
+func Summarize(all []*Result) PolicySummary {
+	row := PolicySummary{MinValueInTime: math.Inf(1)}
 	var values []float64
 	intents, tries := 0.0, 0.0
 	for _, r := range all {
@@ -54,7 +54,7 @@
 }
 
 // add adds a run's counts and figures, which divide then turns into fractions and means.
-func (w *Row) add(r *Result) {
+func (w *PolicySummary) add(r *Result) {
 	w.MinValueInTime = min(w.MinValueInTime, r.ValueInTime)
 	w.MaxValueInTime = max(w.MaxValueInTime, r.ValueInTime)
 	w.InTime += float64(r.InTime)
@@ -73,7 +73,7 @@
 }
 
 // divide turns the sums over the seeds into fractions of the intents and tries, and means over the seeds.
-func (w *Row) divide(intents, tries float64) {
+func (w *PolicySummary) divide(intents, tries float64) {
 	for _, sum := range []*float64{&w.InTime, &w.Late, &w.Unserved} {
 		*sum = share(*sum, intents)
 	}
@@ -127,7 +127,7 @@
 				if ctx.Err() != nil {
 					return
 				}
-				r, err := s.Virtual(name, policy(), seed)
+				r, err := s.PlayVirtual(name, policy(), seed)
 				if err != nil {
 					mu.Lock()
 					defer mu.Unlock()
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -108,12 +108,12 @@
 	if err := r.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
-	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, true) })
+	r.recorder.locked(func(now, _ float64) { r.recorder.audit.ServerDisabled(now, i, member, true) })
 	select {
 	case <-time.After(duration):
 	case <-ctx.Done():
 		return nil
 	}
-	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, false) })
+	r.recorder.locked(func(now, _ float64) { r.recorder.audit.ServerDisabled(now, i, member, false) })
 	return r.call(i, admin.Call{Action: admin.Enable, ID: id})
 }
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -25,8 +25,8 @@
 	maxLateFraction   = 0.01                   // a run with a larger fraction of late server actions is void
 )
 
-// Sockets are the options of a run on sockets, with a process for each proxy.
-type Sockets struct {
+// SocketOptions are the options of a run on sockets, with a process for each proxy.
+type SocketOptions struct {
 	Proxy    string // path of the proxy program, which is run with the argument serve
 	Name     string // name of the policy in results
 	Seed     uint64
@@ -39,8 +39,8 @@
 // rig is a run on sockets: the proxy processes, and the fake servers and clients around them.
 type rig struct {
 	scenario     *Scenario
-	options      *Sockets
-	score        *recorder
+	options      *SocketOptions
+	recorder     *recorder
 	servers      *fakeserver.ServerGroup
 	proxyTargets *loadgen.RoundRobin
 	abort        context.CancelFunc // ends the run
@@ -60,9 +60,9 @@
 	adminAddrs  [][]string // two for each proxy, since a second process cannot share the admin endpoint of the first
 }
 
-// Sockets plays a scenario on loopback sockets with a process for each proxy. It stops all processes before it returns,
-// also after an error.
-func (s *Scenario) Sockets(ctx context.Context, options Sockets) (*Result, error) {
+// PlayOnSockets plays a scenario on loopback sockets with a process for each proxy. It stops all processes before it
+// returns, also after an error.
+func (s *Scenario) PlayOnSockets(ctx context.Context, options SocketOptions) (*Result, error) {
 	if _, err := exec.LookPath(options.Proxy); err != nil {
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
@@ -92,14 +92,14 @@
 
 // play starts the servers and the proxies, runs the scenario, and stops them all.
 func (r *rig) play(ctx context.Context) (*Result, error) {
-	r.score = newRecorder(r.scenario, r.options.Seed, r.options.Name, wallClock())
-	fleet := r.scenario.NewFleet(r.options.Seed, r.score.now())
-	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.score)
+	r.recorder = newRecorder(r.scenario, r.options.Seed, r.options.Name, wallClock())
+	fleet := r.scenario.NewFleet(r.options.Seed, r.recorder.now())
+	servers, err := fakeserver.Open(fleet, r.scenario.ProxyFleet.Count, r.scenario.RequestClasses(), r.recorder)
 	if err != nil {
 		return nil, err
 	}
 	defer servers.Close()
-	servers.OnCompletionDelay = r.score.clockLateness.record
+	servers.OnCompletionDelay = r.recorder.clockLateness.record
 	servers.IndentLists = r.scenario.Deployment.IndentedLists
 	r.servers = servers
 	if err := r.findAddrs(); err != nil {
@@ -155,13 +155,13 @@
 
 // result returns the result of a run whose proxies have exited. The run is void if the rig was late too often.
 func (r *rig) result() *Result {
-	r.score.audit.Close(r.score.now())
+	r.recorder.audit.Close(r.recorder.now())
 	var result *Result
-	r.servers.Inspect(func(f *emulator.Fleet) { result = r.score.tally.result(f, r.score.audit) })
+	r.servers.Inspect(func(f *emulator.Fleet) { result = r.recorder.tally.result(f, r.recorder.audit) })
 	for i := range r.proxyAddrs {
 		result.ProxyMemoryMB = max(result.ProxyMemoryMB, r.process(i).peakMemoryMB)
 	}
-	late := r.score.clockLateness
+	late := r.recorder.clockLateness
 	if result.RigLateP99 > maxLateness || float64(late.over) > maxLateFraction*float64(max(late.all, 1)) {
 		result.Void = fmt.Sprintf("the rig ran late: tries %.1f ms at the 99th percentile, "+
 			"servers over %.0f ms in %d of %d cases, %.1f ms at most",
@@ -221,7 +221,7 @@
 // run plays the timeline and the workload, and returns when both are over.
 func (r *rig) run(ctx context.Context) {
 	start := time.Now().Add(settleDuration)
-	r.score.setStart(r.score.now() + settleDuration.Seconds())
+	r.recorder.setStart(r.recorder.now() + settleDuration.Seconds())
 	watchCtx, stop := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -231,11 +231,11 @@
 	work.Go(func() { r.recordSeconds(watchCtx, start) })
 	driver := &loadgen.Driver{
 		Plan:      loadgen.NewPlan(r.scenario.Workload(), r.options.Seed),
-		Classes:   r.score.tally.classes,
+		Classes:   r.recorder.tally.classes,
 		Tenants:   r.scenario.tenantNames(),
 		Clients:   loadgen.ClientPolicy(r.scenario.Clients),
 		Proxies:   r.proxyTargets,
-		Observer:  r.score,
+		Observer:  r.recorder,
 		Seed:      r.options.Seed,
 		PlainHTTP: r.scenario.PlainHTTP(),
 	}
@@ -251,7 +251,7 @@
 		case <-watchCtx.Done():
 			return
 		}
-		r.score.event(entry.String())
+		r.recorder.event(entry.String())
 		r.apply(ctx, work, entry)
 	}
 }
@@ -265,7 +265,7 @@
 		case <-ctx.Done():
 			return
 		}
-		r.servers.Inspect(func(f *emulator.Fleet) { r.score.endSecond(float64(n-1), f) })
+		r.servers.Inspect(func(f *emulator.Fleet) { r.recorder.endSecond(float64(n-1), f) })
 		if r.options.Progress != nil {
 			r.options.Progress(n, last)
 		}
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -13,7 +13,7 @@
 
 // StandaloneServers are the servers and discovery agents of a scenario on sockets, without its proxies and clients.
 type StandaloneServers struct {
-	Variables [][]string // by proxy: its environment variables, as NAME=VALUE
+	Environments [][]string // by proxy: its environment variables, as NAME=VALUE
 
 	scenario *Scenario
 	servers  *fakeserver.ServerGroup
@@ -76,7 +76,7 @@
 		if err := os.WriteFile(filepath.Join(folder, name+".env"), []byte(environment), 0o644); err != nil {
 			return err
 		}
-		st.Variables = append(st.Variables, variables)
+		st.Environments = append(st.Environments, variables)
 	}
 	return nil
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -71,7 +71,7 @@
 		s.Seconds /= 3 // a third of each keeps CI short
 		var lines [2]bytes.Buffer
 		for i := range lines {
-			r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
+			r, err := s.PlayVirtual("lockloom", Policies["lockloom"](), 7)
 			require.NoError(t, err)
 			assert.True(t, r.Passed(), "%s: rules broken: %v", s.Name, r.FirstBreaches)
 			assert.Zero(t, r.Lost)
@@ -98,13 +98,13 @@
 	require.NoError(t, err)
 	var lines [2]bytes.Buffer
 	for i := range lines {
-		r, err := s.Virtual("lockloom", Policies["lockloom"](), 7)
+		r, err := s.PlayVirtual("lockloom", Policies["lockloom"](), 7)
 		require.NoError(t, err)
 		assert.True(t, r.Passed(), "%v", r.FirstBreaches)
 		assert.NoError(t, r.Write(&lines[i]))
 	}
 	assert.Equal(t, lines[0].String(), lines[1].String(), "the same seed gives the same timeline")
-	_, err = s.Sockets(t.Context(), Sockets{Proxy: "true"})
+	_, err = s.PlayOnSockets(t.Context(), SocketOptions{Proxy: "true"})
 	assert.ErrorContains(t, err,
 		"large.toml:4:1: bank: proxies: 350: at most 64 on sockets, where each proxy is a process")
 }
@@ -298,7 +298,7 @@
 		"applies updates": func(d Decider) Decider { return d },
 		"ignores updates": func(d Decider) Decider { return firstListOnly{d} },
 	} {
-		r, err := s.Virtual(name, func(d balance.Deployment, now float64) (Decider, error) {
+		r, err := s.PlayVirtual(name, func(d balance.Deployment, now float64) (Decider, error) {
 			b, err := Policies["lockloom"]()(d, now)
 			return wrap(b), err
 		}, 3)
@@ -328,7 +328,7 @@
 		if rule == 4 {
 			s.Arrivals.Rate = 500
 		}
-		r, err := s.Virtual("rule breaker", policy, 3)
+		r, err := s.PlayVirtual("rule breaker", policy, 3)
 		require.NoError(t, err)
 		for i := 1; i <= 4; i++ {
 			assert.Equal(t, i == rule, r.RulesBroken[i] > 0,
@@ -353,7 +353,7 @@
 	} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 0.5\n"+c.table+"\n")
 		for name, policy := range Policies {
-			r, err := s.Virtual(name, policy(), 3)
+			r, err := s.PlayVirtual(name, policy(), 3)
 			require.NoError(t, err)
 			assert.Equal(
 				t,
@@ -373,14 +373,14 @@
 func TestProxyFaults(t *testing.T) {
 	for kind, lost := range map[string]bool{"proxy-kill": true, "proxy-restart": false} {
 		s := scenario(t, "[[trouble]]\nkind = \""+kind+"\"\nat = 1.0\nfor = 1.0\nproxy = 1\n")
-		r, err := s.Virtual("lockloom", Policies["lockloom"](), 3)
+		r, err := s.PlayVirtual("lockloom", Policies["lockloom"](), 3)
 		require.NoError(t, err)
 		assert.Equal(t, lost, r.LostWithProxy > 0, kind)
 		assert.Equal(t, []any{0, 0, true}, []any{r.Lost, r.NoProxy, r.Passed()}, "%s: %v", kind, r.FirstBreaches)
 		assert.Equal(t, r.Tries, r.Succeeded+r.Rejected+r.Failed+r.LostWithProxy)
 	}
 	s := scenario(t, "[[trouble]]\nkind = \"proxy-kill\"\nat = 1.0\nfor = 1.5\n")
-	r, err := s.Virtual("lockloom", Policies["lockloom"](), 3)
+	r, err := s.PlayVirtual("lockloom", Policies["lockloom"](), 3)
 	require.NoError(t, err)
 	assert.Greater(t, r.NoProxy, 0, "requests find no proxy while all are down")
 	assert.True(t, r.Passed(), r.FirstBreaches)
@@ -393,7 +393,7 @@
 		b.Run(name, func(b *testing.B) {
 			tries := 0
 			for b.Loop() {
-				r, err := s.Virtual(name, policy(), 7)
+				r, err := s.PlayVirtual(name, policy(), 7)
 				require.NoError(b, err)
 				tries += r.Tries
 			}
--- a/internal/simulation/steering.go
+++ b/internal/simulation/steering.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// listUpdated merges the endpoint list of one proxy. Proxies are notified at different times, so an older entry never
-// replaces a newer one: a server that is draining or removed stays so until its next start.
-func (s *steeringController) listUpdated(now float64, list []balance.Endpoint) {
+// endpointsUpdated merges the endpoint list of one proxy. Proxies are notified at different times, so an older entry
+// never replaces a newer one: a server that is draining or removed stays so until its next start.
+func (s *steeringController) endpointsUpdated(now float64, list []balance.Endpoint) {
 	for _, b := range list {
 		for len(s.list) <= b.Index {
 			s.list = append(s.list, balance.Endpoint{State: balance.Removed, StartedAt: -1})
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -54,14 +54,14 @@
 	err                error
 }
 
-// Virtual plays a scenario in virtual time with a policy; the name is used in the result. The same seed gives the same
-// run.
-func (s *Scenario) Virtual(name string, policy Policy, seed uint64) (*Result, error) {
-	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
+// PlayVirtual plays a scenario in virtual time with a policy; the name is used in the result. The same seed gives the
+// same run.
+func (s *Scenario) PlayVirtual(name string, policy Policy, seed uint64) (*Result, error) {
+	return s.PlayVirtualFrom(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
 }
 
-// VirtualOf is like Virtual, but takes the intents from a source instead of the scenario's workload.
-func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
+// PlayVirtualFrom is like PlayVirtual, but takes the intents from a source instead of the scenario's workload.
+func (s *Scenario) PlayVirtualFrom(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
 	startedAt := time.Now()
 	v := newVirtualRun(s, name, policy, seed, intents)
 	if err := v.begin(); err != nil {
