--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -104,16 +104,16 @@
 func (r *rig) disableServer(ctx context.Context, i, position int, duration time.Duration) error {
 	var id string
 	var member int
-	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(position).Name, f.Index(position) })
+	r.servers.Inspect(func(f *emulator.Fleet) { id, member = f.Member(position).Name, f.MemberIndex(position) })
 	if err := r.call(i, admin.Call{Action: admin.Disable, ID: id}); err != nil {
 		return err
 	}
-	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, true) })
+	r.recorder.locked(func(now, _ float64) { r.recorder.audit.ServerDisabled(now, i, member, true) })
 	select {
 	case <-time.After(duration):
 	case <-ctx.Done():
 		return nil
 	}
-	r.score.locked(func(now, _ float64) { r.score.audit.ServerDisabled(now, i, member, false) })
+	r.recorder.locked(func(now, _ float64) { r.recorder.audit.ServerDisabled(now, i, member, false) })
 	return r.call(i, admin.Call{Action: admin.Enable, ID: id})
 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,19 +26,19 @@
 // Scenario holds the contents of a scenario file; the struct tags are the keys of the file. Times and durations are in
 // seconds, work is in seconds of a core at speed 1.
 type Scenario struct {
-	Name       string     `toml:"name"`
-	About      string     `toml:"about"`
-	Seconds    float64    `toml:"seconds"`
-	ProxyFleet ProxyFleet `toml:"bank"`
-	Deployment Deployment `toml:"deployment"`
-	Classes    []Class    `toml:"tariff"`
-	Tenants    []Tenant   `toml:"customer"`
-	Keys       Keys       `toml:"keys"`
-	Servers    []Servers  `toml:"servers"`
-	Arrivals   Arrivals   `toml:"arrivals"`
-	Clients    Clients    `toml:"clients"`
-	Faults     []Fault    `toml:"trouble"`
-	Match      Match      `toml:"match"`
+	Name       string        `toml:"name"`
+	About      string        `toml:"about"`
+	Seconds    float64       `toml:"seconds"`
+	ProxyFleet ProxyFleet    `toml:"bank"`
+	Deployment Deployment    `toml:"deployment"`
+	Classes    []Class       `toml:"tariff"`
+	Tenants    []Tenant      `toml:"customer"`
+	Keys       Keys          `toml:"keys"`
+	Servers    []ServerGroup `toml:"servers"`
+	Arrivals   Arrivals      `toml:"arrivals"`
+	Clients    Clients       `toml:"clients"`
+	Faults     []Fault       `toml:"trouble"`
+	Match      Match         `toml:"match"`
 
 	file *tomlfile.File
 }
@@ -97,8 +97,8 @@
 	ZipfExponent float64 `toml:"skew"`
 }
 
-// Servers describes a group of identical servers; see emulator.Spec.
-type Servers struct {
+// ServerGroup describes a group of identical servers; see emulator.Spec.
+type ServerGroup struct {
 	Name                string   `toml:"name"`
 	Count               int      `toml:"count"`
 	Zones               []string `toml:"zones"` // assigned to the servers in turn
@@ -133,12 +133,12 @@
 	BurstDuration float64 `toml:"lasts"`
 }
 
-// Clients describes how clients retry and how long they wait for a response; see loadgen.Clients.
+// Clients describes how clients retry and how long they wait for a response; see loadgen.ClientPolicy.
 type Clients struct {
-	MaxRequests  int     `toml:"tries"`
-	Backoff      float64 `toml:"backoff"`
-	Patience     float64 `toml:"patience"`
-	MarksRetries bool    `toml:"marked"`
+	MaxRequests     int     `toml:"tries"`
+	Backoff         float64 `toml:"backoff"`
+	AbandonFraction float64 `toml:"patience"`
+	MarksRetries    bool    `toml:"marked"`
 }
 
 // Fault describes a fault or a planned change of servers, proxies or endpoint lists.
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -13,7 +13,7 @@
 
 // StandaloneServers are the servers and discovery agents of a scenario on sockets, without its proxies and clients.
 type StandaloneServers struct {
-	Variables [][]string // by proxy: its environment variables, as NAME=VALUE
+	Environments [][]string // by proxy: its environment variables, as NAME=VALUE
 
 	scenario *Scenario
 	servers  *fakeserver.ServerGroup
@@ -40,7 +40,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	fleet := s.Fleet(seed, wallClock()())
+	fleet := s.NewFleet(seed, wallClock()())
 	servers, err := fakeserver.Open(fleet, s.ProxyFleet.Count, s.RequestClasses(), noObserver{})
 	if err != nil {
 		return nil, err
@@ -64,19 +64,19 @@
 		name := "p" + strconv.Itoa(i+1)
 		launchFile := filepath.Join(folder, name+".json")
 		agent := st.servers.Agent(i)
-		text, err := st.scenario.Launch(name, addr, agent.Addr(), seed+uint64(i), agent.List())
+		text, err := st.scenario.LaunchFile(name, addr, agent.Addr(), seed+uint64(i), agent.List())
 		if err != nil {
 			return err
 		}
 		if err := os.WriteFile(launchFile, text, 0o644); err != nil {
 			return err
 		}
-		variables := Variables(name, addr, agent.Addr(), launchFile)
+		variables := Environment(name, addr, agent.Addr(), launchFile)
 		environment := strings.Join(variables, "\n") + "\n" // lines that a shell can source
 		if err := os.WriteFile(filepath.Join(folder, name+".env"), []byte(environment), 0o644); err != nil {
 			return err
 		}
-		st.Variables = append(st.Variables, variables)
+		st.Environments = append(st.Environments, variables)
 	}
 	return nil
 }
--- a/internal/simulation/virtual.go
+++ b/internal/simulation/virtual.go
@@ -34,7 +34,7 @@
 	agenda             agenda
 	plan               loadgen.Source
 	nextIntent         loadgen.Intent // its event is in the agenda
-	clients            loadgen.Clients
+	clients            loadgen.ClientPolicy
 	rand               *rand.Rand
 	fleet              *emulator.Fleet
 	nextEventAt        []float64 // by member: time of its valid eventServerDue; never: none
@@ -54,14 +54,14 @@
 	err                error
 }
 
-// Virtual plays a scenario in virtual time with a policy; the name is used in the result. The same seed gives the same
-// run.
-func (s *Scenario) Virtual(name string, policy Policy, seed uint64) (*Result, error) {
-	return s.VirtualOf(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
+// PlayVirtual plays a scenario in virtual time with a policy; the name is used in the result. The same seed gives the
+// same run.
+func (s *Scenario) PlayVirtual(name string, policy Policy, seed uint64) (*Result, error) {
+	return s.PlayVirtualFrom(name, policy, seed, loadgen.NewPlan(s.Workload(), seed))
 }
 
-// VirtualOf is like Virtual, but takes the intents from a source instead of the scenario's workload.
-func (s *Scenario) VirtualOf(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
+// PlayVirtualFrom is like PlayVirtual, but takes the intents from a source instead of the scenario's workload.
+func (s *Scenario) PlayVirtualFrom(name string, policy Policy, seed uint64, intents loadgen.Source) (*Result, error) {
 	startedAt := time.Now()
 	v := newVirtualRun(s, name, policy, seed, intents)
 	if err := v.begin(); err != nil {
@@ -88,9 +88,9 @@
 		seed:     seed,
 		now:      epoch,
 		plan:     intents,
-		clients:  loadgen.Clients(s.Clients),
+		clients:  loadgen.ClientPolicy(s.Clients),
 		rand:     rand.New(rand.NewPCG(seed, 4)),
-		fleet:    s.Fleet(seed, epoch),
+		fleet:    s.NewFleet(seed, epoch),
 		zones:    map[string]int{},
 		models:   map[string]int{},
 		tally:    newTally(s, runSettings.Classes, seed, name, "virtual"),
