--- a/balance/breaker.go
+++ b/balance/breaker.go
@@ -13,7 +13,7 @@
 	cooldownJitter       = 0.5  // largest share of breakerCooldown added at random; keeps servers from returning together
 	minBreakerResults    = 5    // a breaker opens only if its window has more results than this
 	maxFailureShare      = 0.5  // a breaker opens if a greater share of its window's results failed; see breaker.record
-	maxReportedResults   = 50   // largest number of results that one entry of a report adds to the breakers
+	maxReportedResults   = 50   // largest number of results that one ReportedOutcomes adds to the breakers
 	sharedFailureDivisor = 4    // 1/sharedFailureDivisor is the quantile of failure shares that sharedFailures returns
 )
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// recordReported records the next result of an entry of a report, if one falls into this round.
+// recordReported records the next result of one ReportedOutcomes, if one falls into this round.
 func (b *Balancer) recordReported(o *ReportedOutcomes, round, rounds int) {
 	counted := o.counted()
 	last := round * counted / rounds
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -7,7 +7,7 @@
 	initialLimit        = 2.0  // attempts at a server of unknown capacity: one running, one queued
 	initialLimitPerCore = 3.0  // attempts, initial and minimum limit per core; see limitBounds for when it applies
 	minLimit            = 1.0  // attempts; limits do not fall further, since no server may be excluded by its limit alone
-	minBindingLimit     = 0.5  // attempts of one proxy; lower limits hold back attempts only by their sum over all servers
+	minBindingLimit     = 0.5  // attempts of one proxy; a lower limit acts only as part of the sum of all servers' limits
 	limitGrowth         = 1.2  // attempts per second by which a limit grows, to be divided by the number of proxies plus 1
 	initialLimitGrowth  = 4.8  // limitGrowth in a large fleet without gossip, until the limits have been cut a few times
 	slowAnswerCut       = 0.9  // factor by which a slow answer multiplies the limit
@@ -133,8 +133,8 @@
 
 // scaleLimits changes the limits after an answer or a rejection of server s. If many results of s are known, the limit
 // of s is multiplied by factor. The fewer are known, the less of this change applies, and the more the limits of all
-// servers are multiplied by others instead. A limit below minBindingLimit holds back attempts only by its sum with the
-// other limits, so in a fleet that gossips, the lower it is, the more of its change is spread over all servers.
+// servers are multiplied by others instead. A limit below minBindingLimit acts only as part of the sum of all limits,
+// so in a fleet that gossips, the lower it is, the more of its change is spread over all servers.
 func (b *Balancer) scaleLimits(s *server, factor, others float64) {
 	ownShare := 1 - math.Pow(1-s.scores.general[ownEstimate].confidence, 2) //nolint:staticcheck // x*x may round otherwise
 	ownExponent := ownShare * min(s.limit.value/minBindingLimit, 1)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -49,7 +49,7 @@
 // PollFailed reports that the endpoint list could not be fetched, or that the subscription ended.
 func (b *Balancer) PollFailed(now float64) *Actions {
 	b.beginCall(now)
-	// Without a subscription, the proxy does not receive changes that it is expected to know; see NotificationDeadline.
+	// Without a subscription, no change of the list arrives, but each counts as received after NotificationDeadline.
 	if b.deployment.PollsEndpoints {
 		b.endpoints.failed(now, b.random.Float64(), b.deployment.NotificationDeadline)
 		b.wakeAt(b.endpoints.pollAt)
--- a/balance/hedge.go
+++ b/balance/hedge.go
@@ -18,8 +18,8 @@
 
 // recordOverdue records an overdue attempt as failed: otherwise a server that hangs would be detected only at the
 // deadline. It also stops counting the attempt as in flight, so that a class whose attempts hang at a server does not
-// use up the server's limit for the other classes. A limit below minBindingLimit is an exception: such limits hold back
-// attempts only by their sum, in which overdue attempts have to count.
+// use up the server's limit for the other classes. A limit below minBindingLimit is an exception: it acts only
+// as part of the sum of all limits, with which all attempts in flight are compared, so overdue ones have to count.
 func (b *Balancer) recordOverdue(r *Request, a *attempt) {
 	a.overdue = true
 	if a.server.limit.value >= minBindingLimit {
--- a/balance/loadreports.go
+++ b/balance/loadreports.go
@@ -70,7 +70,7 @@
 	stats := &b.loadReports
 	stats.healthCheckBudget = min(
 		stats.healthCheckBudget+overheadShare/max(b.deployment.HealthCheckCost, 1e-9),
-		maxHealthChecksPerRequest, // otherwise checks saved up before the endpoint list arrives would be sent all at once
+		maxHealthChecksPerRequest, // otherwise budget saved up before the endpoint list arrives would be spent all at once
 	)
 	for ; b.deployment.HealthChecks && stats.healthCheckBudget >= 1 && len(b.servers) > 0; stats.healthCheckBudget-- {
 		s := b.servers[int(b.random.Float64()*float64(len(b.servers)))]
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -12,7 +12,7 @@
 		name     string
 		results  []string // by server
 		inFlight []int
-		min, max float64 // share of server 0
+		min, max float64 // bounds of the share of selections that choose server 0
 	}{
 		{"equal results", []string{"ssss", "ssss"}, []int{0, 0}, 0.4, 0.6},
 		{"without results, a server has the mean payoff", []string{"ssss", ""}, []int{0, 0}, 0.4, 0.6},
@@ -169,7 +169,7 @@
 	} {
 		d, here := sidecarDeployment(), 0
 		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.sidecar, c.gossip, c.zone, 1, 0
-		proxy := startProxy(t, d, 8) // alternating between two zones
+		proxy := startProxy(t, d, 8) // servers alternate between two zones
 		proxy.fillServers(c.inFlight)
 		for range 400 {
 			s, _ := proxy.selectForClass(0)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -6,7 +6,7 @@
 	minBudgetShare       = 0.4  // the minimum mean rate at which the fleet sends work, as a share of the budget
 	maxBudgetShare       = 0.55 // the maximum mean rate at which the fleet sends work, as a share of the budget
 	budgetDeviations     = 3.5  // standard deviations of the work sent that have to fit between the mean and the budget
-	budgetWindowFraction = 0.5  // the minimum time in which a token bucket fills, as a share of Deployment.CrashDuration
+	budgetWindowFraction = 0.5  // minimum time in which a slowStartBudget fills, as a share of Deployment.CrashDuration
 )
 
 // slowStartBudget is a token bucket for the work that this proxy may send to a server that is warming up.
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -47,7 +47,7 @@
 
 func TestSlowStartBudgetOfManyProxies(t *testing.T) {
 	for _, c := range []struct {
-		age, minUsed float64 // s since the server's start; the least share of the budget that has to be used
+		age, minUsed float64 // age: s since the server's start; minUsed: share of the budget that has to be used at least
 	}{{0, 0.25}, {15, 0.4}} { // the budget grows with age, so less of it is a margin for random variation
 		const seeds = 10
 		used := 0.0 // share of the budget
@@ -111,10 +111,10 @@
 		t.Run(name, func(t *testing.T) {
 			proxy := startProxy(t, deployment(), 2)
 			for range 200 {
-				proxy.endAttempts(proxy.servers[0], "s") // in 0.05 s
+				proxy.endAttempts(proxy.servers[0], "s") // succeeds after 0.05 s
 			}
 			for range slow {
-				proxy.endAttempts(proxy.servers[0], "l") // in 0.5 s
+				proxy.endAttempts(proxy.servers[0], "l") // succeeds after 0.5 s
 			}
 			proxy.EndpointsUpdated(0, false, false, []Endpoint{{Index: 1, NameHash: 2, Zone: 1, StartedAt: 0.001}})
 			sent := 0
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -59,7 +59,7 @@
 	return resp, err
 }
 
-// reserve takes bytes of the memory budget until end, and reports whether they were available.
+// reserve reserves bytes of the memory budget, which end releases. It reports whether they were available.
 func (a *admission) reserve(bytes int64) bool {
 	if !a.conn.proxy.memory.reserve(bytes) {
 		return false
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -50,7 +50,7 @@
 		env.behaviors["b1"] = []string{okResponse}
 		c = env.connect()
 		go write(c, lookRequest)
-		time.Sleep(clientWriteTimeout + 1) // never reads its response
+		time.Sleep(clientWriteTimeout + 1) // the client does not read the response
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err)
 
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -71,7 +71,7 @@
 
 // fakeDiscovery is the discovery service, at one or more addresses.
 type fakeDiscovery struct {
-	listUpdates map[string]chan string // changes of the list to send, by address
+	listUpdates map[string]chan string // changes of the endpoint list to send, by address of the discovery service
 	watchLog    []string               // address and requested version of each watch, and its end
 }
 
--- a/proxy/hotrestart.go
+++ b/proxy/hotrestart.go
@@ -205,7 +205,7 @@
 	wasServing := s.successors[link]
 	delete(s.successors, link)
 	s.updateSuccessorServing()
-	if wasServing && s.lifecycle.StoppedAt == 0 { // otherwise no process would accept connections or hand over
+	if wasServing && s.lifecycle.StoppedAt == 0 { // serve again: else no process would accept connections or hand over
 		p.log.WithError(err).Warn("hot restart: the successor has ended, serving again")
 		p.offerHotRestart()
 	}
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -140,7 +140,7 @@
 		p.OnShareChanged(share)
 	}
 	go p.post(func() {
-		share := p.resourceShare() // read again: two posted calls may run in either order
+		share := p.resourceShare() // read again: posted calls may run in any order, and the last must set the latest share
 		p.upstream.SetMaxConnections(int(share * float64(p.maxServerConns)))
 		for _, pool := range p.pools.all {
 			pool.decisions.SetBudgetShare(share)
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -49,7 +49,8 @@
 	})
 }
 
-// A pool whose attempts fail alternately is never paused. Its requests are retried only within the retry budget.
+// A pool whose servers fail every second attempt is never paused. Its requests are retried only within the retry
+// budget.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var alternating []string
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -171,7 +171,7 @@
 // drainClients ends accepting and waits until the clients have gone, or until shortly before the platform kills the
 // process. A timer closes the connections that remain then; the returned function stops it.
 func (p *Proxy) drainClients(accepting *acceptLoops) (stopCut func()) {
-	// The platform waits no longer than maxShutdownWait, even if a class has a longer deadline.
+	// The platform waits for requests no longer than maxShutdownWait, even if a class has a longer deadline.
 	killAt := time.Now().Add(min(p.maxDeadline, maxShutdownWait) + killMargin)
 	deadline := killAt.Add(-finalDeadlineMargin)
 	p.shutdown.deadline.Store(&deadline)
