--- a/controlplane/routes.go
+++ b/controlplane/routes.go
@@ -17,7 +17,8 @@
 	"lockloom/limits"
 )
 
-// maxHostRoutes limits the routes sent for one host: a regex is sent once for each prefix that it is tried before.
+// maxHostRoutes limits the routes sent for one host. Their number can far exceed that of the configured routes, because
+// a regex route is copied for each prefix route that must be tried after it.
 const maxHostRoutes = 10_000
 
 // The conditions of a retry policy: failures after which the server cannot have processed the request, and the
--- a/controlplane/subscription_test.go
+++ b/controlplane/subscription_test.go
@@ -21,7 +21,7 @@
 	responses      []*response
 	removals       int               // number of removals of resource b so far
 	removalsBefore map[*response]int // number of removals of resource b before a response was sent
-	removalsSeen   int               // removalsBefore of the response from which resource b was accepted last
+	removalsSeen   int               // value in removalsBefore of the last response from which resource b was accepted
 	replies        []reply
 	held           map[string]string // versions that the subscriber has
 	lastAcked      map[string]string // versions that the subscriber acknowledged last, if after the last removal
--- a/controlplane/testservice_test.go
+++ b/controlplane/testservice_test.go
@@ -72,8 +72,8 @@
 	return service
 }
 
-// startWithoutObservation starts a service without observations. The first call of observe passes pool p with the given
-// number of servers.
+// startWithoutObservation starts a service that has no observations yet. Unless the test changes them, the observations
+// that observe passes to it are those of pool p with the given number of servers.
 func startWithoutObservation(tb testing.TB, text string, servers int) *testService {
 	tb.Helper()
 	log, hook := test.NewNullLogger()
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -115,7 +115,7 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
 		if i%2 == 0 {
-			// The server may have closed the connection already, as it must when there are too many.
+			// The write may fail: the server closes the oldest connection when too many have sent no call.
 			_, _ = io.WriteString(conn, "PUT /-/dra")
 		}
 		silent = append(silent, conn)
--- a/internal/cli/proxycmd/clientload_test.go
+++ b/internal/cli/proxycmd/clientload_test.go
@@ -140,7 +140,7 @@
 type response struct {
 	status int
 	body   string
-	closes bool // the proxy closes the connection after it
+	closes bool // the proxy closes the connection after this response; also true if reading its head failed
 }
 
 // sendRequest sends a request on a connection without other requests in flight, and reads its response.
--- a/internal/cli/proxycmd/serve.go
+++ b/internal/cli/proxycmd/serve.go
@@ -23,7 +23,7 @@
 // Settings of Go's garbage collector.
 const (
 	// heapFraction is the share of the proxy's memory limit that becomes the runtime's soft memory limit. The rest is for
-	// bursts of buffers.
+	// bursts in which many buffers are allocated.
 	heapFraction = 0.6
 	// gcPercent is the value of GOGC. The heap is small, so collections are rare unless it nears the soft memory limit.
 	gcPercent = 300
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -6,7 +6,7 @@
 type ControlPlane struct {
 	Address         string   `toml:"address"`     // where subscribers connect
 	Status          string   `toml:"status"`      // HTTP address where operators query the subscribers; empty: none
-	PreferLocalZone bool     `toml:"local"`       // subscribers stay in their own zone while it has a healthy server
+	PreferLocalZone bool     `toml:"local"`       // subscribers use servers of their own zone while any of them is healthy
 	SnapshotFile    string   `toml:"memory"`      // path; empty: no snapshot is kept
 	Subscribers     int      `toml:"subscribers"` // maximum at once; 0: the default of package controlplane
 	Certificate     string   `toml:"certificate"` // path of a PEM file; set Certificate, Key and Authority together
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -25,8 +25,8 @@
 	LatencyObjective float64 `toml:"due"`
 	Deadline         float64 `toml:"hard_stop"`
 	PriorityWeight   float64 `toml:"value"`  // 0: the default of 1
-	DedupScope       string  `toml:"scope"`  // servers that drop repeats by their idempotency key: none, all, zone or pod
-	DedupWindow      float64 `toml:"window"` // seconds for which those servers remember a key
+	DedupScope       string  `toml:"scope"`  // deduplication group: none, all (servers), zone or pod (the attempt's)
+	DedupWindow      float64 `toml:"window"` // seconds in which the group's servers drop repeats of an idempotency key
 }
 
 // Pool configures a group of servers, either listed here or selected from the endpoint list.
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -159,7 +159,8 @@
 	}()
 }
 
-// Serve must send nothing to a peer that fails the handshake, also at a path that is too long for a Unix socket.
+// Serve must send nothing to a peer that fails the handshake. The path used here is longer than a Unix socket's address
+// may be; a handover must work at it too.
 func TestServeErrors(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
 	require.NoError(t, os.Mkdir(dir, 0o700))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,7 +13,7 @@
 	balance.Deployment
 	Zones                []string // a zone's index is its position here
 	StreamsPerConnection int      // maximum number of concurrent requests on a connection to a server
-	ConnectTimeout       float64  // an attempt to connect to a server that takes longer never succeeds; 0: unknown
+	ConnectTimeout       float64  // limit for connecting to a server: a longer attempt never succeeds; 0: not published
 	DrainGrace           float64  // from the notification that a server drains or was removed until sending must stop
 }
 
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -12,7 +12,7 @@
 	"lockloom/balance"
 )
 
-// Checks the outcome for each kind of response and of its failure, and whether the connection is reused.
+// Checks the outcome for each kind of response and of failed response, and whether the connection is reused.
 func TestOutcomeOfResponse(t *testing.T) {
 	const noBody = "Content-Length: 0\r\n\r\n"
 	for _, c := range []struct {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -45,7 +45,7 @@
 	generation    int           // incremented by CloseIdle; connections of an earlier generation are not reused
 	idle          []*connection // the most recently used last
 	open          int           // number of connections: idle, in use and being opened
-	stopSendingAt atomic.Int64  // Unix nanoseconds from which nothing is written to the server; 0: never
+	stopSendingAt atomic.Int64  // Unix time in nanoseconds after which nothing is written to the server; 0: no limit
 }
 
 // New returns a pool without servers. dial opens its connections, and post runs a function on the owner's goroutine.
