--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -58,7 +58,7 @@
 
 // processState holds what the proxy process reports about itself.
 type processState struct {
-	budgetShare float64 // see SetBudgetShare
+	budgetShare float64 // see SetSlowStartShare
 	delayFactor float64 // see SetLocalDelay
 	localDelay  float64 // s, see SetLocalDelay
 }
@@ -209,9 +209,9 @@
 	return b.dispatch()
 }
 
-// SetBudgetShare sets this balancer's share, from 0 to 1, of the proxy's slow-start budgets. Two processes of one proxy
-// that each used the whole budget would together overload a server.
-func (b *Balancer) SetBudgetShare(share float64) { b.process.budgetShare = share }
+// SetSlowStartShare sets this balancer's share, from 0 to 1, of the proxy's slow-start budgets. Two processes of one
+// proxy that each used the whole budget would together overload a server.
+func (b *Balancer) SetSlowStartShare(share float64) { b.process.budgetShare = share }
 
 // SetLocalDelay sets the delay that this proxy adds to attempts while its own CPU core is overloaded. factor is the
 // latency measured by the proxy divided by the latency at the server; it raises the capacity of servers, so that none
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -29,7 +29,7 @@
 	proxy := startProxy(t, deployment(), 2)
 	var streaming []*Request
 	for range 20 { // many times the capacity
-		request, actions := proxy.arrive(RequestInfo{Deadline: 900, Streaming: true})
+		request, actions := proxy.arrive(RequestInfo{Deadline: 900, StreamingBody: true})
 		assert.Equal(t, 1, countSends(actions), "a streamed request is sent regardless of capacity")
 		streaming = append(streaming, request)
 	}
--- a/balance/checkpoint.go
+++ b/balance/checkpoint.go
@@ -155,9 +155,9 @@
 // CheckpointError reports that a Checkpoint cannot be restored, because a value is missing or refers to one that the
 // Checkpoint does not contain.
 type CheckpointError struct {
-	Reference string // the missing or dangling reference
+	Reason string // which value or reference is missing
 }
 
 func (e *CheckpointError) Error() string {
-	return "invalid checkpoint: " + e.Reference
+	return "invalid checkpoint: " + e.Reason
 }
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -32,7 +32,7 @@
 // gossip, as it may be wrong.
 func (b *Balancer) GossipReceived(now float64, from int, message GossipMessage) *Actions {
 	b.beginCall(now)
-	if !b.deployment.Gossip || from == b.deployment.Self || from < 0 || from >= b.deployment.Proxies {
+	if !b.deployment.Gossip || from == b.deployment.ProxyIndex || from < 0 || from >= b.deployment.Proxies {
 		return &b.actions
 	}
 	b.gossip.receive(&message)
@@ -79,7 +79,7 @@
 	}
 	b.gossip.budget = 0
 	b.actions.Gossip = b.gossipMessage()
-	peer := b.deployment.Self + 1 + int(b.random.Float64()*float64(b.deployment.Proxies-1))
+	peer := b.deployment.ProxyIndex + 1 + int(b.random.Float64()*float64(b.deployment.Proxies-1))
 	b.actions.GossipPeer = peer % b.deployment.Proxies
 }
 
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -77,7 +77,7 @@
 		return all
 	}
 	withCosts := deployment()
-	withCosts.Self, withCosts.Zone, withCosts.GossipCost, withCosts.HealthCheckCost = 1, 1, 0.01, 0.05
+	withCosts.ProxyIndex, withCosts.Zone, withCosts.GossipCost, withCosts.HealthCheckCost = 1, 1, 0.01, 0.05
 	withCosts.ConnectionCost, withCosts.HandshakeCost, withCosts.ServerIdleTimeout = 0.03, 0.12, 10
 	assert.Equal(t, run(deployment()), run(withCosts))
 }
@@ -98,6 +98,6 @@
 	}
 	assert.Len(t, sent, 3)
 	assert.Zero(t, sent[1], "not to itself")
-	proxy.deployment.Proxies, proxy.deployment.Self = 1, 0
+	proxy.deployment.Proxies, proxy.deployment.ProxyIndex = 1, 0
 	proxy.serveRequest(func(_ *Request, actions *Actions) { assert.Nil(t, actions.Gossip, "the only proxy of its fleet") })
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -116,7 +116,7 @@
 // sidecarDeployment returns the settings of a proxy in a fleet of four that gossips, with one proxy per client process.
 func sidecarDeployment() Deployment {
 	d := deployment()
-	d.Proxies, d.Self, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
+	d.Proxies, d.ProxyIndex, d.Sidecar, d.Gossip, d.GossipCost, d.ConnectionCost = 4, 1, true, true, 0.001, 0.03
 	return d
 }
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -57,7 +57,7 @@
 	r.inFlight++
 	b.concurrency.inFlight++
 	b.queue.sent(b.now)
-	if r.Streaming { // otherwise slow clients would use up a server's limit; see BodyCompleted
+	if r.StreamingBody { // otherwise slow clients would use up a server's limit; see BodyCompleted
 		b.release(a)
 	}
 	b.addAction(RequestAction{
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -168,7 +168,7 @@
 		{false, false, 1, 0, 0},
 	} {
 		d, here := sidecarDeployment(), 0
-		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.Self = c.sidecar, c.gossip, c.zone, 1, 0
+		d.Sidecar, d.Gossip, d.Zone, d.Proxies, d.ProxyIndex = c.sidecar, c.gossip, c.zone, 1, 0
 		proxy := startProxy(t, d, 8) // alternating between two zones
 		proxy.fillServers(c.inFlight)
 		for range 400 {
@@ -183,7 +183,7 @@
 func TestOpeningAConnectionCosts(t *testing.T) {
 	selections := func(cost, idleTimeout float64, inFlight int) (all []int) {
 		d := sidecarDeployment()
-		d.Zone, d.Proxies, d.Self, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, cost, idleTimeout
+		d.Zone, d.Proxies, d.ProxyIndex, d.HandshakeCost, d.ServerIdleTimeout = -1, 1, 0, cost, idleTimeout
 		proxy := startProxy(t, d, 8)
 		proxy.beginCall(9)
 		proxy.servers[0].lastUsed = 5
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -88,7 +88,7 @@
 		d.SlowStartDuration, d.SlowStartFraction = 1000, 0.1
 		proxy := startProxy(t, d, 0)
 		proxy.EndpointsUpdated(0, true, false, []Endpoint{{Index: 0, NameHash: 1, StartedAt: 0.001}})
-		proxy.SetBudgetShare(share)
+		proxy.SetSlowStartShare(share)
 		for range 4000 {
 			proxy.clock += 0.01
 			request, _ := proxy.arrive(RequestInfo{})
--- a/balance/status.go
+++ b/balance/status.go
@@ -52,7 +52,7 @@
 	ClassPaused     bool // the breaker of the request's class at the server admits no attempt
 	ClassErrors     int  // failures in the window of the class breaker
 	ClassResults    int  // all results in the window of the class breaker
-	RetrySafe       bool // the request's next attempt may be sent to this server; see Balancer.mayAttempt
+	MayAttempt      bool // the request's next attempt may be sent to this server; see Balancer.mayAttempt
 	WarmingUp       bool
 	Load, Capacity  float64 // attempts in flight and their limit, of all proxies if servers report loads, else of this one
 	Payoff          float64 // the payoff expected of an attempt
@@ -83,7 +83,7 @@
 		ClassPaused:  !class.admits(b.now),
 		ClassErrors:  class.failures,
 		ClassResults: class.results,
-		RetrySafe:    b.mayAttempt(r, s),
+		MayAttempt:   b.mayAttempt(r, s),
 		WarmingUp:    b.warmingUp(s),
 		Load:         b.loadOf(s),
 		Capacity:     b.capacityOf(s),
--- a/balance/types.go
+++ b/balance/types.go
@@ -70,7 +70,7 @@
 type Deployment struct {
 	Seed           uint64  `json:"Seed"`      // seed of all random decisions
 	Proxies        int     `json:"Proxies"`   // number of proxies in the fleet, this one included
-	Self           int     `json:"Self"`      // index of this proxy among them, from 0
+	ProxyIndex     int     `json:"Self"`      // index of this proxy among them, from 0
 	Zone           int     `json:"Zone"`      // zone of this proxy; -1: unknown
 	Sidecar        bool    `json:"Apart"`     // each client process has its own proxy, so their traffic differs widely
 	Gossip         bool    `json:"Peers"`     // proxies may send gossip to one another
@@ -145,14 +145,14 @@
 
 // RequestInfo describes a request that arrives at the proxy.
 type RequestInfo struct {
-	Ref          int     // the number by which the caller identifies the request, returned in each RequestAction
-	Class        int     // index in Deployment.Classes
-	Tenant       int     // index in Deployment.Tenants; -1: none
-	Key          uint64  // hash of the request's affinity key, the same at every proxy; 0: none
-	Deadline     float64 // s, time at which the client gives up
-	ExpectedWork float64 // s of server work, approximate; 0: unknown
-	ClientRetry  bool    // the client is known to be retrying
-	Streaming    bool    // its body is still being received; the server starts work after BodyCompleted
+	Ref           int     // the number by which the caller identifies the request, returned in each RequestAction
+	Class         int     // index in Deployment.Classes
+	Tenant        int     // index in Deployment.Tenants; -1: none
+	Key           uint64  // hash of the request's affinity key, the same at every proxy; 0: none
+	Deadline      float64 // s, time at which the client gives up
+	ExpectedWork  float64 // s of server work, approximate; 0: unknown
+	ClientRetry   bool    // the client is known to be retrying
+	StreamingBody bool    // its body is still being received; the server starts work after BodyCompleted
 }
 
 // RequestAction tells the proxy what to do for a request. Zero fields require nothing.
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -123,7 +123,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, Fleet{Listen: "127.0.0.1:7100", Peers: map[int]string{0: "127.0.0.1:7101"}}, config.Fleet)
 	assert.Equal(t, balance.Deployment{
-		Seed: 1, Proxies: 2, Self: 1, Zone: 1, Sidecar: true, Gossip: true, HealthChecks: true,
+		Seed: 1, Proxies: 2, ProxyIndex: 1, Zone: 1, Sidecar: true, Gossip: true, HealthChecks: true,
 		GossipCost: 0.01, HealthCheckCost: 0.002, ConnectionCost: 0.03, HandshakeCost: 0.12,
 	}, config.Deployment)
 	for _, field := range []string{`"outstanding"`, `"utilization"`} {
--- a/internal/bootstrap/check.go
+++ b/internal/bootstrap/check.go
@@ -41,8 +41,8 @@
 }
 
 func checkProxyNumber(deployment settings.Settings) error {
-	if deployment.Gossip && (deployment.Self < 0 || deployment.Self >= deployment.Proxies) {
-		return keyError("SlotNo", "%d: out of range for a fleet of %d proxies", deployment.Self, deployment.Proxies)
+	if deployment.Gossip && (deployment.ProxyIndex < 0 || deployment.ProxyIndex >= deployment.Proxies) {
+		return keyError("SlotNo", "%d: out of range for a fleet of %d proxies", deployment.ProxyIndex, deployment.Proxies)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return fmt.Errorf("peers.peers: proxy %d: %w", number, err)
 		}
-		if number == deployment.Self || number < 0 || number >= deployment.Proxies {
+		if number == deployment.ProxyIndex || number < 0 || number >= deployment.Proxies {
 			return fmt.Errorf("peers.peers: %d: not the number of another proxy in a fleet of %d", number, deployment.Proxies)
 		}
 	}
--- a/internal/capture/balancer.go
+++ b/internal/capture/balancer.go
@@ -137,11 +137,11 @@
 	b.record(Call{Kind: OutcomesReported, Now: now, Outcomes: outcomes}, nil)
 }
 
-// SetBudgetShare is balance.Balancer.SetBudgetShare, recorded with the start time of the segment, since it has no time
-// argument.
-func (b *Balancer) SetBudgetShare(share float64) {
+// SetSlowStartShare is balance.Balancer.SetSlowStartShare, recorded with the start time of the segment, since it has no
+// time argument.
+func (b *Balancer) SetSlowStartShare(share float64) {
 	b.recorder.prepare(b.recorder.segment.beganAt)
-	b.Balancer.SetBudgetShare(share)
+	b.Balancer.SetSlowStartShare(share)
 	b.record(Call{Kind: BudgetShareSet, Now: b.recorder.segment.beganAt, BudgetShare: share}, nil)
 }
 
--- a/internal/capture/breakdown.go
+++ b/internal/capture/breakdown.go
@@ -66,7 +66,7 @@
 	addIf(s.Paused && !s.Trial, fmt.Sprintf("paused: %d of %d failed", s.Errors, s.Results))
 	addIf(s.Trial, "paused, cooled down: one attempt may try")
 	addIf(s.ClassPaused, fmt.Sprintf("paused for this class: %d of %d failed", s.ClassErrors, s.ClassResults))
-	addIf(!s.RetrySafe, "another attempt there is not safe, or was just made")
+	addIf(!s.MayAttempt, "another attempt there is not safe, or was just made")
 	addIf(s.WarmingUp, "warming up")
 	addIf(s.Load >= max(s.Capacity, 1), "full")
 	return notes
--- a/internal/capture/callcodec.go
+++ b/internal/capture/callcodec.go
@@ -94,7 +94,7 @@
 	c.time(&info.Deadline)
 	c.float(&info.ExpectedWork)
 	c.bool(&info.ClientRetry)
-	c.bool(&info.Streaming)
+	c.bool(&info.StreamingBody)
 }
 
 func (c *coder) attemptEnded(call *Call) {
--- a/internal/capture/pool.go
+++ b/internal/capture/pool.go
@@ -81,7 +81,7 @@
 	case OutcomesReported:
 		b.OutcomesReported(call.Now, call.Outcomes)
 	case BudgetShareSet:
-		b.SetBudgetShare(call.BudgetShare)
+		b.SetSlowStartShare(call.BudgetShare)
 	case LocalDelaySet:
 		b.SetLocalDelay(call.LocalDelay.Stretch, call.LocalDelay.Delay)
 	case SnapshotRestored:
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Asserted reports whether a broken invariant panics.
-const Asserted = true
+// PanicsWhenBroken reports whether a broken invariant panics.
+const PanicsWhenBroken = true
 
 func fail(name string) { panic("broken invariant: " + name) }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,8 +2,8 @@
 
 package invariant
 
-// Asserted reports whether a broken invariant panics.
-const Asserted = false
+// PanicsWhenBroken reports whether a broken invariant panics.
+const PanicsWhenBroken = false
 
 func fail(name string) {
 	mu.Lock()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,7 +60,7 @@
 	values := reader.values
 	return balance.Deployment{
 		Seed:                 seed,
-		Self:                 int(reader.number("SlotNo")),
+		ProxyIndex:           int(reader.number("SlotNo")),
 		Zone:                 slices.Index(zones, values["Zone"]),
 		Sidecar:              values["KindOfService"] == "mesh",
 		Gossip:               reader.bool("Ceilings.PeerMessages"),
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	return newEnv(t, behaviors, func(cfg *BootstrapConfig) {
 		cfg.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
-		cfg.Proxies, cfg.Self, cfg.Sidecar, cfg.Gossip, cfg.HealthChecks = 2, number, true, true, true
+		cfg.Proxies, cfg.ProxyIndex, cfg.Sidecar, cfg.Gossip, cfg.HealthChecks = 2, number, true, true, true
 		cfg.GossipCost, cfg.HealthCheckCost, cfg.MaxAttempts = 0.001, 0.001, 1
 	})
 }
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -143,7 +143,7 @@
 		share := p.resourceShare() // read again: two posted calls may run in either order
 		p.upstream.SetMaxConnections(int(share * float64(p.maxServerConns)))
 		for _, pool := range p.pools.all {
-			pool.decisions.SetBudgetShare(share)
+			pool.decisions.SetSlowStartShare(share)
 		}
 	})
 }
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -128,7 +128,7 @@
 	if r == nil {
 		return
 	}
-	if invariant.Asserted {
+	if invariant.PanicsWhenBroken {
 		panic(r)
 	}
 	invariant.Holds(false, "no call panics")
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -250,7 +250,7 @@
 // addPool adds a new pool. If servers are given, the pool has these, else those of the endpoint list.
 func (p *Proxy) addPool(pool *serverPool, servers []string) {
 	p.pools.all = append(p.pools.all, pool)
-	pool.decisions.SetBudgetShare(p.resourceShare())
+	pool.decisions.SetSlowStartShare(p.resourceShare())
 	pool.decisions.SetLocalDelay(p.overload.delayFactor, p.overload.lagSeconds)
 	if len(servers) > 0 {
 		pool.static = true
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -18,7 +18,7 @@
 	HealthChecked(now float64, server int, ok bool, report balance.LoadReport) *balance.Actions
 	GossipReceived(now float64, from int, message balance.GossipMessage) *balance.Actions
 	OutcomesReported(now float64, all []balance.ReportedOutcomes)
-	SetBudgetShare(share float64)
+	SetSlowStartShare(share float64)
 	SetLocalDelay(factor, lag float64)
 	Restore(now float64, snapshot balance.Snapshot)
 	Snapshot(now float64) balance.Snapshot
--- a/proxy/readrequest.go
+++ b/proxy/readrequest.go
@@ -186,7 +186,7 @@
 		reader:     body,
 		clientWait: r.info.Deadline - req.arrivedAt,
 	}
-	r.info.Streaming = true
+	r.info.StreamingBody = true
 	r.info.Deadline = req.arrivedAt + maxUploadDuration.Seconds() // until bodyCompleted sets it
 	req.deadline = r.info.Deadline
 	if chunked {
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -22,7 +22,7 @@
 	env.loop.init(env.clock, log)
 	req := &request{class: &balance.Class{}, response: make(chan response, 1)}
 	failRequest, panicInLoop := func() { env.failUnanswered(req) }, func() { env.loop.runGuarded(func() { panic("x") }) }
-	if invariant.Asserted {
+	if invariant.PanicsWhenBroken {
 		assert.Panics(t, failRequest)
 		assert.Panics(t, panicInLoop)
 		return
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -61,7 +61,7 @@
 		"servers":     len(p.bootstrap.Known.Entries),
 		"clients":     p.conns.totalLimits.maxServed,
 		"connections": p.maxServerConns,
-		"asserted":    invariant.Asserted,
+		"asserted":    invariant.PanicsWhenBroken,
 	}).Info("serving")
 	var err error
 	select {
@@ -80,7 +80,7 @@
 		return nil
 	}
 	fleet := &p.bootstrap.Fleet
-	link, err := gossip.Open(fleet.Listen, p.bootstrap.Self, fleet.Peers, p.gossipReceived)
+	link, err := gossip.Open(fleet.Listen, p.bootstrap.ProxyIndex, fleet.Peers, p.gossipReceived)
 	if err != nil {
 		return err
 	}
