--- a/limits/overload.go
+++ b/limits/overload.go
@@ -10,9 +10,9 @@
 	minWeight         = 1e-9 // lower bound of a request's weight, so that its logarithm is finite
 )
 
-// Overload queues requests while the proxy's CPU core is overloaded. A request is in progress from its dispatch until
-// it has been forwarded or rejected. Only a few requests are in progress at a time; the others are queued, where they
-// use no CPU time. Responses bypass the queue, so they are relayed without delay.
+// OverloadQueue queues requests while the proxy's CPU core is overloaded. A request is in progress from its dispatch
+// until it has been forwarded or rejected. Only a few requests are in progress at a time; the others are queued, where
+// they use no CPU time. Responses bypass the queue, so they are relayed without delay.
 //
 // The request with the greatest weight (its priority weight per unit of work) is dispatched first. Among requests of
 // equal priority, tenants share the dispatches by start-time fair queueing (Goyal, Vin and Cheng, 1996). A request that
@@ -20,9 +20,9 @@
 // Every second dispatch takes the oldest request if it is late. If all late requests were rejected at once, clients
 // that retry immediately would use up the core.
 //
-// Overload also measures how much of the duration of attempts is spent in the proxy rather than at the servers. All
-// times are in seconds.
-type Overload struct {
+// OverloadQueue also measures how much of the duration of attempts is spent in the proxy rather than at the servers.
+// All times are in seconds.
+type OverloadQueue struct {
 	Admitted, Queued, Rejected int // counts of requests since the start
 
 	inProgress    int
@@ -34,8 +34,8 @@
 	delays        attemptDelays
 }
 
-// Waiter is a queued request.
-type Waiter struct {
+// QueuedRequest is a request in an OverloadQueue.
+type QueuedRequest struct {
 	Owner any // the caller's value for the request, passed to RequestArrived
 
 	priority    int     // logarithm of the weight, rounded down; one level is a factor of the square root of 2
@@ -45,10 +45,10 @@
 	heapIndex   int     // -1: dispatched
 }
 
-// NewOverload returns an Overload that lets at most maxInProgress requests be in progress, or 1 if that is less.
-// Tenants are numbered from 0 to tenants-1.
-func NewOverload(maxInProgress, tenants int) *Overload {
-	return &Overload{
+// NewOverloadQueue returns an OverloadQueue that lets at most maxInProgress requests be in progress, or 1 if that is
+// less. Tenants are numbered from 0 to tenants-1.
+func NewOverloadQueue(maxInProgress, tenants int) *OverloadQueue {
+	return &OverloadQueue{
 		maxInProgress: max(maxInProgress, 1),
 		queue:         newWaitQueue(),
 		tenants:       newFairClock(tenants),
@@ -60,10 +60,10 @@
 // request is dispatched at once, the waiter is nil and admitted is the decision. Otherwise the request is queued, and
 // Dispatch delivers the decision later with the returned waiter, whose Owner is owner. RequestDone must be called after
 // either decision, also after a rejection.
-func (o *Overload) RequestArrived(
+func (o *OverloadQueue) RequestArrived(
 	now, arrivedAt, latencyObjective, weight float64, tenant int, owner any,
-) (admitted bool, waiter *Waiter) {
-	waiter = &Waiter{
+) (admitted bool, waiter *QueuedRequest) {
+	waiter = &QueuedRequest{
 		Owner:       owner,
 		priority:    int(math.Floor(levelsPerDoubling * math.Log2(max(weight, minWeight)))),
 		finishTag:   o.tenants.tag(tenant),
@@ -79,7 +79,7 @@
 }
 
 // decide rejects a request that is late, and admits any other. In both cases the request is in progress from now on.
-func (o *Overload) decide(now float64, waiter *Waiter) (admitted bool) {
+func (o *OverloadQueue) decide(now float64, waiter *QueuedRequest) (admitted bool) {
 	o.inProgress++
 	if now > waiter.latestStart {
 		o.Rejected++
@@ -93,7 +93,7 @@
 
 // RequestDone records that a request is no longer in progress. It reports whether other requests are queued; if so, the
 // caller must call Dispatch.
-func (o *Overload) RequestDone() (queued bool) {
+func (o *OverloadQueue) RequestDone() (queued bool) {
 	o.inProgress--
 	return !o.queue.empty()
 }
@@ -101,7 +101,7 @@
 // Dispatch dispatches queued requests until the limit of requests in progress is reached, and calls decided for each.
 // It reports whether it dispatched any request and others are still queued. The caller must relay received responses
 // first.
-func (o *Overload) Dispatch(now float64, decided func(waiter *Waiter, admitted bool)) (more bool) {
+func (o *OverloadQueue) Dispatch(now float64, decided func(waiter *QueuedRequest, admitted bool)) (more bool) {
 	dispatched := false
 	for !o.queue.empty() && o.inProgress < o.maxInProgress {
 		waiter := o.next(now)
@@ -117,7 +117,7 @@
 
 // next returns the queued request to dispatch next: every rejectInterval-th time the oldest one if it is late, else
 // the one of the highest priority.
-func (o *Overload) next(now float64) *Waiter {
+func (o *OverloadQueue) next(now float64) *QueuedRequest {
 	o.dispatchCount++
 	if o.dispatchCount%rejectInterval == 0 {
 		if oldest := o.queue.oldest(); now > oldest.latestStart {
@@ -129,18 +129,18 @@
 
 // QueueStatus returns how long the last admitted request was queued, and whether there is a standing queue, which has
 // not been empty for standingDelay.
-func (o *Overload) QueueStatus(now float64) (lastWait float64, standing bool) {
+func (o *OverloadQueue) QueueStatus(now float64) (lastWait float64, standing bool) {
 	return o.lastWait, now-o.queue.nonEmptySince > standingDelay
 }
 
 // AttemptMeasured records the duration of an attempt as the proxy saw it, and the part of it spent at the server.
-func (o *Overload) AttemptMeasured(total, atServer float64) { o.delays.observe(total, atServer) }
+func (o *OverloadQueue) AttemptMeasured(total, atServer float64) { o.delays.observe(total, atServer) }
 
 // DelayFactor returns the ratio of the duration of attempts to their time at the server, from 1 to maxDelayFactor.
-func (o *Overload) DelayFactor() float64 { return o.delays.factor() }
+func (o *OverloadQueue) DelayFactor() float64 { return o.delays.factor() }
 
-// Lag returns an upper estimate of the avoidable time that an attempt spends in the proxy, at most maxLag.
-func (o *Overload) Lag() float64 { return o.delays.lag() }
+// ProxyDelay returns an upper estimate of the avoidable time that an attempt spends in the proxy, at most maxLag.
+func (o *OverloadQueue) ProxyDelay() float64 { return o.delays.lag() }
 
 // fairClock holds the virtual time of start-time fair queueing. Its unit is one request: the finish tag of a request is
 // its virtual start time plus 1, and a tenant's next request starts no earlier than at the finish tag of its last one.
--- a/limits/overload_test.go
+++ b/limits/overload_test.go
@@ -15,22 +15,22 @@
 }
 
 // dispatch returns the decisions of one call of Dispatch.
-func dispatch(overload *Overload, now float64) (decisions []decision) {
-	overload.Dispatch(now, func(waiter *Waiter, admitted bool) {
+func dispatch(overload *OverloadQueue, now float64) (decisions []decision) {
+	overload.Dispatch(now, func(waiter *QueuedRequest, admitted bool) {
 		decisions = append(decisions, decision{waiter.Owner, admitted})
 	})
 	return decisions
 }
 
 // arrive lets count equal requests arrive.
-func arrive(overload *Overload, count int, now, latencyObjective float64, tenant int, owner any) {
+func arrive(overload *OverloadQueue, count int, now, latencyObjective float64, tenant int, owner any) {
 	for range count {
 		overload.RequestArrived(now, now, latencyObjective, 1, tenant, owner)
 	}
 }
 
 func TestDispatchOrder(t *testing.T) {
-	overload := NewOverload(2, 3)
+	overload := NewOverloadQueue(2, 3)
 	for range 2 {
 		admitted, waiter := overload.RequestArrived(10, 10, 0.1, 1, -1, nil)
 		assert.True(t, admitted)
@@ -64,7 +64,7 @@
 // clients time out, which costs more than rejecting them. If all late requests were rejected at once, their clients
 // would retry and use up the core.
 func TestLateRequestsAreRejectedInTurns(t *testing.T) {
-	overload := NewOverload(1, 0)
+	overload := NewOverloadQueue(1, 0)
 	arrive(overload, 1, 0, 0.1, -1, "first")
 	arrive(overload, 4, 0, 0.1, -1, "late")
 	arrive(overload, 8, 0.07, 0.1, -1, "new")
@@ -87,7 +87,7 @@
 
 // A tenant that sends too many requests must not get more than its fair share while other tenants have queued requests.
 func TestTenantsAreServedFairly(t *testing.T) {
-	overload := NewOverload(1, 2)
+	overload := NewOverloadQueue(1, 2)
 	arrive(overload, 1, 0, 10, 1, nil)
 	arrive(overload, 90, 0, 10, 0, "flood")
 	arrive(overload, 10, 0, 10, 1, "few")
@@ -116,25 +116,25 @@
 		{"much longer in the proxy", 0.5, 0.01, maxDelayFactor, maxLag},
 		{"no time at the server", 0.002, 0, 4, 0.001},
 	} {
-		overload := NewOverload(1, 0)
+		overload := NewOverloadQueue(1, 0)
 		assert.Equal(t, 1.0, overload.DelayFactor())
 		for range 500 {
 			overload.AttemptMeasured(c.total, c.atServer)
 		}
 		assert.InDelta(t, c.factor, overload.DelayFactor(), 0.01, c.name)
-		assert.InDelta(t, c.lag, overload.Lag(), 0.001, c.name)
+		assert.InDelta(t, c.lag, overload.ProxyDelay(), 0.001, c.name)
 	}
-	overload := NewOverload(1, 0)
+	overload := NewOverloadQueue(1, 0)
 	for i := range 500 {
 		overload.AttemptMeasured(0.01+0.02*float64(i%2), 0.01)
 	}
-	assert.Greater(t, overload.Lag(), 0.02, "half of the attempts are delayed by 20 ms, twice the mean")
+	assert.Greater(t, overload.ProxyDelay(), 0.02, "half of the attempts are delayed by 20 ms, twice the mean")
 }
 
-// overloadModel is an Overload with a model of its requests.
+// overloadModel is an OverloadQueue with a model of its requests.
 type overloadModel struct {
 	t             *rapid.T
-	overload      *Overload
+	overload      *OverloadQueue
 	maxInProgress int
 	now           float64
 	inProgress    int
@@ -172,7 +172,7 @@
 }
 
 func (m *overloadModel) dispatch() {
-	m.overload.Dispatch(m.now, func(waiter *Waiter, admitted bool) {
+	m.overload.Dispatch(m.now, func(waiter *QueuedRequest, admitted bool) {
 		owner := waiter.Owner.(int)
 		request, queued := m.queued[owner]
 		assert.True(m.t, queued, "each request gets one decision")
@@ -191,7 +191,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		maxInProgress := rapid.IntRange(1, 4).Draw(t, "maxInProgress")
 		model := &overloadModel{
-			t: t, overload: NewOverload(maxInProgress, 2), maxInProgress: maxInProgress, queued: map[int]modelRequest{},
+			t: t, overload: NewOverloadQueue(maxInProgress, 2), maxInProgress: maxInProgress, queued: map[int]modelRequest{},
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "calls") {
 			model.now += rapid.Float64Range(0, 0.02).Draw(t, "pause")
@@ -213,7 +213,7 @@
 		queued int
 	}{{"nobody waits", 0}, {"500 wait", 500}} {
 		b.Run(c.name, func(b *testing.B) {
-			overload := NewOverload(1, 20)
+			overload := NewOverloadQueue(1, 20)
 			for i := range c.queued + 1 {
 				overload.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
 			}
@@ -224,7 +224,7 @@
 			for i := range b.N {
 				overload.RequestArrived(0, 0, 1e9, float64(i%5), i%20, nil)
 				overload.RequestDone()
-				overload.Dispatch(0, func(*Waiter, bool) {})
+				overload.Dispatch(0, func(*QueuedRequest, bool) {})
 			}
 		})
 	}
--- a/limits/waitqueue.go
+++ b/limits/waitqueue.go
@@ -13,15 +13,15 @@
 // waitQueue holds the queued requests in two orders: by priority and by arrival.
 type waitQueue struct {
 	byPriority    waiterHeap
-	arrivals      []*Waiter // in order of arrival; may include requests already dispatched
-	nonEmptySince float64   // time in seconds; +Inf: the queue is empty
+	arrivals      []*QueuedRequest // in order of arrival; may include requests already dispatched
+	nonEmptySince float64          // time in seconds; +Inf: the queue is empty
 }
 
 func newWaitQueue() waitQueue { return waitQueue{nonEmptySince: math.Inf(1)} }
 
 func (q *waitQueue) empty() bool { return len(q.byPriority) == 0 }
 
-func (q *waitQueue) add(now float64, waiter *Waiter) {
+func (q *waitQueue) add(now float64, waiter *QueuedRequest) {
 	if q.empty() {
 		q.nonEmptySince = now
 		q.arrivals = q.arrivals[:0]
@@ -31,11 +31,11 @@
 }
 
 // first returns the queued request of the highest priority. The queue must not be empty.
-func (q *waitQueue) first() *Waiter { return q.byPriority[0] }
+func (q *waitQueue) first() *QueuedRequest { return q.byPriority[0] }
 
 // oldest returns the queued request that arrived first. The queue must not be empty.
-func (q *waitQueue) oldest() *Waiter {
-	dispatched := func(waiter *Waiter) bool { return waiter.heapIndex < 0 }
+func (q *waitQueue) oldest() *QueuedRequest {
+	dispatched := func(waiter *QueuedRequest) bool { return waiter.heapIndex < 0 }
 	passed := 0
 	for dispatched(q.arrivals[passed]) {
 		passed++
@@ -47,11 +47,11 @@
 	return q.arrivals[0]
 }
 
-func (q *waitQueue) remove(waiter *Waiter) { heap.Remove(&q.byPriority, waiter.heapIndex) }
+func (q *waitQueue) remove(waiter *QueuedRequest) { heap.Remove(&q.byPriority, waiter.heapIndex) }
 
 // waiterHeap implements heap.Interface. The request to dispatch first is at the root: the one of the highest priority,
 // and among equals the one with the smallest finish tag.
-type waiterHeap []*Waiter
+type waiterHeap []*QueuedRequest
 
 func (h waiterHeap) Len() int { return len(h) }
 
@@ -68,7 +68,7 @@
 }
 
 func (h *waiterHeap) Push(x any) {
-	waiter := x.(*Waiter)
+	waiter := x.(*QueuedRequest)
 	waiter.heapIndex = len(*h)
 	*h = append(*h, waiter)
 }
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -24,7 +24,7 @@
 // attempts. Any goroutine may use it, under its lock; delayFactor and lagSeconds belong to the owner.
 type overloadMonitor struct {
 	mu sync.Mutex
-	*limits.Overload
+	*limits.OverloadQueue
 	dispatchSignal chan struct{} // holds a value while dispatchWaiting has queued requests to admit
 
 	delayFactor float64 // the delay factor last reported to the balancers
@@ -34,7 +34,7 @@
 // init prepares the monitor for a number of tenants. It is called before the proxy serves.
 func (m *overloadMonitor) init(tenants int) {
 	m.dispatchSignal = make(chan struct{}, 1)
-	m.Overload = limits.NewOverload(requestsPerCore*runtime.GOMAXPROCS(0), tenants)
+	m.OverloadQueue = limits.NewOverloadQueue(requestsPerCore*runtime.GOMAXPROCS(0), tenants)
 	m.delayFactor = 1
 }
 
@@ -95,7 +95,9 @@
 	m := &p.overload
 	round := poller.NewRound()
 	defer round.Close()
-	notify := func(waiter *limits.Waiter, admitted bool) { waiter.Owner.(*clientConn).admissionResult <- admitted }
+	notify := func(waiter *limits.QueuedRequest, admitted bool) {
+		waiter.Owner.(*clientConn).admissionResult <- admitted
+	}
 	for {
 		select {
 		case <-m.dispatchSignal:
@@ -123,7 +125,7 @@
 func (p *Proxy) updateLocalDelay() {
 	m := &p.overload
 	m.mu.Lock()
-	factor, lag := m.DelayFactor(), m.Lag()
+	factor, lag := m.DelayFactor(), m.ProxyDelay()
 	m.mu.Unlock()
 	factorChanged := factor >= m.delayFactor*minDelayFactorStep || factor <= m.delayFactor/minDelayFactorStep
 	lagChanged := math.Abs(lag-m.lagSeconds) >= minLagStepSeconds
--- a/proxy/overloadmonitor_test.go
+++ b/proxy/overloadmonitor_test.go
@@ -14,7 +14,7 @@
 // occupyCore limits the proxy's core to n requests at a time and fills it. The returned function ends these requests.
 func (env *testEnv) occupyCore(n int) func() {
 	env.overload.mu.Lock()
-	env.overload.Overload = limits.NewOverload(n, 0)
+	env.overload.OverloadQueue = limits.NewOverloadQueue(n, 0)
 	for range n {
 		env.overload.RequestArrived(env.now(), env.now(), 1, 1, -1, nil)
 	}
