--- a/lifecycle/adminstate.go
+++ b/lifecycle/adminstate.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// Switch records the last admin call that drained the proxy or ended its drain, or the last one that disabled or
+// AdminSwitch records the last admin call that drained the proxy or ended its drain, or the last one that disabled or
 // enabled a server.
-type Switch struct {
+type AdminSwitch struct {
 	On        bool    `json:"On"`    // the proxy is drained, or the server is disabled
 	ChangedAt float64 `json:"At"`    // time of that admin call, in seconds since 1970
 	Since     float64 `json:"Since"` // when the server was last disabled, in seconds since 1970; 0 for the proxy
@@ -12,14 +12,14 @@
 
 // supersededBy reports whether other replaces s. Of two calls at the same time, all processes must choose the same one.
 // They choose the one that drains or disables, since it cannot break a rule.
-func (s Switch) supersededBy(other Switch) bool {
+func (s AdminSwitch) supersededBy(other AdminSwitch) bool {
 	return other.ChangedAt > s.ChangedAt || other.ChangedAt == s.ChangedAt && other.On && !s.On
 }
 
 // AdminState holds the last admin calls of operators: the one for the proxy, and one for each server.
 type AdminState struct {
-	Drain   Switch            `json:"Drain"`
-	Servers map[string]Switch `json:"Backends,omitempty"` // by the server's id
+	Drain   AdminSwitch            `json:"Drain"`
+	Servers map[string]AdminSwitch `json:"Backends,omitempty"` // by the server's id
 }
 
 // Clone returns a copy that shares no memory with the original.
@@ -43,16 +43,16 @@
 	return changed
 }
 
-func (a *AdminState) set(id string, s Switch) {
+func (a *AdminState) set(id string, s AdminSwitch) {
 	if a.Servers == nil {
-		a.Servers = map[string]Switch{}
+		a.Servers = map[string]AdminSwitch{}
 	}
 	a.Servers[id] = s
 }
 
 // Disable disables a server. If the server is disabled already, Since keeps its value.
 func (a *AdminState) Disable(id string, now float64) {
-	s := Switch{On: true, ChangedAt: now, Since: now}
+	s := AdminSwitch{On: true, ChangedAt: now, Since: now}
 	if old := a.Servers[id]; old.On {
 		s.Since = old.Since
 	}
@@ -62,14 +62,14 @@
 // Enable enables a server that is disabled. For any other server it does nothing.
 func (a *AdminState) Enable(id string, now float64) {
 	if old := a.Servers[id]; old.On {
-		a.set(id, Switch{ChangedAt: max(now, old.ChangedAt), Since: old.Since})
+		a.set(id, AdminSwitch{ChangedAt: max(now, old.ChangedAt), Since: old.Since})
 	}
 }
 
 // SetDraining sets whether the proxy is drained. If that does not change, ChangedAt keeps the time of the first call.
 func (a *AdminState) SetDraining(on bool, now float64) {
 	if a.Drain.On != on {
-		a.Drain = Switch{On: on, ChangedAt: max(now, a.Drain.ChangedAt)}
+		a.Drain = AdminSwitch{On: on, ChangedAt: max(now, a.Drain.ChangedAt)}
 	}
 }
 
--- a/lifecycle/adminstate_test.go
+++ b/lifecycle/adminstate_test.go
@@ -67,7 +67,7 @@
 
 // lastCalls returns, for each switch, the last admin call made at any of the processes.
 func lastCalls(processes []AdminState) AdminState {
-	last := func(read func(*AdminState) Switch) Switch {
+	last := func(read func(*AdminState) AdminSwitch) AdminSwitch {
 		latest := read(&processes[0])
 		for i := range processes {
 			if s := read(&processes[i]); s.ChangedAt > latest.ChangedAt {
@@ -76,9 +76,9 @@
 		}
 		return latest
 	}
-	want := AdminState{Drain: last(func(a *AdminState) Switch { return a.Drain })}
+	want := AdminState{Drain: last(func(a *AdminState) AdminSwitch { return a.Drain })}
 	for _, id := range []string{"a", "b"} {
-		if s := last(func(a *AdminState) Switch { return a.Servers[id] }); s.ChangedAt > 0 {
+		if s := last(func(a *AdminState) AdminSwitch { return a.Servers[id] }); s.ChangedAt > 0 {
 			want.set(id, s)
 		}
 	}
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -27,9 +27,9 @@
 	IdleCloseDeadline  float64 // when a replaced process must have closed all idle connections, in seconds since 1970
 }
 
-// WantsClients reports whether the load balancer in front of the proxy may send new clients to it. They may be accepted
-// by this process, its predecessor or its successor.
-func (p *Process) WantsClients() bool {
+// AcceptsNewClients reports whether the load balancer in front of the proxy may send new clients to it. They may be
+// accepted by this process, its predecessor or its successor.
+func (p *Process) AcceptsNewClients() bool {
 	return !p.Drain.On && (p.SuccessorServing || (p.Serving || p.PredecessorServing) && p.StoppedAt == 0)
 }
 
--- a/lifecycle/process_test.go
+++ b/lifecycle/process_test.go
@@ -25,7 +25,7 @@
 		{101.9, true, false, 1},
 		{104, true, false, 1},
 	} {
-		assert.False(t, process.WantsClients(), c.at)
+		assert.False(t, process.AcceptsNewClients(), c.at)
 		assert.True(t, process.Ready(), "a drain does not change readiness")
 		assert.Equal(t, c.closes, process.ClosesAfterResponse(c.at), c.at)
 		assert.Equal(t, c.admits, process.AdmitsRequests(c.at), c.at)
@@ -34,7 +34,7 @@
 		assert.Equal(t, !c.admits, includeNew, c.at)
 	}
 	process.SetDraining(false, 104.5)
-	assert.True(t, process.WantsClients() && process.AdmitsRequests(104.5) && !process.ClosesAfterResponse(104.5))
+	assert.True(t, process.AcceptsNewClients() && process.AdmitsRequests(104.5) && !process.ClosesAfterResponse(104.5))
 	fraction, _ := process.IdleCloseFraction(104.5, 0.1)
 	assert.Zero(t, fraction)
 }
@@ -132,7 +132,7 @@
 		serves := process.Serving || process.PredecessorServing
 		accepts = accepts || m.alive[i] && serves && process.AcceptsConnections()
 		if m.alive[i] && process.Drain.On {
-			assert.False(t, process.WantsClients(), "a drained proxy must not want clients")
+			assert.False(t, process.AcceptsNewClients(), "a drained proxy must not want clients")
 		}
 	}
 	assert.True(t, accepts, "one of the processes must accept connections")
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -83,7 +83,7 @@
 // readinessResponse is the response to a readiness check: 200 if the load balancer in front should send clients here,
 // else 503.
 func (p *Proxy) readinessResponse() response {
-	if readLifecycle(p.process, (*lifecycle.Process).WantsClients) {
+	if readLifecycle(p.process, (*lifecycle.Process).AcceptsNewClients) {
 		return response{status: 200, body: []byte("up\n")}
 	}
 	return response{status: 503, body: []byte("not up\n")}
