--- a/proxy/failover.go
+++ b/proxy/failover.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		admitted, _ := pool.decisions.Availability(p.now())
-		active := pool.failover.Active(p.now(), admitted)
+		active := pool.failover.Update(p.now(), admitted)
 		if active == pool.failedOver {
 			continue
 		}
--- a/routes/failover.go
+++ b/routes/failover.go
@@ -8,14 +8,14 @@
 	RecoverAfter  float64 // seconds
 
 	active   bool
-	observed bool    // Active was called at least once
-	admitted bool    // the pool had an admitted server at the last call of Active
+	observed bool    // Update was called at least once
+	admitted bool    // the pool had an admitted server at the last call of Update
 	since    float64 // time in seconds at which admitted last changed
 }
 
-// Active records whether the pool has an admitted server now, and reports whether its requests go to the backup. The
+// Update records whether the pool has an admitted server now, and reports whether its requests go to the backup. The
 // time now is in seconds.
-func (f *Failover) Active(now float64, admitted bool) bool {
+func (f *Failover) Update(now float64, admitted bool) bool {
 	if !f.observed || admitted != f.admitted {
 		f.observed, f.admitted, f.since = true, admitted, now
 	}
--- a/routes/failover_test.go
+++ b/routes/failover_test.go
@@ -17,7 +17,7 @@
 		{6, true, true}, {6.5, false, true}, {7, true, true}, {11.9, true, true}, {12, true, false},
 		{12.1, false, false}, {12.2, true, false}, {13.2, false, false}, {14.3, false, true},
 	} {
-		assert.Equal(t, c.active, failover.Active(c.at, c.admitted), "at %v", c.at)
+		assert.Equal(t, c.active, failover.Update(c.at, c.admitted), "at %v", c.at)
 	}
 }
 
@@ -25,7 +25,7 @@
 	changes, before := 0, false
 	failover := Failover{ActivateAfter: 1, RecoverAfter: 5}
 	for now := 0.0; now < 100; now += .1 { // the pool is available every other half second
-		if active := failover.Active(now, int(now*2)%2 == 0); active != before {
+		if active := failover.Update(now, int(now*2)%2 == 0); active != before {
 			changes, before = changes+1, active
 		}
 	}
--- a/routes/match.go
+++ b/routes/match.go
@@ -12,8 +12,8 @@
 	path     string
 }
 
-// Considered is a route that was considered for a request, and the reason why it was selected or skipped.
-type Considered struct {
+// Candidate is a route that was considered for a request, and the reason why it was selected or skipped.
+type Candidate struct {
 	Route  *Route
 	Reason string
 }
@@ -22,9 +22,9 @@
 func (t *Table) Match(request *Request) (Match, bool) { return t.match(request, nil) }
 
 // Explain does the same as Match, and also returns all routes that were considered, in order.
-func (t *Table) Explain(request *Request) (match Match, ok bool, considered []Considered) {
+func (t *Table) Explain(request *Request) (match Match, ok bool, considered []Candidate) {
 	match, ok = t.match(request, func(c *compiledRoute, reason string) {
-		considered = append(considered, Considered{c.Route, reason})
+		considered = append(considered, Candidate{c.Route, reason})
 	})
 	return match, ok, considered
 }
--- a/routes/path.go
+++ b/routes/path.go
@@ -6,9 +6,9 @@
 )
 
 // PathError is the error for a path or request target that is rejected because programs could interpret it differently.
-type PathError struct{ Path, Why string }
+type PathError struct{ Path, Reason string }
 
-func (e *PathError) Error() string { return fmt.Sprintf("path %.80q: %s", e.Path, e.Why) }
+func (e *PathError) Error() string { return fmt.Sprintf("path %.80q: %s", e.Path, e.Reason) }
 
 // NormalizePath returns the normal form of a path, which routes match and which is forwarded. In the normal form,
 // unreserved characters (RFC 3986, section 2.3) are not escaped, other escapes have upper-case digits, and bytes above
