--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,10 +32,10 @@
 
 // Counters holds totals since the pool was created.
 type Counters struct {
-	Opened  int // connections whose opening was started
-	Retired int // idle connections closed by the pool
-	Lost    int // idle connections closed by their server
-	Full    int // exchanges not sent because MaxConnections was reached
+	Opened       int // connections whose opening was started
+	Retired      int // idle connections closed by the pool
+	Lost         int // idle connections closed by their server
+	RejectedFull int // exchanges not sent because MaxConnections was reached
 }
 
 // server is the address of one server and the connections to it.
@@ -109,7 +109,7 @@
 		return true
 	}
 	if p.total >= p.MaxConnections && !p.retireLongestIdle() {
-		p.Full++
+		p.RejectedFull++
 		return false
 	}
 	p.total++
@@ -140,9 +140,9 @@
 // Cancel cancels an exchange and closes its connection. OnDone is still called.
 func (p *Pool) Cancel(ex *Exchange) { ex.conn.cancel(ex) }
 
-// DiscardResponse makes an exchange end with the outcome NotSent if writing its request has not started. Otherwise the
+// CancelUnwritten makes an exchange end with the outcome NotSent if writing its request has not started. Otherwise the
 // exchange continues.
-func (p *Pool) DiscardResponse(ex *Exchange) { ex.conn.cancelUnwritten(ex) }
+func (p *Pool) CancelUnwritten(ex *Exchange) { ex.conn.cancelUnwritten(ex) }
 
 // CloseExpired closes the connections that have been idle for IdleTimeout.
 func (p *Pool) CloseExpired() {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -180,7 +180,7 @@
 		p.runUntilIdle()
 		ex, _ := p.attempt(1)
 		assert.Nil(t, ex, "both are in use")
-		assert.Equal(t, 1, p.Full)
+		assert.Equal(t, 1, p.RejectedFull)
 		readRequest(t, one)
 		respond(one, okResponse)
 		p.runUntilIdle()
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -107,7 +107,7 @@
 		want bool
 	}{
 		{"in time", func(*Pool, *Exchange) {}, true},
-		{"canceled before writing", func(p *Pool, ex *Exchange) { p.DiscardResponse(ex) }, false},
+		{"canceled before writing", func(p *Pool, ex *Exchange) { p.CancelUnwritten(ex) }, false},
 		{"past SendBy", func(_ *Pool, ex *Exchange) { ex.SendBy = time.Now().Add(-1) }, false},
 		{"past SendBy once the request arrives", func(_ *Pool, ex *Exchange) {
 			ex.SendBy = time.Now().Add(roundTrip / 2)
@@ -166,7 +166,7 @@
 	c := &connection{pool: p}
 	ex := &Exchange{progress: progress{conn: c, writeStarted: true}}
 	c.current = ex
-	p.DiscardResponse(ex)
+	p.CancelUnwritten(ex)
 	assert.False(t, ex.canceled, "an exchange that is being written is not canceled")
 }
 
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -24,7 +24,7 @@
 	if succeeded {
 		req.answered = true
 		p.counters.Succeeded++
-		p.discardResponses(req)
+		p.cancelUnwritten(req)
 		// Sent once the other attempts are canceled, see decide.
 		defer func() {
 			resp := req.serverResponse(&result)
@@ -74,7 +74,7 @@
 	}
 	req.answered = true
 	p.counters.Succeeded++
-	p.discardResponses(req)
+	p.cancelUnwritten(req)
 	p.decideRequest(req, func(now float64) *balance.Actions {
 		return req.handle.ResponseStarted(now, att.number)
 	})
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -117,12 +117,12 @@
 	return max(endedAt-max(sentAt, req.stream.completedAt), 0)
 }
 
-// discardResponses makes the attempts of an answered request that are not written to a connection yet end as not sent.
+// cancelUnwritten makes the attempts of an answered request that are not written to a connection yet end as not sent.
 // Attempts that are in flight continue.
-func (p *Proxy) discardResponses(req *request) {
+func (p *Proxy) cancelUnwritten(req *request) {
 	for _, att := range req.attempts {
 		if att.started && !att.ended {
-			p.upstream.DiscardResponse(&att.exchange)
+			p.upstream.CancelUnwritten(&att.exchange)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 		reply = balance.Failed
 	}
 	req.answered = true
-	p.discardResponses(req)
+	p.cancelUnwritten(req)
 	if p.debugEnabled() {
 		p.log.WithFields(p.requestFields(req)).Debug("request not served")
 	}
