--- a/internal/poller/set.go
+++ b/internal/poller/set.go
@@ -21,35 +21,35 @@
 	file      *os.File // the epoll set; nil: no connection can be added
 	raw       syscall.RawConn
 	mu        sync.Mutex
-	waits     map[int32]*Wait // by file descriptor
-	woken     atomic.Bool     // see Works
+	waits     map[int32]*Registration // by file descriptor
+	woken     atomic.Bool             // see HasWoken
 
 	events [wakeBatchSize]unix.EpollEvent // accessed only by the set's goroutine
 	count  int                            // number of valid events
 }
 
-// Works reports whether the set has ever woken a connection. On an emulated system, an epoll set nested in that of the
-// runtime may never become ready, and a connection that relied on it would wait forever. As long as Works returns
-// false, the caller must wait for the connection in another way too.
-func (s *Set) Works() bool { return s.woken.Load() }
+// HasWoken reports whether the set has ever woken a connection. On an emulated system, an epoll set nested in that of
+// the runtime may never become ready, and a connection that relied on it would wait forever. As long as HasWoken
+// returns false, the caller must wait for the connection in another way too.
+func (s *Set) HasWoken() bool { return s.woken.Load() }
 
-// Wait is the registration of one connection in a Set.
-type Wait struct {
+// Registration is the registration of one connection in a Set.
+type Registration struct {
 	set     *Set
 	raw     syscall.RawConn
 	wake    func(ended bool) // see Add
-	control func(fd uintptr) // created once, so that Begin does not allocate
+	control func(fd uintptr) // created once, so that Arm does not allocate
 	fd      int32
 	added   bool  // whether the connection was added to the epoll set
 	err     error // result of control
 }
 
-// Add registers a connection, which does not wait until Begin. It returns nil if the connection is not a TCP connection
+// Add registers a connection, which does not wait until Arm. It returns nil if the connection is not a TCP connection
 // or there is no epoll set.
 //
-// After each Begin, the set's goroutine calls wake once, when the connection has unread bytes or has ended. ended is
+// After each Arm, the set's goroutine calls wake once, when the connection has unread bytes or has ended. ended is
 // true if the peer has closed its sending side or the connection has failed. wake must not block.
-func (s *Set) Add(conn net.Conn, wake func(ended bool)) *Wait {
+func (s *Set) Add(conn net.Conn, wake func(ended bool)) *Registration {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil
 	}
-	wait := &Wait{set: s, raw: raw, wake: wake}
-	wait.control = func(fd uintptr) { wait.err = wait.arm(int(fd)) }
+	wait := &Registration{set: s, raw: raw, wake: wake}
+	wait.control = func(fd uintptr) { wait.err = wait.armDescriptor(int(fd)) }
 	return wait
 }
 
@@ -82,7 +82,7 @@
 		closeIgnoringError(file)
 		return
 	}
-	s.file, s.waits = file, map[int32]*Wait{}
+	s.file, s.waits = file, map[int32]*Registration{}
 	go s.run()
 }
 
@@ -94,16 +94,16 @@
 	}
 }
 
-// Begin starts waiting until the connection has bytes or ends. If it returns an error, wake is not called.
-func (w *Wait) Begin() error {
+// Arm starts waiting until the connection has bytes or ends. If it returns an error, wake is not called.
+func (w *Registration) Arm() error {
 	if err := w.raw.Control(w.control); err != nil {
 		return err
 	}
 	return w.err
 }
 
-// arm makes the epoll set report the next event of the connection once.
-func (w *Wait) arm(fd int) error {
+// armDescriptor makes the epoll set report the next event of the connection once.
+func (w *Registration) armDescriptor(fd int) error {
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(fd)}
 	operation := unix.EPOLL_CTL_MOD
 	if !w.added {
@@ -121,9 +121,9 @@
 	return os.NewSyscallError("epoll_ctl", err)
 }
 
-// Forget removes the connection from its set. It must be called before the connection is closed, since the file
-// descriptor may be reused for another connection at once. For a nil Wait it does nothing.
-func (w *Wait) Forget() {
+// Remove removes the connection from its set. It must be called before the connection is closed, since the file
+// descriptor may be reused for another connection at once. For a nil Registration it does nothing.
+func (w *Registration) Remove() {
 	if w == nil {
 		return
 	}
@@ -136,15 +136,15 @@
 
 // run wakes connections until the set is closed.
 func (s *Set) run() {
-	round := NewRound()
-	defer round.Close()
+	waiter := NewPollWaiter()
+	defer waiter.Close()
 	pollEvents := s.pollEvents // evaluated once, since each method value allocates
 	for s.raw.Read(pollEvents) == nil {
 		for _, event := range s.events[:s.count] {
 			s.wake(event)
 		}
 		if s.count == len(s.events) {
-			round.Next()
+			waiter.Wait()
 		}
 	}
 }
--- a/internal/poller/set_test.go
+++ b/internal/poller/set_test.go
@@ -65,21 +65,21 @@
 			woken <- wokenByEnd
 		}
 	})
-	assert.False(t, set.Works(), "no connection was woken yet")
-	write(t, client, "early") // before Begin
-	assert.NoError(t, wait.Begin())
+	assert.False(t, set.HasWoken(), "no connection was woken yet")
+	write(t, client, "early") // before Arm
+	assert.NoError(t, wait.Arm())
 	_, ok := receive(woken)
 	require.True(t, ok)
-	assert.True(t, set.Works())
+	assert.True(t, set.HasWoken())
 	write(t, client, "more")
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, woken, "wake is called only once per Begin")
-	assert.NoError(t, wait.Begin()) // the bytes were not read yet
+	assert.NoError(t, wait.Arm()) // the bytes were not read yet
 	_, ok = receive(woken)
 	require.True(t, ok)
 	_, err := server.Read(make([]byte, 100))
 	require.NoError(t, err)
-	assert.NoError(t, wait.Begin())
+	assert.NoError(t, wait.Arm())
 	time.Sleep(20 * time.Millisecond)
 	assert.Empty(t, woken, "there are no unread bytes")
 	client.Close()
@@ -87,9 +87,9 @@
 	assert.True(t, ok, "woken by the close of the peer")
 	got, ok := receive(woken)
 	assert.True(t, ok && got == wokenByEnd, "wake must report that the connection has ended")
-	wait.Forget()
+	wait.Remove()
 	server.Close()
-	assert.Error(t, wait.Begin())
+	assert.Error(t, wait.Arm())
 }
 
 // Guards against waking a closed connection instead of the new one that reuses its file descriptor.
@@ -99,13 +99,13 @@
 	for i := range 20 {
 		server, client := connect(t, listener)
 		wait := set.Add(server, func(bool) { woken <- i })
-		assert.NoError(t, wait.Begin())
+		assert.NoError(t, wait.Arm())
 		write(t, client, "x")
 		got, ok := receive(woken)
 		require.True(t, ok)
 		assert.Equal(t, i, got)
 		if i%2 == 0 {
-			wait.Forget()
+			wait.Remove()
 		}
 		server.Close()
 		client.Close()
@@ -123,7 +123,7 @@
 		wait := set.Add(server, func(bool) { woken <- struct{}{} })
 		echoing.Go(func() {
 			for range rounds {
-				if !assert.NoError(t, wait.Begin()) {
+				if !assert.NoError(t, wait.Arm()) {
 					return
 				}
 				<-woken
@@ -165,7 +165,7 @@
 	set, listener := newSet(t)
 	const connections = 8 * wakeBatchSize
 	var ready, maxReady atomic.Int64
-	var waits []*Wait
+	var waits []*Registration
 	var served sync.WaitGroup
 	for range connections {
 		server, client := connect(t, listener)
@@ -181,25 +181,25 @@
 		})
 	}
 	for _, wait := range waits {
-		require.NoError(t, wait.Begin())
+		require.NoError(t, wait.Arm())
 	}
 	served.Wait()
 	assert.LessOrEqual(t, maxReady.Load(), int64(3*wakeBatchSize))
 }
 
-// Guards against a call of Next that never returns where the runtime does not report the eventfd as readable.
+// Guards against a call of Wait that never returns where the runtime does not report the eventfd as readable.
 func TestRoundsEnd(t *testing.T) {
-	round := NewRound()
+	waiter := NewPollWaiter()
 	for range 3 {
-		round.Next()
+		waiter.Wait()
 	}
-	round.read = func(uintptr) bool { return false } // the eventfd is never readable
+	waiter.read = func(uintptr) bool { return false } // the eventfd is never readable
 	began := time.Now()
-	round.Next()
+	waiter.Wait()
 	assert.GreaterOrEqual(t, time.Since(began), maxRoundDuration)
-	round.Close()
-	round.Next()
-	(&Round{}).Next()
+	waiter.Close()
+	waiter.Wait()
+	(&PollWaiter{}).Wait()
 }
 
 func TestOnlySocketsCanWait(t *testing.T) {
--- a/proxy/clientconn.go
+++ b/proxy/clientconn.go
@@ -34,15 +34,15 @@
 	conn         net.Conn
 	*connReader
 	acceptedAt      time.Time
-	readDeadline    time.Time    // the read deadline in force; zero: none
-	idleWait        *poller.Wait // waits for the next request without a blocked read; nil: not supported
-	watchTimer      *time.Timer  // starts the watch for a disconnect, see awaitResponse; nil: no request was awaited yet
-	headBuffer      []byte       // the last response head's buffer, reused for the next one
-	lost            bool         // the client has closed the connection or stopped reading: no response can be sent
-	pipelined       bool         // the current request was received before the previous response was written
-	bodyStreamed    bool         // an upload goroutine was started, which may still read from the connection
-	uploadDone      chan error   // receives the result of the running upload goroutine; nil: there is none
-	admissionResult chan bool    // receives whether the overload queue admitted the queued request
+	readDeadline    time.Time            // the read deadline in force; zero: none
+	idleWait        *poller.Registration // waits for the next request without a blocked read; nil: not supported
+	watchTimer      *time.Timer          // starts the watch for a disconnect, see awaitResponse; nil: nothing awaited yet
+	headBuffer      []byte               // the last response head's buffer, reused for the next one
+	lost            bool                 // the client closed the connection or stopped reading: no response can be sent
+	pipelined       bool                 // the current request was received before the previous response was written
+	bodyStreamed    bool                 // an upload goroutine was started, which may still read from the connection
+	uploadDone      chan error           // receives the result of the running upload goroutine; nil: there is none
+	admissionResult chan bool            // receives whether the overload queue admitted the queued request
 
 	connSignals
 	queueState
@@ -103,7 +103,7 @@
 	case <-c.wake: // a stale signal of an earlier wait
 	default:
 	}
-	return c.idleWait != nil && c.idleWait.Begin() == nil && c.proxy.conns.idleConns.Works() && !c.closeRequested.Load()
+	return c.idleWait != nil && c.idleWait.Arm() == nil && c.proxy.conns.idleConns.HasWoken() && !c.closeRequested.Load()
 }
 
 // wakeUp ends an idle wait.
@@ -220,7 +220,7 @@
 // requests, since no response could follow.
 func (c *clientConn) closeGracefully() {
 	defer c.conn.Close()
-	defer c.idleWait.Forget()
+	defer c.idleWait.Remove()
 	closeWriter, ok := c.conn.(interface{ CloseWrite() error })
 	if !ok || c.lost || c.evicted.Load() || closeWriter.CloseWrite() != nil {
 		return
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -93,8 +93,8 @@
 // dispatchWaiting admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
 func (p *Proxy) dispatchWaiting() {
 	m := &p.overload
-	round := poller.NewRound()
-	defer round.Close()
+	pollWaiter := poller.NewPollWaiter()
+	defer pollWaiter.Close()
 	notify := func(waiter *limits.QueuedRequest, admitted bool) {
 		waiter.Owner.(*clientConn).admissionResult <- admitted
 	}
@@ -105,7 +105,7 @@
 			return
 		}
 		for queued := true; queued; {
-			round.Next()
+			pollWaiter.Wait()
 			m.mu.Lock()
 			queued = m.Dispatch(p.now(), notify)
 			m.mu.Unlock()
