--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -46,7 +46,7 @@
 func (c *call) follow(ctx context.Context, deliver func(event)) (notification.CallResult, error) {
 	conn, err := c.dial(ctx)
 	if err != nil {
-		return notification.Refused, err
+		return notification.Unavailable, err
 	}
 	defer conn.Close()
 	closeWithContext := context.AfterFunc(ctx, func() { conn.Close() })
@@ -55,7 +55,7 @@
 	request := fmt.Appendf(nil, "GET /discovery/hosts?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		c.version, c.watch.Addr)
 	if _, err := conn.Write(request); err != nil {
-		return notification.Refused, err
+		return notification.Unavailable, err
 	}
 	source := recvtime.NewReader(conn)
 	response := http1.NewReader(source)
@@ -64,7 +64,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return notification.NoResponse, err
 	case err != nil:
-		return notification.Refused, err
+		return notification.Unavailable, err
 	case head.Status != 200 || !head.Chunked:
 		return notification.Rejected, fmt.Errorf("no chunked 200 response from discovery: status %d", head.Status)
 	}
--- a/internal/discovery/notification/notification.go
+++ b/internal/discovery/notification/notification.go
@@ -4,9 +4,9 @@
 
 import "math"
 
-// Delay is the time in seconds from the last event of a watch to the notification deadline. From then on, changes that
-// the watch missed count as received, and the grace of a drain runs.
-const Delay = 6.0
+// DeadlineDelay is the time in seconds from the last event of a watch to the notification deadline. From then on,
+// changes that the watch missed count as received, and the grace of a drain runs.
+const DeadlineDelay = 6.0
 
 // Timeouts of a call for the list, in seconds.
 const (
@@ -27,7 +27,7 @@
 	MaxRetryDelay = 0.5
 
 	minHedgeDelay         = 0.2
-	maxRejectionDelay     = 4.0  // limit of the mean, except after queued calls of a large fleet; with jitter up to Delay
+	maxRejectionDelay     = 4.0  // limit of the mean, except after a large fleet's queued calls; with jitter DeadlineDelay
 	rejectionDelayPerPeer = 0.05 // per proxy of the fleet: limits the whole fleet to 20 calls per second
 	minQueuedDuration     = 0.5  // a call rejected after this time or later was queued and took capacity of discovery
 	queuedDelayFactor     = 2.0  // after such a call, the mean delay is fleetDelay times this factor
@@ -44,10 +44,10 @@
 
 // The results of a call, in increasing order of what they prove about the state of the discovery service.
 const (
-	Refused    CallResult = iota // no connection, or it ended before an event: discovery is not available
-	NoResponse                   // no event within ResponseTimeout
-	Broken                       // the stream ended, timed out or contained a malformed list
-	Rejected                     // discovery responded that it has no capacity: it is shared and overloaded
+	Unavailable CallResult = iota // no connection, or it ended before an event: discovery is not available
+	NoResponse                    // no event within ResponseTimeout
+	Broken                        // the stream ended, timed out or contained a malformed list
+	Rejected                      // discovery responded that it has no capacity: it is shared and overloaded
 )
 
 // Clock tracks the last event of a watch, the notification deadline and the time of the next call for the list. All
@@ -88,12 +88,12 @@
 // NextCall returns the time at which the next call is due, +Inf while a watch is alive.
 func (c *Clock) NextCall() float64 { return c.nextCall }
 
-// Silence returns the time in seconds since the last event.
-func (c *Clock) Silence(now float64) float64 { return now - c.lastEvent }
+// SinceLastEvent returns the time in seconds since the last event.
+func (c *Clock) SinceLastEvent(now float64) float64 { return now - c.lastEvent }
 
 // Deadline returns the notification deadline: the time at which all changes so far count as received, unless an event
 // is received before.
-func (c *Clock) Deadline() float64 { return c.lastEvent + Delay }
+func (c *Clock) Deadline() float64 { return c.lastEvent + DeadlineDelay }
 
 // CallStarted records the start of a call. If it gets no event it stays open and is hedged, but much later if discovery
 // rejects calls, since each queued call takes the place of another one.
--- a/internal/discovery/notification/notification_test.go
+++ b/internal/discovery/notification/notification_test.go
@@ -31,17 +31,17 @@
 			{12, Broken, 0, 12.05}, {12.05, started, 0, 14.05}, {12.1, event, 0, math.Inf(1)},
 		}},
 		"discovery unavailable": {300, []step{
-			{0, started, 0, 2}, {0, Refused, 0, 0.1}, {0.1, started, 0, 2.1}, {0.1, Refused, 0, 0.3},
-			{0.3, started, 0, 2.3}, {0.3, Refused, 0, 0.7}, {0.7, started, 0, 2.7}, {0.7, Refused, 0, 1.2},
-			{1.2, started, 0, 3.2}, {2.2, Refused, 0, 2.25},
+			{0, started, 0, 2}, {0, Unavailable, 0, 0.1}, {0.1, started, 0, 2.1}, {0.1, Unavailable, 0, 0.3},
+			{0.3, started, 0, 2.3}, {0.3, Unavailable, 0, 0.7}, {0.7, started, 0, 2.7}, {0.7, Unavailable, 0, 1.2},
+			{1.2, started, 0, 3.2}, {2.2, Unavailable, 0, 2.25},
 		}},
 		"no response: hedged calls": {300, []step{
-			{0, started, 0, 2}, {2, started, 0, 4}, {3, Refused, 1, 4}, {9.5, started, 0, 11.5}, {10, NoResponse, 1, 11.5},
+			{0, started, 0, 2}, {2, started, 0, 4}, {3, Unavailable, 1, 4}, {9.5, started, 0, 11.5}, {10, NoResponse, 1, 11.5},
 		}},
 		"rejected, large fleet": {300, []step{
 			{0, started, 0, 2}, {0.1, Rejected, 0, 4}, {4, started, 0, 8}, {4, Rejected, 0, 8}, {8, started, 0, 12},
 			{10, Rejected, 0, 38}, {38, started, 0, 68}, {38, Rejected, 0, 42}, {42, started, 0, 46}, {46, started, 0, 50},
-			{47, Refused, 1, 50}, {49, NoResponse, 0, 49},
+			{47, Unavailable, 1, 50}, {49, NoResponse, 0, 49},
 		}},
 		"rejected, fleet of 80": {80, []step{
 			{0, started, 0, 2}, {2, Rejected, 0, 4}, {4, started, 0, 8}, {6, Rejected, 0, 8}, {8, started, 0, 12},
@@ -86,13 +86,13 @@
 				now = next
 			}
 			open--
-			result := CallResult(rapid.IntRange(int(Refused), int(Rejected)).Draw(t, "result"))
+			result := CallResult(rapid.IntRange(int(Unavailable), int(Rejected)).Draw(t, "result"))
 			clock.CallEnded(now, result, open, rapid.Float64Range(0, 1).Draw(t, "jitter"))
 			maxDelay := MaxHedgeDelay
 			if clock.rejectionDelay > 0 {
 				maxDelay = 1.5 * max(maxRejectionDelay, clock.rejectionDelay)
 				if clock.fleetDelay <= maxRejectionDelay {
-					maxDelay = Delay
+					maxDelay = DeadlineDelay
 				}
 			}
 			if open == 0 && clock.NextCall()-now > maxDelay+1e-9 {
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -147,7 +147,7 @@
 		synctest.Wait()
 		assert.False(t, receivedAt.IsZero(), "%s, fleet of %d, %v", failure, fleetSize, duration)
 		// Changes that the watch missed count as received from the notification deadline on, if it is after restoredAt.
-		untilDeadline := time.Until(agent.failsAt.Add(toDuration(notification.Delay))) + time.Since(agent.restoredAt)
+		untilDeadline := time.Until(agent.failsAt.Add(toDuration(notification.DeadlineDelay))) + time.Since(agent.restoredAt)
 		used = (receivedAt.Sub(agent.restoredAt) - max(0, untilDeadline)).Seconds() / grace
 		time.Sleep(3 * time.Hour) // until the agent's goroutines end
 	})
@@ -159,7 +159,7 @@
 func TestChangeIsReceivedAfterRejectionsEnd(t *testing.T) {
 	for _, fleetSize := range []int{1, 8, 80, 350, 1024} {
 		const grace = 0.5
-		const limit = notification.Delay + grace
+		const limit = notification.DeadlineDelay + grace
 		worst := 0.0
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -181,7 +181,7 @@
 
 // logSilence returns a log entry with the list's version and the seconds since the last event.
 func (r *run) logSilence(now float64) *logrus.Entry {
-	silence := math.Round(r.clock.Silence(now)*100) / 100
+	silence := math.Round(r.clock.SinceLastEvent(now)*100) / 100
 	return r.Log.WithFields(logrus.Fields{"version": r.Version, "seconds": silence})
 }
 
