--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -117,9 +117,9 @@
 }
 
 func respond(conn net.Conn, status int, text string) {
-	response := http1.AppendStatus(make([]byte, 0, 256), status)
+	response := http1.AppendStatusLine(make([]byte, 0, 256), status)
 	response = http1.AppendField(response, "Content-Type", "text/plain")
-	response = http1.AppendLength(response, len(text)+len("\n"))
+	response = http1.AppendContentLength(response, len(text)+len("\n"))
 	response = http1.AppendField(response, "Connection", "close")
 	response = append(response, "\r\n"...)
 	response = append(response, text...)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -68,7 +68,7 @@
 	case head.Status != 200 || !head.Chunked:
 		return notification.Rejected, fmt.Errorf("no chunked 200 response from discovery: status %d", head.Status)
 	}
-	objects := &objectReader{source: response.Rest(), conn: conn}
+	objects := &objectReader{source: response.UnlimitedChunkedBody(), conn: conn}
 	return notification.Broken, readLists(objects, receiveTime(source), deliver)
 }
 
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -43,15 +43,15 @@
 	return io.ReadAll(io.LimitReader(body, int64(r.maxBodyBytes)+1))
 }
 
-// Rest returns a reader of the chunked body of the message whose head was read last. The body may be of any size, even
-// endless, so the caller must bound what it stores.
-func (r *Reader) Rest() io.Reader { return &chunkedBody{reader: r, unbounded: true} }
+// UnlimitedChunkedBody returns a reader of the chunked body of the message whose head was read last. The body may be of
+// any size, even endless, so the caller must bound what it stores.
+func (r *Reader) UnlimitedChunkedBody() io.Reader { return &chunkedBody{reader: r, unbounded: true} }
 
 // StreamBody returns a reader of the body of the message whose head was read last, without a limit on its size. A read
 // returns io.ErrUnexpectedEOF if the connection ended before the body did.
 func (r *Reader) StreamBody(length int, chunked bool) io.Reader {
 	if chunked {
-		return r.Rest()
+		return r.UnlimitedChunkedBody()
 	}
 	return &lengthBody{reader: r, remaining: length}
 }
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -30,7 +30,7 @@
 	if h.Length < 0 && !h.Chunked {
 		h.Length = 0
 	}
-	if h.Length > DefaultMaxBytes && !r.AnyBodySize {
+	if h.Length > DefaultMaxBytes && !r.AllowLargeBodies {
 		return nil, newError(413, "body too large")
 	}
 	r.discard(len(raw))
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -16,10 +16,10 @@
 // Reader reads the messages of one connection. It is not safe for concurrent use.
 type Reader struct {
 	textproto.Reader
-	AnyBodySize  bool // accept requests with a Content-Length over DefaultMaxBytes, to be read with StreamBody
-	source       *budget
-	head         Head
-	maxBodyBytes int // for the current message
+	AllowLargeBodies bool // accept requests with a Content-Length over DefaultMaxBytes, to be read with StreamBody
+	source           *budget
+	head             Head
+	maxBodyBytes     int // for the current message
 }
 
 // budget limits how many bytes of the connection one message may consume, so that no line can grow without limit.
@@ -85,9 +85,9 @@
 	return err
 }
 
-// Watch blocks until reading fails, and returns the error, or until the buffer is full, and returns nil. The bytes
-// received stay in the buffer for the next message.
-func (r *Reader) Watch() error {
+// WaitForClose blocks until reading fails, and returns the error, or until the buffer is full, and returns nil. The
+// bytes received stay in the buffer for the next message.
+func (r *Reader) WaitForClose() error {
 	r.renewBudget()
 	for r.R.Buffered() < r.R.Size() {
 		if _, err := r.R.Peek(r.R.Buffered() + 1); err != nil && !errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -23,7 +23,7 @@
 	h, err := r.Request()
 	assert.NoError(t, err)
 	assert.Equal(t, "/a", string(h.Target))
-	assert.ErrorIs(t, r.Watch(), io.EOF)
+	assert.ErrorIs(t, r.WaitForClose(), io.EOF)
 	assert.True(t, r.Ready())
 	h, err = r.Request()
 	assert.NoError(t, err)
@@ -36,7 +36,7 @@
 	r := NewReader(strings.NewReader("GET /a HTTP/1.1\r\n\r\n" + strings.Repeat("x", 2*initialBufferBytes)))
 	_, err := r.Request()
 	assert.NoError(t, err)
-	assert.NoError(t, r.Watch())
+	assert.NoError(t, r.WaitForClose())
 	assert.Equal(t, initialBufferBytes, r.R.Buffered())
 }
 
@@ -64,10 +64,10 @@
 	r := NewReader(strings.NewReader("GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 60000) + "\r\n\r\nGET /rest"))
 	_, err := r.Request()
 	assert.NoError(t, err)
-	r.AnyBodySize = true
+	r.AllowLargeBodies = true
 	r.Reset(strings.NewReader("GET /b HTTP/1.1\r\n\r\n"))
 	assert.Equal(t, initialBufferBytes, r.R.Size())
-	assert.False(t, r.AnyBodySize)
+	assert.False(t, r.AllowLargeBodies)
 	assert.NoError(t, r.Wait())
 	h, err := r.Request()
 	assert.NoError(t, err)
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -104,16 +104,16 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendRequest appends a request line of HTTP/1.1.
-func AppendRequest(out []byte, method, target []byte) []byte {
+// AppendRequestLine appends a request line of HTTP/1.1.
+func AppendRequestLine(out []byte, method, target []byte) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
 	out = append(out, target...)
 	return append(out, " HTTP/1.1\r\n"...)
 }
 
-// AppendStatus appends a status line of HTTP/1.1.
-func AppendStatus(out []byte, status int) []byte {
+// AppendStatusLine appends a status line of HTTP/1.1.
+func AppendStatusLine(out []byte, status int) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
@@ -121,8 +121,8 @@
 	return append(out, "\r\n"...)
 }
 
-// AppendLength appends a Content-Length field of n bytes.
-func AppendLength(out []byte, n int) []byte {
+// AppendContentLength appends a Content-Length field of n bytes.
+func AppendContentLength(out []byte, n int) []byte {
 	out = append(out, "Content-Length: "...)
 	out = strconv.AppendInt(out, int64(n), 10)
 	return append(out, "\r\n"...)
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -132,7 +132,7 @@
 func (c *clientConn) startWatch() chan error {
 	c.setReadDeadline(time.Time{})
 	done := make(chan error, 1)
-	go func() { done <- c.Watch() }()
+	go func() { done <- c.WaitForClose() }()
 	return done
 }
 
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -247,7 +247,7 @@
 		env.mu.Unlock()
 	}()
 	r := http1.NewReader(end)
-	r.AnyBodySize = env.streamBodies
+	r.AllowLargeBodies = env.streamBodies
 	for {
 		h, err := r.Request()
 		if err != nil {
--- a/proxy/listener.go
+++ b/proxy/listener.go
@@ -74,7 +74,7 @@
 	r := connReaders.Get().(*connReader)
 	r.source.Reset(conn)
 	r.Reset(r.source)
-	r.AnyBodySize = true
+	r.AllowLargeBodies = true
 	return r
 }
 
--- a/proxy/readrequest.go
+++ b/proxy/readrequest.go
@@ -113,7 +113,7 @@
 	c := r.conn
 	if r.head.Continue && !c.Buffered() {
 		c.conn.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-		_, _ = c.conn.Write(append(http1.AppendStatus(nil, http1.StatusContinue), "\r\n"...))
+		_, _ = c.conn.Write(append(http1.AppendStatusLine(nil, http1.StatusContinue), "\r\n"...))
 	}
 }
 
@@ -192,7 +192,7 @@
 	if chunked {
 		req.head = http1.AppendField(req.head, "Transfer-Encoding", "chunked")
 	} else {
-		req.head = http1.AppendLength(req.head, length)
+		req.head = http1.AppendContentLength(req.head, length)
 	}
 }
 
@@ -202,7 +202,7 @@
 	req := r.req
 	req.body = body
 	if !r.isGet || len(body) > 0 {
-		req.head = http1.AppendLength(req.head, len(body))
+		req.head = http1.AppendContentLength(req.head, len(body))
 	}
 	if body != nil {
 		bodyTime := r.conn.receivedAt().Sub(r.receivedAt).Seconds()
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -59,7 +59,7 @@
 
 // appendHead appends the response head, and drops a body that must not be sent.
 func (resp *response) appendHead(head []byte, closing bool) []byte {
-	head = http1.AppendStatus(head, resp.status)
+	head = http1.AppendStatusLine(head, resp.status)
 	head = append(head, resp.fields...)
 	head = resp.appendFraming(head)
 	if resp.retryAfter > 0 {
@@ -78,7 +78,7 @@
 		resp.body = nil // these statuses have no body, and a length would announce one
 		return head
 	case resp.stream != nil && resp.contentLength >= 0:
-		return http1.AppendLength(head, resp.contentLength)
+		return http1.AppendContentLength(head, resp.contentLength)
 	case resp.isChunked():
 		return http1.AppendField(head, "Transfer-Encoding", "chunked")
 	case resp.stream != nil: // the body ends with the connection
@@ -91,9 +91,9 @@
 		if resp.contentLength < 0 {
 			return head
 		}
-		return http1.AppendLength(head, resp.contentLength)
+		return http1.AppendContentLength(head, resp.contentLength)
 	}
-	return http1.AppendLength(head, len(resp.body))
+	return http1.AppendContentLength(head, len(resp.body))
 }
 
 // streamResponse writes a body as it arrives, as fast as the client reads it, and fails if writing a piece takes longer
