--- a/internal/cli/controlplanecmd/extension.go
+++ b/internal/cli/controlplanecmd/extension.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	e.controlPlane = service
-	service.OutcomesReported = p.OutcomesReported
+	service.OutcomesReported = p.ReportOutcomes
 	p.OnEstimates(service.Update)
 	if config.ControlPlane.Status != "" {
 		if err := e.serveAt("control", "status", config.ControlPlane.Status, service.ServeStatus); err != nil {
@@ -114,10 +114,10 @@
 	return e.serveAt("control", "address", config.ControlPlane.Address, service.Serve)
 }
 
-// recordedDecisions implements proxy.Decisions with a balancer whose calls are recorded.
+// recordedDecisions implements proxy.Decider with a balancer whose calls are recorded.
 type recordedDecisions struct{ *capture.Balancer }
 
-// RequestArrived implements proxy.Decisions.
+// RequestArrived implements proxy.Decider.
 func (d recordedDecisions) RequestArrived(
 	now float64, request balance.RequestInfo, id string,
 ) (proxy.RequestHandle, *balance.Actions) {
@@ -143,7 +143,7 @@
 		return fmt.Errorf("capture: %w", err)
 	}
 	e.recorder = recorder
-	p.Capture(func(pool string, b *balance.Balancer) proxy.Decisions {
+	p.Capture(func(pool string, b *balance.Balancer) proxy.Decider {
 		return recordedDecisions{recorder.Balancer(pool, b)}
 	})
 	go e.triggerCapture(recorder, c.RingMB > 0)
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -147,7 +147,7 @@
 func (p *Proxy) admit(req *request, info balance.RequestInfo, shed bool) {
 	if shed {
 		p.counters.Requests++
-		p.counters.ShedBounds++
+		p.counters.ShedOverLimit++
 		p.respond(req, balance.Rejected, p.bootstrap.MaxRetryAfter)
 		return
 	}
--- a/proxy/admission_test.go
+++ b/proxy/admission_test.go
@@ -15,16 +15,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {cutAfterDelay, okResponse}}, nil)
 		first := env.connect()
-		go write(first, smsRequest)
+		go write(first, nonIdempotentRequest)
 		synctest.Wait()
-		status, _, _, err := env.roundTrip(smsRequest)
+		status, _, _, err := env.roundTrip(nonIdempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 409, status)
 		status, _, _, err = readResponse(first)
 		assert.NoError(t, err)
 		assert.Equal(t, 502, status, "the first request is not affected")
 		assert.Len(t, env.received, 1)
-		status, _, _, err = env.roundTrip(smsRequest)
+		status, _, _, err = env.roundTrip(nonIdempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Empty(t, env.requests.openIDs)
@@ -38,19 +38,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, func(l *BootstrapConfig) { l.Limits.Memory = 1000 })
 		first := env.connect()
-		go write(first, smsRequest)
+		go write(first, nonIdempotentRequest)
 		synctest.Wait()
-		status, _, _, err := env.roundTrip(strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
+		status, _, _, err := env.roundTrip(strings.Replace(nonIdempotentRequest, "Content-Length: 3\r\n\r\nabc",
 			"Content-Length: 200\r\n\r\n"+
 				strings.Repeat("x", 200), 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 503, status)
-		assert.Equal(t, 1, env.counters.ShedBounds)
+		assert.Equal(t, 1, env.counters.ShedOverLimit)
 		first.Close()
 		time.Sleep(clientWatchDelay)
 		synctest.Wait()
 		env.behaviors["b1"] = []string{okResponse}
-		status, _, _, err = env.roundTrip(smsRequest)
+		status, _, _, err = env.roundTrip(nonIdempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		env.stopAndWait()
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -69,7 +69,8 @@
 		if att.neverRan {
 			continue
 		}
-		if dedupWindowEnd := p.at(att.sentAt + req.class.DedupWindow); sendBy.IsZero() || dedupWindowEnd.Before(sendBy) {
+		dedupWindowEnd := p.fromUnixSeconds(att.sentAt + req.class.DedupWindow)
+		if sendBy.IsZero() || dedupWindowEnd.Before(sendBy) {
 			sendBy = dedupWindowEnd
 		}
 	}
@@ -79,13 +80,13 @@
 // prepareExchange sets up an attempt's exchange: what the upstream pool sends, until when, and which functions it
 // calls.
 func (p *Proxy) prepareExchange(req *request, att *attempt, deadline float64, sendBy time.Time) {
-	admittedAt := p.at(req.arrivedAt)
+	arrivedAt := p.fromUnixSeconds(req.arrivedAt)
 	att.exchange = upstream.Exchange{
 		Head:              req.head,
 		Body:              req.body,
-		Deadline:          p.at(deadline),
+		Deadline:          p.fromUnixSeconds(deadline),
 		SendBy:            sendBy,
-		ClientGone:        func() bool { return req.clientGone(admittedAt) },
+		ClientGone:        func() bool { return req.clientGone(arrivedAt) },
 		ResponseTimeout:   seconds(req.stream.clientWait) - uploadResponseMargin,
 		Passthrough:       req.passthrough,
 		HeadOnly:          req.headOnly,
--- a/proxy/attempt_test.go
+++ b/proxy/attempt_test.go
@@ -24,7 +24,7 @@
 			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "any": {cutAfterDelay, okResponse}},
 				nil)
 			env.dialDelay = c.dial
-			status, _, _, err := env.roundTrip(signRequest)
+			status, _, _, err := env.roundTrip(keyedRequest)
 			assert.NoError(t, err)
 			assert.Equal(t, c.status, status)
 			assert.Len(t, env.received, c.sent)
@@ -36,9 +36,9 @@
 func TestRequestsAreForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-		chunked := strings.Replace(signRequest, "Content-Length: 3\r\n\r\nabc",
+		chunked := strings.Replace(keyedRequest, "Content-Length: 3\r\n\r\nabc",
 			"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 1)
-		for _, request := range []string{lookRequest, signRequest, chunked} {
+		for _, request := range []string{idempotentRequest, keyedRequest, chunked} {
 			status, _, _, err := env.roundTrip(request)
 			assert.NoError(t, err)
 			assert.Equal(t, 200, status)
@@ -48,7 +48,7 @@
 		largest := strings.Repeat("x", http1.DefaultMaxBytes)
 		env.behaviors["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes,
 			largest)}
-		status, _, body, err := env.roundTrip(strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
+		status, _, body, err := env.roundTrip(strings.Replace(nonIdempotentRequest, "Content-Length: 3\r\n\r\nabc",
 			fmt.Sprintf("Content-Length: %d\r\n\r\n%s", http1.DefaultMaxBytes, largest), 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
@@ -57,12 +57,12 @@
 		assert.Equal(t, []string{"b1"}, env.dialed, "all requests use one connection in turn")
 		large := strings.Repeat("x", 5*http1.DefaultMaxBytes)
 		env.behaviors["b1"] = []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(large), large)}
-		status, _, body, err = env.roundTrip(lookRequest)
+		status, _, body, err = env.roundTrip(idempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Equal(t, large, body)
 		canceled := env.connect()
-		go write(canceled, lookRequest)
+		go write(canceled, idempotentRequest)
 		synctest.Wait()
 		canceled.Close()
 		synctest.Wait()
--- a/proxy/clientconn_test.go
+++ b/proxy/clientconn_test.go
@@ -20,13 +20,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		c := env.connect()
-		go write(c, lookRequest+smsRequest+lookRequest[:20]) // pipelined bytes must not be lost
+		go write(c, idempotentRequest+nonIdempotentRequest+idempotentRequest[:20]) // pipelined bytes must not be lost
 		for range 2 {
 			status, _, _, err := readResponse(c)
 			assert.NoError(t, err)
 			assert.Equal(t, 200, status)
 		}
-		go write(c, lookRequest[20:])
+		go write(c, idempotentRequest[20:])
 		status, _, _, err := readResponse(c)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
@@ -34,10 +34,11 @@
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err, "closed: idle for too long")
 
-		for _, pipelined := range []string{"", lookRequest[:20]} { // closes before the response, also with pipelined bytes
+		// The client closes before the response, also with pipelined bytes.
+		for _, pipelined := range []string{"", idempotentRequest[:20]} {
 			env.behaviors["b1"] = []string{noResponse}
 			c = env.connect()
-			go write(c, lookRequest+pipelined)
+			go write(c, idempotentRequest+pipelined)
 			synctest.Wait()
 			n := env.closedConns
 			c.Close()
@@ -49,13 +50,13 @@
 
 		env.behaviors["b1"] = []string{okResponse}
 		c = env.connect()
-		go write(c, lookRequest)
+		go write(c, idempotentRequest)
 		time.Sleep(clientWriteTimeout + 1) // never reads its response
 		_, err = c.Write([]byte("x"))
 		assert.Error(t, err)
 
 		c = env.connect()
-		go write(c, strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc",
+		go write(c, strings.Replace(nonIdempotentRequest, "Content-Length: 3\r\n\r\nabc",
 			"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n", 1))
 		interim := make([]byte, len("HTTP/1.1 100 Continue\r\n\r\n"))
 		_, err = io.ReadFull(c, interim)
@@ -98,9 +99,11 @@
 // Guards against losing a request whose connection is evicted after the request was read and before the connTable knows
 // of it.
 func TestCloseWhileRequestIsRead(t *testing.T) {
-	head, body, _ := strings.Cut(smsRequest, "\r\n\r\n")
-	for name, parts := range map[string][]string{"complete": {smsRequest}, "head and body": {head + "\r\n\r\n", body},
-		"cut in its head": {smsRequest[:9], smsRequest[9:]}} {
+	head, body, _ := strings.Cut(nonIdempotentRequest, "\r\n\r\n")
+	for name, parts := range map[string][]string{
+		"complete": {nonIdempotentRequest}, "head and body": {head + "\r\n\r\n", body},
+		"cut in its head": {nonIdempotentRequest[:9], nonIdempotentRequest[9:]},
+	} {
 		for last := range parts {
 			synctest.Test(t, func(t *testing.T) {
 				env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -9,15 +9,15 @@
 }
 
 // now returns the current time in seconds since 1970.
-func (c clock) now() float64 { return c.stamp(time.Now()) }
+func (c clock) now() float64 { return c.toUnixSeconds(time.Now()) }
 
-// stamp converts a time to seconds since 1970.
-func (c clock) stamp(t time.Time) float64 {
+// toUnixSeconds converts a time to seconds since 1970.
+func (c clock) toUnixSeconds(t time.Time) float64 {
 	return float64(c.startedAt.UnixMicro())/1e6 + t.Sub(c.startedAt).Seconds()
 }
 
-// at converts seconds since 1970 to a time.
-func (c clock) at(stamp float64) time.Time {
+// fromUnixSeconds converts seconds since 1970 to a time.
+func (c clock) fromUnixSeconds(stamp float64) time.Time {
 	return c.startedAt.Add(seconds(stamp - float64(c.startedAt.UnixMicro())/1e6))
 }
 
--- a/proxy/conntable_test.go
+++ b/proxy/conntable_test.go
@@ -33,18 +33,18 @@
 		_, err = one.Read(make([]byte, 1))
 		assert.Error(t, err, "the idle connection is evicted")
 		for i, c := range []net.Conn{two, three} {
-			go write(c, strings.Replace(strings.Replace(lookRequest, "t1", fmt.Sprint("t", 5+i), 1), "0.5", "10", 1))
+			go write(c, strings.Replace(strings.Replace(idempotentRequest, "t1", fmt.Sprint("t", 5+i), 1), "0.5", "10", 1))
 			synctest.Wait()
 		}
 		status, _, _, err := readResponse(three)
 		assert.NoError(t, err)
 		assert.Equal(t, 503, status, "no connection to a server is available")
-		go write(three, strings.Replace(lookRequest, "0.5", "10", 1))
+		go write(three, strings.Replace(idempotentRequest, "0.5", "10", 1))
 		synctest.Wait()
 		var further []net.Conn
 		for range 5 {
 			c := env.connect()
-			go write(c, lookRequest[:20])
+			go write(c, idempotentRequest[:20])
 			synctest.Wait()
 			further = append(further, c)
 		}
@@ -52,7 +52,7 @@
 		assert.LessOrEqual(t, count, 4, "connections over maxOverflow are not accepted yet")
 		assert.Positive(t, overBound)
 		for _, c := range further {
-			go write(c, lookRequest[20:])
+			go write(c, idempotentRequest[20:])
 			status, h, _, err := readResponse(c)
 			assert.NoError(t, err)
 			assert.Equal(t, 503, status, "over maxServed the request is rejected")
@@ -62,7 +62,7 @@
 		two.Close()
 		time.Sleep(clientWatchDelay)
 		synctest.Wait()
-		status, _, _, err = env.roundTrip(lookRequest)
+		status, _, _, err = env.roundTrip(idempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		three.Close()
@@ -72,7 +72,7 @@
 
 // Guards against clients that send nothing, or only a part of a request, keeping out clients that send requests.
 func TestSilentClientsAreEvicted(t *testing.T) {
-	for _, partial := range []string{"", lookRequest[:20]} {
+	for _, partial := range []string{"", idempotentRequest[:20]} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 			env.conns.maxServed, env.conns.maxOverflow = 4, 2
@@ -86,7 +86,7 @@
 			for range 3 {
 				for status := 0; status != 200; {
 					var err error
-					status, _, _, err = env.roundTrip(lookRequest)
+					status, _, _, err = env.roundTrip(idempotentRequest)
 					assert.NoError(t, err)
 					assert.Contains(t, []int{200, 503}, status)
 				}
@@ -102,7 +102,7 @@
 	for _, c := range []struct {
 		first  string // the bytes sent before the slow ones
 		status int    // 0: closed without a response
-	}{{"", 0}, {lookRequest[:20], 408}, {"G", 408}} {
+	}{{"", 0}, {idempotentRequest[:20], 408}, {"G", 408}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}}, func(l *BootstrapConfig) { l.Classes[0].Deadline = 20 })
 			began, conn := time.Now(), env.connect()
@@ -135,7 +135,7 @@
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		env.conns.maxServed, env.conns.maxOverflow = 3, 1
 		idle, rejected := env.connect(), env.connect()
-		long := strings.Replace(lookRequest, "0.5", "1.2", 1)
+		long := strings.Replace(idempotentRequest, "0.5", "1.2", 1)
 		go write(idle, long)
 		env.readOK(idle)
 		go write(idle, long[:30])
@@ -179,7 +179,7 @@
 		table.markIdle(c, false)
 		clients, clientEnds = append(clients, c), append(clientEnds, end)
 	}
-	write(clientEnds[0], lookRequest)
+	write(clientEnds[0], idempotentRequest)
 	for !upstream.HasUnreadBytes(clients[0].conn) {
 		time.Sleep(time.Millisecond)
 	}
@@ -244,7 +244,7 @@
 		env.conns.maxIdle = 3
 		requestOnce := func() (net.Conn, bool) {
 			c := env.connect()
-			go write(c, lookRequest)
+			go write(c, idempotentRequest)
 			status, h, _, err := readResponse(c)
 			assert.NoError(t, err)
 			assert.Equal(t, 200, status)
@@ -320,7 +320,7 @@
 				if i%2 == 0 { // some are served, some send nothing, some send a part of a head
 					write(c, "GET /up HTTP/1.1\r\n\r\n")
 				} else if i%3 == 0 {
-					write(c, lookRequest[:20])
+					write(c, idempotentRequest[:20])
 				}
 				idle = append(idle, c)
 			}
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -9,18 +9,18 @@
 
 // counters are the owner's counts since the process started.
 type counters struct {
-	Requests     int // admitted or rejected
-	Succeeded    int
-	Rejected     int
-	Failed       int
-	ClientGone   int // the client disconnected before its response
-	BadRequests  int
-	ShedBounds   int // rejected because a limit of connections or memory was reached
-	RejectedLate int // answered after more than half of the time to their deadline, and not run by any server
-	Attempts     int
-	Outcomes     [balance.InvalidRequest + 1]int // number of attempts that ended with each balance.Outcome
-	LateEvents   int
-	HealthChecks int
+	Requests      int // admitted or rejected
+	Succeeded     int
+	Rejected      int
+	Failed        int
+	ClientGone    int // the client disconnected before its response
+	BadRequests   int
+	ShedOverLimit int // rejected because a limit of connections or memory was reached
+	RejectedLate  int // answered after more than half of the time to their deadline, and not run by any server
+	Attempts      int
+	Outcomes      [balance.InvalidRequest + 1]int // number of attempts that ended with each balance.Outcome
+	LateEvents    int
+	HealthChecks  int
 }
 
 // countsLogger returns a function that logs the current counters. Only the owner may call countsLogger; any goroutine
@@ -57,7 +57,7 @@
 		"failed":          c.Failed,
 		"client_gone":     c.ClientGone,
 		"bad_requests":    c.BadRequests,
-		"shed_bounds":     c.ShedBounds,
+		"shed_bounds":     c.ShedOverLimit,
 		"rejected_late":   c.RejectedLate,
 		"attempts":        c.Attempts,
 		"late_events":     c.LateEvents,
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -71,7 +71,7 @@
 	p.endpoints.version, p.endpoints.received = list.Version, true
 	since := p.now()
 	if !list.NotifiedAt.IsZero() { // it may count as received long before this process or its owner got it
-		since = min(since, p.stamp(list.NotifiedAt))
+		since = min(since, p.toUnixSeconds(list.NotifiedAt))
 	}
 	entries := list.Entries
 	list.Entries = slices.Clone(entries)
@@ -155,6 +155,6 @@
 		return
 	}
 	list.stopSendAt[index] = min(list.stopSendAt[index], since)
-	p.upstream.StopSendingAt(index, p.at(list.stopSendAt[index]+p.bootstrap.DrainGrace))
+	p.upstream.StopSendingAt(index, p.fromUnixSeconds(list.stopSendAt[index]+p.bootstrap.DrainGrace))
 	p.upstream.CloseIdle(index)
 }
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -28,7 +28,7 @@
 			cfg.SlowStartDuration, cfg.RemovalIsAdvisory = 0, removalIsAdvisory
 		})
 		target := func() (string, int) {
-			status, _, _, err := env.roundTrip(lookRequest)
+			status, _, _, err := env.roundTrip(idempotentRequest)
 			assert.NoError(t, err)
 			return env.dialed[len(env.dialed)-1], status
 		}
@@ -78,13 +78,13 @@
 			synctest.Wait()
 		}
 		inFlight := env.connect()
-		go write(inFlight, lookRequest)
+		go write(inFlight, idempotentRequest)
 		synctest.Wait()
 		reload("nowhere")
 		time.Sleep(time.Second)
 		env.updateList(listChange(2, "b1", "leaving", 0))
 		env.updateList(listChange(3, "b2", "active", 0))
-		status, _, _, err := env.roundTrip(lookRequest)
+		status, _, _, err := env.roundTrip(idempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status, "the previous subscription is still in use")
 		for range 3 {
@@ -94,7 +94,7 @@
 		env.listUpdates["agent2"] <- listChange(2, "b3", "active", 0) // agent2 counts versions by itself
 		env.listUpdates["agent2"] <- listChange(3, "b2", "left", 0)
 		synctest.Wait()
-		_, _, _, err = env.roundTrip(lookRequest)
+		_, _, _, err = env.roundTrip(idempotentRequest)
 		assert.NoError(t, err)
 		assert.Equal(t, "b3:1", env.dialed[len(env.dialed)-1])
 		reload("nowhere")
@@ -126,7 +126,7 @@
 					2*i+3, id))
 			}
 			for range 3 {
-				status, _, _, err := env.roundTrip(strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
+				status, _, _, err := env.roundTrip(strings.Replace(idempotentRequest, "t1", fmt.Sprint("t", i), 1))
 				assert.NoError(t, err)
 				assert.Equal(t, 200, status)
 			}
@@ -177,7 +177,7 @@
 			env.dialDelay = 60 * time.Millisecond
 			env.start()
 			conn := env.connect()
-			go write(conn, lookRequest)
+			go write(conn, idempotentRequest)
 			synctest.Wait()
 			c.drain(env)
 			time.Sleep(100 * time.Millisecond)
@@ -210,7 +210,7 @@
 		for i := range all {
 			all[i] = fmt.Sprint("s-", i)
 		}
-		requestStatus := func() int { status, _, _, _ := env.roundTrip(lookRequest); return status }
+		requestStatus := func() int { status, _, _, _ := env.roundTrip(idempotentRequest); return status }
 		update(2, true, balance.Ready, all...)
 		assert.Equal(t, 200, requestStatus())
 		update(3, false, balance.Draining, all...)
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -28,10 +28,10 @@
 const (
 	okResponse             = "HTTP/1.1 200 OK\r\nX-From: b\r\nContent-Length: 4\r\n\r\nbody"
 	neverRanResponse       = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-	own503Response         = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
+	plain503Response       = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
 	invalidRequestResponse = "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n"
 	faultResponse          = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
-	cutConnection          = "cut"
+	closeConnection        = "cut"
 	cutInBody              = "cut in a body"
 	earlyResponse          = "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n"
 	cutAfterDelay          = "cut after 0.23 s"
@@ -288,7 +288,7 @@
 			continue
 		}
 		switch behavior {
-		case cutConnection:
+		case closeConnection:
 			return
 		case cutAfterDelay:
 			time.Sleep(230 * time.Millisecond)
@@ -348,10 +348,11 @@
 
 // Requests of three classes: idempotent, keyed and non-idempotent.
 const (
-	lookRequest = "GET /look?user=7 HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Qos: look\r\nX-Expires-In: 0.5\r\n\r\n"
-	signRequest = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\n" +
+	idempotentRequest = "GET /look?user=7 HTTP/1.1\r\nX-Trace-Id: t1\r\nX-Qos: look\r\nX-Expires-In: 0.5\r\n\r\n"
+	keyedRequest      = "POST /sign HTTP/1.1\r\nX-Trace-Id: t2\r\nX-Qos: sign\r\nX-Expires-In: 0.5\r\n" +
 		"Idempotency-Key: k\r\nContent-Length: 3\r\n\r\nabc"
-	smsRequest = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\nContent-Length: 3\r\n\r\nabc"
+	nonIdempotentRequest = "POST /sms HTTP/1.1\r\nX-Trace-Id: t3\r\nX-Qos: sms\r\nX-Expires-In: 0.5\r\n" +
+		"Content-Length: 3\r\n\r\nabc"
 )
 
 // updateList makes discovery send a change of the list, and waits until it is applied.
@@ -380,7 +381,7 @@
 func (env *testEnv) sendRequests(n int) {
 	for i := range n {
 		id := "a" + string(rune('a'+i%26)) + string(rune('a'+i/26))
-		_, _, _, err := env.roundTrip(strings.Replace(lookRequest, "t1", id, 1))
+		_, _, _, err := env.roundTrip(strings.Replace(idempotentRequest, "t1", id, 1))
 		assert.NoError(env.t, err)
 	}
 }
--- a/proxy/estimates.go
+++ b/proxy/estimates.go
@@ -44,10 +44,10 @@
 // Serve.
 func (p *Proxy) OnEstimates(observe EstimatesFunc) { p.estimates.observe = observe }
 
-// OutcomesReported passes to a pool's balancer the outcomes that subscribers of the control plane have reported: the
+// ReportOutcomes passes to a pool's balancer the outcomes that subscribers of the control plane have reported: the
 // numbers of successful and of failed attempts, in this order, by server name. Unknown names are ignored. Any goroutine
 // may call it.
-func (p *Proxy) OutcomesReported(poolName string, attempts map[string][2]int) {
+func (p *Proxy) ReportOutcomes(poolName string, attempts map[string][2]int) {
 	p.post(func() {
 		routing := p.routing.Load()
 		if routing == nil || routing.pools[poolName] == nil {
--- a/proxy/estimates_test.go
+++ b/proxy/estimates_test.go
@@ -51,9 +51,9 @@
 		}
 		assert.Equal(t, "b1", estimate("all", "b1").Addr)
 		assert.Equal(t, "w1:80", estimate("own", "own/w1:80").Addr)
-		env.OutcomesReported("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
-		env.OutcomesReported("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
-		env.OutcomesReported("none", map[string][2]int{"b1": {0, 90}})
+		env.ReportOutcomes("own", map[string][2]int{"own/w1:80": {0, 40}, "nobody": {1, 1}})
+		env.ReportOutcomes("all", map[string][2]int{"b1": {90, 10}, "b2": {10, 90}})
+		env.ReportOutcomes("none", map[string][2]int{"b1": {0, 90}})
 		time.Sleep(2 * estimateInterval)
 		assert.True(t, estimate("all", "b2").Paused && !estimate("all", "b1").Paused && estimate("own", "own/w1:80").Paused)
 		assert.Less(t, estimate("all", "b2").Payoff, estimate("all", "b1").Payoff)
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -52,7 +52,7 @@
 	assert.Equal(t, before[0].Payoff, before[1].Payoff, "no results yet")
 	for i := range 60 {
 		c := busy.connect()
-		go write(c, strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
+		go write(c, strings.Replace(idempotentRequest, "t1", fmt.Sprint("t", i), 1))
 		_, _, _, err := readResponse(c)
 		require.NoError(t, err)
 		require.NoError(t, c.Close())
@@ -91,7 +91,7 @@
 	require.Empty(t, faults)
 	routing, err := env.buildRouting(cfg, nil)
 	require.NoError(t, err)
-	for decisions, sendsGossip := range map[Decisions]bool{
+	for decisions, sendsGossip := range map[Decider]bool{
 		env.pools.platform.decisions:     true,
 		routing.pools["first"].decisions: false,
 	} {
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lifecycle.StoppedAt == 0 {
-		s.lifecycle.StoppedAt, s.lifecycle.IdleCloseDeadline = now, p.stamp(idleCloseAt)
+		s.lifecycle.StoppedAt, s.lifecycle.IdleCloseDeadline = now, p.toUnixSeconds(idleCloseAt)
 	}
 	return s.lifecycle.SuccessorServing
 }
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -144,7 +144,7 @@
 	rule := cfg.RetryRule(route)
 	r.info.Class = routing.requestClass(route, rule, head)
 	class := &pool.classes[r.info.Class]
-	arrivedAt := p.stamp(r.receivedAt)
+	arrivedAt := p.toUnixSeconds(r.receivedAt)
 	r.info.Deadline = p.shutdown.bound(arrivedAt+clientWait(head, class.Deadline), p.clock)
 	r.req = &request{
 		pool:      pool,
--- a/proxy/operatorroute_test.go
+++ b/proxy/operatorroute_test.go
@@ -22,22 +22,22 @@
 		sent                           int    // requests that servers received
 	}{
 		"page":                    {plainRequest("GET", "/a", ""), okResponse, "X-From", "200 b body", 1},
-		"page, cut":               {plainRequest("GET", "/a", ""), cutConnection, "", "200 body", 2},
+		"page, cut":               {plainRequest("GET", "/a", ""), closeConnection, "", "200 body", 2},
 		"page, error":             {plainRequest("GET", "/a", ""), faultResponse, "", "200 body", 2},
 		"not found":               {plainRequest("GET", "/a", ""), notFound, "", "404 none", 1},
 		"redirected":              {plainRequest("GET", "/a", ""), redirect, "Location", "302 /there", 1},
 		"no content":              {plainRequest("GET", "/a", ""), noContent, "Content-Length", "204", 1},
-		"post, cut: may have run": {plainRequest("POST", "/a", post), cutConnection, "", "502 forfeited", 1},
+		"post, cut: may have run": {plainRequest("POST", "/a", post), closeConnection, "", "502 forfeited", 1},
 		"post, error":             {plainRequest("POST", "/a", post), serverError, "X-From", "500 b sorry", 1},
-		"post, its own 503":       {plainRequest("POST", "/a", post), own503Response, "", "502", 1},
+		"post, its own 503":       {plainRequest("POST", "/a", post), plain503Response, "", "502", 1},
 		"other, error":            {plainRequest("GET", "/other", ""), serverError, "", "500 sorry", 1},
 		"post, never ran":         {plainRequest("POST", "/a", post), neverRanResponse, "", "200 body", 2},
 		"post, no connection":     {plainRequest("POST", "/a", post), refuseConnection, "", "200 body", 1},
-		"keyed, not deduplicated": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), cutConnection, "",
+		"keyed, not deduplicated": {plainRequest("POST", "/a", "Idempotency-Key: k\r\n"+post), closeConnection, "",
 			"502 forfeited", 1},
-		"keyed, deduplicated": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), cutConnection,
+		"keyed, deduplicated": {plainRequest("POST", "/sign", "Idempotency-Key: k\r\n"+post), closeConnection,
 			"", "200 body", 2},
-		"an unknown method": {plainRequest("BREW", "/a", post), cutConnection, "", "502 forfeited", 1},
+		"an unknown method": {plainRequest("BREW", "/a", post), closeConnection, "", "502 forfeited", 1},
 		"moved": {plainRequest("GET", "/moved/x?y", ""), okResponse, "Location",
 			"308 https://example.org/moved/x?y", 0},
 		"fixed": {plainRequest("GET", "/robots.txt", ""), okResponse, "Content-Type",
@@ -60,7 +60,7 @@
 		"the client's own deadline": {plainRequest("GET", "/a", "X-Expires-In: 0.1\r\n"), noResponse, "",
 			"503 dismissed", 1},
 		"no response: the class's deadline": {plainRequest("POST", "/a", post), noResponse, "", "502 forfeited", 1},
-		"no second server in the pool":      {plainRequest("GET", "/other", ""), cutConnection, "", "503 dismissed", 1},
+		"no second server in the pool":      {plainRequest("GET", "/other", ""), closeConnection, "", "503 dismissed", 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startOperatorEnv(t, map[string][]string{"any": {c.behavior, okResponse}})
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -16,7 +16,7 @@
 	att.ended = true
 	att.outcome, att.err, att.neverRan = result.Outcome, result.Err, result.Outcome.NeverRan()
 	p.counters.Outcomes[result.Outcome]++
-	endedAt := p.stamp(result.EndedAt)
+	endedAt := p.toUnixSeconds(result.EndedAt)
 	if p.now()-endedAt > lateEventSeconds {
 		p.counters.LateEvents++
 	}
@@ -37,7 +37,7 @@
 	}
 	answered, sentAt := req.answered, att.sentAt
 	if !result.SentAt.IsZero() { // time queued here, to be written or read, is not the server's
-		sentAt = p.stamp(result.SentAt)
+		sentAt = p.toUnixSeconds(result.SentAt)
 		p.overload.attemptMeasured(p.now()-att.sentAt, endedAt-sentAt)
 	}
 	p.decideRequest(req, func(now float64) *balance.Actions {
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -21,22 +21,22 @@
 		name, request, behavior string
 		status, sent            int
 	}{
-		{"succeeds", lookRequest, okResponse, 200, 1},
-		{"idempotent, cut", lookRequest, cutConnection, 200, 2},
-		{"idempotent, error", lookRequest, faultResponse, 200, 2},
-		{"idempotent, rejected", lookRequest, neverRanResponse, 200, 2},
-		{"idempotent, no response", lookRequest, noResponse, 503, 1},
-		{"idempotent, request fault", lookRequest, invalidRequestResponse, 400, 1},
-		{"not idempotent, succeeds", smsRequest, okResponse, 200, 1},
-		{"not idempotent, rejected", smsRequest, neverRanResponse, 200, 2},
-		{"not idempotent, no connection", smsRequest, refuseConnection, 200, 1},
-		{"not idempotent, cut", smsRequest, cutConnection, 502, 1},
-		{"not idempotent, error", smsRequest, faultResponse, 502, 1},
+		{"succeeds", idempotentRequest, okResponse, 200, 1},
+		{"idempotent, cut", idempotentRequest, closeConnection, 200, 2},
+		{"idempotent, error", idempotentRequest, faultResponse, 200, 2},
+		{"idempotent, rejected", idempotentRequest, neverRanResponse, 200, 2},
+		{"idempotent, no response", idempotentRequest, noResponse, 503, 1},
+		{"idempotent, request fault", idempotentRequest, invalidRequestResponse, 400, 1},
+		{"not idempotent, succeeds", nonIdempotentRequest, okResponse, 200, 1},
+		{"not idempotent, rejected", nonIdempotentRequest, neverRanResponse, 200, 2},
+		{"not idempotent, no connection", nonIdempotentRequest, refuseConnection, 200, 1},
+		{"not idempotent, cut", nonIdempotentRequest, closeConnection, 502, 1},
+		{"not idempotent, error", nonIdempotentRequest, faultResponse, 502, 1},
 		// Relayed as 503, it would look safe to retry.
-		{"not idempotent, a server's own 503", smsRequest, own503Response, 502, 1},
-		{"not idempotent, no response", smsRequest, noResponse, 502, 1},
-		{"keyed, cut", signRequest, cutConnection, 200, 2},
-		{"keyed, no response", signRequest, noResponse, 502, 1},
+		{"not idempotent, a server's own 503", nonIdempotentRequest, plain503Response, 502, 1},
+		{"not idempotent, no response", nonIdempotentRequest, noResponse, 502, 1},
+		{"keyed, cut", keyedRequest, closeConnection, 200, 2},
+		{"keyed, no response", keyedRequest, noResponse, 502, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, nil)
@@ -72,7 +72,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, c.behaviors, c.set)
-			status, _, _, err := env.roundTrip(smsRequest)
+			status, _, _, err := env.roundTrip(nonIdempotentRequest)
 			assert.NoError(t, err, c.name)
 			assert.Equal(t, 503, status, c.name)
 			assert.Empty(t, env.received, c.name)
@@ -115,7 +115,7 @@
 		req := &request{pool: env.pools.platform, class: &env.bootstrap.Classes[0],
 			requestState: requestState{handle: handle},
 			response:     make(chan response, 1)}
-		att := &attempt{sentAt: env.stamp(now.Add(-c.started))}
+		att := &attempt{sentAt: env.toUnixSeconds(now.Add(-c.started))}
 		req.attempts = []*attempt{att}
 		env.recordOutcome(req, att, upstream.Result{Outcome: balance.Succeeded, Status: 200, SentAt: now.Add(-c.sent),
 			EndedAt: now.Add(-c.ended)})
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -25,7 +25,7 @@
 type overloadMonitor struct {
 	mu sync.Mutex
 	*limits.OverloadQueue
-	dispatchSignal chan struct{} // holds a value while dispatchWaiting has queued requests to admit
+	dispatchSignal chan struct{} // holds a value while dispatchQueued has queued requests to admit
 
 	delayFactor float64 // the delay factor last reported to the balancers
 	lagSeconds  float64 // the lag last reported to the balancers
@@ -53,7 +53,8 @@
 	work := 1 + float64(max(bodyBytes, 0))/bodyBytesPerWorkUnit
 	weight := max(class.PriorityWeight, minPriorityWeight) / work
 	m.mu.Lock()
-	admitted, waiter := m.RequestArrived(p.now(), p.stamp(c.receivedAt()), latencyObjective(class), weight, tenant, c)
+	admitted, waiter := m.RequestArrived(
+		p.now(), p.toUnixSeconds(c.receivedAt()), latencyObjective(class), weight, tenant, c)
 	m.mu.Unlock()
 	if waiter == nil {
 		return admitted
@@ -82,7 +83,7 @@
 	return overloaded
 }
 
-// wakeDispatcher wakes dispatchWaiting, or makes it check the queue again if it runs.
+// wakeDispatcher wakes dispatchQueued, or makes it check the queue again if it runs.
 func (m *overloadMonitor) wakeDispatcher() {
 	select {
 	case m.dispatchSignal <- struct{}{}:
@@ -90,8 +91,8 @@
 	}
 }
 
-// dispatchWaiting admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
-func (p *Proxy) dispatchWaiting() {
+// dispatchQueued admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
+func (p *Proxy) dispatchQueued() {
 	m := &p.overload
 	pollWaiter := poller.NewPollWaiter()
 	defer pollWaiter.Close()
--- a/proxy/platformhead.go
+++ b/proxy/platformhead.go
@@ -45,7 +45,7 @@
 	r.req = &request{
 		pool:      p.pools.platform,
 		class:     class,
-		arrivedAt: p.stamp(r.receivedAt),
+		arrivedAt: p.toUnixSeconds(r.receivedAt),
 		deadline:  r.info.Deadline,
 		id:        string(head.Get("X-Trace-Id")),
 		response:  make(chan response, 1),
@@ -69,7 +69,7 @@
 		return info, err
 	}
 	info.Class = class
-	info.Deadline = p.stamp(receivedAt) + min(wait, maxClientWaitSeconds)
+	info.Deadline = p.toUnixSeconds(receivedAt) + min(wait, maxClientWaitSeconds)
 	info.Deadline = p.shutdown.bound(info.Deadline, p.clock)
 	info.ClientRetry = string(head.Get("X-Second-Try")) == "1"
 	if name := head.Get("X-Customer"); name != nil {
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -9,9 +9,9 @@
 	"lockloom/routes"
 )
 
-// Decisions makes the balancing decisions of one pool. It is a Balancer, or a wrapper of one that captures its calls;
+// Decider makes the balancing decisions of one pool. It is a Balancer, or a wrapper of one that captures its calls;
 // comments call either the balancer. The owner makes all calls, one at a time. Times (now) are in seconds since 1970.
-type Decisions interface {
+type Decider interface {
 	RequestArrived(now float64, info balance.RequestInfo, id string) (RequestHandle, *balance.Actions)
 	TimerFired(now float64) *balance.Actions
 	EndpointsUpdated(now float64, full, first bool, list []balance.Endpoint) *balance.Actions
@@ -41,18 +41,18 @@
 // uncaptured is a Balancer whose calls are not captured.
 type uncaptured struct{ *balance.Balancer }
 
-// RequestArrived implements Decisions.
+// RequestArrived implements Decider.
 func (b uncaptured) RequestArrived(
 	now float64, info balance.RequestInfo, _ string,
 ) (RequestHandle, *balance.Actions) {
 	return b.Balancer.RequestArrived(now, info)
 }
 
-// CaptureFunc wraps the Balancer of a pool in a Decisions that captures its calls. The name of the platform's pool is
+// CaptureFunc wraps the Balancer of a pool in a Decider that captures its calls. The name of the platform's pool is
 // empty.
-type CaptureFunc = func(poolName string, balancer *balance.Balancer) Decisions
+type CaptureFunc = func(poolName string, balancer *balance.Balancer) Decider
 
-// Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the Decisions that wrap returns has
+// Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the Decider that wrap returns has
 // a method Dropped, it is called after a reload has removed its pool.
 func (p *Proxy) Capture(wrap CaptureFunc) {
 	p.pools.wrap = wrap
@@ -64,7 +64,7 @@
 // pool has some of them, or servers that the operator file configures. It belongs to the owner.
 type serverPool struct {
 	name      string // empty for the platform's pool
-	decisions Decisions
+	decisions Decider
 	classes   []balance.Class
 	timer     timer                       // fires at the times that the balancer sets
 	accepts   func(*discovery.Entry) bool // whether a listed server belongs to the pool; nil: all do
@@ -123,8 +123,8 @@
 	s.platform, s.all = platform, []*serverPool{platform}
 }
 
-// newDecisions returns the Decisions of a pool: its Balancer, wrapped if calls are captured.
-func (s *poolSet) newDecisions(poolName string, balancer *balance.Balancer) Decisions {
+// newDecisions returns the Decider of a pool: its Balancer, wrapped if calls are captured.
+func (s *poolSet) newDecisions(poolName string, balancer *balance.Balancer) Decider {
 	if s.wrap == nil {
 		return uncaptured{balancer}
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -5,7 +5,7 @@
 // routed to a pool (operatorroute.go) and forwarded in attempts (attempt.go); its outcome is recorded (outcome.go) and
 // the response relayed to the client (response.go).
 //
-// One goroutine, the owner (eventLoop), makes every call to the balancers, one for each pool of servers (Decisions),
+// One goroutine, the owner (eventLoop), makes every call to the balancers, one for each pool of servers (Decider),
 // and owns all state of requests and endpoints. Each client connection has a goroutine of its own, which posts events
 // to the owner and waits for one response. The owner never waits for a socket or for a client.
 package proxy
--- a/proxy/readrequest_test.go
+++ b/proxy/readrequest_test.go
@@ -20,34 +20,34 @@
 		status int
 	}{
 		{"nonsense\r\n\r\n", 400},
-		{strings.Replace(lookRequest, "X-Qos: look", "X-Qos: sms", 1), 400},
-		{strings.Replace(lookRequest, "X-Qos: look", "X-Qos: none", 1), 400},
-		{strings.Replace(lookRequest, "X-Trace-Id: t1\r\n", "", 1), 400},
-		{strings.Replace(lookRequest, "X-Qos", "X-Trace-Id: t9\r\nX-Qos", 1), 400},
-		{strings.Replace(signRequest, "X-Qos", "Idempotency-Key: k2\r\nX-Qos", 1), 400},
-		{strings.Replace(lookRequest, "X-Qos", "Content-Length: 3\r\nX-Qos", 1) + "abc", 400},
-		{strings.Replace(lookRequest, "0.5", "soon", 1), 400},
-		{strings.Replace(lookRequest, "0.5", "NaN", 1), 400},
-		{strings.Replace(lookRequest, "X-Expires-In: 0.5\r\n", "", 1), 400},
-		{strings.Replace(signRequest, "Idempotency-Key: k\r\n", "", 1), 400},
-		{strings.Replace(smsRequest, "POST", "GET", 1), 400},
-		{strings.Replace(lookRequest, "GET", "PATCH", 1), 501},
-		{strings.Replace(lookRequest, "/look?user=7", "/elsewhere", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "look", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "?user=7", 1), 404},
-		{strings.Replace(strings.Replace(lookRequest, "/look?user=7", "?user=7", 1), "Qos: look", "Qos: none", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "*", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "/", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "http://x", 1), 404},
-		{strings.Replace(lookRequest, "/look?user=7", "http://x?user=7", 1), 404},
+		{strings.Replace(idempotentRequest, "X-Qos: look", "X-Qos: sms", 1), 400},
+		{strings.Replace(idempotentRequest, "X-Qos: look", "X-Qos: none", 1), 400},
+		{strings.Replace(idempotentRequest, "X-Trace-Id: t1\r\n", "", 1), 400},
+		{strings.Replace(idempotentRequest, "X-Qos", "X-Trace-Id: t9\r\nX-Qos", 1), 400},
+		{strings.Replace(keyedRequest, "X-Qos", "Idempotency-Key: k2\r\nX-Qos", 1), 400},
+		{strings.Replace(idempotentRequest, "X-Qos", "Content-Length: 3\r\nX-Qos", 1) + "abc", 400},
+		{strings.Replace(idempotentRequest, "0.5", "soon", 1), 400},
+		{strings.Replace(idempotentRequest, "0.5", "NaN", 1), 400},
+		{strings.Replace(idempotentRequest, "X-Expires-In: 0.5\r\n", "", 1), 400},
+		{strings.Replace(keyedRequest, "Idempotency-Key: k\r\n", "", 1), 400},
+		{strings.Replace(nonIdempotentRequest, "POST", "GET", 1), 400},
+		{strings.Replace(idempotentRequest, "GET", "PATCH", 1), 501},
+		{strings.Replace(idempotentRequest, "/look?user=7", "/elsewhere", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "look", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "?user=7", 1), 404},
+		{strings.Replace(strings.Replace(idempotentRequest, "/look?user=7", "?user=7", 1), "Qos: look", "Qos: none", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "*", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "/", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "http://x", 1), 404},
+		{strings.Replace(idempotentRequest, "/look?user=7", "http://x?user=7", 1), 404},
 		{chunkedRequest("zz\r\nabc\r\n0\r\n\r\n"), 400},
 		{chunkedRequest("3\r\nabcd\r\n0\r\n\r\n"), 400},
 		{chunkedRequest("-1\r\nabc\r\n0\r\n\r\n"), 400},
 		{"GET /elsewhere HTTP/1.1\r\n\r\n", 404},
-		{strings.Replace(smsRequest, "Content-Length: 3", "Content-Length: 70000000", 1), 413},
-		{strings.Replace(lookRequest, "t1", strings.Repeat("x", http1.DefaultMaxBytes), 1), 431},
-		{smsRequest[:len(smsRequest)-1], 408},
-		{lookRequest[:30], 408},
+		{strings.Replace(nonIdempotentRequest, "Content-Length: 3", "Content-Length: 70000000", 1), 413},
+		{strings.Replace(idempotentRequest, "t1", strings.Repeat("x", http1.DefaultMaxBytes), 1), 431},
+		{nonIdempotentRequest[:len(nonIdempotentRequest)-1], 408},
+		{idempotentRequest[:30], 408},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
@@ -56,7 +56,7 @@
 			assert.Equal(t, c.status, status, c.in)
 			assert.True(t, h.Close, c.in)
 			assert.Empty(t, env.received, c.in)
-			status, _, _, err = env.roundTrip(lookRequest)
+			status, _, _, err = env.roundTrip(idempotentRequest)
 			assert.NoError(t, err)
 			assert.Equal(t, 200, status, "the proxy serves the next request")
 			env.stopAndWait()
@@ -66,7 +66,9 @@
 
 // Guards against a panic on a client's input, which would fail all requests.
 func FuzzArrival(f *testing.F) {
-	for _, request := range []string{lookRequest, signRequest, smsRequest, "GET ?x HTTP/1.1\r\nX-Qos: none\r\n\r\n"} {
+	for _, request := range []string{
+		idempotentRequest, keyedRequest, nonIdempotentRequest, "GET ?x HTTP/1.1\r\nX-Qos: none\r\n\r\n",
+	} {
 		f.Add([]byte(request))
 	}
 	log, _ := test.NewNullLogger()
@@ -81,7 +83,7 @@
 		now := time.Now()
 		path, query, _ := strings.Cut(string(h.Target), "?")
 		if info, err := p.parseRequestInfo(h, []byte(path), []byte(query), now); err == nil {
-			assert.LessOrEqual(t, info.Deadline, p.stamp(now)+maxClientWaitSeconds)
+			assert.LessOrEqual(t, info.Deadline, p.toUnixSeconds(now)+maxClientWaitSeconds)
 			assert.GreaterOrEqual(t, info.ExpectedWork, 0.0)
 		}
 	})
@@ -96,7 +98,7 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-		status, _, _, err := env.roundTrip(strings.Replace(lookRequest, "/look?user=7", "http://x/look?user=7", 1))
+		status, _, _, err := env.roundTrip(strings.Replace(idempotentRequest, "/look?user=7", "http://x/look?user=7", 1))
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
 		assert.Contains(t, env.received[0], "GET /look?user=7 ")
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -137,7 +137,7 @@
 	if req.answered {
 		return
 	}
-	req.stream.completedAt = p.stamp(at)
+	req.stream.completedAt = p.toUnixSeconds(at)
 	req.deadline = p.shutdown.bound(req.stream.completedAt+req.stream.clientWait, p.clock)
 	if req.timer.call != nil {
 		p.scheduleBackstop(req)
--- a/proxy/requestbody_test.go
+++ b/proxy/requestbody_test.go
@@ -14,7 +14,8 @@
 
 // chunkedRequest returns a request with a chunked body.
 func chunkedRequest(chunks string) string {
-	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n"+chunks, 1)
+	return strings.Replace(nonIdempotentRequest, "Content-Length: 3\r\n\r\nabc",
+		"Transfer-Encoding: chunked\r\n\r\n"+chunks, 1)
 }
 
 // trickle writes text at a rate, in pieces that do not follow its structure.
@@ -41,8 +42,8 @@
 
 // requestWithLength returns a request with a Content-Length of n; body may be shorter.
 func requestWithLength(n int, body string) string {
-	return strings.Replace(smsRequest, "Content-Length: 3\r\n\r\nabc", fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body,
-		1)
+	return strings.Replace(nonIdempotentRequest, "Content-Length: 3\r\n\r\nabc",
+		fmt.Sprintf("Content-Length: %d\r\n\r\n", n)+body, 1)
 }
 
 // Checks that a client may take 2 s for a head and send a body at 64 kB/s: its deadline counts from the last byte. A
@@ -56,7 +57,7 @@
 		{"with a length", requestWithLength(len(longBody), longBody), len(longBody), false},
 		{"in chunks", chunkedRequest(longBodyChunked), len(longBody), false},
 		{"not streamed", requestWithLength(60_000, longBody[:60_000]), 60_000, true},
-		{"a slow head alone", smsRequest, 3, true},
+		{"a slow head alone", nonIdempotentRequest, 3, true},
 		{"a few chunks", chunkedRequest("1;x\r\na\r\n2\r\nbc\r\n0\r\n\r\n"), 3, true},
 	} {
 		for _, first := range []bool{true, false} {
@@ -66,7 +67,7 @@
 				env.start()
 				conn := env.connect()
 				if !first { // on a connection that has had a request
-					go write(conn, lookRequest)
+					go write(conn, idempotentRequest)
 					_, _, _, err := readResponse(conn)
 					assert.NoError(t, err)
 					time.Sleep(time.Second)
--- a/proxy/response_test.go
+++ b/proxy/response_test.go
@@ -43,7 +43,7 @@
 			}
 			env.start()
 			conn, startedAt := env.connect(), time.Now()
-			go write(conn, lookRequest)
+			go write(conn, idempotentRequest)
 			r := http1.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
@@ -81,7 +81,7 @@
 			}
 			env.start()
 			conn := env.connect()
-			go write(conn, lookRequest)
+			go write(conn, idempotentRequest)
 			r := http1.NewReader(conn)
 			h, err := r.Response()
 			assert.NoError(t, err)
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -39,7 +39,7 @@
 // one.
 func (s *shutdownState) bound(deadline float64, clk clock) float64 {
 	if at := s.deadline.Load(); at != nil {
-		return min(deadline, clk.stamp(*at))
+		return min(deadline, clk.toUnixSeconds(*at))
 	}
 	return deadline
 }
@@ -53,7 +53,7 @@
 		return err
 	}
 	p.startOwner()
-	go p.dispatchWaiting()
+	go p.dispatchQueued()
 	go p.waitForFirstList()
 	accepting := p.startAccepting(ln)
 	p.log.WithFields(logrus.Fields{
@@ -175,7 +175,7 @@
 	killAt := time.Now().Add(min(p.maxDeadline, maxShutdownWait) + killMargin)
 	deadline := killAt.Add(-finalDeadlineMargin)
 	p.shutdown.deadline.Store(&deadline)
-	p.post(func() { p.limitDeadlines(p.stamp(deadline)) })
+	p.post(func() { p.limitDeadlines(p.toUnixSeconds(deadline)) })
 	if successorServing := p.beginShutdown(killAt.Add(-idleCloseMargin)); !successorServing {
 		time.Sleep(acceptShutdownDelay) // the load balancer in front still sends connections here for a while
 	}
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -51,10 +51,10 @@
 		in     string
 		status int
 	}{
-		{strings.Replace(lookRequest, "0.5", "20", 1), 200},
+		{strings.Replace(idempotentRequest, "0.5", "20", 1), 200},
 		{"POST /look HTTP/1.1\r\nX-Trace-Id: t\r\nX-Qos: look\r\nX-Expires-In: 20\r\nContent-Length: 65536\r\n\r\n" +
 			strings.Repeat("x", http1.DefaultMaxBytes), 200},
-		{strings.Replace(lookRequest, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
+		{strings.Replace(idempotentRequest, "t1", strings.Repeat("x", 3*http1.DefaultMaxBytes/2), 1), 431},
 	} {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		assert.NoError(t, err)
@@ -80,8 +80,8 @@
 		defer waiting.Close()
 		go write(idle, readinessCheck)
 		env.readOK(idle)
-		go write(waiting, lookRequest)
-		go write(partial, smsRequest[:20])
+		go write(waiting, idempotentRequest)
+		go write(partial, nonIdempotentRequest[:20])
 		synctest.Wait()
 		env.behaviors["b1"] = []string{okResponse}
 		stoppedAt := time.Now()
@@ -100,7 +100,7 @@
 			if c.close {
 				env.behaviors["b1"] = []string{noResponse}
 			}
-			go write(c.conn, strings.Replace(smsRequest, "0.5", "1.2", 1))
+			go write(c.conn, strings.Replace(nonIdempotentRequest, "0.5", "1.2", 1))
 			status, h, _, err := readResponse(c.conn)
 			assert.NoError(t, err)
 			assert.Equal(t, c.close, h.Close, c.after)
@@ -150,8 +150,8 @@
 			_, _, _, err := readResponse(conn)
 			assert.NoError(t, err)
 			nonIdempotent, idempotent, done := env.connect(), env.connect(), make(chan bool, 2)
-			go write(nonIdempotent, strings.NewReplacer("t3", "t4", "In: 0.5", "In: 60").Replace(smsRequest))
-			go write(idempotent, strings.Replace(lookRequest, "In: 0.5", "In: 60", 1))
+			go write(nonIdempotent, strings.NewReplacer("t3", "t4", "In: 0.5", "In: 60").Replace(nonIdempotentRequest))
+			go write(idempotent, strings.Replace(idempotentRequest, "In: 0.5", "In: 60", 1))
 			synctest.Wait()
 			stoppedAt := time.Now()
 			env.cancel()
@@ -169,7 +169,7 @@
 				}()
 			}
 			time.Sleep(left - idleCloseMargin - 10*time.Millisecond) // the last moment to admit a request
-			go write(conn, strings.Replace(smsRequest, "In: 0.5", "In: 60", 1))
+			go write(conn, strings.Replace(nonIdempotentRequest, "In: 0.5", "In: 60", 1))
 			status, h, _, err := readResponse(conn)
 			assert.NoError(t, err, "deadline %v", c.deadline)
 			assert.Equal(t, 502, status, "a server may have run the request")
@@ -193,7 +193,8 @@
 		sendRequests := func(n int) (all []net.Conn) {
 			for range n {
 				c := env.connect()
-				go write(c, strings.NewReplacer("t3", fmt.Sprint("t", rand.Int()), "In: 0.5", "In: 1.2").Replace(smsRequest))
+				replacer := strings.NewReplacer("t3", fmt.Sprint("t", rand.Int()), "In: 0.5", "In: 1.2")
+				go write(c, replacer.Replace(nonIdempotentRequest))
 				all = append(all, c)
 			}
 			synctest.Wait()
--- a/proxy/socketenv_test.go
+++ b/proxy/socketenv_test.go
@@ -125,4 +125,4 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-var longWaitRequest = strings.Replace(lookRequest, "In: 0.5", "In: 5", 1)
+var longWaitRequest = strings.Replace(idempotentRequest, "In: 0.5", "In: 5", 1)
