--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -107,9 +107,9 @@
 	})
 }
 
-func (h *host) AttemptEnded(a simwire.Attempt) error {
+func (h *host) AttemptEnded(a simwire.AttemptResult) error {
 	return h.callRequest(a.RequestID, func(r *balance.Request, now float64) *balance.Actions {
-		return r.AttemptEnded(now, a.Number, a.Outcome, a.Latency, a.Over)
+		return r.AttemptEnded(now, a.Number, a.Outcome, a.Latency, a.RequestOver)
 	})
 }
 
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -19,9 +19,9 @@
 	AdminAddress  string // host:port of the admin endpoint; empty: none
 	HotRestartDir string // the directory of the hot restart socket; empty: no hot restarts
 	settings.Settings
-	Known  discovery.List // the endpoint list when the launch file was written; may be out of date
-	Limits Limits
-	Fleet  Fleet
+	KnownEndpoints discovery.List // the endpoint list when the launch file was written; may be out of date
+	Limits         Limits
+	Fleet          Fleet
 }
 
 // Fleet holds the addresses for gossip between the proxies of a fleet. It is empty if they send no gossip.
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -27,7 +27,7 @@
 	config, err := Parse([]byte(sharedProxy))
 	require.NoError(t, err)
 	assert.Equal(t, Limits{1, 192 << 20, 1024}, config.Limits)
-	assert.Equal(t, int64(7), config.Known.Version)
+	assert.Equal(t, int64(7), config.KnownEndpoints.Version)
 	assert.Equal(t, settings.Settings{
 		StreamsPerConnection: 1,
 		Deployment: balance.Deployment{
--- a/internal/bootstrap/file.go
+++ b/internal/bootstrap/file.go
@@ -55,10 +55,10 @@
 		return Config{}, fmt.Errorf("settings: %w", err)
 	}
 	return Config{
-		Discovery:    file.Discovery,
-		AdminAddress: file.Operator,
-		Settings:     deployment,
-		Known:        *file.Known,
+		Discovery:      file.Discovery,
+		AdminAddress:   file.Operator,
+		Settings:       deployment,
+		KnownEndpoints: *file.Known,
 		Limits: Limits{
 			Cores:   file.Limits.Cores,
 			Memory:  int64(file.Limits.MemoryMB * bytesPerMebibyte),
--- a/internal/cli/proxycmd/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -65,6 +65,6 @@
 		return err
 	}
 	out.Printf("%s on %s: %d tariffs, %d known backends, %d proxies, %g cores, %d MB, %d sockets\n", b.Name, b.Listen,
-		len(b.Classes), len(b.Known.Entries), b.Proxies, b.Limits.Cores, b.Limits.Memory>>20, b.Limits.Sockets)
+		len(b.Classes), len(b.KnownEndpoints.Entries), b.Proxies, b.Limits.Cores, b.Limits.Memory>>20, b.Limits.Sockets)
 	return nil
 }
--- a/internal/cli/proxycmd/installation_test.go
+++ b/internal/cli/proxycmd/installation_test.go
@@ -231,7 +231,7 @@
 
 // offeredState returns the state that the serving process would hand over now, nil if no process offers a hot restart.
 func (s *testEnvironment) offeredState() *hotrestart.State {
-	identity := hotrestart.Identity{Format: hotrestart.Format, Name: "n0", Listen: s.addr}
+	identity := hotrestart.Identity{Format: hotrestart.FormatVersion, Name: "n0", Listen: s.addr}
 	state, listeners, link, err := hotrestart.TakeOver(hotrestart.Path(s.dir, identity), identity)
 	if err != nil {
 		return nil
--- a/internal/cli/proxycmd/upgrade_test.go
+++ b/internal/cli/proxycmd/upgrade_test.go
@@ -249,7 +249,7 @@
 	after := s.awaitState()
 	assert.True(t, after.AdminState.Drain.On && after.AdminState.Servers["b2"].On)
 	assert.Equal(t, []any{before.Identity, before.AdminState, before.IDs, before.List, true},
-		[]any{after.Identity, after.AdminState, after.IDs, after.List, after.Listed})
+		[]any{after.Identity, after.AdminState, after.IDs, after.List, after.HasList})
 	assert.Equal(t, before.Snapshot.BaseLatencies, after.Snapshot.BaseLatencies)
 	paused := 0
 	require.Equal(t, []int{2, 2}, []int{len(before.Snapshot.Servers), len(after.Snapshot.Servers)})
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -19,7 +19,7 @@
 		Identity:  testIdentity,
 		Listeners: []string{"127.0.0.1:1", ":8080"},
 		IDs:       []uint64{1 << 63, 7},
-		Listed:    true,
+		HasList:   true,
 	}
 	state.AdminState.Disable("s-1", 1790000012.5)
 	state.AdminState.Disable("s-2", 1790000013)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -17,10 +17,10 @@
 	"lockloom/internal/discovery"
 )
 
-var testIdentity = Identity{Format: Format, Name: "n0", Listen: "127.0.0.1:1"}
+var testIdentity = Identity{Format: FormatVersion, Name: "n0", Listen: "127.0.0.1:1"}
 
 func testState() State {
-	state := State{Listed: true, IDs: []uint64{1 << 63, 7}}
+	state := State{HasList: true, IDs: []uint64{1 << 63, 7}}
 	state.AdminState.Disable("s-1", 12.5)
 	state.AdminState.SetDraining(true, 13)
 	state.List.Entries = []discovery.Entry{
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -8,8 +8,8 @@
 	"lockloom/lifecycle"
 )
 
-// Format is the version of the frame format; a peer with another version is rejected.
-const Format = 1
+// FormatVersion is the version of the frame format; a peer with another version is rejected.
+const FormatVersion = 1
 
 // Identity identifies the proxy that a process belongs to. Both sides compare it because two proxies may have their
 // sockets in one directory, and a process that took over another proxy's sockets would not serve its own proxy's
@@ -23,8 +23,8 @@
 // check returns an error unless other is the identity of a process of this proxy that uses the same frame format.
 func (i Identity) check(other Identity) error {
 	switch {
-	case other.Format != Format:
-		return fmt.Errorf("the peer uses frame format %d, expected %d", other.Format, Format)
+	case other.Format != FormatVersion:
+		return fmt.Errorf("the peer uses frame format %d, expected %d", other.Format, FormatVersion)
 	case other != i:
 		return fmt.Errorf("the peer belongs to proxy %q at %s", other.Name, other.Listen)
 	}
@@ -38,7 +38,7 @@
 	AdminState lifecycle.AdminState `json:"Orders"`
 	IDs        []uint64             `json:"IDs"` // hashes of all server ids that were ever in the endpoint list
 	List       discovery.List       `json:"List"`
-	Listed     bool                 `json:"Listed"` // whether an endpoint list was received; if not, List is empty
+	HasList    bool                 `json:"Listed"` // whether an endpoint list was received; if not, List is empty
 	Snapshot   balance.Snapshot     `json:"Learned"`
 }
 
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -175,12 +175,12 @@
 }
 
 func (d *decoder) attemptEnded(m *message) func() error {
-	a := Attempt{
-		RequestID: m.requiredText("Job"),
-		Number:    m.integer("Leg"),
-		Outcome:   lookUp(m, "Status", outcomes),
-		Latency:   m.number("LatencyMs") / 1000,
-		Over:      m.flag("Over"),
+	a := AttemptResult{
+		RequestID:   m.requiredText("Job"),
+		Number:      m.integer("Leg"),
+		Outcome:     lookUp(m, "Status", outcomes),
+		Latency:     m.number("LatencyMs") / 1000,
+		RequestOver: m.flag("Over"),
 	}
 	return func() error { return d.receiver.AttemptEnded(a) }
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -24,7 +24,7 @@
 	EndpointsListed(ListKind, []settings.Entry) error
 	RequestArrived(Request) error
 	ResponseStarted(requestID string, attempt int) error
-	AttemptEnded(Attempt) error
+	AttemptEnded(AttemptResult) error
 	ClientDisconnected(requestID string) error
 	TimerFired(label int) error
 	HealthChecked(server string, ok bool, report balance.LoadReport) error
@@ -49,13 +49,13 @@
 	ID, ClassName, TenantName, KeyName string
 }
 
-// Attempt is the result of an attempt.
-type Attempt struct {
-	RequestID string
-	Number    int // index among the request's attempts, from 0
-	Outcome   balance.Outcome
-	Latency   float64 // s
-	Over      bool    // the request has ended, with this attempt or before it
+// AttemptResult is the result of an attempt.
+type AttemptResult struct {
+	RequestID   string
+	Number      int // index among the request's attempts, from 0
+	Outcome     balance.Outcome
+	Latency     float64 // s
+	RequestOver bool    // the request has ended, with this attempt or before it
 }
 
 // The protocol's names of outcomes, endpoint states and kinds of lists.
--- a/proxy/env_test.go
+++ b/proxy/env_test.go
@@ -123,11 +123,11 @@
 					PriorityWeight: 2},
 			},
 		}},
-		Known: List{Version: 1, Full: true},
+		KnownEndpoints: List{Version: 1, Full: true},
 	}
 	for _, id := range []string{"b1", "b2", "b3"} {
 		if behaviors[id] != nil {
-			cfg.Known.Entries = append(cfg.Known.Entries, listEntry(id, balance.Ready))
+			cfg.KnownEndpoints.Entries = append(cfg.KnownEndpoints.Entries, listEntry(id, balance.Ready))
 		}
 	}
 	if set != nil {
--- a/proxy/hotrestart.go
+++ b/proxy/hotrestart.go
@@ -51,7 +51,7 @@
 }
 
 func (p *Proxy) hotRestartIdentity() hotrestart.Identity {
-	return hotrestart.Identity{Format: hotrestart.Format, Name: p.bootstrap.Name, Listen: p.bootstrap.Listen}
+	return hotrestart.Identity{Format: hotrestart.FormatVersion, Name: p.bootstrap.Name, Listen: p.bootstrap.Listen}
 }
 
 func (p *Proxy) hotRestartPath() string {
@@ -73,8 +73,8 @@
 		return
 	}
 	s.inherit(inherited, listeners, link)
-	if inherited.Listed && inherited.List.Version >= p.bootstrap.Known.Version {
-		p.bootstrap.Known = inherited.List
+	if inherited.HasList && inherited.List.Version >= p.bootstrap.KnownEndpoints.Version {
+		p.bootstrap.KnownEndpoints = inherited.List
 	}
 	p.log.WithFields(logrus.Fields{
 		"sockets":  len(listeners),
@@ -160,7 +160,7 @@
 	state := hotrestart.State{}
 	select {
 	case snapshot := <-snapshots:
-		state.List, state.Snapshot, state.Listed = snapshot.list, snapshot.decisions, true
+		state.List, state.Snapshot, state.HasList = snapshot.list, snapshot.decisions, true
 	case <-time.After(snapshotTimeout):
 	}
 	s := p.process
--- a/proxy/outcome_test.go
+++ b/proxy/outcome_test.go
@@ -67,7 +67,7 @@
 		{"all refuse", map[string][]string{"b1": {refuseConnection}, "b2": {refuseConnection}}, nil},
 		{"the only server is cold", map[string][]string{"b1": {okResponse}}, func(cfg *BootstrapConfig) {
 			cfg.SlowStartDuration, cfg.SlowStartFraction = 1e9, 0
-			cfg.Known.Entries[0].StartedAt = float64(time.Now().Unix())
+			cfg.KnownEndpoints.Entries[0].StartedAt = float64(time.Now().Unix())
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -103,8 +103,8 @@
 func TestPoolsOfListedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}}, func(cfg *BootstrapConfig) {
-			for i := range cfg.Known.Entries {
-				cfg.Known.Entries[i].ModelName = []string{"blue", "old"}[i]
+			for i := range cfg.KnownEndpoints.Entries {
+				cfg.KnownEndpoints.Entries[i].ModelName = []string{"blue", "old"}[i]
 			}
 		})
 		env.operatorConns = make(chan net.Conn, 100)
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -58,7 +58,7 @@
 	accepting := p.startAccepting(ln)
 	p.log.WithFields(logrus.Fields{
 		"listen":      ln.Addr().String(),
-		"servers":     len(p.bootstrap.Known.Entries),
+		"servers":     len(p.bootstrap.KnownEndpoints.Entries),
 		"clients":     p.conns.totalLimits.maxServed,
 		"connections": p.maxServerConns,
 		"asserted":    invariant.PanicsWhenBroken,
@@ -102,7 +102,7 @@
 // goroutine.
 func (p *Proxy) startOwner() {
 	p.applyAdminState()
-	p.applyEndpointList(p.bootstrap.Known, true)
+	p.applyEndpointList(p.bootstrap.KnownEndpoints, true)
 	if inherited := p.process.inheritedState; inherited != nil {
 		p.pools.platform.decisions.Restore(p.now(), inherited.Snapshot)
 	}
@@ -139,7 +139,7 @@
 // waitForFirstList makes the proxy ready once discovery has sent a list or firstListTimeout is over. A list that a
 // predecessor has handed over counts as one from discovery.
 func (p *Proxy) waitForFirstList() {
-	if inherited := p.process.inheritedState; inherited == nil || !inherited.Listed {
+	if inherited := p.process.inheritedState; inherited == nil || !inherited.HasList {
 		select {
 		case <-p.endpoints.firstReceived:
 		case <-time.After(firstListTimeout):
--- a/proxy/serve_test.go
+++ b/proxy/serve_test.go
@@ -40,7 +40,8 @@
 	entry := listEntry("b1", balance.Ready)
 	entry.Addr = upstreamListener.Addr().String()
 	log, _ := test.NewNullLogger()
-	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1", Known: List{Full: true, Entries: []discovery.Entry{entry}},
+	p, err := New(BootstrapConfig{Discovery: "127.0.0.1:1",
+		KnownEndpoints: List{Full: true, Entries: []discovery.Entry{entry}},
 		Settings: settings.Settings{Deployment: balance.Deployment{Classes: []balance.Class{{Name: "look",
 			Deadline: 20}}}}}, log)
 	assert.NoError(t, err)
--- a/proxy/socketenv_test.go
+++ b/proxy/socketenv_test.go
@@ -39,7 +39,7 @@
 func startSocketEnvWithSockets(t *testing.T, sockets int, respond func(n int, end net.Conn)) *socketEnv {
 	t.Helper()
 	s := &socketEnv{t: t, dialGate: make(chan struct{}), respond: respond}
-	cfg := BootstrapConfig{Name: "n0", Discovery: "agent", Known: List{Version: 1, Full: true},
+	cfg := BootstrapConfig{Name: "n0", Discovery: "agent", KnownEndpoints: List{Version: 1, Full: true},
 		Limits: Limits{Cores: 1, Memory: 1 << 27, Sockets: sockets},
 		Settings: Settings{ConnectTimeout: 5, DrainGrace: 2.5, Deployment: balance.Deployment{Proxies: 1, MaxAttempts: 4,
 			CancelAllowed: true, HedgingAllowed: true,
@@ -56,7 +56,7 @@
 		}()
 		entry := listEntry(id, balance.Ready)
 		entry.Addr = ln.Addr().String()
-		cfg.Known.Entries = append(cfg.Known.Entries, entry)
+		cfg.KnownEndpoints.Entries = append(cfg.KnownEndpoints.Entries, entry)
 	}
 	log, _ := test.NewNullLogger()
 	p, err := New(cfg, log)
