--- a/internal/capture/balancer.go
+++ b/internal/capture/balancer.go
@@ -20,8 +20,8 @@
 	number   uint64 // of the request in its pool, from 1
 }
 
-// Dropped removes the pool from the capture: segments that begin later do not contain its state.
-func (b *Balancer) Dropped() { b.recorder.pools[b.pool] = nil }
+// Drop removes the pool from the capture: segments that begin later do not contain its state.
+func (b *Balancer) Drop() { b.recorder.pools[b.pool] = nil }
 
 func (b *Balancer) state() *state {
 	balancer, requests := b.Checkpoint(b.inFlight)
@@ -56,7 +56,7 @@
 	b.lastRequest++
 	r := &Request{inner, b, b.lastRequest}
 	b.inFlight[r.number] = inner
-	return r, r.record(Call{Kind: RequestArrived, Now: now, Arrival: info, IDHash: IDOf(id)}, actions)
+	return r, r.record(Call{Kind: RequestArrived, Now: now, Arrival: info, IDHash: HashID(id)}, actions)
 }
 
 // AttemptEnded is balance.Request.AttemptEnded, recorded.
--- a/internal/capture/call.go
+++ b/internal/capture/call.go
@@ -15,7 +15,7 @@
 	Digest uint16
 
 	Request uint64              // number of the request in its pool, from 1; 0 for a call on the Balancer
-	IDHash  uint32              // hash of the request's id, see IDOf; set for RequestArrived
+	IDHash  uint32              // hash of the request's id, see HashID; set for RequestArrived
 	Arrival balance.RequestInfo // argument of RequestArrived
 	Attempt AttemptEvent
 
@@ -62,8 +62,8 @@
 	Delay   float64 // s, how much longer an attempt takes at the proxy, at most in nearly all cases
 }
 
-// IDOf returns the hash under which a request's id is recorded.
-func IDOf(id string) uint32 {
+// HashID returns the hash under which a request's id is recorded.
+func HashID(id string) uint32 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
 	return hash.Sum32()
--- a/internal/capture/excerpt.go
+++ b/internal/capture/excerpt.go
@@ -71,7 +71,7 @@
 	if err := c.Player.State(data); err != nil {
 		return err
 	}
-	stored, err := graphcodec.Read[state](data)
+	stored, err := graphcodec.Decode[state](data)
 	if err != nil {
 		return err
 	}
--- a/internal/capture/excerpt_test.go
+++ b/internal/capture/excerpt_test.go
@@ -19,7 +19,7 @@
 	require.GreaterOrEqual(t, len(files), 5)
 	for _, file := range files {
 		event := strings.TrimSuffix(file[strings.LastIndex(file, "-")+1:], fileSuffix)
-		newMatcher, err := NewMatcher(event)
+		newMatcher, err := ParseEvent(event)
 		require.NoError(t, err)
 		matcher := newMatcher()
 		p := &Player{Loose: true, After: matcher.Observe}
@@ -33,7 +33,7 @@
 func TestExcerptHasTheSameEvent(t *testing.T) {
 	files := recordFiles(t, 2000, Options{MaxSegmentBytes: 1 << 30, WaitForWriter: true})
 	for _, event := range []string{"dismissed", "forfeited", "retried"} { // pauses do not occur in so few calls
-		newMatcher, err := NewMatcher(event)
+		newMatcher, err := ParseEvent(event)
 		require.NoError(t, err)
 		e, err := Shorten(files, openFile, "a", newMatcher)
 		require.NoError(t, err, event)
@@ -51,7 +51,7 @@
 	_, err = Shorten(files, openFile, "a", newUnmatched)
 	assert.ErrorIs(t, err, ErrNoMatch)
 	for _, unknown := range []string{"nothing", "paused:x", "dismissed:3"} {
-		_, err := NewMatcher(unknown)
+		_, err := ParseEvent(unknown)
 		assert.ErrorContains(t, err, "must be one of dismissed, forfeited, retried, paused", unknown)
 	}
 }
--- a/internal/capture/fixture_test.go
+++ b/internal/capture/fixture_test.go
@@ -28,12 +28,12 @@
 }
 
 func (r *fixtureReader) Head(head Head) error {
-	r.layoutNumber = head.Module
+	r.layoutNumber = head.StateLayout
 	return r.Player.Head(head)
 }
 
 func (r *fixtureReader) State(data []byte) error {
-	stored, err := graphcodec.Read[state](data)
+	stored, err := graphcodec.Decode[state](data)
 	if err != nil {
 		return err
 	}
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -29,13 +29,13 @@
 
 // Head is the first block of a file.
 type Head struct {
-	Format  int       `json:"format"`
-	Program string    `json:"program"`           // version of the program that recorded the capture
-	Module  uint64    `json:"module"`            // layout number of the state blocks: other layouts cannot be read
-	Proxy   string    `json:"proxy"`             // name of the proxy
-	Began   time.Time `json:"began"`             // wall-clock time
-	Part    int       `json:"part"`              // number of the file in this run, from 1
-	Missing uint64    `json:"missing,omitempty"` // calls that are missing before the file
+	Format      int       `json:"format"`
+	Program     string    `json:"program"`           // version of the program that recorded the capture
+	StateLayout uint64    `json:"module"`            // layout number of the state blocks: other layouts cannot be read
+	Proxy       string    `json:"proxy"`             // name of the proxy
+	Began       time.Time `json:"began"`             // wall-clock time
+	Part        int       `json:"part"`              // number of the file in this run, from 1
+	Missing     uint64    `json:"missing,omitempty"` // calls that are missing before the file
 }
 
 // errNotACapture is the error of Read for a file that does not begin with magic.
--- a/internal/capture/history.go
+++ b/internal/capture/history.go
@@ -14,7 +14,7 @@
 	Out    io.Writer
 	Pool   string // empty: any pool
 	Number uint64 // of the request in its pool; 0: the request is found by ID
-	ID     uint32 // hash of its id, see IDOf
+	ID     uint32 // hash of its id, see HashID
 	Found  bool   // set by Observe when the request arrives
 
 	pool      int
--- a/internal/capture/history_test.go
+++ b/internal/capture/history_test.go
@@ -24,7 +24,7 @@
 // replayed actions.
 func TestHistoryShowsAttemptsAndScores(t *testing.T) {
 	files := recordFiles(t, 3000, Options{WaitForWriter: true})
-	newMatcher, err := NewMatcher("retried")
+	newMatcher, err := ParseEvent("retried")
 	require.NoError(t, err)
 	matcher := newMatcher()
 	require.NoError(t, (&Player{After: matcher.Observe}).Play(files, openFile))
@@ -44,7 +44,7 @@
 	} {
 		assert.Contains(t, out.String(), part)
 	}
-	byID := &RequestHistory{Out: &strings.Builder{}, ID: IDOf("id9")}
+	byID := &RequestHistory{Out: &strings.Builder{}, ID: HashID("id9")}
 	require.NoError(t, (&Player{After: byID.Observe}).Play(files, openFile))
 	assert.True(t, byID.Found)
 }
--- a/internal/capture/matcher.go
+++ b/internal/capture/matcher.go
@@ -17,8 +17,8 @@
 	eventPaused   = "paused"
 )
 
-// MatcherNames are the names of the events that NewMatcher accepts.
-var MatcherNames = []string{eventRejected, eventFailed, eventRetried, eventPaused}
+// EventNames are the names of the events that ParseEvent accepts.
+var EventNames = []string{eventRejected, eventFailed, eventRetried, eventPaused}
 
 // Matcher detects an event in a replay. It must observe all calls from the first one on.
 type Matcher interface {
@@ -32,7 +32,7 @@
 
 const anyServer = -1
 
-// eventMatcher detects one of the events in MatcherNames.
+// eventMatcher detects one of the events in EventNames.
 type eventMatcher struct {
 	event   string
 	server  int // number of the server whose pause is to be detected, or anyServer
@@ -41,12 +41,12 @@
 	numbers map[int]uint64 // number of each request in its pool, by balance.RequestInfo.Ref
 }
 
-// NewMatcher returns a function that makes Matchers for an event: one of MatcherNames, or the pause of one server
+// ParseEvent returns a function that makes Matchers for an event: one of EventNames, or the pause of one server
 // ("paused:3").
-func NewMatcher(spec string) (func() Matcher, error) {
+func ParseEvent(spec string) (func() Matcher, error) {
 	event, number, hasNumber := strings.Cut(spec, ":")
 	invalid := fmt.Errorf("invalid event %q: must be one of %s, or paused:BACKEND", spec,
-		strings.Join(MatcherNames, ", "))
+		strings.Join(EventNames, ", "))
 	server := anyServer
 	if hasNumber {
 		n, err := strconv.Atoi(number)
@@ -55,7 +55,7 @@
 		}
 		server = n
 	}
-	if !slices.Contains(MatcherNames, event) {
+	if !slices.Contains(EventNames, event) {
 		return nil, invalid
 	}
 	return func() Matcher { return newEventMatcher(event, server) }, nil
--- a/internal/capture/read.go
+++ b/internal/capture/read.go
@@ -22,8 +22,8 @@
 	Calls(data []byte) error   // receives encoded calls
 	// Gap receives the minimum number of calls that are missing before the next block.
 	Gap(missed uint64) error
-	// Broken receives the offset in the file of a block that cannot be read and is skipped, and the reason.
-	Broken(offset int64, reason string) error
+	// Damaged receives the offset in the file of a block that cannot be read and is skipped, and the reason.
+	Damaged(offset int64, reason string) error
 }
 
 // blockReader reads a file block by block.
@@ -40,8 +40,8 @@
 func (d *damageError) Error() string { return d.reason }
 
 // Read reads a file to its last complete block and passes each block to the Visitor. A block with a wrong checksum is
-// skipped and reported to Broken. The end of a file that ends within a block, as after a crash, is reported to Broken,
-// too.
+// skipped and reported to Damaged. The end of a file that ends within a block, as after a crash, is reported to
+// Damaged, too.
 func Read(r io.Reader, v Visitor) error {
 	var prefix [len(magic)]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil || string(prefix[:]) != magic {
@@ -56,10 +56,10 @@
 		}
 		var damaged *damageError
 		if errors.As(err, &damaged) {
-			return v.Broken(offset, damaged.reason)
+			return v.Damaged(offset, damaged.reason)
 		}
 		if !blocks.intact() {
-			err = v.Broken(offset, "checksum mismatch of a block")
+			err = v.Damaged(offset, "checksum mismatch of a block")
 		} else {
 			err = visit(v, blocks.kind(), blocks.body, offset)
 		}
@@ -119,26 +119,26 @@
 	case blockGap:
 		missed, size := binary.Uvarint(body)
 		if size <= 0 {
-			return v.Broken(offset, "gap block without a number of calls")
+			return v.Damaged(offset, "gap block without a number of calls")
 		}
 		return v.Gap(missed)
 	case blockState, blockCalls:
 		data, err := decompress(body)
 		if err != nil {
-			return v.Broken(offset, err.Error())
+			return v.Damaged(offset, err.Error())
 		}
 		if kind == blockState {
 			return v.State(data)
 		}
 		return v.Calls(data)
 	}
-	return v.Broken(offset, fmt.Sprintf("block of unknown kind %d", kind))
+	return v.Damaged(offset, fmt.Sprintf("block of unknown kind %d", kind))
 }
 
 func visitHead(v Visitor, body []byte, offset int64) error {
 	var head Head
 	if err := json.Unmarshal(body, &head); err != nil {
-		return v.Broken(offset, "malformed head of the file: "+err.Error())
+		return v.Damaged(offset, "malformed head of the file: "+err.Error())
 	}
 	if head.Format != formatVersion {
 		return fmt.Errorf("capture format %d is not supported: this program reads format %d", head.Format, formatVersion)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -27,7 +27,7 @@
 	segmentLimits segmentLimits
 	rejections    rejectionTrigger
 
-	pools     []*Balancer // by number; nil: the pool was removed by Balancer.Dropped
+	pools     []*Balancer // by number; nil: the pool was removed by Balancer.Drop
 	recording bool        // a segment is being recorded
 	segment   segment
 	buffer    callBuffer
@@ -160,7 +160,7 @@
 		if b == nil {
 			continue
 		}
-		encoded, err := graphcodec.Write(b.state())
+		encoded, err := graphcodec.Encode(b.state())
 		if err != nil { // the balancer has a type that cannot be encoded
 			r.writer.fail(err)
 			return
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	p.FileHead = head
-	p.unreadable = head.Module != layoutNumber
+	p.unreadable = head.StateLayout != layoutNumber
 	p.complete = false
 	p.Pools = map[int]*Pool{}
 	p.filesReplayed++
@@ -94,7 +94,7 @@
 			"recorded by program version %s, whose state blocks have another layout: replay it with that version",
 			p.FileHead.Program)
 	}
-	stored, err := graphcodec.Read[state](data)
+	stored, err := graphcodec.Decode[state](data)
 	if err != nil {
 		return fmt.Errorf("decode the state of a pool: %w", err)
 	}
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// Broken warns that a block was skipped. The calls after it cannot be replayed until the next state.
-func (p *Player) Broken(offset int64, reason string) error {
+// Damaged warns that a block was skipped. The calls after it cannot be replayed until the next state.
+func (p *Player) Damaged(offset int64, reason string) error {
 	p.warn(fmt.Sprintf("at byte %d: %s; the calls until the next state are not replayed", offset, reason))
 	p.complete = false
 	return nil
--- a/internal/capture/writer.go
+++ b/internal/capture/writer.go
@@ -53,7 +53,7 @@
 		chunks:     make(chan chunk, maxQueuedChunks),
 		triggers:   make(chan string, 1),
 		done:       make(chan struct{}),
-		head:       Head{Format: formatVersion, Program: o.Program, Module: layoutNumber, Proxy: o.Proxy},
+		head:       Head{Format: formatVersion, Program: o.Program, StateLayout: layoutNumber, Proxy: o.Proxy},
 		log:        o.Log,
 		compressor: newCompressor(),
 		files:      segmentFiles{dir: o.Dir, proxy: o.Proxy, maxBytes: o.MaxTotalBytes},
--- a/internal/cli/ctlcmd/excerpt.go
+++ b/internal/cli/ctlcmd/excerpt.go
@@ -16,7 +16,7 @@
 func excerptCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("excerpt")
 	event := flags.String("shows", "",
-		"the `event` that the excerpt must still show: "+strings.Join(capture.MatcherNames, ", ")+", or paused:BACKEND")
+		"the `event` that the excerpt must still show: "+strings.Join(capture.EventNames, ", ")+", or paused:BACKEND")
 	pool := flags.String("pool", "", "the `pool` (default: the platform's)")
 	to := flags.String("to", "", "write the excerpt to this `FILE`")
 	help := "shorten a capture to an excerpt that still shows an event"
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			newMatcher, err := capture.NewMatcher(*event)
+			newMatcher, err := capture.ParseEvent(*event)
 			if err != nil {
 				return cli.UsageErrorf("-shows: %w", err)
 			}
--- a/internal/cli/ctlcmd/why.go
+++ b/internal/cli/ctlcmd/why.go
@@ -20,7 +20,7 @@
 	id := flags.String("lookup", "", "`id` of the request")
 	number := flags.Uint64("number", 0, "or the `number` of the request in its pool")
 	first := flags.String("first", "",
-		"or the first request with this `event`: "+strings.Join(capture.MatcherNames, ", ")+", or paused:BACKEND")
+		"or the first request with this `event`: "+strings.Join(capture.EventNames, ", ")+", or paused:BACKEND")
 	pool := flags.String("pool", "", "the request's `pool` (default: any)")
 	help := "explain how one request was served, and how the servers were scored"
 	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", help, flags,
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			history := &capture.RequestHistory{Out: out, Pool: *pool, Number: *number, ID: capture.IDOf(*id)}
+			history := &capture.RequestHistory{Out: out, Pool: *pool, Number: *number, ID: capture.HashID(*id)}
 			switch {
 			case *first != "":
 				if err := findFirst(history, *first, files); err != nil {
@@ -53,7 +53,7 @@
 // findFirst sets the pool and number of history to the first request with the event. If history has a pool already,
 // only that pool is searched.
 func findFirst(history *capture.RequestHistory, event string, files []string) error {
-	newMatcher, err := capture.NewMatcher(event)
+	newMatcher, err := capture.ParseEvent(event)
 	if err != nil {
 		return cli.UsageErrorf("-first: %w", err)
 	}
--- a/internal/graphcodec/codec_test.go
+++ b/internal/graphcodec/codec_test.go
@@ -50,9 +50,9 @@
 // The decoded value equals the encoded one, and its pointers share the same values, including pointers to elements of
 // slices and to embedded fields.
 func TestDecodedGraphIsTheSame(t *testing.T) {
-	data, err := Write(newGraph())
+	data, err := Encode(newGraph())
 	require.NoError(t, err)
-	g, err := Read[graph](data)
+	g, err := Decode[graph](data)
 	require.NoError(t, err)
 	assert.Equal(t, newGraph(), g)
 	assert.Same(t, g.all[1], g.all[3])
@@ -63,14 +63,14 @@
 	assert.Equal(t, 50.0, g.tail[0].x)
 	g.embedded.y = 60
 	assert.Equal(t, 60.0, g.all[1].y)
-	again, err := Write(newGraph())
+	again, err := Encode(newGraph())
 	require.NoError(t, err)
 	assert.Len(t, again, len(data))
 }
 
 func TestTypesThatCannotBeEncodedAreRejected(t *testing.T) {
 	type withFunc struct{ f func() }
-	_, err := Write(&struct{ a []withFunc }{a: []withFunc{{f: nil}}})
+	_, err := Encode(&struct{ a []withFunc }{a: []withFunc{{f: nil}}})
 	assert.ErrorContains(t, err, ".a[].f: a func")
 	_, err = Layout[struct{ m map[string]int }]()
 	assert.ErrorContains(t, err, "map")
@@ -84,7 +84,7 @@
 // readCorrupt decodes corrupt input, which must return an error or an arbitrary value, and must not panic.
 func readCorrupt(t *testing.T, data []byte) {
 	t.Helper()
-	if value, err := Read[graph](data); err != nil {
+	if value, err := Decode[graph](data); err != nil {
 		assert.Nil(t, value)
 	}
 }
@@ -92,10 +92,10 @@
 // Guards against panics of the decoder on corrupt captures: truncated input is an error, and input with a changed byte
 // is an error or decodes to an arbitrary value.
 func TestCorruptInput(t *testing.T) {
-	data, err := Write(newGraph())
+	data, err := Encode(newGraph())
 	require.NoError(t, err)
 	for i := range data {
-		_, err := Read[graph](data[:i])
+		_, err := Decode[graph](data[:i])
 		assert.Error(t, err, i)
 		for _, flip := range []byte{1, 0x80, 0xff} {
 			corrupt := append([]byte(nil), data...)
@@ -106,7 +106,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	data, err := Write(newGraph())
+	data, err := Encode(newGraph())
 	require.NoError(f, err)
 	f.Add(data)
 	f.Fuzz(readCorrupt)
--- a/internal/graphcodec/read.go
+++ b/internal/graphcodec/read.go
@@ -19,7 +19,7 @@
 )
 
 // errCorrupt is the error for input that does not encode a value of the type. The decoder's methods panic with it, and
-// Read recovers.
+// Decode recovers.
 var errCorrupt = errors.New("input is truncated or does not encode a value of this type")
 
 // decoder decodes the list of blocks, then the values in them.
@@ -29,8 +29,8 @@
 	in     []byte
 }
 
-// Read decodes a value that Write encoded. For corrupt input it returns an error or an arbitrary value.
-func Read[T any](data []byte) (value *T, err error) {
+// Decode decodes a value that Encode encoded. For corrupt input it returns an error or an arbitrary value.
+func Decode[T any](data []byte) (value *T, err error) {
 	root := reflect.TypeFor[T]()
 	table, err := newTypeTable(root)
 	if err != nil {
--- a/internal/graphcodec/write.go
+++ b/internal/graphcodec/write.go
@@ -18,8 +18,8 @@
 	out    []byte
 }
 
-// Write encodes a value. It returns an error if the value refers to a type that cannot be encoded.
-func Write[T any](value *T) ([]byte, error) {
+// Encode encodes a value. It returns an error if the value refers to a type that cannot be encoded.
+func Encode[T any](value *T) ([]byte, error) {
 	root := reflect.TypeFor[T]()
 	table, err := newTypeTable(root)
 	if err != nil {
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -53,7 +53,7 @@
 type CaptureFunc = func(poolName string, balancer *balance.Balancer) Decider
 
 // Capture wraps the Balancer of every pool with wrap. Call it before Configure. If the Decider that wrap returns has
-// a method Dropped, it is called after a reload has removed its pool.
+// a method Drop, it is called after a reload has removed its pool.
 func (p *Proxy) Capture(wrap CaptureFunc) {
 	p.pools.wrap = wrap
 	platform := p.pools.platform
@@ -198,8 +198,8 @@
 		return
 	}
 	p.pools.all = slices.DeleteFunc(p.pools.all, func(other *serverPool) bool { return other == pool })
-	if capture, ok := pool.decisions.(interface{ Dropped() }); ok {
-		capture.Dropped()
+	if capture, ok := pool.decisions.(interface{ Drop() }); ok {
+		capture.Drop()
 	}
 	for i := range pool.staticEndpoints {
 		if index := pool.staticEndpoints[i].Index; !p.pools.hasStatic(index) {
