--- a/controlplane/access.go
+++ b/controlplane/access.go
@@ -48,7 +48,7 @@
 	}
 	names := certificateNames(ctx)
 	for i := range allowed {
-		if slices.ContainsFunc(names, allowed[i].Fits) {
+		if slices.ContainsFunc(names, allowed[i].Matches) {
 			return newPoolFilter(allowed[i].Pools), nil
 		}
 	}
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	subsets := s.config.ControlPlane.Subsets
 	for i := range subsets {
-		if !subsets[i].Fits(node.GetId(), node.GetCluster(), node.GetLocality().GetZone()) {
+		if !subsets[i].Matches(node.GetId(), node.GetCluster(), node.GetLocality().GetZone()) {
 			continue
 		}
 		var pools []string
--- a/controlplane/testservice_test.go
+++ b/controlplane/testservice_test.go
@@ -46,7 +46,7 @@
 
 func parseConfig(tb testing.TB, text string) *config.Config {
 	tb.Helper()
-	parsed, faults := config.Read("test.toml", []byte(text))
+	parsed, faults := config.Parse("test.toml", []byte(text))
 	require.Empty(tb, faults)
 	return parsed
 }
--- a/internal/cli/ctlcmd/import.go
+++ b/internal/cli/ctlcmd/import.go
@@ -73,7 +73,7 @@
 	if converted.Text == "" {
 		return converted, nil
 	}
-	if _, errs := config.Read(file, []byte(converted.Text)); len(errs) > 0 {
+	if _, errs := config.Parse(file, []byte(converted.Text)); len(errs) > 0 {
 		return nil, fmt.Errorf("the converted configuration is not a valid operator file: %w", errors.Join(errs...))
 	}
 	return converted, nil
--- a/internal/cli/proxycmd/check.go
+++ b/internal/cli/proxycmd/check.go
@@ -32,7 +32,7 @@
 
 // readOperatorFile reads an operator file. It prints all errors but the last, one per line, and returns the last.
 func readOperatorFile(file string, errOut cli.Output) (*config.Config, error) {
-	c, errs := config.Open(file)
+	c, errs := config.ReadFile(file)
 	if len(errs) == 0 {
 		return c, nil
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 // defaultRetryRule applies to routes without a retry rule.
 var defaultRetryRule = limits.RetryRule{Name: "plain", BudgetRatio: defaultBudgetRatio}
 
-// Config is a checked operator file. It is not modified after Read has returned it, so it is safe for concurrent use.
+// Config is a checked operator file. It is not modified after Parse has returned it, so it is safe for concurrent use.
 type Config struct {
 	File
 	RouteTable *routes.Table
@@ -41,19 +41,19 @@
 	return &defaultRetryRule
 }
 
-// Open reads a file like Read. Each error is one line.
-func Open(name string) (*Config, []error) {
+// ReadFile reads a file like Parse. Each error is one line.
+func ReadFile(name string) (*Config, []error) {
 	text, err := tomlfile.Load(name, maxFileBytes)
 	if err != nil {
 		return nil, []error{err}
 	}
-	return Read(name, text)
+	return Parse(name, text)
 }
 
-// Read parses and checks the text of an operator file. Each error begins with name, the name of the file. Unknown
+// Parse parses and checks the text of an operator file. Each error begins with name, the name of the file. Unknown
 // fields are all reported together. The values are checked only if there are none, and all invalid ones are reported
 // together.
-func Read(name string, text []byte) (*Config, []error) {
+func Parse(name string, text []byte) (*Config, []error) {
 	config := &Config{routeConfigs: map[*routes.Route]*Route{}}
 	source, errs := tomlfile.Decode(name, text, &config.File)
 	if len(errs) > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 		{`address = "127.0.0.1:8080"`, `address = "8080"`, "f.toml:4:1: listener: address: "},
 	} {
 		require.Contains(t, string(text), c.old)
-		_, errs := Read("f.toml", []byte(strings.Replace(string(text), c.old, c.new, 1)))
+		_, errs := Parse("f.toml", []byte(strings.Replace(string(text), c.old, c.new, 1)))
 		if assert.NotEmpty(t, errs, c.new) {
 			var all []string
 			for _, err := range errs {
@@ -67,15 +67,15 @@
 		}
 	}
 	unknown := strings.NewReplacer(`value = 1.0`, `valeu = 1.0`, `room = 200`, `romm = 200`)
-	_, errs := Read("f.toml", []byte(unknown.Replace(string(text))))
+	_, errs := Parse("f.toml", []byte(unknown.Replace(string(text))))
 	assert.Len(t, errs, 2, "every unknown field is reported")
 	invalidValues := strings.NewReplacer(`due = 0.3`, `due = 9.0`, `share = 0.1`, `share = 7.0`,
 		`backup = "spare"`, `backup = "x"`)
-	_, errs = Read("f.toml", []byte(invalidValues.Replace(string(text))))
+	_, errs = Parse("f.toml", []byte(invalidValues.Replace(string(text))))
 	assert.Len(t, errs, 3, "every invalid value is reported")
-	_, errs = Read("f.toml", nil)
+	_, errs = Parse("f.toml", nil)
 	assert.Len(t, errs, 2, "an empty file has no tariff and no route")
-	_, errs = Open("no/such.toml")
+	_, errs = ReadFile("no/such.toml")
 	assert.Len(t, errs, 1)
 }
 
@@ -84,7 +84,7 @@
 	require.NoError(f, err)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		config, errs := Read("f.toml", text)
+		config, errs := Parse("f.toml", text)
 		if (config == nil) != (len(errs) > 0) {
 			t.Fatal("Read must return either a config or errors")
 		}
--- a/internal/config/controlplane.go
+++ b/internal/config/controlplane.go
@@ -25,8 +25,8 @@
 	Pools   []string `toml:"pools"`
 }
 
-// Fits reports whether the subset applies to a node.
-func (s *Subset) Fits(node, cluster, zone string) bool {
+// Matches reports whether the subset applies to a node.
+func (s *Subset) Matches(node, cluster, zone string) bool {
 	return (s.Node == "" || matchesPattern(s.Node, node)) &&
 		(s.Cluster == "" || matchesPattern(s.Cluster, cluster)) &&
 		(s.Zone == "" || matchesPattern(s.Zone, zone))
@@ -38,8 +38,8 @@
 	Pools []string `toml:"pools"` // empty: all
 }
 
-// Fits reports whether a name in a client certificate matches Name.
-func (a *Allow) Fits(name string) bool { return matchesPattern(a.Name, name) }
+// Matches reports whether a name in a client certificate matches Name.
+func (a *Allow) Matches(name string) bool { return matchesPattern(a.Name, name) }
 
 func matchesPattern(pattern, name string) bool {
 	if prefix, isPrefix := strings.CutSuffix(pattern, "*"); isPrefix {
--- a/internal/config/controlplane_test.go
+++ b/internal/config/controlplane_test.go
@@ -23,7 +23,7 @@
 // is no error.
 func checkTable(t *testing.T, header, table, want string) {
 	t.Helper()
-	_, errs := Read("f.toml", []byte(header+"\n"+table+minimalFile))
+	_, errs := Parse("f.toml", []byte(header+"\n"+table+minimalFile))
 	if want == "" {
 		assert.Empty(t, errs, table)
 	} else if assert.NotEmpty(t, errs, table) {
@@ -79,7 +79,7 @@
 
 func TestAllowedNames(t *testing.T) {
 	allow := Allow{Name: "edge-*"}
-	assert.True(t, allow.Fits("edge-1") && !allow.Fits("core-1") && !allow.Fits("edge"))
+	assert.True(t, allow.Matches("edge-1") && !allow.Matches("core-1") && !allow.Matches("edge"))
 	allow.Name = "one"
-	assert.True(t, allow.Fits("one") && !allow.Fits("one-1"))
+	assert.True(t, allow.Matches("one") && !allow.Matches("one-1"))
 }
--- a/internal/config/explain_test.go
+++ b/internal/config/explain_test.go
@@ -11,7 +11,7 @@
 const sampleFile = "../../deploy/operator/sample.toml"
 
 func TestExplainSample(t *testing.T) {
-	config, errs := Open(sampleFile)
+	config, errs := ReadFile(sampleFile)
 	require.Empty(t, errs)
 	withKey := map[string]string{"idempotency-key": "k"}
 	for _, c := range []struct {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,7 +8,7 @@
 	Classes      []Class       `toml:"tariff"`
 	Pools        []Pool        `toml:"pool"`
 	Limits       []Limit       `toml:"limit"`
-	Retries      []Retry       `toml:"retry"`
+	Retries      []RetryRule   `toml:"retry"`
 	Routes       []Route       `toml:"route"`
 	ControlPlane *ControlPlane `toml:"control"` // supported by lockloom-controlplane only
 	Capture      *Capture      `toml:"capture"` // supported by lockloom-controlplane only
@@ -41,8 +41,8 @@
 	Capacity    int      `toml:"room"`         // maximum requests in flight over all its routes; 0: no limit
 }
 
-// Same reports whether two pools have the same servers; backup and capacity are not compared.
-func (p *Pool) Same(other *Pool) bool {
+// SameServers reports whether two pools have the same servers; backup and capacity are not compared.
+func (p *Pool) SameServers(other *Pool) bool {
 	return slices.Equal(p.Servers, other.Servers) &&
 		slices.Equal(p.Kinds, other.Kinds) &&
 		slices.Equal(p.Zones, other.Zones)
@@ -58,8 +58,8 @@
 	MaxKeys     int     `toml:"keys"`
 }
 
-// Retry configures a retry rule; see limits.RetryRule.
-type Retry struct {
+// RetryRule configures a retry rule; see limits.RetryRule.
+type RetryRule struct {
 	Name              string   `toml:"name"`
 	IdempotentMethods []string `toml:"freely"`
 	KeyedMethods      []string `toml:"marked"`
@@ -132,7 +132,7 @@
 }
 
 func (f *File) retryNames() []string {
-	return names(f.Retries, func(retry *Retry) string { return retry.Name })
+	return names(f.Retries, func(retry *RetryRule) string { return retry.Name })
 }
 
 func names[T any](list []T, name func(*T) string) []string {
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -31,7 +31,7 @@
 // fail adds an error at a field of the n-th table named tableName, counted from 1. n = 0 means that the file has at
 // most one such table.
 func (r *reader) fail(tableName string, n int, field, format string, args ...any) {
-	r.errs = append(r.errs, r.source.At(tableName, n, field, format, args...))
+	r.errs = append(r.errs, r.source.ErrorAt(tableName, n, field, format, args...))
 }
 
 // table identifies the n-th table with a name in the file, counted from 1. n = 0 means that the file has at most one
--- a/internal/nginx/bench_test.go
+++ b/internal/nginx/bench_test.go
@@ -30,7 +30,7 @@
 			for b.Loop() {
 				converted := Convert(parsed(b, text.String()), false)
 				start := time.Now()
-				setup, faults := config.Read("x", []byte(converted.Text))
+				setup, faults := config.Parse("x", []byte(converted.Text))
 				if len(faults) > 0 {
 					b.Fatal(faults[0])
 				}
--- a/internal/nginx/loopback_test.go
+++ b/internal/nginx/loopback_test.go
@@ -145,7 +145,7 @@
 func (suite *loopbackSuite) operatorFile(t *testing.T, s sample) (text, address string) {
 	t.Helper()
 	converted := Convert(parsed(t, s.text), false)
-	setup, faults := config.Read("x", []byte(converted.Text))
+	setup, faults := config.Parse("x", []byte(converted.Text))
 	require.Empty(t, faults)
 	text = sampleServer.ReplaceAllStringFunc(converted.Text, suite.standIns.address)
 	for i, l := range setup.Listeners { // on loopback instead of the addresses in the sample
--- a/internal/nginx/samples_test.go
+++ b/internal/nginx/samples_test.go
@@ -74,7 +74,7 @@
 func imported(tb testing.TB, text string) (*Import, *config.Config) {
 	tb.Helper()
 	converted := Convert(parsed(tb, text), true)
-	setup, faults := config.Read("site.toml", []byte(converted.Text))
+	setup, faults := config.Parse("site.toml", []byte(converted.Text))
 	require.Empty(tb, faults, converted.Text)
 	return converted, setup
 }
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
 	if s.ProxyFleet.Count > maxPrograms {
-		return nil, s.file.At("bank", 0, "proxies",
+		return nil, s.file.ErrorAt("bank", 0, "proxies",
 			"%d: at most %d on sockets, where each proxy is a process", s.ProxyFleet.Count, maxPrograms)
 	}
 	startedAt := time.Now()
--- a/internal/simulation/validate.go
+++ b/internal/simulation/validate.go
@@ -41,7 +41,7 @@
 func (s *Scenario) checkBounds(table string, n int, fields ...bounds) error {
 	for _, b := range fields {
 		if !(b.value >= b.min && b.value <= b.max) {
-			return s.file.At(table, n, b.field, "%v: it is from %v to %v", b.value, b.min, b.max)
+			return s.file.ErrorAt(table, n, b.field, "%v: it is from %v to %v", b.value, b.min, b.max)
 		}
 	}
 	return nil
@@ -120,13 +120,13 @@
 
 func (s *Scenario) checkClasses() error {
 	if len(s.Classes) == 0 || len(s.Classes) > maxClasses {
-		return s.file.At("tariff", 0, "", "%d of them defined, expected 1 to %d", len(s.Classes), maxClasses)
+		return s.file.ErrorAt("tariff", 0, "", "%d of them defined, expected 1 to %d", len(s.Classes), maxClasses)
 	}
 	names := map[string]bool{}
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if !plainName(class.Name) || names[class.Name] || class.Name == "up" {
-			return s.file.At("tariff", i+1, "name",
+			return s.file.ErrorAt("tariff", i+1, "name",
 				`%q: expected a unique name of 1 to 64 letters, digits and dashes, other than "up"`, class.Name)
 		}
 		names[class.Name] = true
@@ -143,17 +143,19 @@
 	_, scoped := scopes[c.DedupScope]
 	switch {
 	case !known:
-		return s.file.At(table, n, "kind", "%q: it is replayable, referenced or single-use", c.Idempotency)
+		return s.file.ErrorAt(table, n, "kind", "%q: it is replayable, referenced or single-use", c.Idempotency)
 	case !scoped || idempotency != balance.Keyed && c.DedupScope != "":
-		return s.file.At(table, n, "scope", "%q: expected all, zone or pod, and only in a referenced tariff", c.DedupScope)
+		return s.file.ErrorAt(table, n, "scope",
+			"%q: expected all, zone or pod, and only in a referenced tariff", c.DedupScope)
 	case idempotency == balance.Keyed && c.DedupWindow <= 0:
-		return s.file.At(table, n, "window", "a referenced tariff has one, of more than 0 seconds")
+		return s.file.ErrorAt(table, n, "window", "a referenced tariff has one, of more than 0 seconds")
 	case c.LatencyObjective > c.Deadline:
-		return s.file.At(table, n, "due", "%v is past the hard stop of %v", c.LatencyObjective, c.Deadline)
+		return s.file.ErrorAt(table, n, "due", "%v is past the hard stop of %v", c.LatencyObjective, c.Deadline)
 	case (c.Pool != "") != s.PlainHTTP() || c.Pool != "" && s.count(c.Pool) == 0:
-		return s.file.At(table, n, "pool", "%q: expected the name of a group of servers, in every tariff or in none", c.Pool)
+		return s.file.ErrorAt(table, n, "pool",
+			"%q: expected the name of a group of servers, in every tariff or in none", c.Pool)
 	case c.KeyedFraction > 0 && s.Keys.Count == 0:
-		return s.file.At(table, n, "keyed", "there are no keys: keys.count is 0")
+		return s.file.ErrorAt(table, n, "keyed", "there are no keys: keys.count is 0")
 	}
 	return s.checkBounds(table, n,
 		bounds{"hard_stop", c.Deadline, .01, 60},
@@ -169,7 +171,7 @@
 func (s *Scenario) checkTenants() error {
 	for i, t := range s.Tenants {
 		if !plainName(t.Name) {
-			return s.file.At("customer", i+1, "name", "%q: expected 1 to 64 letters, digits and dashes", t.Name)
+			return s.file.ErrorAt("customer", i+1, "name", "%q: expected 1 to 64 letters, digits and dashes", t.Name)
 		}
 		err := s.checkBounds("customer", i+1,
 			bounds{"quota", t.Quota, 0, maxRate},
@@ -189,7 +191,7 @@
 	for i := range s.Servers {
 		group := &s.Servers[i]
 		if !plainName(group.Name) || names[group.Name] {
-			return s.file.At("servers", i+1, "name",
+			return s.file.ErrorAt("servers", i+1, "name",
 				"%q: expected a unique name of 1 to 64 letters, digits and dashes", group.Name)
 		}
 		names[group.Name] = true
@@ -199,7 +201,7 @@
 		}
 	}
 	if total < 1 || total > maxServers {
-		return s.file.At("servers", 0, "", "%d servers in total, expected 1 to %d", total, maxServers)
+		return s.file.ErrorAt("servers", 0, "", "%d servers in total, expected 1 to %d", total, maxServers)
 	}
 	return nil
 }
@@ -224,10 +226,10 @@
 	for i, p := range s.Arrivals.Phases {
 		shape, known := shapes[p.Shape]
 		if !known {
-			return s.file.At("arrivals.phase", i+1, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
+			return s.file.ErrorAt("arrivals.phase", i+1, "shape", "%q: it is steady, ramp, bursts or deadline", p.Shape)
 		}
 		if shape == loadgen.Bursts && !(p.BurstDuration > 0 && p.BurstDuration < p.BurstInterval) {
-			return s.file.At("arrivals.phase", i+1, "lasts",
+			return s.file.ErrorAt("arrivals.phase", i+1, "lasts",
 				"%v: expected more than 0 and less than the interval between bursts, %v", p.BurstDuration, p.BurstInterval)
 		}
 		err := s.checkBounds("arrivals.phase", i+1,
@@ -250,11 +252,11 @@
 	for t := 0.0; t < s.Seconds; t += s.Seconds / rateSamples {
 		rate := workload.RateAt(t)
 		if rate > maxRate {
-			return s.file.At("arrivals", 0, "rate", "%v lookups per second at %v s, expected at most %v", rate, t, maxRate)
+			return s.file.ErrorAt("arrivals", 0, "rate", "%v lookups per second at %v s, expected at most %v", rate, t, maxRate)
 		}
 		total += rate * s.Seconds / rateSamples
 		if total > maxIntents {
-			return s.file.At("arrivals", 0, "rate", "more than %v lookups in total", maxIntents)
+			return s.file.ErrorAt("arrivals", 0, "rate", "more than %v lookups in total", maxIntents)
 		}
 	}
 	return nil
@@ -294,14 +296,14 @@
 
 func (s *Scenario) checkFaults() error {
 	if len(s.Faults) > maxFaults {
-		return s.file.At("trouble", 0, "", "%d of them defined, expected at most %d", len(s.Faults), maxFaults)
+		return s.file.ErrorAt("trouble", 0, "", "%d of them defined, expected at most %d", len(s.Faults), maxFaults)
 	}
 	for i := range s.Faults {
 		fault := &s.Faults[i]
 		kind, known := faultKinds[fault.Kind]
 		if !known {
 			kinds := strings.Join(sortedNames(faultKinds), ", ")
-			return s.file.At("trouble", i+1, "kind", "%q: it is %s", fault.Kind, kinds)
+			return s.file.ErrorAt("trouble", i+1, "kind", "%q: it is %s", fault.Kind, kinds)
 		}
 		if err := s.checkFaultServers(i+1, fault, kind); err != nil {
 			return err
@@ -320,15 +322,15 @@
 	group := s.count(f.Servers)
 	switch {
 	case ofServers && group == 0:
-		return s.file.At(table, n, "servers", "%q: no such group", f.Servers)
+		return s.file.ErrorAt(table, n, "servers", "%q: no such group", f.Servers)
 	case !ofServers && (f.Servers != "" || f.Count != 0 || f.Share != 0 || f.From != 0):
-		return s.file.At(table, n, "kind", "%s happens to no servers: omit servers, from, count and share", f.Kind)
+		return s.file.ErrorAt(table, n, "kind", "%s happens to no servers: omit servers, from, count and share", f.Kind)
 	case ofServers && !kind.disables && f.Proxy != 0:
-		return s.file.At(table, n, "proxy", "%s happens to servers: omit proxy", f.Kind)
+		return s.file.ErrorAt(table, n, "proxy", "%s happens to servers: omit proxy", f.Kind)
 	case f.Count != 0 && f.Share != 0:
-		return s.file.At(table, n, "share", "a count or a share, not both")
+		return s.file.ErrorAt(table, n, "share", "a count or a share, not both")
 	case f.From < 0 || f.Count < 0 || ofServers && f.From+s.affected(*f) > group:
-		return s.file.At(table, n, "count", "servers %d to %d of %d: outside of the group",
+		return s.file.ErrorAt(table, n, "count", "servers %d to %d of %d: outside of the group",
 			f.From, f.From+s.affected(*f), group)
 	}
 	return nil
@@ -340,15 +342,15 @@
 	_, classKnown := s.class(f.Class)
 	switch {
 	case f.Class != "" && !classKnown:
-		return s.file.At(table, n, "tariff", "%q: no such tariff", f.Class)
+		return s.file.ErrorAt(table, n, "tariff", "%q: no such tariff", f.Class)
 	case f.Class != "" && f.Kind != "errors" && f.Kind != "hang":
-		return s.file.At(table, n, "tariff", "%s cannot be limited to one tariff", f.Kind)
+		return s.file.ErrorAt(table, n, "tariff", "%s cannot be limited to one tariff", f.Kind)
 	case kind.needsFactor && f.Factor <= 0:
-		return s.file.At(table, n, "factor", "%v: expected more than 0", f.Factor)
+		return s.file.ErrorAt(table, n, "factor", "%v: expected more than 0", f.Factor)
 	case !kind.needsFactor && f.Factor != 0:
-		return s.file.At(table, n, "factor", "%v: not of %s, which takes no factor", f.Factor, f.Kind)
+		return s.file.ErrorAt(table, n, "factor", "%v: not of %s, which takes no factor", f.Factor, f.Kind)
 	case f.Duration <= 0 && !kind.instant:
-		return s.file.At(table, n, "for", "%s lasts for a time: expected more than 0 seconds", f.Kind)
+		return s.file.ErrorAt(table, n, "for", "%s lasts for a time: expected more than 0 seconds", f.Kind)
 	}
 	return s.checkBounds(table, n,
 		bounds{"at", f.At, 0, s.Seconds},
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -13,10 +13,10 @@
 	return regexp.MustCompile(`^\s*\[+\s*"?([\w.-]+)"?\s*\]+`)
 })
 
-// At returns a *PositionError at a field of the n-th table with the name table, counted from 1 in the order of the
+// ErrorAt returns a *PositionError at a field of the n-th table with the name table, counted from 1 in the order of the
 // file. n = 0 means the same as n = 1. If table is empty, the field is at the top level of the file. If field is empty,
 // or the table does not set it, the position is that of the table's header.
-func (f *File) At(table string, n int, field, format string, args ...any) error {
+func (f *File) ErrorAt(table string, n int, field, format string, args ...any) error {
 	text := fmt.Sprintf(format, args...)
 	if field != "" {
 		text = field + ": " + text
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// File holds the lines of a file, in which At locates tables and fields.
+// File holds the lines of a file, in which ErrorAt locates tables and fields.
 type File struct {
 	Name  string
 	lines []string
--- a/proxy/estimates_test.go
+++ b/proxy/estimates_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnv(t, map[string][]string{"b1": {okResponse}, "b2": {okResponse}, "w1:80": {okResponse}}, nil)
 		env.operatorConns = make(chan net.Conn, 100)
-		cfg, faults := config.Read("f.toml",
+		cfg, faults := config.Parse("f.toml",
 			[]byte("[[tariff]]\nname = \"t\"\nhard_stop = 0.5\n[[pool]]\nname = \"all\"\n"+
 				"[[pool]]\nname = \"own\"\nservers = [\"w1:80\"]\n"+
 				"[[route]]\nname = \"r\"\nunder = \"/\"\npool = \"all\"\n"))
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -87,7 +87,7 @@
 // so peers would apply its messages to the wrong ones.
 func TestOperatorPoolsSendNoGossip(t *testing.T) {
 	env := newFleetMember(t, 0, "", "", nil)
-	cfg, faults := config.Read("f.toml", []byte(operatorFile))
+	cfg, faults := config.Parse("f.toml", []byte(operatorFile))
 	require.Empty(t, faults)
 	routing, err := env.buildRouting(cfg, nil)
 	require.NoError(t, err)
--- a/proxy/listeners_bench_test.go
+++ b/proxy/listeners_bench_test.go
@@ -27,7 +27,7 @@
 func BenchmarkListeners(b *testing.B) {
 	server := benchServer(b)
 	class := "[[tariff]]\nname = \"page\"\nhard_stop = 5.0\n"
-	operatorConfig, faults := config.Read("bench",
+	operatorConfig, faults := config.Parse("bench",
 		[]byte(class+"[[pool]]\nname = \"p\"\nservers = [\""+server+"\"]\n"+
 			"[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"))
 	require.Empty(b, faults)
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -21,7 +21,7 @@
 type Config = config.Config
 
 // ReadConfig reads an operator file. The errors are all that is wrong with it, each in one line.
-func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
+func ReadConfig(name string) (*Config, []error) { return config.ReadFile(name) }
 
 // idempotencyOrder is the order in which a pool of the operator file has a class: once for each RetrySafety of its
 // requests, see classIndex.
@@ -178,7 +178,7 @@
 		return nil
 	}
 	for i := range rc.config.Pools {
-		if current := &rc.config.Pools[i]; current.Name == poolConfig.Name && poolConfig.Same(current) {
+		if current := &rc.config.Pools[i]; current.Name == poolConfig.Name && poolConfig.SameServers(current) {
 			return rc.pools[current.Name]
 		}
 	}
--- a/proxy/operatorconfig_test.go
+++ b/proxy/operatorconfig_test.go
@@ -19,7 +19,7 @@
 		env := startOperatorEnv(t, map[string][]string{"b1:80": {noResponse}, "b2:80": {noResponse}, "b3:80": {noResponse},
 			"c1:80": {okResponse}, "f1:80": {faultResponse}, "n1:80": {okResponse}})
 		reload := func(change ...string) error {
-			cfg, faults := config.Read("f.toml", []byte(strings.NewReplacer(change...).Replace(operatorFile)))
+			cfg, faults := config.Parse("f.toml", []byte(strings.NewReplacer(change...).Replace(operatorFile)))
 			require.Empty(t, faults)
 			return env.ReloadConfig(cfg)
 		}
@@ -74,7 +74,7 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
-		cfg, _ := config.Read("f.toml", []byte(operatorFile))
+		cfg, _ := config.Parse("f.toml", []byte(operatorFile))
 		assert.ErrorContains(t, env.ReloadConfig(cfg), "started without an operator file")
 		env.stopAndWait()
 		assert.ErrorContains(t, env.ReloadConfig(cfg), "has ended")
--- a/proxy/operatorenv_test.go
+++ b/proxy/operatorenv_test.go
@@ -117,7 +117,7 @@
 func startOperatorEnv(t *testing.T, behaviors map[string][]string) *testEnv {
 	t.Helper()
 	env := newEnv(t, behaviors, nil)
-	cfg, faults := config.Read("f.toml", []byte(operatorFile))
+	cfg, faults := config.Parse("f.toml", []byte(operatorFile))
 	require.Empty(t, faults)
 	env.operatorConns = make(chan net.Conn, 100)
 	require.NoError(t, env.Configure(cfg, operatorListener{env}))
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -110,7 +110,7 @@
 		env.operatorConns = make(chan net.Conn, 100)
 		text := "[[tariff]]\nname = \"page\"\nhard_stop = 0.5\n" +
 			"[[pool]]\nname = \"p\"\nkinds = [\"blue\"]\n[[route]]\nname = \"all\"\nunder = \"/\"\npool = \"p\"\n"
-		cfg, faults := config.Read("f.toml", []byte(text))
+		cfg, faults := config.Parse("f.toml", []byte(text))
 		require.Empty(t, faults)
 		require.NoError(t, env.Configure(cfg, operatorListener{env}))
 		env.start()
@@ -125,7 +125,7 @@
 		for range 5 {
 			assert.Equal(t, "200 b1", send())
 		}
-		cfg, faults = config.Read("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
+		cfg, faults = config.Parse("f.toml", []byte(strings.Replace(text, "blue", "old", 1)))
 		require.Empty(t, faults)
 		require.NoError(t, env.ReloadConfig(cfg))
 		for range 5 {
