--- a/internal/capture/balancer.go
+++ b/internal/capture/balancer.go
@@ -20,8 +20,8 @@
 	number   uint64 // of the request in its pool, from 1
 }
 
-// Dropped removes the pool from the capture: segments that begin later do not contain its state.
-func (b *Balancer) Dropped() { b.recorder.pools[b.pool] = nil }
+// Drop removes the pool from the capture: segments that begin later do not contain its state.
+func (b *Balancer) Drop() { b.recorder.pools[b.pool] = nil }
 
 func (b *Balancer) state() *state {
 	balancer, requests := b.Checkpoint(b.inFlight)
@@ -56,7 +56,7 @@
 	b.lastRequest++
 	r := &Request{inner, b, b.lastRequest}
 	b.inFlight[r.number] = inner
-	return r, r.record(Call{Kind: RequestArrived, Now: now, Arrival: info, IDHash: IDOf(id)}, actions)
+	return r, r.record(Call{Kind: RequestArrived, Now: now, Arrival: info, IDHash: HashID(id)}, actions)
 }
 
 // AttemptEnded is balance.Request.AttemptEnded, recorded.
@@ -137,11 +137,11 @@
 	b.record(Call{Kind: OutcomesReported, Now: now, Outcomes: outcomes}, nil)
 }
 
-// SetBudgetShare is balance.Balancer.SetBudgetShare, recorded with the start time of the segment, since it has no time
-// argument.
-func (b *Balancer) SetBudgetShare(share float64) {
+// SetSlowStartShare is balance.Balancer.SetSlowStartShare, recorded with the start time of the segment, since it has no
+// time argument.
+func (b *Balancer) SetSlowStartShare(share float64) {
 	b.recorder.prepare(b.recorder.segment.beganAt)
-	b.Balancer.SetBudgetShare(share)
+	b.Balancer.SetSlowStartShare(share)
 	b.record(Call{Kind: BudgetShareSet, Now: b.recorder.segment.beganAt, BudgetShare: share}, nil)
 }
 
--- a/internal/simulation/rig.go
+++ b/internal/simulation/rig.go
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("proxy program: %w", err)
 	}
 	if s.ProxyFleet.Count > maxProcesses {
-		return nil, s.file.At("bank", 0, "proxies",
+		return nil, s.file.ErrorAt("bank", 0, "proxies",
 			"%d: at most %d on sockets, where each proxy is a process", s.ProxyFleet.Count, maxProcesses)
 	}
 	startedAt := time.Now()
--- a/proxy/admission.go
+++ b/proxy/admission.go
@@ -132,7 +132,7 @@
 func (c *clientConn) startWatch() chan error {
 	c.setReadDeadline(time.Time{})
 	done := make(chan error, 1)
-	go func() { done <- c.Watch() }()
+	go func() { done <- c.WaitForClose() }()
 	return done
 }
 
@@ -147,7 +147,7 @@
 func (p *Proxy) admit(req *request, info balance.RequestInfo, shed bool) {
 	if shed {
 		p.counters.Requests++
-		p.counters.ShedBounds++
+		p.counters.ShedOverLimit++
 		p.respond(req, balance.Rejected, p.bootstrap.MaxRetryAfter)
 		return
 	}
--- a/proxy/gossip_test.go
+++ b/proxy/gossip_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	return newEnv(t, behaviors, func(cfg *BootstrapConfig) {
 		cfg.Fleet = bootstrap.Fleet{Listen: listenAddr, Peers: map[int]string{1 - number: peerAddr}}
-		cfg.Proxies, cfg.Self, cfg.Sidecar, cfg.Gossip, cfg.HealthChecks = 2, number, true, true, true
+		cfg.Proxies, cfg.ProxyIndex, cfg.Sidecar, cfg.Gossip, cfg.HealthChecks = 2, number, true, true, true
 		cfg.GossipCost, cfg.HealthCheckCost, cfg.MaxAttempts = 0.001, 0.001, 1
 	})
 }
@@ -52,7 +52,7 @@
 	assert.Equal(t, before[0].Payoff, before[1].Payoff, "no results yet")
 	for i := range 60 {
 		c := busy.connect()
-		go write(c, strings.Replace(lookRequest, "t1", fmt.Sprint("t", i), 1))
+		go write(c, strings.Replace(idempotentRequest, "t1", fmt.Sprint("t", i), 1))
 		_, _, _, err := readResponse(c)
 		require.NoError(t, err)
 		require.NoError(t, c.Close())
@@ -87,11 +87,11 @@
 // so peers would apply its messages to the wrong ones.
 func TestOperatorPoolsSendNoGossip(t *testing.T) {
 	env := newFleetMember(t, 0, "", "", nil)
-	cfg, faults := config.Read("f.toml", []byte(operatorFile))
+	cfg, faults := config.Parse("f.toml", []byte(operatorFile))
 	require.Empty(t, faults)
 	routing, err := env.buildRouting(cfg, nil)
 	require.NoError(t, err)
-	for decisions, sendsGossip := range map[Decisions]bool{
+	for decisions, sendsGossip := range map[Decider]bool{
 		env.pools.platform.decisions:     true,
 		routing.pools["first"].decisions: false,
 	} {
--- a/proxy/lifecycle.go
+++ b/proxy/lifecycle.go
@@ -83,7 +83,7 @@
 // readinessResponse is the response to a readiness check: 200 if the load balancer in front should send clients here,
 // else 503.
 func (p *Proxy) readinessResponse() response {
-	if readLifecycle(p.process, (*lifecycle.Process).WantsClients) {
+	if readLifecycle(p.process, (*lifecycle.Process).AcceptsNewClients) {
 		return response{status: 200, body: []byte("up\n")}
 	}
 	return response{status: 503, body: []byte("not up\n")}
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lifecycle.StoppedAt == 0 {
-		s.lifecycle.StoppedAt, s.lifecycle.IdleCloseDeadline = now, p.stamp(idleCloseAt)
+		s.lifecycle.StoppedAt, s.lifecycle.IdleCloseDeadline = now, p.toUnixSeconds(idleCloseAt)
 	}
 	return s.lifecycle.SuccessorServing
 }
@@ -143,7 +143,7 @@
 		share := p.resourceShare() // read again: posted calls may run in any order, and the last must set the latest share
 		p.upstream.SetMaxConnections(int(share * float64(p.maxServerConns)))
 		for _, pool := range p.pools.all {
-			pool.decisions.SetBudgetShare(share)
+			pool.decisions.SetSlowStartShare(share)
 		}
 	})
 }
--- a/proxy/operatorroute.go
+++ b/proxy/operatorroute.go
@@ -144,7 +144,7 @@
 	rule := cfg.RetryRule(route)
 	r.info.Class = routing.requestClass(route, rule, head)
 	class := &pool.classes[r.info.Class]
-	arrivedAt := p.stamp(r.receivedAt)
+	arrivedAt := p.toUnixSeconds(r.receivedAt)
 	r.info.Deadline = p.shutdown.bound(arrivedAt+clientWait(head, class.Deadline), p.clock)
 	r.req = &request{
 		pool:      pool,
@@ -239,7 +239,7 @@
 
 // operatorHead returns the head that is sent to a server, without Content-Length and X-Expires-In.
 func operatorHead(head *http1.Head, upstreamPath string, target *routeTarget, id string) []byte {
-	out := http1.AppendRequest(make([]byte, 0, initialHeadBytes), head.Method, []byte(upstreamPath))
+	out := http1.AppendRequestLine(make([]byte, 0, initialHeadBytes), head.Method, []byte(upstreamPath))
 	out = http1.AppendForwardedFields(out, head, replacedFields...)
 	if target.hostField == "" && target.host != "" {
 		out = http1.AppendField(out, "Host", target.host)
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -16,7 +16,7 @@
 	att.ended = true
 	att.outcome, att.err, att.neverRan = result.Outcome, result.Err, result.Outcome.NeverRan()
 	p.counters.Outcomes[result.Outcome]++
-	endedAt := p.stamp(result.EndedAt)
+	endedAt := p.toUnixSeconds(result.EndedAt)
 	if p.now()-endedAt > lateEventSeconds {
 		p.counters.LateEvents++
 	}
@@ -24,7 +24,7 @@
 	if succeeded {
 		req.answered = true
 		p.counters.Succeeded++
-		p.discardResponses(req)
+		p.cancelUnwritten(req)
 		// Sent once the other attempts are canceled, see decide.
 		defer func() {
 			resp := req.serverResponse(&result)
@@ -37,7 +37,7 @@
 	}
 	answered, sentAt := req.answered, att.sentAt
 	if !result.SentAt.IsZero() { // time queued here, to be written or read, is not the server's
-		sentAt = p.stamp(result.SentAt)
+		sentAt = p.toUnixSeconds(result.SentAt)
 		p.overload.attemptMeasured(p.now()-att.sentAt, endedAt-sentAt)
 	}
 	p.decideRequest(req, func(now float64) *balance.Actions {
@@ -74,7 +74,7 @@
 	}
 	req.answered = true
 	p.counters.Succeeded++
-	p.discardResponses(req)
+	p.cancelUnwritten(req)
 	p.decideRequest(req, func(now float64) *balance.Actions {
 		return req.handle.ResponseStarted(now, att.number)
 	})
--- a/proxy/overloadmonitor.go
+++ b/proxy/overloadmonitor.go
@@ -24,8 +24,8 @@
 // attempts. Any goroutine may use it, under its lock; delayFactor and lagSeconds belong to the owner.
 type overloadMonitor struct {
 	mu sync.Mutex
-	*limits.Overload
-	dispatchSignal chan struct{} // holds a value while dispatchWaiting has queued requests to admit
+	*limits.OverloadQueue
+	dispatchSignal chan struct{} // holds a value while dispatchQueued has queued requests to admit
 
 	delayFactor float64 // the delay factor last reported to the balancers
 	lagSeconds  float64 // the lag last reported to the balancers
@@ -34,7 +34,7 @@
 // init prepares the monitor for a number of tenants. It is called before the proxy serves.
 func (m *overloadMonitor) init(tenants int) {
 	m.dispatchSignal = make(chan struct{}, 1)
-	m.Overload = limits.NewOverload(requestsPerCore*runtime.GOMAXPROCS(0), tenants)
+	m.OverloadQueue = limits.NewOverloadQueue(requestsPerCore*runtime.GOMAXPROCS(0), tenants)
 	m.delayFactor = 1
 }
 
@@ -53,7 +53,8 @@
 	work := 1 + float64(max(bodyBytes, 0))/bodyBytesPerWorkUnit
 	weight := max(class.PriorityWeight, minPriorityWeight) / work
 	m.mu.Lock()
-	admitted, waiter := m.RequestArrived(p.now(), p.stamp(c.receivedAt()), latencyObjective(class), weight, tenant, c)
+	admitted, waiter := m.RequestArrived(
+		p.now(), p.toUnixSeconds(c.receivedAt()), latencyObjective(class), weight, tenant, c)
 	m.mu.Unlock()
 	if waiter == nil {
 		return admitted
@@ -82,7 +83,7 @@
 	return overloaded
 }
 
-// wakeDispatcher wakes dispatchWaiting, or makes it check the queue again if it runs.
+// wakeDispatcher wakes dispatchQueued, or makes it check the queue again if it runs.
 func (m *overloadMonitor) wakeDispatcher() {
 	select {
 	case m.dispatchSignal <- struct{}{}:
@@ -90,12 +91,14 @@
 	}
 }
 
-// dispatchWaiting admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
-func (p *Proxy) dispatchWaiting() {
+// dispatchQueued admits or rejects queued requests, some in each polling round of the runtime, until the proxy ends.
+func (p *Proxy) dispatchQueued() {
 	m := &p.overload
-	round := poller.NewRound()
-	defer round.Close()
-	notify := func(waiter *limits.Waiter, admitted bool) { waiter.Owner.(*clientConn).admissionResult <- admitted }
+	pollWaiter := poller.NewPollWaiter()
+	defer pollWaiter.Close()
+	notify := func(waiter *limits.QueuedRequest, admitted bool) {
+		waiter.Owner.(*clientConn).admissionResult <- admitted
+	}
 	for {
 		select {
 		case <-m.dispatchSignal:
@@ -103,7 +106,7 @@
 			return
 		}
 		for queued := true; queued; {
-			round.Next()
+			pollWaiter.Wait()
 			m.mu.Lock()
 			queued = m.Dispatch(p.now(), notify)
 			m.mu.Unlock()
@@ -123,7 +126,7 @@
 func (p *Proxy) updateLocalDelay() {
 	m := &p.overload
 	m.mu.Lock()
-	factor, lag := m.DelayFactor(), m.Lag()
+	factor, lag := m.DelayFactor(), m.ProxyDelay()
 	m.mu.Unlock()
 	factorChanged := factor >= m.delayFactor*minDelayFactorStep || factor <= m.delayFactor/minDelayFactorStep
 	lagChanged := math.Abs(lag-m.lagSeconds) >= minLagStepSeconds
--- a/proxy/overloadmonitor_test.go
+++ b/proxy/overloadmonitor_test.go
@@ -14,7 +14,7 @@
 // occupyCore limits the proxy's core to n requests at a time and fills it. The returned function ends these requests.
 func (env *testEnv) occupyCore(n int) func() {
 	env.overload.mu.Lock()
-	env.overload.Overload = limits.NewOverload(n, 0)
+	env.overload.OverloadQueue = limits.NewOverloadQueue(n, 0)
 	for range n {
 		env.overload.RequestArrived(env.now(), env.now(), 1, 1, -1, nil)
 	}
@@ -31,9 +31,9 @@
 		env := startEnv(t, map[string][]string{"b1": {okResponse}}, nil)
 		releaseCore := env.occupyCore(1)
 		late, inTime := env.connect(), env.connect()
-		go write(late, lookRequest)
+		go write(late, idempotentRequest)
 		time.Sleep(210 * time.Millisecond) // this much of the latency objective of 300 ms passes
-		go write(inTime, smsRequest)
+		go write(inTime, nonIdempotentRequest)
 		time.Sleep(30 * time.Millisecond)
 		synctest.Wait()
 		assert.Empty(t, env.received, "both are queued")
@@ -46,7 +46,7 @@
 		status, _, _, err = readResponse(inTime)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
-		go write(late, strings.Replace(lookRequest, "t1", "t9", 1))
+		go write(late, strings.Replace(idempotentRequest, "t1", "t9", 1))
 		status, _, _, err = readResponse(late)
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status, "the queue is empty")
@@ -60,10 +60,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := startEnv(t, map[string][]string{"b1": {noResponse}}, nil)
 		c := env.connect()
-		write(c, lookRequest[:30])
+		write(c, idempotentRequest[:30])
 		time.Sleep(2 * time.Second)
 		began := time.Now()
-		go write(c, lookRequest[30:])
+		go write(c, idempotentRequest[30:])
 		status, _, _, err := readResponse(c)
 		assert.NoError(t, err)
 		assert.NotEqual(t, 200, status)
--- a/proxy/platformhead.go
+++ b/proxy/platformhead.go
@@ -45,12 +45,12 @@
 	r.req = &request{
 		pool:      p.pools.platform,
 		class:     class,
-		arrivedAt: p.stamp(r.receivedAt),
+		arrivedAt: p.toUnixSeconds(r.receivedAt),
 		deadline:  r.info.Deadline,
 		id:        string(head.Get("X-Trace-Id")),
 		response:  make(chan response, 1),
 	}
-	r.req.head = http1.AppendRequest(make([]byte, 0, initialHeadBytes), head.Method, head.Target)
+	r.req.head = http1.AppendRequestLine(make([]byte, 0, initialHeadBytes), head.Method, head.Target)
 	r.req.head = http1.AppendForwardedFields(r.req.head, head, "X-Expires-In")
 	return nil
 }
@@ -69,7 +69,7 @@
 		return info, err
 	}
 	info.Class = class
-	info.Deadline = p.stamp(receivedAt) + min(wait, maxClientWaitSeconds)
+	info.Deadline = p.toUnixSeconds(receivedAt) + min(wait, maxClientWaitSeconds)
 	info.Deadline = p.shutdown.bound(info.Deadline, p.clock)
 	info.ClientRetry = string(head.Get("X-Second-Try")) == "1"
 	if name := head.Get("X-Customer"); name != nil {
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -39,7 +39,7 @@
 // one.
 func (s *shutdownState) bound(deadline float64, clk clock) float64 {
 	if at := s.deadline.Load(); at != nil {
-		return min(deadline, clk.stamp(*at))
+		return min(deadline, clk.toUnixSeconds(*at))
 	}
 	return deadline
 }
@@ -53,15 +53,15 @@
 		return err
 	}
 	p.startOwner()
-	go p.dispatchWaiting()
+	go p.dispatchQueued()
 	go p.waitForFirstList()
 	accepting := p.startAccepting(ln)
 	p.log.WithFields(logrus.Fields{
 		"listen":      ln.Addr().String(),
-		"servers":     len(p.bootstrap.Known.Entries),
+		"servers":     len(p.bootstrap.KnownEndpoints.Entries),
 		"clients":     p.conns.totalLimits.maxServed,
 		"connections": p.maxServerConns,
-		"asserted":    invariant.Asserted,
+		"asserted":    invariant.PanicsWhenBroken,
 	}).Info("serving")
 	var err error
 	select {
@@ -80,7 +80,7 @@
 		return nil
 	}
 	fleet := &p.bootstrap.Fleet
-	link, err := gossip.Open(fleet.Listen, p.bootstrap.Self, fleet.Peers, p.gossipReceived)
+	link, err := gossip.Open(fleet.Listen, p.bootstrap.ProxyIndex, fleet.Peers, p.gossipReceived)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 // goroutine.
 func (p *Proxy) startOwner() {
 	p.applyAdminState()
-	p.applyEndpointList(p.bootstrap.Known, true)
+	p.applyEndpointList(p.bootstrap.KnownEndpoints, true)
 	if inherited := p.process.inheritedState; inherited != nil {
 		p.pools.platform.decisions.Restore(p.now(), inherited.Snapshot)
 	}
@@ -139,7 +139,7 @@
 // waitForFirstList makes the proxy ready once discovery has sent a list or firstListTimeout is over. A list that a
 // predecessor has handed over counts as one from discovery.
 func (p *Proxy) waitForFirstList() {
-	if inherited := p.process.inheritedState; inherited == nil || !inherited.Listed {
+	if inherited := p.process.inheritedState; inherited == nil || !inherited.HasList {
 		select {
 		case <-p.endpoints.firstReceived:
 		case <-time.After(firstListTimeout):
@@ -175,7 +175,7 @@
 	killAt := time.Now().Add(min(p.maxDeadline, maxShutdownWait) + killMargin)
 	deadline := killAt.Add(-finalDeadlineMargin)
 	p.shutdown.deadline.Store(&deadline)
-	p.post(func() { p.limitDeadlines(p.stamp(deadline)) })
+	p.post(func() { p.limitDeadlines(p.toUnixSeconds(deadline)) })
 	if successorServing := p.beginShutdown(killAt.Add(-idleCloseMargin)); !successorServing {
 		time.Sleep(acceptShutdownDelay) // the load balancer in front still sends connections here for a while
 	}
