--- a/balance/class.go
+++ b/balance/class.go
@@ -9,7 +9,7 @@
 const (
 	meanSmoothing     = 0.02  // weight of one value in a smoothed mean
 	baseRiseSmoothing = 0.002 // the same for a rising base latency: it has to follow slower servers, but not overload
-	maxLatencyGuess   = 1.0   // s; a longer guess, for a class without answers, is bounded by the median of all classes
+	maxLatencyGuess   = 1.0   // s; with too few answers, a longer guess is limited to the median of all classes
 	minRelativeWork   = 0.5   // the least relative work by which a latency is divided or multiplied
 )
 
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleet simulates many balancers that share servers, the first of which restarts at restartAt. The load of a server has
+// fleet simulates many balancers that share servers. The first server restarts at restartAt. The load of a server has
 // no effect on its latency: the simulation only counts the attempts sent to the restarted server.
 type fleet struct {
 	now            float64
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -6,7 +6,7 @@
 	answerMargin          = 0.01 // s before the deadline, by when a request is answered; over two timer ticks of any proxy
 	clientRetryPriority   = 0.2  // factor on the priority of a client's retry: most of its latency objective has passed
 	maxQueueShare         = 0.4  // share of the time to the deadline that a request may be queued before its first attempt
-	maxFailedSelections   = 8    // selections without a server, after which a dispatch selects servers only for retries
+	maxFailedSelections   = 8    // selections that found no server, after which a dispatch selects only for retries
 	dispatchInterval      = 0.02 // s until queued requests are dispatched again, if no other call does so before
 	sendIntervalSmoothing = 0.05 // weight of one interval in requestQueue.sendInterval
 )
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -49,7 +49,7 @@
 		proxy.arrive(RequestInfo{Key: 9})
 	}
 	scored, before := 0, proxy.random
-	for proxy.dispatch(); before != proxy.random && scored < 40*20; scored++ { // one random number per scored server
+	for proxy.dispatch(); before != proxy.random && scored < 40*20; scored++ { // one random number drawn per scored server
 		before.Float64()
 	}
 	assert.Equal(t, []int{40, maxFailedSelections * 20}, []int{len(proxy.queue.requests), scored})
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -10,7 +10,7 @@
 func TestServerSelection(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		results  []string // by server
+		results  []string // letters for endAttempts, by server
 		inFlight []int
 		min, max float64 // bounds of the share of selections that choose server 0
 	}{
--- a/balance/status.go
+++ b/balance/status.go
@@ -16,8 +16,8 @@
 	return b.beginCall(now).CurrentStatuses()
 }
 
-// CurrentStatuses returns what ServerStatuses does, as of the time of the last call. Unlike ServerStatuses, it does not
-// change the state of the balancer.
+// CurrentStatuses returns the same as ServerStatuses, but as of the last call that passed the time to the balancer, and
+// without changing the state of the balancer.
 func (b *Balancer) CurrentStatuses() []ServerStatus {
 	var list []ServerStatus
 	for _, s := range b.servers {
--- a/lifecycle/process.go
+++ b/lifecycle/process.go
@@ -40,7 +40,7 @@
 func (p *Process) AcceptsConnections() bool { return !p.SuccessorServing }
 
 // ClosesAfterResponse reports whether each client connection is closed after its next response: because this process is
-// terminating, because it is drained for longer than DrainNotice, or because its successor has replaced it.
+// terminating, because its drain was requested at least DrainNotice ago, or because its successor has replaced it.
 func (p *Process) ClosesAfterResponse(now float64) bool {
 	return p.Terminating || p.drainNoticed(now) || p.replaced()
 }
--- a/limits/ratetable_test.go
+++ b/limits/ratetable_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// checkTable checks the size of the table and its count, and that every key can be found.
+// checkTable checks that the table has at most maxKeys keys, that its count is right, and that find returns every key.
 func checkTable(t *rapid.T, table *rateTable) {
 	if table.count > table.maxKeys {
 		t.Fatalf("%d keys, at most %d allowed", table.count, table.maxKeys)
--- a/proxy/operatorconfig.go
+++ b/proxy/operatorconfig.go
@@ -23,8 +23,8 @@
 // ReadConfig reads an operator file. The errors are all that is wrong with it, each in one line.
 func ReadConfig(name string) (*Config, []error) { return config.Open(name) }
 
-// idempotencyOrder is the order in which a pool of the operator file has a class: once for each RetrySafety of its
-// requests, see classIndex.
+// idempotencyOrder holds the idempotency for each RetrySafety of requests. Each pool of the operator file has every
+// class once per RetrySafety, in this order; see classIndex.
 var idempotencyOrder = [...]balance.Idempotency{
 	limits.RetryNever:  balance.NonIdempotent,
 	limits.RetryKeyed:  balance.Keyed,
@@ -235,7 +235,7 @@
 	pool.routeNumbers = numbers
 }
 
-// numberRoutes numbers the routes that forward to a pool, nested ones included, by name.
+// numberRoutes gives each route that forwards to a pool, nested ones included, the next number, by route name.
 func (rc *routingConfig) numberRoutes(numbers map[string]int, pool string, routes []config.Route) {
 	toPool := func(weighted config.WeightedPool) bool { return weighted.Pool == pool }
 	for i := range routes {
--- a/proxy/overloadmonitor_test.go
+++ b/proxy/overloadmonitor_test.go
@@ -32,7 +32,7 @@
 		releaseCore := env.occupyCore(1)
 		late, inTime := env.connect(), env.connect()
 		go write(late, lookRequest)
-		time.Sleep(210 * time.Millisecond) // this much of the latency objective of 300 ms passes
+		time.Sleep(210 * time.Millisecond) // of the latency objective of 300 ms
 		go write(inTime, smsRequest)
 		time.Sleep(30 * time.Millisecond)
 		synctest.Wait()
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -137,7 +137,7 @@
 	return slices.ContainsFunc(s.all, func(pool *serverPool) bool { return pool.decisions.HasEndpoint(index) })
 }
 
-// hasStatic reports whether any pool has the server of an index from the operator file.
+// hasStatic reports whether any pool has the server with this index among its servers from the operator file.
 func (s *poolSet) hasStatic(index int) bool {
 	hasIndex := func(endpoint balance.Endpoint) bool { return endpoint.Index == index }
 	return slices.ContainsFunc(s.all, func(pool *serverPool) bool {
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -117,8 +117,8 @@
 	return max(endedAt-max(sentAt, req.stream.completedAt), 0)
 }
 
-// discardResponses makes the attempts of an answered request that are not written to a connection yet end as not sent.
-// Attempts that are in flight continue.
+// discardResponses is called once a request is answered and needs no other response. Attempts whose request is not
+// written to a connection yet end as not sent; attempts in flight continue.
 func (p *Proxy) discardResponses(req *request) {
 	for _, att := range req.attempts {
 		if att.started && !att.ended {
