--- a/proxy/request.go
+++ b/proxy/request.go
@@ -117,8 +117,8 @@
 	return max(endedAt-max(sentAt, req.stream.completedAt), 0)
 }
 
-// cancelUnwritten makes the attempts of an answered request that are not written to a connection yet end as not sent.
-// Attempts that are in flight continue.
+// cancelUnwritten is called once a request is answered and needs no other response. Attempts whose request is not
+// written to a connection yet end as not sent; attempts in flight continue.
 func (p *Proxy) cancelUnwritten(req *request) {
 	for _, att := range req.attempts {
 		if att.started && !att.ended {
