--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -69,9 +69,8 @@
 		if att.neverRan {
 			continue
 		}
-		dedupWindowEnd := p.fromUnixSeconds(att.sentAt + req.class.DedupWindow)
-		if sendBy.IsZero() || dedupWindowEnd.Before(sendBy) {
-			sendBy = dedupWindowEnd
+		if windowEnd := p.fromUnixSeconds(att.sentAt + req.class.DedupWindow); sendBy.IsZero() || windowEnd.Before(sendBy) {
+			sendBy = windowEnd
 		}
 	}
 	return sendBy
