--- a/internal/discovery/notification/notification.go
+++ b/internal/discovery/notification/notification.go
@@ -27,7 +27,7 @@
 	MaxRetryDelay = 0.5
 
 	minHedgeDelay         = 0.2
-	maxRejectionDelay     = 4.0  // limit of the mean, except after a large fleet's queued calls; with jitter DeadlineDelay
+	maxRejectionDelay     = 4.0  // mean, except after queued calls of a large fleet; with jitter at most DeadlineDelay
 	rejectionDelayPerPeer = 0.05 // per proxy of the fleet: limits the whole fleet to 20 calls per second
 	minQueuedDuration     = 0.5  // a call rejected at least this long after its start was queued, using discovery capacity
 	queuedDelayFactor     = 2.0  // after such a call, the mean delay is fleetDelay times this factor
