--- a/internal/cli/ctlcmd/capture.go
+++ b/internal/cli/ctlcmd/capture.go
@@ -14,14 +14,14 @@
 // captureCommand returns the sub-command that turns a running proxy's capture on or off.
 func captureCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("capture")
-	duration := flags.Duration("for", 0, "turn it on for this `time`; 0: until -off")
-	off := flags.Bool("off", false, "turn it off")
-	dump := flags.Bool("dump", false, "write what is kept in memory")
-	look := flags.Bool("look", false, "change nothing, tell how it stands")
-	help := "turn a running proxy's capture on or off, by its address for that"
+	duration := flags.Duration("for", 0, "turn the capture on for this `time`; 0: until -off")
+	off := flags.Bool("off", false, "turn the capture off")
+	dump := flags.Bool("dump", false, "write the calls that are kept in memory to files")
+	look := flags.Bool("look", false, "change nothing, only print the capture's status")
+	help := "turn a running proxy's capture on or off; ADDR is the address of its capture endpoint"
 	return cli.NewCommand("capture", "capture ADDR [FLAGS]", help, flags, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
-			return cli.UsageErrorf("it takes the address")
+			return cli.UsageErrorf("it takes one argument, the address of the capture endpoint")
 		}
 		method, path := http.MethodPost, "/on?for="+duration.String()
 		switch {
--- a/internal/cli/ctlcmd/ctlcmd.go
+++ b/internal/cli/ctlcmd/ctlcmd.go
@@ -1,5 +1,5 @@
-// Package ctlcmd is the command line of lockloomctl: simulations, experiments, load, and tools for captures and for the
-// control service.
+// Package ctlcmd is the command line of lockloomctl: simulations, experiments, load generation, and tools for captures
+// and for the control plane.
 package ctlcmd
 
 import (
@@ -16,7 +16,8 @@
 	"lockloom/internal/simulation"
 )
 
-// Run runs one command line and returns the exit code. An interrupt ends a command in order, leaving nothing behind.
+// Run runs one command line and returns the exit code. SIGINT and SIGTERM cancel the command, which ends the processes
+// that it started and leaves no partial results.
 func Run(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -40,18 +41,19 @@
 	return cli.Run(ctx, root, args, out, errOut)
 }
 
-// openScenario opens the scenario that is a command's only argument.
+// openScenario opens the scenario that is the only argument in args.
 func openScenario(args []string) (*simulation.Scenario, error) {
 	if len(args) != 1 {
-		return nil, cli.UsageErrorf("it takes one scenario, not %d", len(args))
+		return nil, cli.UsageErrorf("it takes one scenario, got %d", len(args))
 	}
 	return simulation.Open(args[0])
 }
 
-// proxyProgram returns the path of the proxy's program: the one named or, if none is, lockloom beside this program.
-func proxyProgram(named string) (string, error) {
-	if named != "" {
-		return filepath.Abs(named)
+// proxyProgram returns the absolute path of the proxy's program: path or, if that is empty, lockloom in the directory
+// of this program.
+func proxyProgram(path string) (string, error) {
+	if path != "" {
+		return filepath.Abs(path)
 	}
 	own, err := os.Executable()
 	if err != nil {
--- a/internal/cli/ctlcmd/diff.go
+++ b/internal/cli/ctlcmd/diff.go
@@ -17,9 +17,9 @@
 // diffCommand returns the sub-command that compares the choices of two builds.
 func diffCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("diff")
-	other := flags.String("with", "", "another build's lockloomctl, a `program`")
-	maxPrinted := flags.Int("most", 10, "`how many` differences are printed")
-	help := "show where another build would have chosen otherwise on the same events"
+	other := flags.String("with", "", "another build's lockloomctl `program`")
+	maxPrinted := flags.Int("most", 10, "print at most this `number` of differences")
+	help := "show where another build makes other choices on the same events"
 	return cli.NewCommand("diff", "diff FILE|FOLDER... -with PROGRAM", help, flags,
 		func(ctx context.Context, args []string) error {
 			files, err := captureFiles(args)
@@ -27,7 +27,7 @@
 				return err
 			}
 			if *other == "" {
-				return cli.UsageErrorf("-with: which program")
+				return cli.UsageErrorf("-with: missing")
 			}
 			own, err := os.Executable()
 			if err != nil {
@@ -46,7 +46,7 @@
 		})
 }
 
-// choicesOf returns the choices that a build of this program prints for captures, a line each.
+// choicesOf runs a build of lockloomctl and returns the choices that it prints for captures, one per line.
 func choicesOf(ctx context.Context, program string, files []string) ([]string, error) {
 	args := append([]string{"replay", "-loose", "-choices"}, files...)
 	text, err := exec.CommandContext(ctx, program, args...).Output()
@@ -60,7 +60,7 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n"), nil
 }
 
-// printDifferences prints the first choices that differ, and how many do.
+// printDifferences prints the first maxPrinted choices that differ, and how many differ in all.
 func printDifferences(out cli.Output, ours, theirs []string, maxPrinted int) {
 	differ := 0
 	for i := range max(len(ours), len(theirs)) {
@@ -77,7 +77,7 @@
 		len(ours), differ)
 }
 
-// lineAt returns a line, "" after the last.
+// lineAt returns the line at index i, or "" after the last one.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
--- a/internal/cli/ctlcmd/excerpt.go
+++ b/internal/cli/ctlcmd/excerpt.go
@@ -15,25 +15,25 @@
 // excerptCommand returns the sub-command that shortens a capture.
 func excerptCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("excerpt")
-	wanted := flags.String("shows", "",
-		"what it must still show: `"+strings.Join(capture.MatcherNames, ", ")+"`, or paused:BACKEND")
+	event := flags.String("shows", "",
+		"the event that the excerpt must still show: `"+strings.Join(capture.MatcherNames, ", ")+"`, or paused:BACKEND")
 	pool := flags.String("pool", "", "the `pool` (default: the platform's)")
-	to := flags.String("to", "", "write it to this `FILE`")
-	help := "cut a capture down to little that still shows something"
+	to := flags.String("to", "", "write the excerpt to this `FILE`")
+	help := "shorten a capture to an excerpt that still shows an event"
 	return cli.NewCommand("excerpt", "excerpt FILE|FOLDER... -shows WHAT -to FILE", help, flags,
 		func(_ context.Context, args []string) error {
 			files, err := captureFiles(args)
 			if err != nil {
 				return err
 			}
-			newSight, err := capture.NewMatcher(*wanted)
+			newMatcher, err := capture.NewMatcher(*event)
 			if err != nil {
 				return cli.UsageErrorf("-shows: %w", err)
 			}
 			if *to == "" {
-				return cli.UsageErrorf("-to: which file")
+				return cli.UsageErrorf("-to: missing")
 			}
-			excerpt, err := capture.Shorten(files, openFile, *pool, newSight)
+			excerpt, err := capture.Shorten(files, openFile, *pool, newMatcher)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/ctlcmd/http.go
+++ b/internal/cli/ctlcmd/http.go
@@ -15,7 +15,8 @@
 	maxResponseBytes = 64 << 20
 )
 
-// fetch makes a request of a program's HTTP address, and returns its body.
+// fetch sends a request without a body to a program's HTTP address and returns the response's body. A status other than
+// 200 is an error.
 func fetch(ctx context.Context, method, addr, path string) (body []byte, err error) {
 	ctx, stop := context.WithTimeout(ctx, httpTimeout)
 	defer stop()
--- a/internal/cli/ctlcmd/replay.go
+++ b/internal/cli/ctlcmd/replay.go
@@ -15,10 +15,10 @@
 // replayCommand returns the sub-command that replays captures.
 func replayCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("replay")
-	times := flags.Int("times", 1, "replay it so `often`")
-	loose := flags.Bool("loose", false, "go on where actions differ")
-	choices := flags.Bool("choices", false, "print each choice, a line each")
-	help := "have a capture's decisions again, and compare each with what was recorded"
+	times := flags.Int("times", 1, "replay the captures this `number` of times")
+	loose := flags.Bool("loose", false, "continue after actions that differ")
+	choices := flags.Bool("choices", false, "print the choices, one per line")
+	help := "replay a capture and compare each decision with the recorded one"
 	return cli.NewCommand("replay", "replay FILE|FOLDER... [FLAGS]", help, flags,
 		func(_ context.Context, args []string) error {
 			files, err := captureFiles(args)
@@ -41,7 +41,7 @@
 		})
 }
 
-// replayChoices replays captures and prints each choice.
+// replayChoices replays captures and prints the choices, one per line.
 func replayChoices(player *capture.Player, files []string, out cli.Output) error {
 	buffer := bufio.NewWriter(out)
 	player.After = func(pool *capture.Pool, call *capture.Call, actions *balance.Actions) {
@@ -53,7 +53,7 @@
 	return buffer.Flush()
 }
 
-// replaySummary replays captures and prints what was replayed.
+// replaySummary replays captures and prints how much was replayed and how many actions differ.
 func replaySummary(player *capture.Player, files []string, out cli.Output) error {
 	began := time.Now()
 	if err := player.Play(files, openFile); err != nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// printChoices prints the actions that a call returned, a line each, so that those of two programs can be compared:
-// diff also compares with those that an older build prints.
+// printChoices prints the actions that a call returned, one per line. Diff compares these lines with those that
+// another, possibly older, build prints, so the format must stay the same.
 func printChoices(out cli.Output, pool *capture.Pool, call *capture.Call, actions *balance.Actions) {
 	if actions == nil {
 		return
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -12,13 +12,13 @@
 	"lockloom/internal/simulation"
 )
 
-// serversCommand returns the sub-command that runs a scenario's servers and list agents.
+// serversCommand returns the sub-command that runs a scenario's servers and discovery agents.
 func serversCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("servers")
-	dir := flags.String("dir", "", "write the launch files to this `folder` (default: a new one)")
-	seed := flags.Uint64("seed", 1, "`number` that chance comes from")
-	play := flags.Bool("play", false, "play the scenario's troubles too, from the start on")
-	help := "run a scenario's servers and list agents alone, write launch files, print what serve needs, until Ctrl-C"
+	dir := flags.String("dir", "", "write the launch files to this `folder` (default: a temporary one)")
+	seed := flags.Uint64("seed", 1, "`seed` of the random numbers")
+	play := flags.Bool("play", false, "also play the scenario's troubles")
+	help := "run only a scenario's servers and discovery agents until Ctrl-C; print the environment for lockloom serve"
 	return cli.NewCommand("servers", "servers SCENARIO [FLAGS]", help, flags,
 		func(ctx context.Context, args []string) (err error) {
 			s, err := openScenario(args)
@@ -37,7 +37,8 @@
 		})
 }
 
-// runServers prints the variables of each proxy and runs the servers until the context ends.
+// runServers writes the launch files to dir, prints the environment variables of each proxy, and runs the servers until
+// the context ends.
 func runServers(
 	ctx context.Context, s *simulation.Scenario, dir string, seed uint64, play bool, out cli.Output,
 ) error {
--- a/internal/comparebuilds/compare.go
+++ b/internal/comparebuilds/compare.go
@@ -10,14 +10,15 @@
 	"strings"
 )
 
-// differenceError counts the plays that differ and those that could not be played.
+// differenceError reports how many plays differ and how many could not be played.
 type differenceError struct{ plays, differing, failed int }
 
 func (e *differenceError) Error() string {
 	return fmt.Sprintf("of %d plays %d differ and %d could not be played", e.plays, e.differing, e.failed)
 }
 
-// compare plays the days with both builds and prints a line for each. Its error is a *differenceError if all was tried.
+// compare plays the days with both builds and prints a line for each play. Once the plays have run, the error wraps a
+// *differenceError if some differ or could not be played.
 func compare(ctx context.Context, o options, out io.Writer) (err error) {
 	if o.base == "" && o.baseDir == "" {
 		return errNoBase
@@ -46,7 +47,8 @@
 	})
 }
 
-// makeScratch makes a temporary directory in which checkouts find the operators' folder beside them.
+// makeScratch makes a temporary directory for checkouts, with a link to the operators' folder, which they use by the
+// path givenFolder.
 func makeScratch(repo string) (string, error) {
 	given, err := filepath.EvalSymlinks(filepath.Join(repo, givenFolder))
 	if err != nil {
@@ -62,7 +64,7 @@
 	return scratch, nil
 }
 
-// prepare returns both builds, in the scratch directory unless the base was built before.
+// prepare builds both checkouts in the scratch directory; if o.baseDir is set, the base is the checkout there.
 func prepare(ctx context.Context, repo, scratch string, o options) (base, present checkout, err error) {
 	if o.baseDir != "" {
 		base, err = useBuilt(ctx, repo, o.baseDir, o.base)
@@ -76,8 +78,8 @@
 	return base, present, err
 }
 
-// withJournals calls do, then keeps in the repository what the plays wrote to the checkouts' journals, however do
-// ended.
+// withJournals calls do, then copies the files that the plays added to the checkouts' journals to the repository, even
+// if do failed.
 func withJournals(repo string, checkouts []checkout, out io.Writer, do func() error) error {
 	var journals []journal
 	for _, c := range checkouts {
@@ -90,15 +92,15 @@
 	result := do()
 	total := 0
 	for _, j := range journals {
-		kept, err := j.keep(repo)
+		copied, err := j.copyAdded(repo)
 		result = errors.Join(result, err)
-		total += kept
+		total += copied
 	}
 	fmt.Fprintf(out, "%d new files in %s: commit them as they are\n", total, journalFolder)
 	return result
 }
 
-// playAndPrint plays all days and prints a line for each.
+// playAndPrint plays all days and prints a line for each play. A non-nil error is a *differenceError.
 func playAndPrint(ctx context.Context, plays []play, out io.Writer, playOne func(context.Context, play) outcome) error {
 	result := &differenceError{plays: len(plays)}
 	playAll(ctx, plays, playOne, func(p play, o outcome) {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// line is what is printed for a play.
+// line returns the line that is printed for a play.
 func line(p play, o outcome) string {
 	switch {
 	case o.err != nil:
--- a/internal/comparebuilds/journal.go
+++ b/internal/comparebuilds/journal.go
@@ -9,13 +9,13 @@
 
 const journalFolder = "journal"
 
-// journal is the state of a checkout's journal before the plays.
+// journal lists the files that a checkout's journal held before the plays.
 type journal struct {
 	root  string
-	known map[string]bool // paths from the root
+	known map[string]bool // by path relative to root
 }
 
-// readJournal notes which files the journal of the checkout in dir holds.
+// readJournal lists the files in the journal of the checkout in dir.
 func readJournal(dir string) (journal, error) {
 	j := journal{root: dir, known: map[string]bool{}}
 	paths, err := j.files()
@@ -25,7 +25,7 @@
 	return j, err
 }
 
-// files are the paths of all the journal's files from the checkout's root.
+// files returns the paths of the journal's present files, relative to the checkout's root.
 func (j journal) files() ([]string, error) {
 	var paths []string
 	err := filepath.WalkDir(filepath.Join(j.root, journalFolder), func(path string, d fs.DirEntry, err error) error {
@@ -42,30 +42,31 @@
 	return paths, err
 }
 
-// keep copies what has come into the journal since readJournal to the same paths below repo, and counts the files that
-// are new there. An entry or blob that repo has already is left as it is: their names are those of their content.
-func (j journal) keep(repo string) (int, error) {
+// copyAdded copies the files that were added to the journal since readJournal to the same paths below repo, and returns
+// how many of them are new there. A file that repo has already is not overwritten: entries and blobs are named by their
+// content.
+func (j journal) copyAdded(repo string) (int, error) {
 	paths, err := j.files()
 	if err != nil {
 		return 0, err
 	}
-	kept := 0
+	copied := 0
 	for _, path := range paths {
 		if j.known[path] {
 			continue
 		}
 		isNew, err := copyNew(filepath.Join(j.root, path), filepath.Join(repo, path))
 		if err != nil {
-			return kept, err
+			return copied, err
 		}
 		if isNew {
-			kept++
+			copied++
 		}
 	}
-	return kept, nil
+	return copied, nil
 }
 
-// copyNew copies a file and reports whether the target was not there before; one that is there stays.
+// copyNew copies a file unless the target exists, and reports whether it created the target.
 func copyNew(from, to string) (bool, error) {
 	text, err := os.ReadFile(from)
 	if err != nil {
--- a/internal/comparebuilds/main.go
+++ b/internal/comparebuilds/main.go
@@ -1,17 +1,18 @@
-// Package main shows whether two builds decide alike, bit for bit: it builds a base commit and the present tree, plays
-// the same days of the operators' simulator (lbsim) with both, and fails if a figure of the decisions differs.
+// Command comparebuilds checks whether two builds make the same decisions, bit for bit. It builds a base commit and the
+// present working tree, plays the same simulated days of the operators' simulators (lbsim) with both, and fails if a
+// figure that depends on decisions differs.
 //
 //	make compare BASE=f83df88            every site file of both simulators, three kinds of day
 //	make compare BASE=f83df88 QUICK=1    one site file of each simulator, two kinds of day
-//	make compare BASE=f83df88 BASE_DIR=D the base was built before, in D, and D/../given is the operators' folder
+//	make compare BASE=f83df88 BASE_DIR=D the base was built before in D, and D/../given is the operators' folder
 //
-// The present tree is what git would commit now, with files that are new and with changes that are not staged. Each
-// build gets a clone of its own in a temporary directory, with a link to ../given beside it, and is made there by the
-// build line of its own deploy/balancer.toml. The plays' journal entries are copied to the repository's journal at the
-// end, as the operators want every entry kept; commit them as they are.
+// The present tree includes new files and changes that are not staged, but no ignored files. Each build has its own
+// clone in a temporary directory, with a link to ../given beside it, and is made there by the build line of its own
+// deploy/balancer.toml. At the end the plays' journal entries are copied to the repository's journal, since the
+// operators want every entry kept; commit them unchanged.
 //
-// One line is printed for each play. Only a change that changes a decision on one of these days is seen. The program
-// ends with 1 if a play differs or cannot be played, and without the operators' kit.
+// One line is printed for each play. Only a change that affects a decision on one of these days is detected. The exit
+// code is 1 if a play differs or cannot be played, or if the operators' kit is missing.
 package main
 
 import (
@@ -24,15 +25,15 @@
 	"syscall"
 )
 
-// defaultWhy is the journal's note where the command line gives none.
+// defaultWhy is the journal's note on each play if the command line gives none.
 const defaultWhy = "Trial: the present tree against another build, which must decide alike"
 
-// options are what the command line asks for.
+// options are the options of the command line.
 type options struct {
-	dir     string // in the repository
-	base    string // commit
-	baseDir string // empty: the base is built from its commit
-	quick   bool
+	dir     string // any directory in the repository
+	base    string // commit to compare with; may be empty if baseDir is set
+	baseDir string // checkout of the base that is built already; empty: the base is built from its commit
+	quick   bool   // play one site file of each simulator and two kinds of day
 	why     string // the journal's note on each play
 }
 
@@ -43,7 +44,7 @@
 	}
 }
 
-// runCommandLine compares as the command line asks, until a signal ends it.
+// runCommandLine parses the command line and compares the builds. SIGINT and SIGTERM cancel it.
 func runCommandLine() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/comparebuilds/report.go
+++ b/internal/comparebuilds/report.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// compared are the figures of a play that one build gives alike each time: the simulator's hash of the play, what the
-// day served, what it broke, and how much happened. What is left out is the measured time of the adapter, the adapter's
-// log lines, whose wording is no decision, and what is derived from the figures here.
+// compared names the figures of a play's report that one build reproduces exactly: the simulator's hash of the play,
+// its results, the broken rules and the counts of events. Left out are the measured time of the adapter, the adapter's
+// log lines, whose wording is no decision, and figures that are derived from these.
 var compared = []string{
 	"g",
 	"trace_hash",
@@ -22,20 +22,21 @@
 	"happenings",
 }
 
-// report holds the figures of one play, by name, as they were printed.
+// report holds the figures of one play by name, as JSON without insignificant space.
 type report map[string]json.RawMessage
 
-// missingFigureError is the name of a compared figure that a report does not have.
+// missingFigureError is the name of a compared figure that a play's report lacks.
 type missingFigureError string
 
 func (e missingFigureError) Error() string {
 	return fmt.Sprintf("the play's report has no figure %q", string(e))
 }
 
-// readReport reads what a play printed. A report without all compared figures is refused, so that none is passed over.
-func readReport(printed []byte) (report, error) {
+// readReport parses the JSON report that a play printed, and keeps the compared figures. A report that lacks one is an
+// error, so that no figure goes uncompared.
+func readReport(output []byte) (report, error) {
 	var all report
-	if err := json.Unmarshal(printed, &all); err != nil {
+	if err := json.Unmarshal(output, &all); err != nil {
 		return nil, fmt.Errorf("reading the play's report: %w", err)
 	}
 	kept := report{}
@@ -53,7 +54,7 @@
 	return kept, nil
 }
 
-// differing are the names of the compared figures whose printed values differ in any digit.
+// differing returns the names of the compared figures whose printed values are not identical.
 func differing(a, b report) []string {
 	var names []string
 	for _, name := range compared {
@@ -64,5 +65,5 @@
 	return names
 }
 
-// g is the day's figure as it was printed.
+// g returns the figure "g" of the play as it was printed.
 func (r report) g() string { return string(r["g"]) }
--- a/internal/knownfailures/entries.go
+++ b/internal/knownfailures/entries.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxEntries bounds the list: it is for a few faults that are fixed next, not a place to keep them.
+// maxEntries limits the list, which is for a few faults that are about to be fixed, not for keeping faults.
 const maxEntries = 3
 
 // The keys of an entry. The first line's key is keyTest or keyBench.
@@ -22,11 +22,11 @@
 
 const noSeed = "none"
 
-// keyOrder holds, for each line of an entry, the keys that may stand there.
+// keyOrder holds the permitted keys for each line of an entry.
 var keyOrder = [][]string{{keyTest, keyBench}, {keyCommand}, {keySeed}, {keySeen}, {keyIssue}}
 
-// forms holds the form of each key's value.
-var forms = map[string]*regexp.Regexp{
+// valuePatterns are the patterns that the values must match, by key.
+var valuePatterns = map[string]*regexp.Regexp{
 	keyTest:    regexp.MustCompile(`^Test\w+$`),
 	keyBench:   regexp.MustCompile(`^[a-z0-9]+([+:-][a-z0-9]+)*$`),
 	keyCommand: regexp.MustCompile(`^\S(.*\S)?$`),
@@ -41,11 +41,11 @@
 	isBench bool
 	command string
 	seed    string // a decimal number or noSeed
-	seen    string
-	issue   string
+	seen    string // how it failed
+	issue   string // its number, in decimal
 }
 
-// syntaxError is what is wrong with the list, and at which of its lines, counted from 1.
+// syntaxError reports a line of the list that is malformed. Lines are counted from 1.
 type syntaxError struct {
 	line   int
 	reason string
@@ -53,7 +53,7 @@
 
 func (e *syntaxError) Error() string { return fmt.Sprintf("%s:%d: %s", listFile, e.line, e.reason) }
 
-// parse reads the list's text. An error of it is a *syntaxError.
+// parse parses the list's text. A non-nil error is a *syntaxError.
 func parse(text string) ([]entry, error) {
 	if text == "" {
 		return nil, nil
@@ -76,7 +76,7 @@
 	return entries, nil
 }
 
-// parseEntry reads the entry that begins at lines[first], and the empty line after it.
+// parseEntry parses the entry that begins at lines[first], and checks the empty line after it.
 func parseEntry(lines []string, first int) (entry, error) {
 	values := map[string]string{}
 	for i, allowed := range keyOrder {
@@ -93,7 +93,7 @@
 	return newEntry(values, first+1)
 }
 
-// parseLine reads lines[i], whose key must be one of those allowed.
+// parseLine parses lines[i], whose key must be one of those allowed.
 func parseLine(lines []string, i int, allowed []string) (key, value string, err error) {
 	wanted := strings.Join(allowed, " or ")
 	if i >= len(lines) || lines[i] == "" {
@@ -103,20 +103,20 @@
 	if !separated {
 		return "", "", &syntaxError{i + 1, fmt.Sprintf(`not of the form "key: value": %q`, lines[i])}
 	}
-	form, known := forms[key]
+	pattern, known := valuePatterns[key]
 	if !known {
 		return "", "", &syntaxError{i + 1, fmt.Sprintf("unknown key %q", key)}
 	}
 	if !slices.Contains(allowed, key) {
 		return "", "", &syntaxError{i + 1, fmt.Sprintf("key %s is missing: found %s", wanted, key)}
 	}
-	if !form.MatchString(value) {
-		return "", "", &syntaxError{i + 1, fmt.Sprintf("value of %s: %q must match %s", key, value, form)}
+	if !pattern.MatchString(value) {
+		return "", "", &syntaxError{i + 1, fmt.Sprintf("value of %s: %q must match %s", key, value, pattern)}
 	}
 	return key, value, nil
 }
 
-// newEntry makes an entry of its values; its first line is given for errors.
+// newEntry returns the entry with these values by key. It begins at the given line, which errors refer to.
 func newEntry(values map[string]string, line int) (entry, error) {
 	e := entry{
 		name:    values[keyTest],
@@ -128,8 +128,8 @@
 	if e.name == "" {
 		e.name, e.isBench = values[keyBench], true
 	}
-	names := regexp.MustCompile(`\b` + regexp.QuoteMeta(e.name) + `\b`)
-	if !names.MatchString(e.command) {
+	namePattern := regexp.MustCompile(`\b` + regexp.QuoteMeta(e.name) + `\b`)
+	if !namePattern.MatchString(e.command) {
 		return entry{}, &syntaxError{line + 1, fmt.Sprintf("the command does not name %s", e.name)}
 	}
 	return e, nil
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,8 +1,8 @@
-// Package main runs the project's tests as `make test` does: every test but those that KNOWN-RED.txt lists, then each
-// of these by itself, and reports how it ended.
+// Command knownfailures runs the project's tests for `make test`: first all tests except those that KNOWN-RED.txt
+// lists, then each listed test by itself, whose result it reports.
 //
-// KNOWN-RED.txt lists what fails for a real fault that is not fixed yet. An entry is five lines of "key: value", with
-// the keys in this order; one empty line separates two entries:
+// KNOWN-RED.txt lists tests that fail because of a real fault that is not fixed yet. An entry is five lines of
+// "key: value", with the keys in this order; one empty line separates two entries:
 //
 //	test: TestStopUnderLoad
 //	command: go test -race -tags debug ./proxy -run TestStopUnderLoad
@@ -10,14 +10,14 @@
 //	seen: 17 requests lost at a stop
 //	issue: 47
 //
-// The command is how the failure was seen and names the test; seed is "none" where there is none. A case of the
-// operators' bench has an entry too, with "bench: roll+brink" as its first line and the bench's command line as its
-// command. It is printed and never run, whether or not the operators' kit is there: one play takes minutes and needs
-// the machine's cores alone.
+// The command is the one that failed, and must contain the test's name; seed is "none" if the test has no seed. An
+// entry for a case of the operators' bench has "bench: roll+brink" as its first line and the bench's command line as
+// its command. It is printed and never run, even if the operators' kit is present: one play takes minutes and must have
+// the machine's cores to itself.
 //
-// A listed test is run by itself in every build and may fail there. What fails the whole run: a malformed entry, a test
+// A listed test is run by itself in every build and may fail there. The whole run fails for a malformed entry, a test
 // or case listed twice, more than maxEntries entries, a test that does not exist, and a listed test that passes in
-// every build, since it is to be taken off the list. Without the file nothing is known to fail.
+// every build, which must be removed from the list. If the file does not exist, the list is empty.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	"os/exec"
 )
 
-// listFile is the list's path from the repository's root.
+// listFile is the list's path, relative to the repository's root.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -46,7 +46,7 @@
 	return check(text, os.Stdout, runGo)
 }
 
-// load returns the list's text, empty where there is no such file.
+// load returns the list's text; it is empty if the file does not exist.
 func load(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -55,8 +55,8 @@
 	return string(text), err
 }
 
-// runGo runs the go command and returns what it printed.
+// runGo runs the go command and returns its standard output and standard error.
 func runGo(args ...string) (string, error) {
-	printed, err := exec.Command("go", args...).CombinedOutput()
-	return string(printed), err
+	output, err := exec.Command("go", args...).CombinedOutput()
+	return string(output), err
 }
--- a/internal/report/file.go
+++ b/internal/report/file.go
@@ -8,13 +8,14 @@
 	"path/filepath"
 )
 
-// WriteFile writes a file under a temporary name and renames it, so that nobody ever finds half of it.
+// WriteFile writes a file atomically: it writes to a temporary file in the same directory and renames it, so that
+// readers never see a partial file.
 func WriteFile(name string, write func(w io.Writer) error) error {
 	f, err := os.CreateTemp(filepath.Dir(name), "."+filepath.Base(name)+".*")
 	if err != nil {
 		return err
 	}
-	err = fill(f, name, write)
+	err = writeContent(f, name, write)
 	if closeErr := f.Close(); err == nil {
 		err = closeErr
 	}
@@ -27,14 +28,16 @@
 	return err
 }
 
-func fill(f *os.File, name string, write func(w io.Writer) error) error {
+// writeContent writes the content of the temporary file f and makes it readable for everyone. Errors name the final
+// file.
+func writeContent(f *os.File, name string, write func(w io.Writer) error) error {
 	if err := write(f); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return f.Chmod(0o644)
 }
 
-// JSON writes anything as JSON for machines.
+// JSON writes v as indented JSON.
 func JSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -21,19 +21,20 @@
 	black  = color.NRGBA{0x22, 0x22, 0x22, 0xff}
 )
 
-// curve is one curve of a chart.
+// curve is the legend entry and the color of one curve of a chart.
 type curve struct {
 	name  string
 	color color.Color
 }
 
-// chart is one plot of a run.
+// chart is a plot of some quantities of a run over time.
 type chart struct {
 	title, unit string
 	curves      []curve
-	values      func(s simulation.Second) []float64 // by curve
+	values      func(s simulation.Second) []float64 // one for each curve
 }
 
+// charts are the plots of each run on a page.
 var charts = []chart{
 	{
 		title: "Requests a second, by outcome",
@@ -43,7 +44,7 @@
 			{"lost", red}, {"attempts", gray},
 		},
 		values: func(s simulation.Second) []float64 {
-			return counts(s.Intents, s.InTime, s.Late, s.Rejected, s.Failed,
+			return toFloats(s.Intents, s.InTime, s.Late, s.Rejected, s.Failed,
 				s.Lost, s.Attempts)
 		},
 	},
@@ -61,7 +62,7 @@
 			{"unreachable", black}, {"down", red},
 		},
 		values: func(s simulation.Second) []float64 {
-			return counts(s.Ready, s.WarmingUp, s.Degraded, s.Draining, s.Paused,
+			return toFloats(s.Ready, s.WarmingUp, s.Degraded, s.Draining, s.Paused,
 				s.Unreachable, s.Down)
 		},
 	},
@@ -69,11 +70,11 @@
 		title:  "Requests waiting at servers",
 		unit:   "requests",
 		curves: []curve{{"waiting", blue}},
-		values: func(s simulation.Second) []float64 { return counts(s.Waiting) },
+		values: func(s simulation.Second) []float64 { return toFloats(s.Waiting) },
 	},
 }
 
-func counts(list ...int) []float64 {
+func toFloats(list ...int) []float64 {
 	values := make([]float64, len(list))
 	for i, n := range list {
 		values[i] = float64(n)
@@ -81,12 +82,12 @@
 	return values
 }
 
-// Page is a report of one run or several.
+// Page is the content of an HTML report on one or more runs.
 type Page struct {
 	Title string
-	About string
-	Rows  []simulation.Row
-	Runs  []*simulation.Result
+	About string               // a paragraph below the title
+	Rows  []simulation.Row     // of the summary table; empty: no table
+	Runs  []*simulation.Result // shown with their plots and events
 }
 
 //go:embed page.html
@@ -100,7 +101,7 @@
 	"seeds":       seeds,
 }).Parse(pageText))
 
-// HTML writes the page.
+// HTML writes p as an HTML page that needs no other file.
 func HTML(w io.Writer, p Page) error {
 	type run struct {
 		*simulation.Result
@@ -117,7 +118,7 @@
 			if err != nil {
 				return err
 			}
-			// Safe unescaped: it is made here of numbers and the words above.
+			// Safe to insert unescaped: the SVG is generated from numbers and the constant texts of charts.
 			withPlots.Plots = append(withPlots.Plots, template.HTML(text))
 		}
 		content.Runs = append(content.Runs, withPlots)
@@ -125,7 +126,7 @@
 	return pageTemplate.Execute(w, content)
 }
 
-// draw draws the chart of a run. Curves that are zero throughout are left out: they would only hide others.
+// draw returns the chart of a run as SVG. Curves that are zero throughout are omitted: they would only cover others.
 func (c *chart) draw(seconds []simulation.Second) (string, error) {
 	p := newPlot(c.title, c.unit)
 	for i, curve := range c.curves {
@@ -146,7 +147,7 @@
 	return svg(p)
 }
 
-// points are the points of the i-th curve.
+// points returns the points of the i-th curve, and whether all of them are zero.
 func (c *chart) points(i int, seconds []simulation.Second) (points plotter.XYs, allZero bool) {
 	points = make(plotter.XYs, len(seconds))
 	allZero = true
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -14,7 +14,7 @@
 const (
 	plotWidth   = 22 * vg.Centimeter
 	plotHeight  = 6.5 * vg.Centimeter
-	legendScale = 1.2 // multiple of the curves' width that leaves the legend a place beside them
+	legendScale = 1.2 // factor that extends the x axis to make room for the legend beside the curves
 )
 
 var (
@@ -22,7 +22,7 @@
 	legendFont = vg.Points(9)
 )
 
-// newPlot returns a plot over time in seconds, without curves.
+// newPlot returns a plot without curves, whose x axis is time in seconds.
 func newPlot(title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text = title
@@ -33,7 +33,7 @@
 	return p
 }
 
-// svg draws a plot as it stands in a page.
+// svg returns a plot as an SVG element that can be embedded in an HTML page.
 func svg(p *plot.Plot) (string, error) {
 	p.X.Max *= legendScale
 	p.Legend.TextStyle.Font.Size = legendFont
@@ -44,7 +44,7 @@
 		return "", err
 	}
 	text := out.String()
-	if start := strings.Index(text, "<svg"); start > 0 { // a page has no place for the XML declaration
+	if start := strings.Index(text, "<svg"); start > 0 { // HTML allows no XML declaration
 		text = text[start:]
 	}
 	return text, nil
--- a/internal/report/statuses.go
+++ b/internal/report/statuses.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	maxServers = 12 // curves in one plot; of more servers the first are drawn
-	colors     = 7  // of plotutil's palette, after which curves get other dashes
+	maxServers  = 12 // curves in one plot; servers after the first maxServers, by endpoint, are not drawn
+	paletteSize = 7  // colors in plotutil's palette; further curves reuse them with another dash pattern
 )
 
-// statusChart is one quantity of a proxy's status of its servers.
+// statusChart is a plot of one value of a proxy's servers over time, with a curve for each server.
 type statusChart struct {
 	title, unit string
-	value       func(m *capture.Sample) float64
+	value       func(s *capture.Sample) float64
 }
 
 var statusCharts = []statusChart{
-	{"Payoff of an attempt", "payoff", func(m *capture.Sample) float64 { return m.Payoff }},
-	{"Limit", "attempts", func(m *capture.Sample) float64 { return m.Limit }},
-	{"Attempts in flight", "attempts", func(m *capture.Sample) float64 { return float64(m.InFlight) }},
+	{"Payoff of an attempt", "payoff", func(s *capture.Sample) float64 { return s.Payoff }},
+	{"Limit", "attempts", func(s *capture.Sample) float64 { return s.Limit }},
+	{"Attempts in flight", "attempts", func(s *capture.Sample) float64 { return float64(s.InFlight) }},
 	{"Paused", "1: paused", paused},
-	{"Attempts succeeded", sinceBefore, func(m *capture.Sample) float64 { return float64(m.Succeeded) }},
-	{"Attempts failed or rejected", sinceBefore, func(m *capture.Sample) float64 {
-		return float64(m.Failed + m.Rejected)
+	{"Attempts succeeded", sincePreviousSample, func(s *capture.Sample) float64 { return float64(s.Succeeded) }},
+	{"Attempts failed or rejected", sincePreviousSample, func(s *capture.Sample) float64 {
+		return float64(s.Failed + s.Rejected)
 	}},
 }
 
-const sinceBefore = "since the moment before"
+const sincePreviousSample = "since the moment before"
 
-func paused(m *capture.Sample) float64 {
-	if m.Paused {
+func paused(s *capture.Sample) float64 {
+	if s.Paused {
 		return 1
 	}
 	return 0
@@ -57,22 +57,22 @@
 	Plots []template.HTML
 }
 
-// momentsByServer are a pool's moments by server, in order of time.
-type momentsByServer map[int][]*capture.Sample
+// samplesByServer holds a pool's samples by endpoint, in order of time.
+type samplesByServer map[int][]*capture.Sample
 
-// ServerStatuses writes a page of a captured proxy's status of its servers over time, by pool.
-func ServerStatuses(w io.Writer, title string, moments []capture.Sample) error {
+// ServerStatuses writes an HTML page with plots of the servers' status at a captured proxy over time, by pool.
+func ServerStatuses(w io.Writer, title string, samples []capture.Sample) error {
 	page := struct {
 		Title string
 		Pools []statusPool
 	}{Title: title}
-	pools := map[string]momentsByServer{}
-	for i := range moments {
-		m := &moments[i]
-		if pools[m.Pool] == nil {
-			pools[m.Pool] = momentsByServer{}
+	pools := map[string]samplesByServer{}
+	for i := range samples {
+		s := &samples[i]
+		if pools[s.Pool] == nil {
+			pools[s.Pool] = samplesByServer{}
 		}
-		pools[m.Pool][m.Endpoint] = append(pools[m.Pool][m.Endpoint], m)
+		pools[s.Pool][s.Endpoint] = append(pools[s.Pool][s.Endpoint], s)
 	}
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
 		pool, err := newStatusPool(name, pools[name])
@@ -84,26 +84,27 @@
 	return statusPage.Execute(w, page)
 }
 
-func newStatusPool(name string, moments momentsByServer) (statusPool, error) {
-	pool := statusPool{Name: name, More: max(len(moments)-maxServers, 0)}
+func newStatusPool(name string, samples samplesByServer) (statusPool, error) {
+	pool := statusPool{Name: name, More: max(len(samples)-maxServers, 0)}
 	for i := range statusCharts {
-		text, err := statusCharts[i].draw(moments)
+		text, err := statusCharts[i].draw(samples)
 		if err != nil {
 			return pool, err
 		}
-		// Safe unescaped: it is made here of numbers and the words above.
+		// Safe to insert unescaped: the SVG is generated from numbers and the constant texts of statusCharts.
 		pool.Plots = append(pool.Plots, template.HTML(text))
 	}
 	return pool, nil
 }
 
-func (c *statusChart) draw(moments momentsByServer) (string, error) {
+// draw returns the chart of a pool as SVG.
+func (c *statusChart) draw(samples samplesByServer) (string, error) {
 	p := newPlot(c.title, c.unit)
-	servers := slices.Sorted(maps.Keys(moments))
+	servers := slices.Sorted(maps.Keys(samples))
 	for i, server := range servers[:min(len(servers), maxServers)] {
 		var points plotter.XYs
-		for _, m := range moments[server] {
-			points = append(points, plotter.XY{X: m.At, Y: c.value(m)})
+		for _, s := range samples[server] {
+			points = append(points, plotter.XY{X: s.At, Y: c.value(s)})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -111,7 +112,7 @@
 		}
 		line.Color = plotutil.Color(i)
 		line.Width = lineWidth
-		line.Dashes = plotutil.Dashes(i / colors)
+		line.Dashes = plotutil.Dashes(i / paletteSize)
 		p.Add(line)
 		p.Legend.Add(fmt.Sprint(server), line)
 	}
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -1,5 +1,5 @@
-// Package report shows the results of simulations: tables as text, results as JSON, and pages with plots that need no
-// other file.
+// Package report writes the results of simulations as text tables, as JSON, and as HTML pages with plots that need no
+// other file. It also writes such a page for the servers' status in a capture.
 package report
 
 import (
@@ -11,7 +11,8 @@
 	"lockloom/internal/simulation"
 )
 
-// RulesBroken names the rules that were broken and how often.
+// RulesBroken returns the rules that were broken, each with how often; "none" if there are none. counts is by rule
+// number.
 func RulesBroken(counts [5]int) string {
 	var list []string
 	for rule, n := range counts {
@@ -25,7 +26,7 @@
 	return strings.Join(list, ", ")
 }
 
-// Table writes a row for each policy of an experiment.
+// Table writes a table with a row for each scenario and policy of an experiment.
 func Table(w io.Writer, rows []simulation.Row) error {
 	t := newTable(w)
 	t.row("scenario", "policy", "seeds", "value in time", "worst", "best", "spread", "in time", "late", "unserved",
@@ -41,7 +42,7 @@
 	return t.Flush()
 }
 
-// Result writes the table of one run, class by class.
+// Result writes the results of one run: a table by class, and the totals.
 func Result(w io.Writer, r *simulation.Result) error {
 	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.WallTime)
 	if err := classTable(w, r); err != nil {
@@ -53,10 +54,10 @@
 		r.Tries, r.Succeeded, r.Rejected, r.Failed, r.Lost, r.LostWithProxy, r.ClientGone, r.NoProxy)
 	lateness := fmt.Sprintf("rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most",
 		1000*r.RigLateP99, 1000*r.RigLateMax)
-	if r.Attempts == 0 { // no server was seen: the proxies ran already
+	if r.Attempts == 0 { // load on running proxies: their servers' attempts are not observed
 		fmt.Fprintln(w, lateness)
 		fmt.Fprintln(w, "rules broken, of what clients can see:", RulesBroken(r.RulesBroken))
-		return breaches(w, r)
+		return writeBreaches(w, r)
 	}
 	fmt.Fprintf(w, "servers: %d attempts, %.2f a try; %.1f s of work, %.1f%% of it for nobody; "+
 		"%d repeats dropped, %d crashed in slow start\n",
@@ -66,7 +67,7 @@
 		fmt.Fprintf(w, "%s; proxies' memory %.1f MB at most\n", lateness, r.ProxyMemoryMB)
 	}
 	fmt.Fprintln(w, "rules broken:", RulesBroken(r.RulesBroken))
-	return breaches(w, r)
+	return writeBreaches(w, r)
 }
 
 func classTable(w io.Writer, r *simulation.Result) error {
@@ -81,8 +82,8 @@
 	return t.Flush()
 }
 
-// breaches ends a run's table: the first breaches in words, and why the results are void, if they are.
-func breaches(w io.Writer, r *simulation.Result) (err error) {
+// writeBreaches writes the first breaches of rules and, if the run is void, the reason.
+func writeBreaches(w io.Writer, r *simulation.Result) (err error) {
 	for _, line := range r.FirstBreaches {
 		_, err = fmt.Fprintln(w, " ", line)
 	}
@@ -92,13 +93,14 @@
 	return err
 }
 
-// table aligns columns.
+// table writes rows with aligned columns; Flush ends it.
 type table struct{ *tabwriter.Writer }
 
 func newTable(w io.Writer) table { return table{tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)} }
 
 func (t table) row(cells ...string) { fmt.Fprintln(t, strings.Join(cells, "\t")) }
 
+// seeds returns the number of seeds that were played, and how many of the runs are void.
 func seeds(r simulation.Row) string {
 	if r.VoidSeeds > 0 {
 		return fmt.Sprintf("%d (%d void)", r.Seeds, r.VoidSeeds)
