--- a/internal/cli/ctlcmd/ctlcmd_test.go
+++ b/internal/cli/ctlcmd/ctlcmd_test.go
@@ -83,7 +83,8 @@
 	return code, out.String(), errs.String()
 }
 
-// In a short version of the scenario deadline-night on sockets, every request gets one response and no rule is broken.
+// In a short version of the scenario deadline-night, played with -clock sockets, every request gets one response and no
+// rule is broken.
 func TestDeadlineNight(t *testing.T) {
 	file, dir := shortScenario(t, "deadline-night", 9, .1), t.TempDir()
 	own, err := os.Executable()
--- a/internal/cli/ctlcmd/diff.go
+++ b/internal/cli/ctlcmd/diff.go
@@ -14,12 +14,12 @@
 	"lockloom/internal/cli"
 )
 
-// diffCommand returns the sub-command that compares the choices of two builds.
+// diffCommand returns the sub-command that replays captures with two builds and compares the decisions they make.
 func diffCommand(out cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("diff")
 	other := flags.String("with", "", "another build's lockloomctl `program`")
 	maxPrinted := flags.Int("most", 10, "print at most this `number` of differences")
-	help := "show where another build makes other choices on the same events"
+	help := "replay captures with this build and another one, and show where their decisions differ"
 	return cli.NewCommand("diff", "diff FILE|FOLDER... -with PROGRAM", help, flags,
 		func(ctx context.Context, args []string) error {
 			files, err := captureFiles(args)
@@ -46,7 +46,7 @@
 		})
 }
 
-// choicesOf runs a build of lockloomctl and returns the choices that it prints for captures, one per line.
+// choicesOf runs a build of lockloomctl that replays captures, and returns the decisions that it prints, one per line.
 func choicesOf(ctx context.Context, program string, files []string) ([]string, error) {
 	args := append([]string{"replay", "-loose", "-choices"}, files...)
 	text, err := exec.CommandContext(ctx, program, args...).Output()
@@ -60,7 +60,8 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n"), nil
 }
 
-// printDifferences prints the first maxPrinted choices that differ, and how many differ in all.
+// printDifferences prints the first maxPrinted decisions that differ, and how many differ in all. Once a build has
+// decided otherwise than recorded, it still gets the captured calls, which follow from the recorded decisions.
 func printDifferences(out cli.Output, ours, theirs []string, maxPrinted int) {
 	differ := 0
 	for i := range max(len(ours), len(theirs)) {
@@ -73,7 +74,7 @@
 			out.Printf("this:  %s\nother: %s\n", our, their)
 		}
 	}
-	out.Printf("%d choices, %d differ; after the first, each build got events of choices that were not its own\n",
+	out.Printf("%d decisions, %d differ; after the first, the captured events may not fit a build's own decisions\n",
 		len(ours), differ)
 }
 
--- a/internal/cli/ctlcmd/replay.go
+++ b/internal/cli/ctlcmd/replay.go
@@ -16,8 +16,8 @@
 func replayCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("replay")
 	times := flags.Int("times", 1, "replay the captures this `number` of times")
-	loose := flags.Bool("loose", false, "continue after actions that differ")
-	choices := flags.Bool("choices", false, "print the choices, one per line")
+	loose := flags.Bool("loose", false, "continue after a decision that differs from the recorded one")
+	choices := flags.Bool("choices", false, "print the decisions (attempts sent or canceled, replies), one per line")
 	help := "replay a capture and compare each decision with the recorded one"
 	return cli.NewCommand("replay", "replay FILE|FOLDER... [FLAGS]", help, flags,
 		func(_ context.Context, args []string) error {
@@ -41,7 +41,7 @@
 		})
 }
 
-// replayChoices replays captures and prints the choices, one per line.
+// replayChoices replays captures and prints the decisions, one per line.
 func replayChoices(player *capture.Player, files []string, out cli.Output) error {
 	buffer := bufio.NewWriter(out)
 	player.After = func(pool *capture.Pool, call *capture.Call, actions *balance.Actions) {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// printChoices prints the actions that a call returned, one per line. Diff compares these lines with those that
-// another, possibly older, build prints, so the format must stay the same.
+// printChoices prints the decisions (actions) that a call returned, one per line. The diff sub-command compares these
+// lines with those that another, possibly older, build prints, so the format must stay the same.
 func printChoices(out cli.Output, pool *capture.Pool, call *capture.Call, actions *balance.Actions) {
 	if actions == nil {
 		return
--- a/internal/cli/ctlcmd/servers.go
+++ b/internal/cli/ctlcmd/servers.go
@@ -17,7 +17,7 @@
 	flags := cli.NewFlagSet("servers")
 	dir := flags.String("dir", "", "write the launch files to this `folder` (default: a temporary one)")
 	seed := flags.Uint64("seed", 1, "`seed` of the random numbers")
-	play := flags.Bool("play", false, "also play the scenario's troubles, from the start")
+	play := flags.Bool("play", false, "also play the scenario's faults, from the start")
 	help := "run only a scenario's servers and discovery agents until Ctrl-C; print the environment for lockloom serve"
 	return cli.NewCommand("servers", "servers SCENARIO [FLAGS]", help, flags,
 		func(ctx context.Context, args []string) (err error) {
--- a/internal/cli/ctlcmd/subscribers.go
+++ b/internal/cli/ctlcmd/subscribers.go
@@ -44,7 +44,7 @@
 		for _, resource := range r.Resources {
 			state := "newest"
 			switch {
-			case len(resource.Nacked) > 0:
+			case len(resource.Nacked) > 0: // the subscriber rejected (NACK) these resources
 				state = fmt.Sprintf("refuses %s: %s", strings.Join(resource.Nacked, ", "), r.NackDetail)
 			case resource.UnackedSeconds > 0:
 				state = fmt.Sprintf("unacknowledged for %.1f s", resource.UnackedSeconds)
--- a/internal/cli/ctlcmd/whatif.go
+++ b/internal/cli/ctlcmd/whatif.go
@@ -23,7 +23,7 @@
 		"`name` of the policy: "+strings.Join(simulation.PolicyNames(), ", "))
 	seed := flags.Uint64("seed", 1, "`seed` of the servers' random numbers")
 	name := flags.String("scenario", "",
-		"`FILE` of the scenario with the servers, proxies and troubles; it must have the capture's tariffs, by name")
+		"`FILE` of the scenario that defines the servers, proxies, faults and all tariffs that the capture names")
 	help := "play a capture's arrivals against emulated servers: a model, not a record"
 	return cli.NewCommand("whatif", "whatif FILE|FOLDER... -scenario SCENARIO", help, flags,
 		func(_ context.Context, args []string) error {
@@ -49,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			out.Printf("A MODEL: %d captured arrivals against the servers of %s, under %s. "+
+			out.Printf("A MODEL: %d captured arrivals against the servers of scenario %s, with policy %s. "+
 				"What happened is in the capture alone.\n", len(arrivals), scenario.Name, *policy)
 			return report.Result(out, result)
 		})
--- a/internal/cli/ctlcmd/why.go
+++ b/internal/cli/ctlcmd/why.go
@@ -18,9 +18,10 @@
 func whyCommand(out, errOut cli.Output) *ffcli.Command {
 	flags := cli.NewFlagSet("why")
 	id := flags.String("lookup", "", "`id` of the request")
-	number := flags.Uint64("number", 0, "or the `number` of the request in its pool")
+	number := flags.Uint64("number", 0, "instead of -lookup: `number` of the request in its pool")
 	first := flags.String("first", "",
-		"or the first request with this `event`: "+strings.Join(capture.MatcherNames, ", ")+", or paused:BACKEND")
+		"instead of -lookup: the first request with this `event`: "+
+			strings.Join(capture.MatcherNames, ", ")+", or paused:BACKEND")
 	pool := flags.String("pool", "", "the request's `pool` (default: any)")
 	help := "explain how one request was served, and how the servers were scored"
 	return cli.NewCommand("why", "why FILE|FOLDER... [FLAGS]", help, flags,
--- a/internal/comparebuilds/compare.go
+++ b/internal/comparebuilds/compare.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// makeScratch makes a temporary directory for checkouts, with a link to the operators' folder, which they use by the
-// path givenFolder.
+// makeScratch makes a temporary directory for checkouts. It puts a link to the operators' folder there, so that the
+// relative path givenFolder leads from each checkout to that folder.
 func makeScratch(repo string) (string, error) {
 	given, err := filepath.EvalSymlinks(filepath.Join(repo, givenFolder))
 	if err != nil {
--- a/internal/comparebuilds/compare_test.go
+++ b/internal/comparebuilds/compare_test.go
@@ -180,8 +180,8 @@
 	assert.Contains(t, printed, "g 0.59 against 0.51  DIFFERENT: g\n")
 }
 
-// Guards against missing a change of the same size that was made in the second of the last add. Git detects it only by
-// the modification time of the index, which a copied index must keep.
+// Guards against missing a change that keeps the file's size and is made in the same second as the last "git add". Git
+// detects it only because the index is not newer than the file, so a copy must keep the index's modification time.
 func TestCompareSeesAChangeInTheSecondOfTheLastAdd(t *testing.T) {
 	s := newFixture(t)
 	extra, index := filepath.Join(s.repo, "extra"), filepath.Join(s.repo, ".git", "index")
--- a/internal/comparebuilds/main.go
+++ b/internal/comparebuilds/main.go
@@ -1,6 +1,7 @@
 // Command comparebuilds checks whether two builds make the same decisions, bit for bit. It builds a base commit and the
-// present working tree, plays the same simulated days of the operators' simulators (lbsim) with both, and fails if a
-// figure that depends on decisions differs.
+// present working tree, plays the same simulated days with both, and fails if a figure that depends on decisions
+// differs. The days are run by the simulators (lbsim) that the operators supply in their kit, ../given/kit. A play is
+// one day, determined by a site file (an input file of lbsim), a kind of day such as quiet or overload, and a seed.
 //
 //	make compare BASE=f83df88            every site file of both simulators, three kinds of day
 //	make compare BASE=f83df88 QUICK=1    one site file of each simulator, two kinds of day
@@ -8,8 +9,8 @@
 //
 // The present tree includes new files and changes that are not staged, but no ignored files. Each build has its own
 // clone in a temporary directory, with a link to ../given beside it, and is made there by the build line of its own
-// deploy/balancer.toml. At the end the plays' journal entries are copied to the repository's journal, since the
-// operators want every entry kept; commit them unchanged.
+// deploy/balancer.toml. The simulator writes an entry on each play to the journal of the build's checkout. At the end
+// the entries are copied to the repository's journal, since the operators want every entry kept; commit them unchanged.
 //
 // One line is printed for each play. Only a change that affects a decision on one of these days is detected. The exit
 // code is 1 if a play differs or cannot be played, or if the operators' kit is missing.
@@ -25,7 +26,7 @@
 	"syscall"
 )
 
-// defaultWhy is the journal's note on each play if the command line gives none.
+// defaultWhy is the reason that each play's journal entry records if the command line gives none.
 const defaultWhy = "Trial: the present tree against another build, which must decide alike"
 
 // options are the options of the command line.
@@ -34,7 +35,7 @@
 	base    string // commit to compare with; may be empty if baseDir is set
 	baseDir string // checkout of the base that is built already; empty: the base is built from its commit
 	quick   bool   // play one site file of each simulator and two kinds of day
-	why     string // the journal's note on each play
+	why     string // the reason for the play, which its journal entry records
 }
 
 func main() {
@@ -51,8 +52,8 @@
 	o := options{dir: "."}
 	flag.StringVar(&o.base, "base", "", "the commit to compare with")
 	flag.StringVar(&o.baseDir, "base-dir", "", "a checkout of the base that is built already")
-	flag.BoolVar(&o.quick, "quick", false, "one site file of each simulator, two kinds of day")
-	flag.StringVar(&o.why, "why", defaultWhy, "the journal's note on each play")
+	flag.BoolVar(&o.quick, "quick", false, "play only one site file of each simulator and two of the three kinds of day")
+	flag.StringVar(&o.why, "why", defaultWhy, "the reason for the plays, which their journal entries record")
 	flag.Parse()
 	return compare(ctx, o, os.Stdout)
 }
--- a/internal/knownfailures/check.go
+++ b/internal/knownfailures/check.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// builds are the build tags that all tests run with: as released, and with the debug assertions.
+// builds are the values of the go test flag -tags with which all tests run: none for the released build, "debug" for
+// the build with debug assertions.
 var builds = []string{"", "debug"}
 
 // errTestsFailed reports that a test that is not listed failed, or that a listed test passed in every build.
--- a/internal/knownfailures/entries.go
+++ b/internal/knownfailures/entries.go
@@ -41,7 +41,7 @@
 	isBench bool
 	command string
 	seed    string // a decimal number or noSeed
-	seen    string // how it failed
+	seen    string // how the test or case failed
 	issue   string // its number, in decimal
 }
 
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -11,13 +11,15 @@
 //	issue: 47
 //
 // The command is the one that failed, and must contain the test's name; seed is "none" if the test has no seed. An
-// entry for a case of the operators' bench has "bench: roll+brink" as its first line and the bench's command line as
-// its command. It is printed and never run, even if the operators' kit is present: one play takes minutes and must have
-// the machine's cores to itself.
+// entry can also be for a failed case of the bench, a test program that the operators supply in their kit, outside of
+// this repository. Its first line is then, for example, "bench: roll+brink", and its command is the bench's command
+// line. Such an entry is printed and never run, even if the kit is present: running one case takes
+// minutes and must have the machine's cores to itself.
 //
-// A listed test is run by itself in every build and may fail there. The whole run fails for a malformed entry, a test
-// or case listed twice, more than maxEntries entries, a test that does not exist, and a listed test that passes in
-// every build, which must be removed from the list. If the file does not exist, the list is empty.
+// All tests run in every build: without build tags, and with the tag debug. A listed test may fail there. The whole run
+// fails for a malformed entry, a test or case listed twice, more than maxEntries entries, a test that does not exist,
+// and a listed test that passes in every build, which must be removed from the list. If the file does not exist, the
+// list is empty.
 package main
 
 import (
--- a/internal/report/statuses.go
+++ b/internal/report/statuses.go
@@ -36,6 +36,7 @@
 	}},
 }
 
+// sincePreviousSample is the y-axis label of charts that count attempts since the server's previous sample.
 const sincePreviousSample = "since the moment before"
 
 func paused(s *capture.Sample) float64 {
--- a/internal/report/text.go
+++ b/internal/report/text.go
@@ -26,7 +26,8 @@
 	return strings.Join(list, ", ")
 }
 
-// Table writes a table with a row for each scenario and policy of an experiment.
+// Table writes a table with a row for each scenario and policy of an experiment. A request is in time if it succeeded
+// within its class's latency objective (or deadline, if there is no objective), counted from its client's first try.
 func Table(w io.Writer, rows []simulation.Row) error {
 	t := newTable(w)
 	t.row("scenario", "policy", "seeds", "value in time", "worst", "best", "spread", "in time", "late", "unserved",
@@ -42,7 +43,11 @@
 	return t.Flush()
 }
 
-// Result writes the results of one run: a table by class, and the totals.
+// Result writes the results of one run: a table by class, and the totals. A try is one sending of a request by its
+// client, so that a client's retry is another try. Of the outcomes, "lost" are tries without a response, "lost with
+// their proxy" those whose proxy was killed, and "gone" those whose client left before the response. "Found no proxy"
+// counts requests that no proxy accepted, which are not among the tries. Work "for nobody" is work on attempts whose
+// response reached no client.
 func Result(w io.Writer, r *simulation.Result) error {
 	fmt.Fprintf(w, "%s, %s clock, %s, seed %d, took %.1f s\n\n", r.Scenario, r.Clock, r.Policy, r.Seed, r.WallTime)
 	if err := classTable(w, r); err != nil {
@@ -54,7 +59,7 @@
 		r.Tries, r.Succeeded, r.Rejected, r.Failed, r.Lost, r.LostWithProxy, r.ClientGone, r.NoProxy)
 	lateness := fmt.Sprintf("rig: tries sent %.2f ms late at the 99th percentile, %.1f ms at most",
 		1000*r.RigLateP99, 1000*r.RigLateMax)
-	if r.Attempts == 0 { // load on running proxies: their servers' attempts are not observed
+	if r.Attempts == 0 { // load on running proxies: attempts at servers are not observed, only clients
 		fmt.Fprintln(w, lateness)
 		fmt.Fprintln(w, "rules broken, of what clients can see:", RulesBroken(r.RulesBroken))
 		return writeBreaches(w, r)
