--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,8 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 
-# All tests but those that KNOWN-RED.txt lists, as released and with the debug assertions; then these, and how each ended.
+# Runs all tests as released and with the debug assertions (build tag debug). Tests that KNOWN-RED.txt lists as known
+# failures run last, each by itself, and may fail.
 test:
 	go run ./internal/knownfailures
 
@@ -13,19 +14,20 @@
 	go vet -tags debug ./...
 	go tool -modfile=tools/golangci-lint/go.mod golangci-lint run
 
-# Told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and ROUTER_CONFIG; see README.md.
+# Runs one proxy, configured by the environment variables ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY and
+# ROUTER_CONFIG; see README.md.
 run: build
 	bin/lockloom serve
 
-# Half a minute of an ordinary day: two proxies, twelve emulated servers and their clients, all on loopback.
+# Plays half a minute of normal operation: two proxies, twelve emulated servers and their clients, all on loopback.
 rehearse: build
 	bin/lockloomctl rehearse deploy/rehearsals/calm.toml -clock sockets
 
-# The same with servers banned, a proxy drained and both upgraded meanwhile.
+# Plays the same load while servers are disabled and replaced, a proxy is drained and both proxies are upgraded.
 maintenance: build
 	bin/lockloomctl rehearse deploy/rehearsals/maintenance-day.toml -clock sockets
 
-# Every scenario in virtual time, lockloom against plain baselines.
+# Plays every scenario in virtual time and compares lockloom with simple baseline policies, in experiment.html.
 experiment: build
 	bin/lockloomctl experiment deploy/rehearsals/*.toml -html experiment.html
 
@@ -36,18 +38,20 @@
 	go test ./internal/http1 -run '^$$' -fuzz FuzzMessages -fuzztime 1m
 	go test ./internal/simulation -run '^$$' -fuzz FuzzRead -fuzztime 1m
 
-# Hot restarts from an older build to this one and back, as processes: make upgrades OLD=/path/of/the/older/lockloom
+# Tests hot restarts from an older build's process to one of this build, and back:
+# make upgrades OLD=/path/of/the/older/lockloom
 upgrades:
 	@test -x "$(OLD)" || { echo "OLD: name an older build's lockloom" >&2; exit 1; }
 	LOCKLOOM_OLD_BINARY="$(abspath $(OLD))" go test ./internal/cli/proxycmd -count=1 -v -run 'TestUpgradeUnderLoad|TestDrainAndResume|TestHandsOverState'
 
-# What the operators' bench wants beside the deployments of our own in deploy/sites; it stays out of the repository.
+# Copies to deploy/sites the files of the operators' kit that their bench needs to play the site files there. Git
+# ignores the copies.
 sites:
 	@if [ -d ../given/kit/sites ]; then cp -f ../given/kit/sites/real.json ../given/kit/sites/wire.json ../given/kit/sites/unlock.txt deploy/sites/ && \
 		chmod u+w deploy/sites/* && echo "deploy/sites: ready to be played"; \
 	else echo "deploy/sites: the operators' kit is not at ../given/kit: nothing to play these with" >&2; exit 1; fi
 
-# Whether the present tree decides as the commit BASE does, bit for bit, on the simulator's days. QUICK=1 plays fewer; BASE_DIR is a
-# checkout of BASE that is built already; WHY is the journal's note.
+# Checks that the working tree makes the same decisions as the commit BASE, bit for bit, on simulated days. QUICK=1
+# plays fewer days; BASE_DIR is a checkout of BASE that is built already; WHY is the journal's note on each play.
 compare:
 	go run ./internal/comparebuilds -base "$(BASE)" -base-dir "$(BASE_DIR)" $(if $(QUICK),-quick) $(if $(WHY),-why "$(WHY)")
